--- a/stepstream/admin/service.py
+++ b/stepstream/admin/service.py
@@ -27,7 +27,7 @@
 from stepstream.http.worker_api import read_notification
 from stepstream.ports.admin import AdminResponse
 from stepstream.runtime.log import log
-from stepstream.subsystem_context import SubsystemContext
+from stepstream.subsystem_api.context import SubsystemContext
 
 if TYPE_CHECKING:
     from stepstream.hot_restart.controller import HotRestartController
--- a/stepstream/admin/subsystem.py
+++ b/stepstream/admin/subsystem.py
@@ -14,10 +14,10 @@
 from stepstream.hot_restart.process import own_record
 from stepstream.hot_restart.state import HandoverState, is_newer_list
 from stepstream.hot_restart.state_file import StateFile, state_folder
-from stepstream.ports.subsystem import Subsystem
 from stepstream.runtime.log import log
 from stepstream.runtime.threads import spawn_thread
-from stepstream.subsystem_context import SubsystemContext
+from stepstream.subsystem_api.context import SubsystemContext
+from stepstream.subsystem_api.subsystem import Subsystem
 
 
 class AdminSubsystem(Subsystem):
--- a/stepstream/ports/payload.py
+++ b/stepstream/core/job_results.py
@@ -1,17 +1,12 @@
-"""What a worker is given of a request, and what it returns, in no protocol's form.
+"""Results of jobs as workers return them, in no protocol's form.
 
-`Payload` is defined with the request that carries it: the core may not import this package. All
-records are immutable and may be read by any thread.
+All records are immutable and may be read by any thread.
 """
 
 from dataclasses import dataclass
 
 import ujson
 
-from stepstream.core.requests import Payload
-
-__all__ = ["ChunkedResult", "Payload", "ResultChunk", "result_bytes"]
-
 
 @dataclass(frozen=True, slots=True)
 class ResultChunk:
--- a/stepstream/core/requests.py
+++ b/stepstream/core/requests.py
@@ -5,8 +5,7 @@
 touch from its own threads say so. Times are microseconds on the node's clock.
 
 `Payload`, `ResponseSink` and `CallCarrier` are what a request carries through the core. They stand
-here because the core imports nothing of `ports`, which re-exports the first two and extends the
-last.
+here because the core imports nothing of `ports`; `ports.carriers.Carrier` extends the last one.
 """
 
 from dataclasses import dataclass, field
--- a/stepstream/gearman/job_admission.py
+++ b/stepstream/gearman/job_admission.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from stepstream.core.events import RequestReceived
-from stepstream.core.requests import Request
+from stepstream.core.requests import Payload, Request
 from stepstream.gearman import codec
 from stepstream.gearman.access import AccessChecks
 from stepstream.gearman.codec import Kind, Packet
@@ -27,7 +27,6 @@
 from stepstream.gearman.state import SECOND_US, ServiceState
 from stepstream.model.settings import Effect, JobClass
 from stepstream.ports.access_control import Authorization
-from stepstream.ports.payload import Payload
 
 BACKGROUND_SUBMISSIONS = frozenset(
     (Kind.SUBMIT_JOB_BG, Kind.SUBMIT_JOB_HIGH_BG, Kind.SUBMIT_JOB_LOW_BG)
--- a/stepstream/gearman/notifications.py
+++ b/stepstream/gearman/notifications.py
@@ -9,13 +9,13 @@
 
 from stepstream.core.commands import Answer
 from stepstream.core.events import ClientDisconnected
+from stepstream.core.job_results import ChunkedResult, result_bytes
 from stepstream.gearman import codec
 from stepstream.gearman.access import AccessChecks
 from stepstream.gearman.codec import Kind, Packet
 from stepstream.gearman.jobs import Job, JobStage
 from stepstream.gearman.peers import Peer
 from stepstream.gearman.state import SECOND_US, ServiceState
-from stepstream.ports.payload import ChunkedResult, result_bytes
 
 
 @dataclass(slots=True)
--- a/stepstream/gearman/peers.py
+++ b/stepstream/gearman/peers.py
@@ -7,12 +7,12 @@
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
 
+from stepstream.core.job_results import ResultChunk
 from stepstream.core.requests import Call
 from stepstream.gearman.names import WorkerIdentity
 from stepstream.gearman.session import Session
 from stepstream.model.endpoints import Endpoint, EndpointState
 from stepstream.ports.access_control import Credential
-from stepstream.ports.payload import ResultChunk
 
 
 @dataclass(eq=False, slots=True)
--- a/stepstream/gearman/subsystem.py
+++ b/stepstream/gearman/subsystem.py
@@ -12,9 +12,9 @@
 from stepstream.gearman.front import GearmanFront
 from stepstream.gearman.state import SOURCE
 from stepstream.ports.connections import BoundListener, ListenerSpec
-from stepstream.ports.subsystem import Subsystem
 from stepstream.runtime.transport import Transport
-from stepstream.subsystem_context import SubsystemContext, open_listener
+from stepstream.subsystem_api.context import SubsystemContext, open_listener
+from stepstream.subsystem_api.subsystem import Subsystem
 
 
 class GearmanSubsystem(Subsystem):
--- a/stepstream/gearman/work_reports.py
+++ b/stepstream/gearman/work_reports.py
@@ -5,6 +5,7 @@
 """
 
 from stepstream.core.events import CallEnded, JobNotification, JobStatus
+from stepstream.core.job_results import ChunkedResult, ResultChunk
 from stepstream.gearman.codec import Kind, Packet, parse_number
 from stepstream.gearman.errors import RequestError
 from stepstream.gearman.job_assignment import JobAssignment
@@ -12,7 +13,6 @@
 from stepstream.gearman.peers import AssignedCall, Peer, Worker
 from stepstream.gearman.state import ServiceState
 from stepstream.model.events import AttemptResult
-from stepstream.ports.payload import ChunkedResult, ResultChunk
 
 WORK_REPORTS = frozenset(
     (
--- a/stepstream/gearman/workers.py
+++ b/stepstream/gearman/workers.py
@@ -10,12 +10,12 @@
 from collections import deque
 
 from stepstream.core.events import CallEnded
+from stepstream.core.job_results import ResultChunk
 from stepstream.core.requests import Call
 from stepstream.gearman.errors import RequestError
 from stepstream.gearman.names import WorkerIdentity, registered_name
 from stepstream.gearman.peers import AssignedCall, Peer, QueuedCall, Worker
 from stepstream.model.events import AttemptResult
-from stepstream.ports.payload import ResultChunk
 
 MAX_ENDED_HANDLES = 64  # a worker's ended jobs whose late reports are ignored without an error
 
--- a/stepstream/http/client_api.py
+++ b/stepstream/http/client_api.py
@@ -9,13 +9,13 @@
 from urllib.parse import parse_qs, unquote
 
 from stepstream.core.commands import Outcome
-from stepstream.core.requests import Request
+from stepstream.core.job_results import result_bytes
+from stepstream.core.requests import Payload, Request
 from stepstream.http.codec import Message, ProtocolError, write_answer
 from stepstream.http.load_reports import LoadReportReader
 from stepstream.http.named_numbers import bounded_number, read_pairs
 from stepstream.model.settings import Settings
 from stepstream.ports.access_control import Rejection, RejectionKind
-from stepstream.ports.payload import Payload, result_bytes
 
 READINESS_PATH = "/-/ready"  # the front's health check of this dispatcher
 REQUEST_ID = re.compile(r"[0-9A-Za-z._~-]{1,64}")
--- a/stepstream/http/worker_api.py
+++ b/stepstream/http/worker_api.py
@@ -7,11 +7,11 @@
 import ujson
 
 from stepstream.core.events import JobNotification, JobStatus
+from stepstream.core.requests import Payload
 from stepstream.http.codec import Message, ProtocolError, write_request
 from stepstream.http.json_body import read_json_object
 from stepstream.http.load_reports import LoadReportReader
 from stepstream.model.events import AttemptResult
-from stepstream.ports.payload import Payload
 
 NOTIFICATION_PATH = "/_jobs/news"  # of this dispatcher
 HEALTH_CHECK_PATH = "/-/healthy"  # of a worker
--- a/stepstream/identity/subsystem.py
+++ b/stepstream/identity/subsystem.py
@@ -13,9 +13,9 @@
 from stepstream.identity.access_control import IdentityAccessControl
 from stepstream.identity.configuration import load_identity
 from stepstream.ports.connections import BoundListener, ListenerSpec
-from stepstream.ports.subsystem import Subsystem
 from stepstream.runtime.transport import Transport
-from stepstream.subsystem_context import SubsystemContext, open_listener
+from stepstream.subsystem_api.context import SubsystemContext, open_listener
+from stepstream.subsystem_api.subsystem import Subsystem
 
 RESTART_ONLY_KEYS = ("identity.tls", "identity.tls.listen", "identity.tls.gearman_listen")
 
--- a/stepstream/leases/admin_api.py
+++ b/stepstream/leases/admin_api.py
@@ -29,6 +29,8 @@
     AdminRequest,
     AdminResponse,
     AdminRoute,
+)
+from stepstream.subsystem_api.admin_json import (
     json_error,
     json_or_not_found,
     json_response,
--- a/stepstream/leases/command_runner.py
+++ b/stepstream/leases/command_runner.py
@@ -26,10 +26,10 @@
 from http import HTTPStatus
 from typing import Any
 
-from stepstream.admin_client import call_admin
 from stepstream.config.errors import ConfigurationError
 from stepstream.leases.driver import boot_time_seconds
 from stepstream.leases.proposer import LeaseState
+from stepstream.subsystem_api.admin_client import call_admin
 
 EXIT_LOST = os.EX_UNAVAILABLE
 EXIT_NOT_ACQUIRED = os.EX_TEMPFAIL
--- a/stepstream/leases/commands.py
+++ b/stepstream/leases/commands.py
@@ -39,8 +39,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from stepstream.admin_client import AdminCallError, request_json
 from stepstream.config.errors import ConfigurationError
+from stepstream.subsystem_api.admin_client import AdminCallError, request_json
 
 # Exit codes of all commands but `run`, whose codes are in `command_runner`.
 EXIT_OK = 0
--- a/stepstream/leases/subsystem.py
+++ b/stepstream/leases/subsystem.py
@@ -21,11 +21,11 @@
 from stepstream.leases.sessions import SessionService, SessionTable
 from stepstream.ports.admin import AdminRoute
 from stepstream.ports.messaging import MessageTransport
-from stepstream.ports.subsystem import Subsystem
 from stepstream.runtime.log import RateLimitedLogger, log
 from stepstream.runtime.structured_log import structured_logger
 from stepstream.runtime.threads import spawn_thread
-from stepstream.subsystem_context import SubsystemContext, worker_maintenance
+from stepstream.subsystem_api.context import SubsystemContext, worker_maintenance
+from stepstream.subsystem_api.subsystem import Subsystem
 
 # The keys of `[leases]` that a reload must not change: members have to agree on them.
 RESTART_ONLY_KEYS = tuple(
--- a/stepstream/membership/commands.py
+++ b/stepstream/membership/commands.py
@@ -32,8 +32,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from stepstream.admin_client import AdminCallError, request_json
 from stepstream.membership.errors import MembershipError
+from stepstream.subsystem_api.admin_client import AdminCallError, request_json
 
 EXIT_OK = 0
 EXIT_NEGATIVE = 1  # unsettled, or no such member
--- a/stepstream/membership/subsystem.py
+++ b/stepstream/membership/subsystem.py
@@ -46,16 +46,18 @@
     AdminResponse,
     AdminRoute,
     WorkerMaintenance,
+)
+from stepstream.runtime.log import log
+from stepstream.runtime.structured_log import structured_logger
+from stepstream.runtime.threads import spawn_thread
+from stepstream.subsystem_api.admin_json import (
     json_error,
     json_or_not_found,
     json_response,
     parse_whole_number,
 )
-from stepstream.ports.subsystem import Subsystem
-from stepstream.runtime.log import log
-from stepstream.runtime.structured_log import structured_logger
-from stepstream.runtime.threads import spawn_thread
-from stepstream.subsystem_context import SubsystemContext, worker_maintenance
+from stepstream.subsystem_api.context import SubsystemContext, worker_maintenance
+from stepstream.subsystem_api.subsystem import Subsystem
 
 STATUS_INTERVAL_SECONDS = 0.5  # between two looks at what this member reports of itself
 MAX_LIST_VERSION = 2**53
--- a/stepstream/node/context.py
+++ b/stepstream/node/context.py
@@ -30,12 +30,12 @@
 from stepstream.model.settings import Settings
 from stepstream.node.subsystems import enabled_subsystems
 from stepstream.ports.carriers import Carrier
-from stepstream.ports.subsystem import Subsystem
 from stepstream.runtime.clock import Clock
 from stepstream.runtime.log import RateLimitedLogger, log
 
-if TYPE_CHECKING:
+if TYPE_CHECKING:  # loaded only where a subsystem is switched on
     from stepstream.config.operator_file import OperatorConfig
+    from stepstream.subsystem_api.subsystem import Subsystem
 
 
 class NodeContext:
--- a/stepstream/node/decision_thread.py
+++ b/stepstream/node/decision_thread.py
@@ -19,10 +19,10 @@
     StopCall,
 )
 from stepstream.core.events import Event
+from stepstream.core.requests import ResponseSink
 from stepstream.http.destination_set import SOURCE
 from stepstream.node.context import NodeContext
 from stepstream.ports.carriers import Carrier
-from stepstream.ports.response_sink import ResponseSink
 from stepstream.runtime.log import log
 from stepstream.runtime.threads import run_guarded
 
--- a/stepstream/ports/__init__.py
+++ b/stepstream/ports/__init__.py
@@ -1,4 +1,4 @@
-"""Protocols between the core, fronts, carriers and subsystems, a module a concern.
+"""Protocols between the core, fronts, carriers and subsystems, one module for each concern.
 
 Each protocol says who implements it, who calls it, on which thread, and what must not wait. The
 records that pass through a protocol stand in its module.
--- a/stepstream/subsystem_context.py
+++ b/stepstream/subsystem_api/context.py
@@ -1,4 +1,4 @@
-"""What a subsystem may use of the node that it is plugged into: above `http`, below subsystems."""
+"""The node as its subsystems see it."""
 
 from collections.abc import Callable
 from queue import SimpleQueue
@@ -14,8 +14,8 @@
 from stepstream.ports.admin import WorkerMaintenance
 from stepstream.ports.carriers import Carrier, HealthChecker
 from stepstream.ports.connections import BoundListener, ListenerSpec
-from stepstream.ports.subsystem import Subsystem
 from stepstream.runtime.clock import Clock
+from stepstream.subsystem_api.subsystem import Subsystem
 
 if TYPE_CHECKING:
     from stepstream.config.operator_file import OperatorConfig
--- a/stepstream/ports/subsystem.py
+++ b/stepstream/subsystem_api/subsystem.py
@@ -1,4 +1,4 @@
-"""A part of the program beyond the platform's dispatcher, as the node plugs it in."""
+"""The base class of a subsystem: a part of the program that the operator's file switches on."""
 
 from collections.abc import Callable, Mapping, Sequence
 from typing import TYPE_CHECKING, Any
--- a/tests/admin/test_admin_client.py
+++ b/tests/admin/test_admin_client.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from stepstream import admin_client
-from stepstream.admin_client import NO_ANSWER, AdminCallError, request_json
+from stepstream.subsystem_api import admin_client
+from stepstream.subsystem_api.admin_client import NO_ANSWER, AdminCallError, request_json
 
 AT = "127.0.0.1:9"
 
--- a/tests/golden/front_samples.py
+++ b/tests/golden/front_samples.py
@@ -40,14 +40,14 @@
 from stepstream.config.node_config import config_from  # noqa: E402  the paths come first
 from stepstream.core.commands import Answer, Outcome  # noqa: E402  the paths come first
 from stepstream.core.events import JobNotification  # noqa: E402  the paths come first
-from stepstream.core.requests import Request  # noqa: E402  the paths come first
+from stepstream.core.job_results import ChunkedResult, ResultChunk  # noqa: E402  the paths come first
+from stepstream.core.requests import Payload, Request  # noqa: E402  the paths come first
 from stepstream.http import client_api, discovery_api, worker_api  # noqa: E402  the paths come first
 from stepstream.http import load_reports as reports  # noqa: E402  the paths come first
 from stepstream.http.codec import Message, Parser, ProtocolError, write_answer  # noqa: E402  the paths come first
 from stepstream.http.exchange import HttpExchange  # noqa: E402  the paths come first
 from stepstream.http.server_state import ServerState  # noqa: E402  the paths come first
 from stepstream.http.session import HttpSession, Reply  # noqa: E402  the paths come first
-from stepstream.ports.payload import ChunkedResult, Payload, ResultChunk  # noqa: E402  the paths come first
 
 RECORDED = HERE / "fronts"
 NOW_US = 1_900_000_000_000_000
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -1,11 +1,10 @@
 """Settings, messages and limits that the network tests share."""
 
 from stepstream.config.limits import Limits
-from stepstream.core.requests import Request
+from stepstream.core.requests import Payload, Request
 from stepstream.http.codec import write_request
 from stepstream.model.endpoints import Endpoint
 from stepstream.model.settings import Effect, JobClass, Settings
-from stepstream.ports.payload import Payload
 
 SETTINGS = Settings(
     classes=(
