--- a/stepstream/admin/listener.py
+++ b/stepstream/admin/listener.py
@@ -24,8 +24,8 @@
 from stepstream.config.limits import Limits
 from stepstream.http.codec import Message, Parser, ProtocolError
 from stepstream.ports.admin import AdminResponse, AdminRoute
+from stepstream.runtime import log_events
 from stepstream.runtime.log import RateLimitedLogger
-from stepstream.runtime.threads import log_fault
 
 READABLE = select.POLLIN
 WRITABLE = select.POLLOUT
@@ -58,7 +58,7 @@
         self.poll = select.poll()
         self.poll.register(self.listening_socket, READABLE)
         self.connections: dict[int, AdminConnection] = {}  # by file descriptor
-        self.bad_requests = RateLimitedLogger("admin call", limits)
+        self.bad_requests = RateLimitedLogger(log_events.admin_request_rejected, limits)
 
     def _listen(self, address: tuple[str, int]) -> socket.socket:
         listening_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -134,7 +134,7 @@
         try:
             message = connection.parse(received)
         except ProtocolError as error:
-            self.bad_requests.add(f"unread: {error}")
+            self.bad_requests.add(f"unreadable: {error}")
             connection.respond(AdminResponse(error.status, str(error)))
         else:
             if message is None:
@@ -163,7 +163,7 @@
             return request.route.answer(replace(request.request, body=body))
         except Exception as error:  # noqa: BLE001  a subsystem's fault must not end the listener
             # Guards the caller too: the fault is a response, not a silence.
-            log_fault("an admin call", error)
+            log_events.internal_fault(where="an admin call", error=error)
             return AdminResponse(HTTP_SERVER_ERROR, "fault")
 
     def _flush(self, connection: AdminConnection) -> None:
--- a/stepstream/admin/service.py
+++ b/stepstream/admin/service.py
@@ -26,12 +26,13 @@
 from stepstream.http.codec import Message, ProtocolError
 from stepstream.http.worker_api import read_notification
 from stepstream.ports.admin import AdminResponse
-from stepstream.runtime.log import log
+from stepstream.runtime import log_events
 from stepstream.subsystem_api.context import SubsystemContext
 
 if TYPE_CHECKING:
     from stepstream.hot_restart.controller import HotRestartController
 
+THIS_DISPATCHER = "local"  # in the log, where the operators' request was made here
 IDLE_CLOSE_PERIOD_SECONDS = 0.1  # between two closings of idle connections in a drain
 
 
@@ -120,21 +121,31 @@
 
     # -- maintenance of workers --------------------------------------------------------------------
 
-    def _start_maintenance(self, worker_id: str, origin: str = "") -> None:
-        if self.maintenance.begin(worker_id):
-            self._spread_maintenance(f"worker {worker_id} out for maintenance{origin}")
+    def _start_maintenance(self, worker_id: str, requested_at: str = THIS_DISPATCHER) -> None:
+        if not self.maintenance.begin(worker_id):
+            return
+        count = self._apply_and_hand_over_maintenance()
+        log_events.worker_maintenance_started(
+            worker=worker_id, requested_at=requested_at, in_maintenance=count
+        )
 
-    def _end_maintenance(self, worker_id: str, at_us: int, origin: str = "") -> None:
+    def _end_maintenance(
+        self, worker_id: str, at_us: int, requested_at: str = THIS_DISPATCHER
+    ) -> None:
         """Release the worker, which starts over as one that has started at `at_us`."""
-        if self.maintenance.release(worker_id, at_us):
-            self._spread_maintenance(f"worker {worker_id} back from maintenance, cold{origin}")
+        if not self.maintenance.release(worker_id, at_us):
+            return
+        count = self._apply_and_hand_over_maintenance()
+        log_events.worker_maintenance_ended(
+            worker=worker_id, requested_at=requested_at, in_maintenance=count
+        )
 
-    def _spread_maintenance(self, change: str) -> None:
-        """Apply the changed maintenance state here and hand it over, with a line in the log."""
+    def _apply_and_hand_over_maintenance(self) -> int:
+        """Apply the changed state here and in the state file; return how many workers it holds."""
         count = self._apply_maintenance()
         if self.hot_restart is not None:
             self.hot_restart.write()
-        log(f"{change}; {count} out")
+        return count
 
     def adopt_maintenance(self) -> None:
         """Apply the maintenance state taken over from another process.
@@ -142,7 +153,7 @@
         The main thread calls it too, before the listener's thread is there.
         """
         count = self._apply_maintenance()
-        log(f"maintenance taken over: {count} out")
+        log_events.maintenance_state_adopted(in_maintenance=count)
 
     def _apply_maintenance(self) -> int:
         """Pass the state to the destination set and the core; return how many workers it holds."""
@@ -159,25 +170,24 @@
         """Apply other dispatchers' changes, whether or not this one knows the worker."""
         while not self.remote_changes.empty():
             change = self.remote_changes.get_nowait()
-            origin = f", told at {change.source}"
             if change.in_maintenance:
-                self._start_maintenance(change.worker_id, origin)
+                self._start_maintenance(change.worker_id, change.source)
             else:
-                self._end_maintenance(change.worker_id, change.at_us, origin)
+                self._end_maintenance(change.worker_id, change.at_us, change.source)
 
     # -- the drain ---------------------------------------------------------------------------------
 
     def _start_drain(self) -> None:
         if self.drain.start(time.monotonic()):
             self.context.server.state.draining = True
-            log("drain asked: the front is told no from now on")
+            log_events.drain_started()
 
     def _cancel_drain(self) -> None:
         if self.drain.cancel():
             state = self.context.server.state
             state.draining = False
             state.drain_closing = False
-            log("drain ended: the front is told yes again")
+            log_events.drain_ended()
 
     def _close_idle_connections(self, now: float) -> None:
         """Close clients' idle connections in a drain, once that is due and then once a period."""
@@ -188,7 +198,7 @@
         server = self.context.server
         if not server.state.drain_closing:
             server.state.drain_closing = True
-            log("drain: kept connections close after their answers")
+            log_events.drain_closing_connections()
         server.close_idle()
 
     # -- every turn of the listener ----------------------------------------------------------------
@@ -220,5 +230,4 @@
         if present != self.sibling_present:
             self.sibling_present = present
             self.context.post(SiblingProcessChanged(present))
-            where = "a process beside this one" if present else "alone"
-            log(f"hot restart: {where} on the clients' address")
+            log_events.sibling_process_changed(present=present)
--- a/stepstream/admin/subsystem.py
+++ b/stepstream/admin/subsystem.py
@@ -14,7 +14,7 @@
 from stepstream.hot_restart.process import own_record
 from stepstream.hot_restart.state import HandoverState, is_newer_list
 from stepstream.hot_restart.state_file import StateFile, state_folder
-from stepstream.runtime.log import log
+from stepstream.runtime import log_events
 from stepstream.runtime.threads import spawn_thread
 from stepstream.subsystem_api.context import SubsystemContext
 from stepstream.subsystem_api.subsystem import Subsystem
@@ -51,7 +51,9 @@
             raise ConfigurationError(f"operator={host}:{port}: {error}") from error
         self._prepare_hot_restart()
         spawn_thread("admin", listener.run)
-        log(f"{self.context.config.name} hears operators on {host}:{port}")
+        log_events.admin_listener_started(
+            dispatcher=self.context.config.name, address=f"{host}:{port}"
+        )
 
     def _prepare_hot_restart(self) -> None:
         """Take over the state in $TMPDIR: its maintenance holds before a client is taken."""
@@ -75,8 +77,7 @@
         configured = self.context.config.persisted_endpoints or None
         if handed_over is not None and is_newer_list(handed_over, configured):
             self.context.persisted_endpoints = handed_over
-            version = handed_over.get("version")
-            log(f"handover: discovery's list of version {version} taken over")
+            log_events.endpoint_list_adopted(version=handed_over.get("version"))
 
     def on_serving(self) -> None:
         """Record that clients are taken.
--- a/stepstream/config/limits.py
+++ b/stepstream/config/limits.py
@@ -163,12 +163,12 @@
     sweep_seconds: float = 0.5  # between two runs of the main thread's periodic tasks
     # the main thread's longest wait: a signal is handled by then at the latest
     signal_wait_seconds: float = 0.05
-    status_period_seconds: float = 60.0  # between two status lines in the log
+    status_period_seconds: float = 60.0  # between two `status` events in the log
 
 
 @dataclass(frozen=True, eq=False, repr=False)
 class LogLimits:
-    """Rate limit of the log lines on one sort of input that cannot be read."""
+    """Rate limit of the log events of one kind of bad input."""
 
     lines_per_period: int = 10  # further ones are counted, and the next line says how many
     period_seconds: float = 10.0
--- a/stepstream/core/dispatcher.py
+++ b/stepstream/core/dispatcher.py
@@ -8,7 +8,7 @@
 """
 
 from collections.abc import Callable
-from typing import TypeVar, TypeVarTuple
+from typing import TYPE_CHECKING, TypeVar, TypeVarTuple
 
 from stepstream.core.action_handler import ActionHandler
 from stepstream.core.call_handler import CallHandler
@@ -38,6 +38,9 @@
 from stepstream.model.settings import Settings
 from stepstream.policy.load_balancer import LoadBalancer
 
+if TYPE_CHECKING:
+    from stepstream.core.log import CoreLog
+
 Arguments = TypeVarTuple("Arguments")
 Result = TypeVar("Result")
 
@@ -52,17 +55,17 @@
         now_us: int,
         tick_us: int,
         answer_margin_us: int,
-        log_fault: Callable[[str], None],
+        log: "CoreLog",
     ) -> None:
         """Create a dispatcher without requests.
 
         `seed` starts the policy's random numbers; `tick_us` is the timers' resolution;
-        `answer_margin_us` is the time before a deadline that writing an answer needs; `log_fault`
-        takes one line a fault.
+        `answer_margin_us` is the time before a deadline that writing an answer needs; `log` gets
+        one event for each fault.
         """
         self.load_balancer = LoadBalancer(settings, seed, now_us)
-        self.endpoints = EndpointSet(log_fault)
-        self._log_fault = log_fault
+        self.endpoints = EndpointSet(log)
+        self._log = log
         self._output = RoundOutput()
         self._timers = TimerWheel(now_us, tick_us)
         self._state = DispatchState(
@@ -119,7 +122,7 @@
         try:
             return step(*arguments)
         except Exception as error:  # noqa: BLE001  the decision thread must outlive any fault
-            self._log_fault(f"fault in {step_name}: {type(error).__name__}: {error}")
+            self._log.internal_fault(where=step_name, error=error)
             return None
 
     def _fail_new_requests(self, policy_events: list[PolicyEvent]) -> None:
--- a/stepstream/core/endpoint_set.py
+++ b/stepstream/core/endpoint_set.py
@@ -9,13 +9,14 @@
 which read one entry each.
 """
 
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
 from stepstream.model.endpoints import Endpoint, EndpointList, EndpointListKind, EndpointState
 
-if TYPE_CHECKING:  # loaded only where there are operators
+if TYPE_CHECKING:  # maintenance is loaded only where there are operators
+    from stepstream.core.log import CoreLog
     from stepstream.core.maintenance import MaintenanceOverlay, MaintenanceState
 
 
@@ -41,9 +42,9 @@
 class EndpointSet:
     """The workers of all sources, each with its owner, and the claims that wait for an id."""
 
-    def __init__(self, log_conflict: Callable[[str], None]) -> None:
-        """Create an empty set; `log_conflict` takes one line for each claim that has to wait."""
-        self._log_conflict = log_conflict
+    def __init__(self, log: "CoreLog") -> None:
+        """Create an empty set; `log` gets one event for each claim that has to wait."""
+        self._log = log
         self._endpoints_by_source: dict[str, dict[str, Endpoint]] = {}
         self._owner_by_worker: dict[str, str] = {}
         self._waiting_claims: dict[ClaimKey, Endpoint] = {}
@@ -131,9 +132,7 @@
             self._waiting_claims.pop(claim, None)
             return
         if claim not in self._waiting_claims:
-            self._log_conflict(
-                f"worker {claim.worker_id} of {claim.source} waits: {owner} holds that id"
-            )
+            self._log.worker_id_conflict(worker=claim.worker_id, source=claim.source, owner=owner)
         self._waiting_claims[claim] = endpoint
 
     def _grant_waiting_claims(self) -> list[Endpoint]:
--- a/stepstream/core/requests.py
+++ b/stepstream/core/requests.py
@@ -26,7 +26,7 @@
 
 
 class Outcome(Enum):
-    """How a request ended for its client. The status log line prints the values."""
+    """How a request ended for its client."""
 
     SERVED = "served"
     REJECTED = "refused"
--- a/stepstream/gearman/connection.py
+++ b/stepstream/gearman/connection.py
@@ -27,7 +27,7 @@
 from stepstream.gearman.writer import Writer
 from stepstream.http.eviction import EvictionRank
 from stepstream.http.server import InboundServer
-from stepstream.runtime.log import log
+from stepstream.runtime import log_events
 from stepstream.runtime.transport import Transport
 
 KEEPALIVE_OPTIONS = {
@@ -122,7 +122,7 @@
                 self._process(data)
             except Exception as error:  # noqa: BLE001  whatever it is, the thread goes on to `_end`
                 # Guards the program: what this peer has open ends as with its connection.
-                log(f"fault in gearman: {type(error).__name__}: {error}")
+                log_events.internal_fault(where="gearman", error=error)
                 return
 
     def _process(self, data: bytes) -> None:
--- a/stepstream/gearman/subsystem.py
+++ b/stepstream/gearman/subsystem.py
@@ -40,7 +40,7 @@
                 "gearman.listen",
                 self.section.listen,
                 lambda _: self.front.listen(),
-                " for Gearman",
+                "gearman",
             ),
         )
 
--- a/stepstream/hot_restart/controller.py
+++ b/stepstream/hot_restart/controller.py
@@ -21,7 +21,7 @@
     replace_own_record,
 )
 from stepstream.hot_restart.state_file import StateFile
-from stepstream.runtime.log import log
+from stepstream.runtime import log_events
 
 
 class HotRestartController:
@@ -49,10 +49,10 @@
         try:
             state = self.file.read()
         except FileNotFoundError:
-            log("handover: no state found, starting clean")
+            log_events.handover_state_missing()
             return None
         except (OSError, HandoverStateError) as error:
-            log(f"handover: state ignored, starting clean: {error}")
+            log_events.handover_state_ignored(reason=str(error), at_start=True)
             return None
         self._adopt(state)
         return state
@@ -71,14 +71,14 @@
         try:
             self.file.write(state)
         except OSError as error:
-            log(f"handover: state not written: {error}")
+            log_events.handover_state_write_failed(reason=str(error))
 
     def check_file(self) -> bool:
         """Follow what a sibling has written; return whether that changed the maintenance state."""
         try:
             state = self.file.read_if_changed()
         except (OSError, HandoverStateError) as error:
-            log(f"handover: state ignored: {error}")
+            log_events.handover_state_ignored(reason=str(error), at_start=False)
             return False
         if state is None:
             return False
--- a/stepstream/http/client_connection.py
+++ b/stepstream/http/client_connection.py
@@ -39,8 +39,8 @@
 from stepstream.http.server_state import ServerState
 from stepstream.http.session import HttpSession, Reply, SessionEvent, SessionPhase
 from stepstream.ports.connections import Connection
+from stepstream.runtime import log_events
 from stepstream.runtime.clock import Clock
-from stepstream.runtime.log import log
 from stepstream.runtime.sockets import set_socket_timeout
 from stepstream.runtime.threads import ThreadPool
 from stepstream.runtime.transport import Transport
@@ -125,7 +125,7 @@
         try:
             return self._process_input()
         except Exception as error:  # noqa: BLE001  whatever it is, the request has to be answered
-            log(f"fault in inbound: {type(error).__name__}: {error}")
+            log_events.internal_fault(where="inbound", error=error)
         reply = None
         with self.lock:
             request = self.session.request
--- a/stepstream/http/outbound.py
+++ b/stepstream/http/outbound.py
@@ -31,8 +31,9 @@
     health_check_bytes,
 )
 from stepstream.model.events import AttemptResult, HealthChecked
+from stepstream.runtime import log_events
 from stepstream.runtime.clock import Clock
-from stepstream.runtime.log import RateLimitedLogger, log
+from stepstream.runtime.log import RateLimitedLogger
 from stepstream.runtime.sockets import receive_until
 from stepstream.runtime.threads import ThreadPool
 
@@ -97,7 +98,7 @@
         try:
             result = self.call_worker(call, in_flight)
         except Exception as error:  # noqa: BLE001  a fault here must still end its call
-            log(f"fault in a call: {type(error).__name__}: {error}")
+            log_events.internal_fault(where="a call", error=error)
             unsent = in_flight.phase is CallPhase.UNSENT
             result = AttemptResult.NOT_SENT if unsent else AttemptResult.RESET
         if result is not None:
@@ -128,9 +129,7 @@
             return AttemptResult.NOT_SENT
         exchange = self.run_exchange(call, in_flight, connection)
         if exchange.protocol_error is not None:
-            self.unreadable_answers.add(
-                f"of {call.worker_id} unreadable: {exchange.protocol_error}"
-            )
+            self.unreadable_answers.add(f"{call.worker_id}: {exchange.protocol_error}")
         in_flight.load_report = self.reports.read_header(exchange.load_report_text)
         return exchange.result
 
--- a/stepstream/http/server.py
+++ b/stepstream/http/server.py
@@ -24,8 +24,8 @@
 from stepstream.http.lingering import LingeringSockets
 from stepstream.http.server_state import ServerState
 from stepstream.ports.connections import Connection, ListenerSpec
+from stepstream.runtime import log_events
 from stepstream.runtime.clock import Clock
-from stepstream.runtime.log import log
 from stepstream.runtime.sockets import shut_down
 from stepstream.runtime.threads import ThreadPool
 from stepstream.runtime.transport import Transport
@@ -149,7 +149,7 @@
                 if spec.listener.fileno() < 0:
                     return
                 # A peer gone before its accept, or no descriptor left: neither may end the loop.
-                log(f"accept failed: {error}")
+                log_events.accept_failed(reason=str(error))
                 time.sleep(self.limits.timeouts.accept_retry_seconds)
                 continue
             self._admit_or_reject(spec, sock, peer[0])
--- a/stepstream/identity/access_control.py
+++ b/stepstream/identity/access_control.py
@@ -38,7 +38,7 @@
 from stepstream.identity.tls import TlsCredentials, TlsTransport
 from stepstream.identity.token_cache import CachingTokenVerifier
 from stepstream.ports.access_control import Credential, Rejection, RejectionKind
-from stepstream.runtime.log import log
+from stepstream.runtime import log_events
 
 REJECTION_KINDS = {
     Verdict.UNKNOWN: RejectionKind.UNAUTHENTICATED,
@@ -158,14 +158,14 @@
         try:
             loaded = load_identity(rules.section)
         except ConfigurationError as error:
-            log(f"keys: {error}; the old ones serve on")
+            log_events.keys_reload_failed(reason=str(error))
             return
         token_verifier = rules.token_verifier.replaced(
             loaded.key_set, token_rules_of(rules.section), rules.section.cache
         )
         self.rules = replace(rules, token_verifier=token_verifier, tls=loaded.tls)
         self.key_file_version = loaded.key_file_version
-        log(f"keys: {len(loaded.key_set.keys)} read anew")
+        log_events.keys_reloaded(keys=len(loaded.key_set.keys))
 
     # -- authorization, by the fronts' threads ----------------------------------------------------
 
--- a/stepstream/identity/audit.py
+++ b/stepstream/identity/audit.py
@@ -12,6 +12,7 @@
 
 from stepstream.identity.permissions import Decision, Verdict
 from stepstream.identity.rate_limiter import TokenBucket
+from stepstream.runtime import log_events
 from stepstream.runtime.structured_log import LogFormat, structured_logger
 
 MAX_TEXT_LENGTH = 128  # of a field that a peer may have made up
@@ -70,10 +71,8 @@
         key_id: str,
         suppressed_count: int = 0,
     ) -> None:
-        # The fields' names are fixed: operators' tools read them.
-        further_fields = {"left_out": suppressed_count} if suppressed_count else {}
-        self.logger.info(
-            "audit",
+        log_events.audit(
+            self.logger,
             front=front,
             what=operation[:MAX_TEXT_LENGTH],
             decision=decision.verdict.value,
@@ -82,5 +81,5 @@
             caller=decision.caller,
             subject=subject[:MAX_TEXT_LENGTH],
             key=key_id[:MAX_TEXT_LENGTH],
-            **further_fields,
+            left_out=suppressed_count,
         )
--- a/stepstream/identity/subsystem.py
+++ b/stepstream/identity/subsystem.py
@@ -46,20 +46,18 @@
         if tls is None:
             return ()
         listeners = [
-            self._open_tls_listener(
-                "identity.tls.listen", tls.listen, self.context.server, " for TLS"
-            )
+            self._open_tls_listener("identity.tls.listen", tls.listen, self.context.server, "https")
         ]
         if tls.gearman_listen:
             # The node creates `[gearman]`, which this key needs, before it opens listeners.
             gearman = cast("TransportFront", self.context.subsystems["gearman"])
             key = "identity.tls.gearman_listen"
-            suffix = " for Gearman over TLS"
-            listeners.append(self._open_tls_listener(key, tls.gearman_listen, gearman, suffix))
+            protocol = "gearman+tls"
+            listeners.append(self._open_tls_listener(key, tls.gearman_listen, gearman, protocol))
         return listeners
 
     def _open_tls_listener(
-        self, key: str, address: str, front: TransportFront, log_suffix: str
+        self, key: str, address: str, front: TransportFront, protocol: str
     ) -> BoundListener:
         """Open a front's TLS listener; `ConfigurationError` names the key if it cannot be had."""
         create_transport = self.access_control.create_tls_transport
@@ -67,7 +65,7 @@
             key,
             address,
             lambda parsed: front.listen_with_transport(parsed, create_transport),
-            log_suffix,
+            protocol,
         )
 
     def prepare_reload(
--- a/stepstream/leases/driver.py
+++ b/stepstream/leases/driver.py
@@ -17,6 +17,7 @@
 from stepstream.leases.participant import OutgoingEnvelope, Participant, StateChange
 from stepstream.leases.proposer import Proposer
 from stepstream.ports.messaging import MessageTransport
+from stepstream.runtime import log_events
 from stepstream.runtime.log import RateLimitedLogger
 from stepstream.runtime.structured_log import log_changes
 from stepstream.runtime.threads import run_until_closed
@@ -126,7 +127,12 @@
                 self.state_changed.notify_all()
         self.send(outgoing)
         fields = [log_fields(change) for change in changes]
-        log_changes(self.logger, "lease", "leases", fields)
+        log_changes(
+            self.logger,
+            log_events.lease_state_changed,
+            log_events.lease_state_changes_omitted,
+            fields,
+        )
         self.log_mismatches(mismatches)
         now = time.monotonic()
         if now - self.last_periodic_at >= PERIODIC_SECONDS:
@@ -143,9 +149,7 @@
     def log_mismatches(self, mismatches: set[str]) -> None:
         """Log the members found since the last call to have another configuration."""
         for member in sorted(mismatches - self.logged_mismatches):
-            self.logger.info(
-                "leases: other rules",
-                member=member,
-                why="voters, drift and longest_s must be alike",
+            log_events.lease_configuration_mismatch(
+                self.logger, member=member, why="voters, drift and longest_s must be alike"
             )
         self.logged_mismatches = mismatches
--- a/stepstream/leases/health_check_leader.py
+++ b/stepstream/leases/health_check_leader.py
@@ -74,7 +74,7 @@
         try:
             reports = self.learner.learn(data, columns, time.monotonic())
         except ReportPageError as error:
-            self.malformed_logger.add(f"sweep from {member}: {error}")
+            self.malformed_logger.add(f"health reports from {member}: {error}")
             return
         for report in reports:
             checked = HealthChecked(
--- a/stepstream/leases/subsystem.py
+++ b/stepstream/leases/subsystem.py
@@ -21,7 +21,8 @@
 from stepstream.leases.sessions import SessionService, SessionTable
 from stepstream.ports.admin import AdminRoute
 from stepstream.ports.messaging import MessageTransport
-from stepstream.runtime.log import RateLimitedLogger, log
+from stepstream.runtime import log_events
+from stepstream.runtime.log import RateLimitedLogger
 from stepstream.runtime.structured_log import structured_logger
 from stepstream.runtime.threads import spawn_thread
 from stepstream.subsystem_api.context import SubsystemContext, worker_maintenance
@@ -61,7 +62,7 @@
             random.Random(),  # seeded by the system: members must not draw alike
             boot_time_seconds(),
         )
-        malformed_logger = RateLimitedLogger("lease letter dropped:", context.limits)
+        malformed_logger = RateLimitedLogger(log_events.lease_message_dropped, context.limits)
         self.driver = LeaseDriver(
             self.participant,
             transport,
@@ -91,9 +92,10 @@
         for key, names in acceptor_sets:
             warn_of_small_quorum(key, names)
         if self.participant.acceptor is not None:
-            name = self.context.config.name
-            recovery_seconds = self.configuration.recovery_seconds
-            log(f"{name} votes on leases, after {recovery_seconds:.1f} s of silence")
+            log_events.acceptor_recovering(
+                dispatcher=self.context.config.name,
+                recovery_seconds=self.configuration.recovery_seconds,
+            )
         spawn_thread("leases", self.driver.run)  # ends by `stop`
 
     def on_serving(self) -> None:
@@ -132,21 +134,21 @@
         """
         self.driver.stopped = True
 
-    def status(self) -> str:
-        """Return the leases' part of the status line."""
+    def status_counts(self) -> dict[str, int]:
+        """Return the leases' fields of the status event."""
         with self.driver.state_changed:
             now = boot_time_seconds()
             proposers = self.participant.proposers.values()
             held = sum(proposer.is_held(now) for proposer in proposers)
-            text = f"{held} leases held and {len(proposers) - held} wanted"
+            counts = {"leases_held": held, "leases_wanted": len(proposers) - held}
         if self.health_check_leader is None:
-            return text
+            return counts
         learner = self.health_check_leader.learner
-        rejected = learner.outdated_count + learner.fenced_count
-        return (
-            f"{text}, {self.health_check_leader.probe_count} probes swept,"
-            f" {learner.learned_count} reports heard and {rejected} refused"
-        )
+        return counts | {
+            "health_checks_sent": self.health_check_leader.probe_count,
+            "health_reports_received": learner.learned_count,
+            "health_reports_rejected": learner.outdated_count + learner.fenced_count,
+        }
 
     def admin_routes(self) -> Sequence[AdminRoute]:
         """Return the calls on leases."""
@@ -203,11 +205,12 @@
 
 
 def warn_of_small_quorum(key: str, names: Sequence[str]) -> None:
-    """Log an acceptor set that bears fewer failures than its size suggests."""
-    if names and len(names) % 2 == 0:
-        log(f"leases.{key}: {len(names)} voters bear no more failures than {len(names) - 1}")
-    elif len(names) == 1:
-        log(f"leases.{key}: with one voter no lease is had while it is away")
+    """Log a set of acceptors that tolerates no more failures than a smaller one."""
+    count = len(names)
+    if count == 1 or (count > 0 and count % 2 == 0):
+        log_events.acceptor_set_weak(
+            key=f"leases.{key}", acceptors=count, tolerated_failures=(count - 1) // 2
+        )
 
 
 def create_subsystem(context: SubsystemContext) -> LeasesSubsystem:
--- a/stepstream/membership/driver.py
+++ b/stepstream/membership/driver.py
@@ -26,6 +26,7 @@
 )
 from stepstream.membership.outbox import OutgoingDatagram
 from stepstream.membership.protocol import MembershipProtocol
+from stepstream.runtime import log_events
 from stepstream.runtime.log import RateLimitedLogger
 from stepstream.runtime.structured_log import log_changes
 from stepstream.runtime.threads import run_until_closed
@@ -80,7 +81,7 @@
         self.logger = logger
         self.run_periodic_task = run_periodic_task
         self.lock = threading.Lock()  # guards the protocol and what the periodic task derives
-        self.dropped_datagrams = RateLimitedLogger("fleet datagram dropped:", limits)
+        self.dropped_datagrams = RateLimitedLogger(log_events.membership_datagram_dropped, limits)
         self.unsent_datagrams = 0
         self.cpu_seconds = 0.0  # that the thread has used
         self.is_closed = False
@@ -123,7 +124,12 @@
             self.is_closed = self.is_closed or self.protocol.members.superseded_by is not None
         self.transmit(outgoing)
         fields = [log_fields(event) for event in events]
-        log_changes(self.logger, "fleet member", "fleet members", fields)
+        log_changes(
+            self.logger,
+            log_events.member_state_changed,
+            log_events.member_state_changes_omitted,
+            fields,
+        )
         self._deliver(messages)
 
     def send_application_message(self, recipient: str, kind: str, data: bytes) -> None:
--- a/stepstream/membership/subsystem.py
+++ b/stepstream/membership/subsystem.py
@@ -47,7 +47,7 @@
     AdminRoute,
     WorkerMaintenance,
 )
-from stepstream.runtime.log import log
+from stepstream.runtime import log_events
 from stepstream.runtime.structured_log import structured_logger
 from stepstream.runtime.threads import spawn_thread
 from stepstream.subsystem_api.admin_json import (
@@ -159,7 +159,9 @@
         # The driver owns the thread: it ends once the driver is closed.
         spawn_thread("fleet", self._driver.run)
         address = self.protocol.members.local.address
-        log(f"{self.host.config.name} is a member of {section.cluster} at {address}")
+        log_events.membership_started(
+            dispatcher=self.host.config.name, cluster=section.cluster, address=address
+        )
 
     def on_serving(self) -> None:
         """Report the serving phase."""
@@ -200,15 +202,14 @@
         else:
             self.driver.leave()
 
-    def status(self) -> str:
-        """Return the part of the status line."""
-        driver = self.driver
-        return (
-            f"fleet of {len(self.protocol.members.present)} present and "
-            f"{self.dispatcher_count} counted, "
-            f"{driver.dropped_datagrams.count} datagrams dropped and "
-            f"{driver.unsent_datagrams} not sent"
-        )
+    def status_counts(self) -> dict[str, int]:
+        """Return the membership's fields of the status event."""
+        return {
+            "members_present": len(self.protocol.members.present),
+            "dispatchers_counted": self.dispatcher_count,
+            "dropped_datagrams": self.driver.dropped_datagrams.count,
+            "unsent_datagrams": self.driver.unsent_datagrams,
+        }
 
     # -- the membership thread, with the driver's lock held ---------------------------------------
 
@@ -286,9 +287,10 @@
             if record is not None:
                 self._applied_maintenance[worker] = record
         if record is None:
-            max_members = self.protocol.context.settings.max_members
-            log(
-                f"fleet: no room for word of {worker}: {max_members} workers are known (fleet.most)"
+            log_events.maintenance_record_rejected(
+                worker=worker,
+                known_workers=self.protocol.context.settings.max_members,
+                limit_key="fleet.most",
             )
 
     def admin_routes(self) -> Sequence[AdminRoute]:
--- a/stepstream/node/context.py
+++ b/stepstream/node/context.py
@@ -30,8 +30,9 @@
 from stepstream.model.settings import Settings
 from stepstream.node.subsystems import enabled_subsystems
 from stepstream.ports.carriers import Carrier
+from stepstream.runtime import log_events
 from stepstream.runtime.clock import Clock
-from stepstream.runtime.log import RateLimitedLogger, log
+from stepstream.runtime.log import RateLimitedLogger
 
 if TYPE_CHECKING:  # loaded only where a subsystem is switched on
     from stepstream.config.operator_file import OperatorConfig
@@ -61,9 +62,9 @@
         # To the main thread. A queue and no Event: its put() may interrupt its own get(), as a
         # signal handler does.
         self.signals: SimpleQueue[int] = SimpleQueue()
-        self.bad_reports = RateLimitedLogger("load report ignored:", self.limits)
-        self.bad_answers = RateLimitedLogger("answer", self.limits)
-        self.bad_lists = RateLimitedLogger("discovery failed:", self.limits)
+        self.bad_reports = RateLimitedLogger(log_events.load_report_ignored, self.limits)
+        self.bad_answers = RateLimitedLogger(log_events.worker_answer_unreadable, self.limits)
+        self.bad_lists = RateLimitedLogger(log_events.discovery_call_failed, self.limits)
         self.core = create_core(config, self.limits, self.clock)
         self.destinations = create_destinations(config)
         self.reports = LoadReportReader(config.settings, self.bad_reports.add)
@@ -121,7 +122,7 @@
         self.post(SettingsChanged(self.effective_settings(self.config)))
         self.discovery.schedule.dispatcher_count = dispatchers
         self.destinations.staleness.dispatcher_count = dispatchers
-        log(f"the workers are shared by {dispatchers} dispatchers")
+        log_events.dispatcher_count_changed(dispatchers=dispatchers)
 
     def effective_settings(self, config: NodeConfig) -> Settings:
         """Give the settings of `config` with the observed count of dispatchers, if there is one."""
@@ -138,7 +139,7 @@
         clock.now_us(),
         limits.loop.timer_tick_us,
         limits.loop.answer_margin_us,
-        log,
+        log_events,
     )
 
 
--- a/stepstream/node/decision_thread.py
+++ b/stepstream/node/decision_thread.py
@@ -23,7 +23,7 @@
 from stepstream.http.destination_set import SOURCE
 from stepstream.node.context import NodeContext
 from stepstream.ports.carriers import Carrier
-from stepstream.runtime.log import log
+from stepstream.runtime import log_events
 from stepstream.runtime.threads import run_guarded
 
 MICROSECONDS = 1e6
@@ -91,7 +91,7 @@
             case PollEndpoints():
                 context.discovery.poll()
             case LogMessage(text):
-                log(f"note: {text}")
+                log_events.policy_message(text=text)
             case _:
                 handler = context.command_handlers.get(type(command))
                 if handler is not None:
--- a/stepstream/node/node.py
+++ b/stepstream/node/node.py
@@ -1,7 +1,7 @@
 """One dispatcher as a process: the main thread that starts it, handles its signals and ends it.
 
-The main thread owns the node's life: start, reload, periodic tasks, status line and shutdown happen
-in it, one at a time. Decisions are made in a thread of their own, `decision_thread`.
+The main thread owns the node's life. Start, reload, periodic tasks, status event and shutdown
+happen in it, one at a time. Decisions are made in a thread of their own, `decision_thread`.
 """
 
 import gc
@@ -19,8 +19,8 @@
 from stepstream.node.reload import reload_configuration
 from stepstream.node.shutdown import shut_down_node
 from stepstream.node.startup import start_node
-from stepstream.node.status import status_line
-from stepstream.runtime.log import log
+from stepstream.node.status import status_counts
+from stepstream.runtime import log_events
 from stepstream.runtime.threads import run_guarded
 
 if TYPE_CHECKING:
@@ -81,15 +81,15 @@
         """Answer all that was taken and close everything; see `shutdown`."""
         shut_down_node(self)
         self.log_status()
-        log("stopped")
+        log_events.shutdown_finished()
 
     def run_periodic_tasks(self) -> None:
         """Do what is due at every interval; see `periodic_tasks`."""
         run_periodic_tasks(self)
 
     def log_status(self) -> None:
-        """Log the status line."""
-        log(status_line(self, self.decision_thread.outcome_counts))
+        """Log the status event."""
+        log_events.status(counts=status_counts(self, self.decision_thread.outcome_counts))
 
     def on_signal(self, number: int, frame: FrameType | None) -> None:  # noqa: ARG002  Python's form
         """Hand a signal to the main thread's loop; runs in that thread, between any two steps."""
--- a/stepstream/node/periodic_tasks.py
+++ b/stepstream/node/periodic_tasks.py
@@ -4,7 +4,7 @@
 """
 
 from stepstream.node.context import NodeContext
-from stepstream.runtime.log import log
+from stepstream.runtime import log_events
 from stepstream.runtime.threads import run_guarded
 
 
@@ -18,9 +18,7 @@
 def check_suspected_list(context: NodeContext) -> None:
     """Ask discovery anew, beside its watch, if the workers' refusals make its list look stale."""
     if context.destinations.claim_staleness_check():
-        log(
-            "discovery asked beside its watch: workers that its list calls ready refuse connections"
-        )
+        log_events.endpoint_list_suspected_stale()
         context.discovery.check_beside_watch()
 
 
--- a/stepstream/node/reload.py
+++ b/stepstream/node/reload.py
@@ -14,7 +14,7 @@
 from stepstream.model.events import SettingsChanged
 from stepstream.node.context import NodeContext
 from stepstream.node.subsystems import require_same_subsystems
-from stepstream.runtime.log import log
+from stepstream.runtime import log_events
 from stepstream.runtime.threads import spawn_thread
 
 if TYPE_CHECKING:
@@ -31,14 +31,14 @@
             subsystem.prepare_reload(config, operator) for subsystem in context.subsystems.values()
         ]
     except ConfigurationError as error:
-        log(f"configuration: {error}; the old one serves on")
+        log_events.reload_failed(reason=str(error))
         return
     apply_configuration(context, config)
     context.operator = operator
     for commit in commits:
         commit()
     host, port = config.discovery
-    log(f"reloaded: {config.name} asks discovery at {host}:{port}")
+    log_events.configuration_reloaded(dispatcher=config.name, discovery_address=f"{host}:{port}")
 
 
 def reread_operator(context: NodeContext, config: NodeConfig) -> "OperatorConfig | None":
--- a/stepstream/node/shutdown.py
+++ b/stepstream/node/shutdown.py
@@ -11,7 +11,7 @@
 from stepstream.core.events import ShutdownStarted
 from stepstream.node.context import NodeContext
 from stepstream.node.periodic_tasks import enforce_timeouts
-from stepstream.runtime.log import log
+from stepstream.runtime import log_events
 from stepstream.runtime.threads import run_guarded
 
 MICROSECONDS = 1e6
@@ -38,8 +38,9 @@
     context.hot_restarting = any(
         [subsystem.begin_shutdown() for subsystem in context.subsystems.values()]
     )
-    beside = " for the process beside this one" if context.hot_restarting else ""
-    log(f"stopping{beside}, {context.core.open_count} requests open")
+    log_events.shutdown_started(
+        open_requests=context.core.open_count, hot_restart=context.hot_restarting
+    )
     if context.hot_restarting:
         context.server.close_listener(context.server.listeners[0])
     else:
--- a/stepstream/node/startup.py
+++ b/stepstream/node/startup.py
@@ -10,7 +10,7 @@
 from stepstream.node.context import NodeContext
 from stepstream.node.decision_thread import DecisionThread
 from stepstream.ports.connections import BoundListener
-from stepstream.runtime.log import log
+from stepstream.runtime import log_events
 from stepstream.runtime.threads import spawn_thread
 
 
@@ -36,7 +36,11 @@
     for listener in listeners:
         spawn_thread("accept", context.server.accept_loop, listener.spec)
         host, port = listener.address
-        log(f"{context.config.name} serves on {host}:{port}{listener.log_suffix}")
+        log_events.listener_started(
+            dispatcher=context.config.name,
+            address=f"{host}:{port}",
+            protocol=listener.protocol,
+        )
     for subsystem in context.subsystems.values():
         subsystem.on_serving()
     # Last: who is told that the node is ready may count on all of this.
@@ -54,7 +58,7 @@
     try:
         discovery.adopt_list(discovery.api.read(context.persisted_endpoints, persisted=True))
     except ProtocolError as error:
-        log(f"known list ignored: {error}")
+        log_events.persisted_endpoint_list_ignored(reason=str(error))
 
 
 def wait_for_pushed_list(context: NodeContext) -> None:
--- a/stepstream/node/status.py
+++ b/stepstream/node/status.py
@@ -1,23 +1,34 @@
-"""The status line that the main thread logs once a minute and at the end."""
+"""The counts of the status event, which the main thread logs once a minute and at the end."""
 
 from collections.abc import Mapping
 
 from stepstream.core.commands import Outcome
 from stepstream.node.context import NodeContext
 
+OUTCOME_FIELDS = {
+    Outcome.SERVED: "served_requests",
+    Outcome.REJECTED: "rejected_requests",
+    Outcome.FAILED: "failed_requests",
+}
 
-def status_line(context: NodeContext, outcome_counts: Mapping[Outcome, int]) -> str:
-    """Say how many requests and connections there are, and what came of all requests so far."""
-    server = context.server
+
+def status_counts(context: NodeContext, outcome_counts: Mapping[Outcome, int]) -> dict[str, int]:
+    """Return what is open now, and what was counted since the start.
+
+    `outcome_counts` holds the answered requests; each subsystem adds fields of its own.
+    """
     outbound = context.outbound
-    parts = [
-        f"status: {context.core.open_count} requests open",
-        f"{len(server.connections)} inbound and {outbound.pool.open_count} outbound connections",
-        f"{server.rejected_count} turned away",
-        f"{context.bad_reports.count} load reports and "
-        f"{context.bad_answers.count} answers unreadable",
-        f"{context.bad_lists.count} calls to discovery failed",
-    ]
-    parts.extend(f"{count} {outcome.value}" for outcome, count in outcome_counts.items())
-    parts.extend(text for subsystem in context.subsystems.values() if (text := subsystem.status()))
-    return ", ".join(parts)
+    counts = {
+        "open_requests": context.core.open_count,
+        "inbound_connections": len(context.server.connections),
+        "outbound_connections": outbound.pool.open_count,
+        "rejected_connections": context.server.rejected_count,
+        "unreadable_load_reports": context.bad_reports.count,
+        "unreadable_answers": context.bad_answers.count,
+        "failed_discovery_calls": context.bad_lists.count,
+    }
+    for outcome, count in outcome_counts.items():
+        counts[OUTCOME_FIELDS[outcome]] = count
+    for subsystem in context.subsystems.values():
+        counts.update(subsystem.status_counts())
+    return counts
--- a/stepstream/ports/connections.py
+++ b/stepstream/ports/connections.py
@@ -63,4 +63,4 @@
 
     address: tuple[str, int]
     spec: ListenerSpec
-    log_suffix: str = ""  # ends the line of the log that reports it
+    protocol: str = "http"  # as the log names it: "http", "https", "gearman" or "gearman+tls"
--- a/stepstream/runtime/log.py
+++ b/stepstream/runtime/log.py
@@ -1,20 +1,53 @@
-"""Plain log lines on standard error, rate-limited where peers can cause them."""
+"""Plain log lines on standard error, one line an event, rate-limited where peers can cause them.
+
+A line is `stepstream: SEVERITY EVENT field=value ...`. `runtime.log_events` defines the events;
+only that module calls `write_event`.
+"""
 
 import sys
 import threading
 import time
+from enum import StrEnum
+from typing import Protocol
+
+import ujson
 
 from stepstream.config.limits import Limits
 
+QUOTED_CHARACTERS = frozenset(' "=\\')
+DECIMALS = 3  # of a logged number with a fraction
+
+
+class Severity(StrEnum):
+    """How much an event matters to on-call staff."""
+
+    INFO = "info"  # nothing to do
+    WARNING = "warning"  # look at it if it repeats
+    ERROR = "error"  # somebody has to act
+
 
-def log(text: str) -> None:
-    """Write one line; docs/oncall.md explains each."""
-    sys.stderr.write(f"stepstream: {text}\n")
+def write_event(severity: Severity, event: str, **fields: object) -> None:
+    """Write one line of an event with its fields, in their order."""
+    parts = [f"stepstream: {severity.value} {event}"]
+    parts.extend(f"{name}={format_value(value)}" for name, value in fields.items())
+    sys.stderr.write(" ".join(parts) + "\n")
     sys.stderr.flush()
 
 
+def format_value(value: object) -> str:
+    """Return a field's value; text that is empty or not one plain word becomes a JSON string."""
+    if isinstance(value, bool):
+        return "true" if value else "false"
+    if isinstance(value, float):
+        return str(round(value, DECIMALS))
+    text = str(value)
+    if text and text.isprintable() and QUOTED_CHARACTERS.isdisjoint(text):
+        return text
+    return ujson.dumps(text, escape_forward_slashes=False)
+
+
 class LogRateLimit:
-    """At most so many lines a period, and a count of those suppressed; not locked.
+    """Bounds the lines in a period, and counts those suppressed; not locked.
 
     Guards the log against a flood of bad input. Times are seconds on any clock that only moves
     forward, which the caller passes in.
@@ -27,8 +60,8 @@
         self.line_count = 0  # of this period
         self.suppressed_count = 0  # since the last line that was allowed
 
-    def line_suffix(self, now: float) -> str | None:
-        """Count a line; give what it says of those suppressed before it, or None to suppress it."""
+    def admit_line(self, now: float) -> int | None:
+        """Count a line; return how many were suppressed before it, or None to suppress it."""
         if now - self.period_started_at >= self.period_seconds:
             self.period_started_at = now
             self.line_count = 0
@@ -38,27 +71,34 @@
         self.line_count += 1
         suppressed = self.suppressed_count
         self.suppressed_count = 0
-        return f" ({suppressed} more such not logged)" if suppressed else ""
+        return suppressed
+
+
+class RateLimitedEvent(Protocol):
+    """An event of `log_events` that bad input can cause at any rate."""
+
+    def __call__(self, *, reason: str, suppressed_events: int) -> None:
+        """Write the line; `suppressed_events` had none since the last one."""
 
 
 class RateLimitedLogger:
-    """Counts what cannot be read of one sort of input, and logs it at a bounded rate; any thread.
+    """Counts bad input of one kind, and logs its event at a bounded rate; any thread.
 
-    `prefix` begins each line.
+    Parameters: the event of `log_events`, and the limits with the rate (10 lines in 10 s).
     """
 
-    def __init__(self, prefix: str, limits: Limits) -> None:
-        self.prefix = prefix
+    def __init__(self, event: RateLimitedEvent, limits: Limits) -> None:
+        self.event = event
         self.count = 0
         self.lock = threading.Lock()  # guards the count and the rate limit
         self.rate_limit = LogRateLimit(
             limits.logging.lines_per_period, limits.logging.period_seconds
         )
 
-    def add(self, text: str) -> None:
-        """Count one more, and log it unless there were too many of late."""
+    def add(self, reason: str) -> None:
+        """Count one more, and log it unless the rate is reached."""
         with self.lock:
             self.count += 1
-            suffix = self.rate_limit.line_suffix(time.monotonic())
-        if suffix is not None:
-            log(f"{self.prefix} {text}{suffix}")
+            suppressed = self.rate_limit.admit_line(time.monotonic())
+        if suppressed is not None:
+            self.event(reason=reason, suppressed_events=suppressed)
--- a/stepstream/runtime/structured_log.py
+++ b/stepstream/runtime/structured_log.py
@@ -1,14 +1,14 @@
 """Structured log lines on standard error, for the subsystems of the operator's file."""
 
 import sys
-from collections.abc import Mapping, Sequence
+from collections.abc import Callable, Mapping, Sequence
 from typing import Literal, TextIO, cast
 
 import structlog
 
 LogFormat = Literal["json", "console"]
 
-MAX_CHANGE_LINES = 50  # in one step; further changes are counted in one line
+MAX_CHANGE_LINES = 50  # of one step; one more line counts the further changes
 
 
 def structured_logger(log_format: LogFormat, stream: TextIO = sys.stderr) -> structlog.BoundLogger:
@@ -31,15 +31,15 @@
 
 def log_changes(
     logger: structlog.BoundLogger,
-    event: str,
-    overflow_event: str,
+    log_change: Callable[..., None],
+    log_omitted: Callable[..., None],
     changes: Sequence[Mapping[str, object]],
 ) -> None:
-    """Log a line `event` for each of the first changes, and count the rest in one line.
+    """Log the first changes by `log_change`, and the count of the rest by `log_omitted`.
 
-    A change is given as the fields of its line.
+    Both are functions of `log_events`. A change is given as the fields of its event.
     """
     for fields in changes[:MAX_CHANGE_LINES]:
-        logger.info(event, **fields)
+        log_change(logger, **fields)
     if len(changes) > MAX_CHANGE_LINES:
-        logger.info(overflow_event, more=len(changes) - MAX_CHANGE_LINES)
+        log_omitted(logger, more=len(changes) - MAX_CHANGE_LINES)
--- a/stepstream/runtime/threads.py
+++ b/stepstream/runtime/threads.py
@@ -10,7 +10,7 @@
 from queue import SimpleQueue
 from typing import Any, TypeVarTuple
 
-from stepstream.runtime.log import log
+from stepstream.runtime import log_events
 
 Arguments = TypeVarTuple("Arguments")
 
@@ -20,7 +20,7 @@
     try:
         step(*arguments)
     except Exception as error:  # noqa: BLE001  the last guard of every thread: any fault is logged
-        log_fault(name, error)
+        log_events.internal_fault(where=name, error=error)
 
 
 def run_until_closed(
@@ -35,15 +35,10 @@
         try:
             step()
         except Exception as error:  # noqa: BLE001  without its thread a subsystem would be gone silently
-            log_fault(name, error)
+            log_events.internal_fault(where=name, error=error)
             time.sleep(pause_seconds)
 
 
-def log_fault(name: str, error: Exception) -> None:
-    """Log an unexpected fault in a thread or call named `name`."""
-    log(f"fault in {name}: {type(error).__name__}: {error}")
-
-
 def spawn_thread(name: str, step: Callable[[*Arguments], object], *arguments: *Arguments) -> None:
     """Start a guarded daemon thread; RuntimeError if the machine has none left."""
     threading.Thread(
@@ -86,7 +81,7 @@
             with self.lock:
                 self.thread_count -= 1
                 self.idle_count -= 1
-            log(f"no thread to be had for {self.name}")
+            log_events.thread_start_failed(pool=self.name)
 
     def run_jobs(self) -> None:
         """Run jobs for ever; the body of each thread."""
--- a/stepstream/subsystem_api/context.py
+++ b/stepstream/subsystem_api/context.py
@@ -63,15 +63,15 @@
     key: str,
     text: str,
     create_listener: Callable[[tuple[str, int]], ListenerSpec],
-    log_suffix: str,
+    protocol: str,
 ) -> BoundListener:
     """Open a listener at HOST:PORT; `ConfigurationError` names the key if it cannot be had.
 
-    `log_suffix` ends the log line that announces the listener.
+    `protocol` is its name in the log.
     """
     host, _, port = text.rpartition(":")
     address = host, int(port)
     try:
-        return BoundListener(address, create_listener(address), log_suffix)
+        return BoundListener(address, create_listener(address), protocol)
     except OSError as error:
         raise ConfigurationError(f"{key}={text}: {error}") from error
--- a/stepstream/subsystem_api/subsystem.py
+++ b/stepstream/subsystem_api/subsystem.py
@@ -76,6 +76,6 @@
         """
         return {}
 
-    def status(self) -> str:
-        """Return what it adds to the status line; empty for nothing."""
-        return ""
+    def status_counts(self) -> Mapping[str, int]:
+        """Return the fields that it adds to the status event."""
+        return {}
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -10,6 +10,7 @@
 import pytest
 from admin_helpers import request
 from config_helpers import CONFIG
+from core_helpers import RecordingLog
 from net_helpers import LIMITS, job_bytes
 from node_helpers import PATIENCE, ROOT, World, ask, free_port, wait_for
 
@@ -143,7 +144,7 @@
 
 
 def test_a_worker_in_maintenance_is_draining_whatever_its_list_says_and_returns_cold():
-    members = EndpointSet(lambda _: None)
+    members = EndpointSet(RecordingLog())
     entries = (Endpoint("s-1", started_us=1_000), Endpoint("s-2"))
     members.apply(EndpointsUpdated("discovery", EndpointList(EndpointListKind.COMPLETE, entries)))
     told = members.apply_maintenance(MaintenanceState(1, frozenset({"s-1"})))
@@ -188,8 +189,8 @@
 
 def test_bad_requests_are_logged_within_a_rate():
     quota = LogRateLimit(2, 10.0)
-    assert [quota.line_suffix(t) for t in (0.0, 1.0, 2.0, 3.0)] == ["", "", None, None]
-    assert quota.line_suffix(10.5) == " (2 more such not logged)"
+    assert [quota.admit_line(t) for t in (0.0, 1.0, 2.0, 3.0)] == [0, 0, None, None]
+    assert quota.admit_line(10.5) == 2
 
 
 # -- the driver on real sockets ---------------------------------------------------------------------------
--- a/tests/admin/test_admin_service.py
+++ b/tests/admin/test_admin_service.py
@@ -87,8 +87,8 @@
     assert len(context.posted) == 2
     assert spread == []  # it came from there
     assert capsys.readouterr().err.splitlines() == [
-        "stepstream: worker s-9 out for maintenance, told at n1; 1 out",
-        "stepstream: worker s-9 back from maintenance, cold, told at n1; 0 out",
+        "stepstream: info worker_maintenance_started worker=s-9 requested_at=n1 in_maintenance=1",
+        "stepstream: info worker_maintenance_ended worker=s-9 requested_at=n1 in_maintenance=0",
     ]
 
 
--- a/tests/core/test_dispatcher_model.py
+++ b/tests/core/test_dispatcher_model.py
@@ -64,7 +64,7 @@
         owed = [request for request in self.received if not request.answered]
         assert self.harness.dispatcher.open_count == len(owed)
         assert all(self.harness.now_us <= request.deadline_us for request in owed)
-        assert not self.harness.faults
+        assert not self.harness.log.events
 
     def check_start(self, call):
         request = call.request
--- a/tests/core/test_endpoint_set.py
+++ b/tests/core/test_endpoint_set.py
@@ -1,5 +1,6 @@
 """The endpoint set merged from several sources, against a model that keeps a plain set a source."""
 
+from core_helpers import RecordingLog
 from hypothesis import strategies as st
 from walk import walks
 
@@ -19,8 +20,7 @@
     """What each source last listed of each id, which source owns it, and what the policy sees."""
 
     def __init__(self):
-        self.conflicts = []
-        self.endpoints = EndpointSet(self.conflicts.append)
+        self.endpoints = EndpointSet(RecordingLog())
         self.policy_view = {}
         self.listed = {source: {} for source in SOURCES}
         self.owner = {}
@@ -99,7 +99,7 @@
 
 
 def test_a_complete_list_of_one_source_keeps_the_other_sources_workers():
-    endpoints = EndpointSet(lambda _: None)
+    endpoints = EndpointSet(RecordingLog())
     endpoints.apply(update("gearman", EndpointListKind.CHANGES, Endpoint("g")))
     merged = endpoints.apply(update("discovery", EndpointListKind.COMPLETE, Endpoint("s")))
     assert {e.worker_id for e in merged.endpoints} == {"g", "s"}
@@ -108,17 +108,17 @@
 
 
 def test_a_claim_to_an_owned_id_is_logged_once():
-    conflicts = []
-    endpoints = EndpointSet(conflicts.append)
+    log = RecordingLog()
+    endpoints = EndpointSet(log)
     endpoints.apply(update("discovery", EndpointListKind.COMPLETE, Endpoint("a")))
     for _ in range(3):
         merged = endpoints.apply(update("gearman", EndpointListKind.CHANGES, Endpoint("a")))
         assert merged.endpoints == ()
-    assert conflicts == ["worker a of gearman waits: discovery holds that id"]
+    assert log.events == [("worker_id_conflict", "a", "gearman", "discovery")]
 
 
 def test_a_waiting_claim_is_granted_when_the_owner_drops_the_id():
-    endpoints = EndpointSet(lambda _: None)
+    endpoints = EndpointSet(RecordingLog())
     endpoints.apply(update("discovery", EndpointListKind.COMPLETE, Endpoint("a", zone=1)))
     endpoints.apply(update("gearman", EndpointListKind.CHANGES, Endpoint("a", zone=2)))
     merged = endpoints.apply(update("discovery", EndpointListKind.COMPLETE))
--- a/tests/core_helpers.py
+++ b/tests/core_helpers.py
@@ -16,20 +16,33 @@
     return [command for command in commands if isinstance(command, kind)]
 
 
+class RecordingLog:
+    """The core's log events, in their order."""
+
+    def __init__(self):
+        self.events = []
+
+    def internal_fault(self, *, where, error):
+        self.events.append(("internal_fault", where, repr(error)))
+
+    def worker_id_conflict(self, *, worker, source, owner):
+        self.events.append(("worker_id_conflict", worker, source, owner))
+
+
 class DispatcherHarness:
-    """A dispatcher with four workers, its clock, its commands and the faults that it has logged."""
+    """A dispatcher with four workers, its clock, its commands and its log events."""
 
     def __init__(self, settings=SETTINGS):
         self.now_us = START_US
         self.commands = []
-        self.faults = []
+        self.log = RecordingLog()
         self.dispatcher = Dispatcher(
             settings,
             1,
             self.now_us,
             LIMITS.loop.timer_tick_us,
             LIMITS.loop.answer_margin_us,
-            self.faults.append,
+            self.log,
         )
         self.post(EndpointList(EndpointListKind.PERSISTED, WORKERS))
 
--- a/tests/gearman/test_gearman_node.py
+++ b/tests/gearman/test_gearman_node.py
@@ -175,14 +175,14 @@
     assigned = worker.grab()[0]
     client.send(Kind.SUBMIT_JOB_BG, "revalue", "", "y").until(Kind.JOB_CREATED)
     program.process.send_signal(signal.SIGTERM)
-    assert next(line for line in program.process.stderr if "stopping" in line)
+    assert next(line for line in program.process.stderr if "shutdown_started" in line)
     worker.send(Kind.WORK_COMPLETE, assigned, "in time")
     assert client.until(Kind.WORK_COMPLETE).args[1] == b"in time"
     worker.send(Kind.WORK_COMPLETE, worker.grab()[0], "too")
     assert program.process.wait(PATIENCE) == 0
     log = program.process.stderr.read()
-    assert "2 served, 0 refused, 0 failed" in log
-    assert log.endswith("stepstream: stopped\n")
+    assert "served_requests=2 rejected_requests=0 failed_requests=0" in log
+    assert log.endswith("stepstream: info shutdown_finished\n")
 
 
 def test_a_reload_applies_the_operators_file_completely_or_not_at_all(program):
@@ -197,9 +197,10 @@
         program.operator.write_text(bad)
         line = program.reload()
         assert key in line
-        assert "the old one serves on" in line
+        assert "reload_failed" in line
+        assert 'in_force="previous configuration"' in line
     program.operator.write_text(good + "allow_shutdown = true\n")
-    assert "reloaded" in program.reload()
+    assert "configuration_reloaded" in program.reload()
     client = Peer(program.gearman).send(Kind.SUBMIT_JOB, "revalue", "", "x")
     worker.send(Kind.WORK_COMPLETE, worker.grab()[0], "r")
     assert client.until(Kind.WORK_COMPLETE).args[1] == b"r"
--- a/tests/gearman/test_gearman_service.py
+++ b/tests/gearman/test_gearman_service.py
@@ -707,7 +707,7 @@
 
     def check(self):
         harness, jobs = self.harness, self.harness.state.jobs
-        assert not harness.faults
+        assert not harness.log.events
         for client, owed in self.owed.items():
             assert len(client.of(*FINALS)) + jobs.submission_count(client.peer) == owed
             for packet in client.of(Kind.WORK_COMPLETE):
--- a/tests/gearman_helpers.py
+++ b/tests/gearman_helpers.py
@@ -2,6 +2,7 @@
 
 from dataclasses import replace
 
+from core_helpers import RecordingLog
 from net_helpers import LIMITS, SETTINGS
 
 from stepstream.config.operator_file import GearmanSection
@@ -93,10 +94,10 @@
         self.now_us = START_US
         self.shut_down = False
         self.request_count = 0
-        self.faults = []
+        self.log = RecordingLog()
         self.http_calls = []
         self.stopped_calls = []
-        self.core = Dispatcher(settings, 1, self.now_us, 2_000, 4_000, self.faults.append)
+        self.core = Dispatcher(settings, 1, self.now_us, 2_000, 4_000, self.log)
         self.closing = False
         self.overloaded = False
         self.host = ServiceHost(
@@ -183,4 +184,4 @@
             self.run([])
             self.service.run_periodic_tasks(self.now_us)
             self.settle()
-        assert not self.faults
+        assert not self.log.events
--- a/tests/gearman_program.py
+++ b/tests/gearman_program.py
@@ -103,7 +103,9 @@
     def reload(self):
         self.process.send_signal(signal.SIGHUP)
         return next(
-            line for line in self.process.stderr if "reloaded" in line or "configuration" in line
+            line
+            for line in self.process.stderr
+            if "configuration_reloaded" in line or "reload_failed" in line
         )
 
 
--- a/tests/golden/front_samples.py
+++ b/tests/golden/front_samples.py
@@ -1212,7 +1212,7 @@
 
 
 def status_line(*sections: str) -> str:
-    """The status line of a program that has not begun to serve."""
+    """The status event of a program that has not begun to serve."""
     from stepstream.config.operator_file import read_operator
     from stepstream.node.node import Node
 
@@ -1709,7 +1709,7 @@
 PATIENCE = 20.0  # seconds that anything here may take on a busy machine
 PLAIN = "stepstream: "  # what plain lines of the log begin with
 # At the stop the thread that accepts may see its listener end before it sees that it was closed.
-CHANCE = "stepstream: accept failed: [Errno 22]"
+CHANCE = 'stepstream: warning accept_failed reason="[Errno 22]'
 FIGURE = re.compile(r"(?<![A-Za-z])\d+(\.\d+)?")
 
 
@@ -1837,7 +1837,11 @@
 
 def log_forms(lines: list[str]) -> dict:
     """The lines until the stop as they are; of the status line and the stop the words alone."""
-    at = next(place for place, line in enumerate(lines) if line.startswith("stepstream: stopping"))
+    at = next(
+        place
+        for place, line in enumerate(lines)
+        if line.startswith("stepstream: info shutdown_started")
+    )
     return {"start": lines[:at], "stop": [FIGURE.sub("N", line) for line in lines[at:]]}
 
 
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -2,6 +2,7 @@
 
 import json
 import os
+import re
 import signal
 import subprocess
 import sys
@@ -247,7 +248,8 @@
         wait_for(lambda: ask(world.port, job_bytes(f"{time.monotonic_ns():016x}")).status == 200)
         world.process.send_signal(signal.SIGTERM)
         assert world.process.wait(timeout=PATIENCE) == 0
-        assert "stopping for the process beside this one" in world.process.stderr.read()
+        log = world.process.stderr.read()
+        assert re.search(r"shutdown_started open_requests=\d+ hot_restart=true", log)
         for k in range(5):  # the address is served on by the new process alone
             assert ask(world.port, job_bytes(f"00000000000000e{k}")).status == 200
     finally:
--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -219,4 +219,4 @@
         peer.sendall(b"x")
         faulted = wait_for(lambda: harness.requests(RequestFaulted))
         assert faulted == harness.requests(RequestReceived)
-    assert "fault in inbound: KeyError" in capfd.readouterr().err
+    assert "internal_fault where=inbound error_type=KeyError" in capfd.readouterr().err
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -16,6 +16,7 @@
 from stepstream.http.discovery_client import DiscoveryClient
 from stepstream.http.poll_schedule import PollSchedule
 from stepstream.model.endpoints import EndpointListKind
+from stepstream.runtime import log_events
 from stepstream.runtime.log import RateLimitedLogger
 
 LIST = b'{"version":7,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.1:1","state":"ready"}]}'
@@ -46,7 +47,7 @@
     def __init__(self, reply, version=None, settings=SETTINGS, schedule=None):
         self.events = []
         self.server = Server(reply)
-        self.failures = RateLimitedLogger("discovery failed:", LIMITS)
+        self.failures = RateLimitedLogger(log_events.discovery_call_failed, LIMITS)
         self.destinations = DestinationSet()
         self.client = DiscoveryClient(
             LIMITS,
--- a/tests/http/test_outbound.py
+++ b/tests/http/test_outbound.py
@@ -97,7 +97,7 @@
     harness = OutboundHarness(accept_job)
     monkeypatch.setattr(harness.carrier, "call_worker", broken)
     assert harness.result(harness.start_call()) is AttemptResult.NOT_SENT
-    assert "fault in a call: KeyError" in capfd.readouterr().err
+    assert 'internal_fault where="a call" error_type=KeyError' in capfd.readouterr().err
 
 
 def test_a_stop_before_the_202_closes_and_after_it_deletes():
--- a/tests/identity/test_identity_node.py
+++ b/tests/identity/test_identity_node.py
@@ -155,8 +155,9 @@
     key_file = program.folder / "keys.json"
     complete = key_file.read_bytes()
     key_file.write_bytes(complete[: len(complete) // 2])
-    line = next(line for line in program.process.stderr if "keys:" in line)
-    assert "the old ones serve on" in line
+    line = next(line for line in program.process.stderr if "keys_reload" in line)
+    assert "keys_reload_failed" in line
+    assert 'in_force="previous keys"' in line
     assert program.post(token).status == 200
 
 
--- a/tests/identity/test_identity_tls.py
+++ b/tests/identity/test_identity_tls.py
@@ -102,7 +102,7 @@
     with connect_tls(tls_program.tls_port, context) as peer:
         assert tls_program.post(peer=peer).status == 200
         tls_program.write_revocation_list(certificate.serial_number)
-        assert "reloaded" in tls_program.reload()
+        assert "configuration_reloaded" in tls_program.reload()
         assert "certificate_revoked" in challenge(tls_program.post(peer=peer))[1]
         assert tls_program.post(peer=peer, token=None).status == 401
 
@@ -113,7 +113,7 @@
     with connect_tls(tls_program.tls_port, context) as peer:
         before = peer.getpeercert(binary_form=True)
         tls_program.write_tls_files()
-        assert "reloaded" in tls_program.reload()
+        assert "configuration_reloaded" in tls_program.reload()
         with connect_tls(tls_program.tls_port, context) as new:
             assert new.getpeercert(binary_form=True) != before
             assert [tls_program.post(peer=p).status for p in (peer, new)] == [200, 200]
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -70,7 +70,7 @@
     fleet.wait_for(
         lambda: {counted(fleet, n) for n in rest} == {4}, PATIENCE_SECONDS, "the count of four"
     )
-    assert "the workers are shared by 4 dispatchers" in fleet.members["n0"].words()
+    assert "dispatcher_count_changed dispatchers=4" in fleet.members["n0"].words()
     fleet.start(["n4"])
     fleet.wait_for(lambda: fleet.agreed(ALL), PATIENCE_SECONDS, "the return")
     fleet.wait_for(
@@ -201,10 +201,14 @@
             with contextlib.suppress(OSError):
                 sock.sendto(cut, (target.host, target.ports["fleet"]))
         sock.sendto(whole, (target.host, target.ports["fleet"]))
-    fleet.wait_for(lambda: "fleet datagram dropped" in target.words(), PATIENCE_SECONDS, "the line")
+    fleet.wait_for(
+        lambda: "membership_datagram_dropped" in target.words(), PATIENCE_SECONDS, "the line"
+    )
     fleet.wait_for(lambda: fleet.agreed(ALL), PATIENCE_SECONDS, "one view")
     assert "stranger" not in target.states()
-    assert target.words().count("fleet datagram dropped") <= 40  # 10 lines in 10 s, whatever comes
+    assert (
+        target.words().count("membership_datagram_dropped") <= 40
+    )  # 10 lines in 10 s, whatever comes
 
 
 def out_at(fleet, worker):
@@ -241,7 +245,7 @@
         lambda: all(out_at(fleet, "s-1").values()), PATIENCE_SECONDS, "the ban everywhere"
     )
     fleet.wait_for(
-        lambda: "told at n0" in fleet.members["n4"].words(), PATIENCE_SECONDS, "its line"
+        lambda: "requested_at=n0" in fleet.members["n4"].words(), PATIENCE_SECONDS, "its line"
     )
     # n4 never heard of the worker from discovery, yet it is out there, and can be let back from there.
     assert fleet.members["n4"].call("/workers/s-1/ready", "PUT")[0] == 200
@@ -324,7 +328,11 @@
     member = fleet.members["n2"]
     fleet.files(member, seeds=[member.advertise], more=SHORT_INTERVALS + 'log = "json"\n')
     member.process.send_signal(signal.SIGHUP)
-    fleet.wait_for(lambda: "reloaded: n2" in member.words(), PATIENCE_SECONDS, "the reload")
+    fleet.wait_for(
+        lambda: "configuration_reloaded dispatcher=n2" in member.words(),
+        PATIENCE_SECONDS,
+        "the reload",
+    )
     fleet.files(member, more=SHORT_INTERVALS.replace("timeout_ms = 90", "timeout_ms = 900"))
     member.process.send_signal(signal.SIGHUP)
     fleet.wait_for(
@@ -352,7 +360,7 @@
     fleet.files(member)
     new = fleet.spawn(member, beside=True)
     fleet.wait_for(
-        lambda: member.words().count("serves on") >= 2 and member.fleet(),
+        lambda: member.words().count("listener_started") >= 2 and member.fleet(),
         PATIENCE_SECONDS,
         "the new one",
     )
--- a/tests/node/test_decision_thread.py
+++ b/tests/node/test_decision_thread.py
@@ -124,5 +124,7 @@
     node.post(object())
     node.decision_thread.run_batch()
     fault, note = capsys.readouterr().err.splitlines()
-    assert fault.startswith("stepstream: fault in a command: AttributeError")
-    assert note == "stepstream: note: next"
+    assert fault.startswith(
+        'stepstream: error internal_fault where="a command" error_type=AttributeError'
+    )
+    assert note == "stepstream: info policy_message text=next"
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -125,8 +125,8 @@
     assert [a.status for a in answers] == [200] * 2
     assert world.process.wait(PATIENCE) == 0
     log = world.process.stderr.read()
-    assert "2 served, 0 refused, 0 failed" in log
-    assert log.endswith("stepstream: stopped\n")
+    assert "served_requests=2 rejected_requests=0 failed_requests=0" in log
+    assert log.endswith("stepstream: info shutdown_finished\n")
 
 
 def test_after_sigterm_clients_go_on_with_their_connections_until_these_close(world):
@@ -368,7 +368,7 @@
 def test_a_reload_that_leaves_discovery_where_it_is_goes_on_from_the_list_that_is_held(world):
     wait_for(lambda: world.discovery.seen)
     settings = {**world.config["settings"], "services": world.config["settings"]["services"][::-1]}
-    assert "reloaded" in world.reload({**world.config, "settings": settings})
+    assert "configuration_reloaded" in world.reload({**world.config, "settings": settings})
     before = len(world.discovery.seen)
     wait_for(lambda: len(world.discovery.seen) >= before + 2)
     assert all("index=3" in m.target for m in world.discovery.seen)
--- a/tests/node_helpers.py
+++ b/tests/node_helpers.py
@@ -130,7 +130,7 @@
         self.path.write_text(json.dumps(config))
         self.process.send_signal(signal.SIGHUP)
         for line in self.process.stderr:
-            if "reloaded" in line or "configuration" in line:
+            if "configuration_reloaded" in line or "reload_failed" in line:
                 return line
         raise AssertionError("the process ended without a line on the reload")
 
--- a/tests/outbound_helpers.py
+++ b/tests/outbound_helpers.py
@@ -15,6 +15,7 @@
 from stepstream.http.load_reports import LoadReportReader
 from stepstream.http.outbound import OutboundCarrier
 from stepstream.model.endpoints import Endpoint, EndpointList, EndpointListKind, EndpointState
+from stepstream.runtime import log_events
 from stepstream.runtime.clock import Clock
 from stepstream.runtime.log import RateLimitedLogger
 
@@ -42,7 +43,7 @@
         self.destinations = DestinationSet()
         self.destinations.apply(endpoint_answer(w=self.server.port))
         self.settings = settings
-        self.unreadable = RateLimitedLogger("answer", limits)
+        self.unreadable = RateLimitedLogger(log_events.worker_answer_unreadable, limits)
         self.carrier = OutboundCarrier(
             limits,
             CLOCK,
--- a/tests/runtime/test_structured_log.py
+++ b/tests/runtime/test_structured_log.py
@@ -12,7 +12,12 @@
 def test_changes_beyond_the_limit_are_counted_in_one_line(count):
     stream = io.StringIO()
     fields = [{"name": f"n{number}", "after": "alive"} for number in range(count)]
-    log_changes(structured_logger("json", stream), "thing", "things", fields)
+    log_changes(
+        structured_logger("json", stream),
+        lambda logger, **change: logger.info("thing", **change),
+        lambda logger, *, more: logger.info("things", more=more),
+        fields,
+    )
     lines = [ujson.loads(line) for line in stream.getvalue().splitlines()]
     for line in lines:
         del line["timestamp"]
--- a/tests/runtime/test_threads.py
+++ b/tests/runtime/test_threads.py
@@ -27,7 +27,9 @@
     run_until_closed("the loop", step, lambda: len(steps) == 3, 0.5)
     assert steps == [0, 1, 2]
     assert pauses == [0.5]
-    assert capfd.readouterr().err == "stepstream: fault in the loop: KeyError: 'lost'\n"
+    assert capfd.readouterr().err == (
+        "stepstream: error internal_fault where=\"the loop\" error_type=KeyError error='lost'\n"
+    )
 
 
 def test_a_loop_that_is_closed_takes_no_step():
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -23,11 +23,3 @@
     config = config_from(json.loads(example), {})
     assert config.settings.classes[0].name == "revalue"
     assert config.settings.polls_endpoints
-
-
-def test_the_log_lines_are_explained():
-    root = Path(__file__).parent.parent
-    page = (root / "docs" / "oncall.md").read_text()
-    for path in sorted((root / "stepstream").rglob("*.py")):
-        for line in re.findall(r'(?:log|complain)\(\s*f?"([^"{:,]+)', path.read_text()):
-            assert line.strip() in page, f"{path.name}: {line}"
