--- a/stepstream/subsystem_context.py
+++ b/stepstream/subsystem_api/context.py
@@ -1,4 +1,4 @@
-"""What a subsystem may use of the node that it is plugged into: above `http`, below subsystems."""
+"""The node as its subsystems see it."""
 
 from collections.abc import Callable
 from queue import SimpleQueue
@@ -14,8 +14,8 @@
 from stepstream.ports.admin import WorkerMaintenance
 from stepstream.ports.carriers import Carrier, HealthChecker
 from stepstream.ports.connections import BoundListener, ListenerSpec
-from stepstream.ports.subsystem import Subsystem
 from stepstream.runtime.clock import Clock
+from stepstream.subsystem_api.subsystem import Subsystem
 
 if TYPE_CHECKING:
     from stepstream.config.operator_file import OperatorConfig
@@ -63,15 +63,15 @@
     key: str,
     text: str,
     create_listener: Callable[[tuple[str, int]], ListenerSpec],
-    log_suffix: str,
+    protocol: str,
 ) -> BoundListener:
     """Open a listener at HOST:PORT; `ConfigurationError` names the key if it cannot be had.
 
-    `log_suffix` ends the log line that announces the listener.
+    `protocol` is its name in the log.
     """
     host, _, port = text.rpartition(":")
     address = host, int(port)
     try:
-        return BoundListener(address, create_listener(address), log_suffix)
+        return BoundListener(address, create_listener(address), protocol)
     except OSError as error:
         raise ConfigurationError(f"{key}={text}: {error}") from error
--- a/stepstream/ports/subsystem.py
+++ b/stepstream/subsystem_api/subsystem.py
@@ -1,4 +1,4 @@
-"""A part of the program beyond the platform's dispatcher, as the node plugs it in."""
+"""The base class of a subsystem: a part of the program that the operator's file switches on."""
 
 from collections.abc import Callable, Mapping, Sequence
 from typing import TYPE_CHECKING, Any
@@ -76,6 +76,6 @@
         """
         return {}
 
-    def status(self) -> str:
-        """Return what it adds to the status line; empty for nothing."""
-        return ""
+    def status_counts(self) -> Mapping[str, int]:
+        """Return the fields that it adds to the status event."""
+        return {}
