--- a/stepstream/core/action_handler.py
+++ b/stepstream/core/action_handler.py
@@ -1,7 +1,7 @@
-"""Actions of the policy, carried out on requests and calls or turned into commands.
+"""The policy's actions: applied to requests and calls, or turned into commands.
 
-An action on a request that is no longer open has no effect. The decision thread calls it; it owns
-nothing but what the shared state holds.
+An action on a request that is no longer open has no effect. The decision thread calls the handler,
+which has no state of its own.
 """
 
 from stepstream.core.call_handler import CallHandler
--- a/stepstream/core/call_handler.py
+++ b/stepstream/core/call_handler.py
@@ -28,14 +28,13 @@
                     self._state.timers.schedule(at_us, CallTimeout(call))
 
     def start(self, now_us: int, request: Request, worker_id: str, timeout_us: int) -> None:
-        """Start a call for the policy; a `timeout_us` of 0 leaves it the request's time.
+        """Start a call for the policy.
 
-        A call that may not be sent gets its number all the same, and ends at once as not sent.
+        `timeout_us` is the call's own timeout; 0 leaves the call the request's time. A call that
+        must not start still gets its number, and ends at once as not sent.
         """
         state = self._state
-        deadline_us = request.deadline_us - state.answer_margin_us
-        if timeout_us:
-            deadline_us = min(deadline_us, now_us + timeout_us)
+        deadline_us = call_deadline_us(request, now_us, timeout_us, state.answer_margin_us)
         call = Call(
             request,
             number=len(request.calls),
@@ -44,14 +43,9 @@
             deadline_us=deadline_us,
             write_deadline_us=request.next_call_write_deadline_us(),
         )
-        may_send = (
-            not request.answered
-            and not may_collide(request, worker_id)
-            and call.number < state.settings.attempt_limit
-            and now_us < deadline_us
-        )
+        is_allowed = may_start(call, now_us, state.settings.attempt_limit)
         request.calls.append(call)
-        if not may_send:
+        if not is_allowed:
             self.end(now_us, call, AttemptResult.NOT_SENT)
             return
         if timeout_us:
@@ -99,13 +93,42 @@
             self.end(now_us, call, result)
 
 
+def call_deadline_us(request: Request, now_us: int, timeout_us: int, answer_margin_us: int) -> int:
+    """Decide when a call that starts at `now_us` times out.
+
+    Every call ends `answer_margin_us` before the request's deadline: the answer still has to be
+    written. `timeout_us` may end it earlier; 0 means that the call has no timeout of its own.
+    """
+    deadline_us = request.deadline_us - answer_margin_us
+    if timeout_us:
+        deadline_us = min(deadline_us, now_us + timeout_us)
+    return deadline_us
+
+
+def may_start(call: Call, now_us: int, attempt_limit: int) -> bool:
+    """Decide whether a new call, not yet among its request's calls, may go to its worker.
+
+    `attempt_limit` is the largest number of calls a request. The policy decides on a state that may
+    be one event old, and the core enforces the limits that must hold all the same: no call after
+    the answer, none beyond the limit, none past its deadline, and none that may collide with an
+    earlier call.
+    """
+    request = call.request
+    if request.answered:
+        return False
+    if call.number >= attempt_limit:
+        return False
+    if now_us >= call.deadline_us:
+        return False
+    return not may_collide(request, call.worker_id)
+
+
 def may_collide(request: Request, worker_id: str) -> bool:
-    """Return whether a new call to a worker could meet an earlier one of the same request there.
+    """Decide whether a new call to a worker could meet an earlier call of the request there.
 
-    An open call can, and so can one given up, whose cancellation may reach the worker after the new
-    call, and one ended by a notification, which may be delivered again.
+    Both calls carry the same request id. An open call collides. A call that was given up collides
+    as well: its cancellation may reach the worker after the new call. So does a call that a
+    notification has ended, because the worker may deliver that notification again.
     """
-    return any(
-        call.worker_id == worker_id and (call.notified or not call.worker_finished)
-        for call in request.calls
-    )
+    calls_to_worker = [call for call in request.calls if call.worker_id == worker_id]
+    return any(call.notified or not call.worker_finished for call in calls_to_worker)
--- a/stepstream/core/commands.py
+++ b/stepstream/core/commands.py
@@ -1,8 +1,8 @@
-"""Commands: what the core asks fronts, carriers and endpoint sources to do.
+"""Commands from the core to fronts, carriers and endpoint sources.
 
-`Dispatcher.handle` returns them in the order in which they must take effect. The node carries each
-out on the decision thread, so whatever it calls must not wait. No command's failure changes the
-core's state: the outcome of a call comes back as an event.
+`Dispatcher.handle` returns them in the order in which they must take effect. The node executes them
+on the decision thread, so no handler of a command may wait. A command that fails does not change
+the core's state: the outcome of a call comes back as an event.
 """
 
 from dataclasses import dataclass
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopCall:
-    """Give up a call that the core has ended; what its carrier still reports is ignored."""
+    """Give up a call that the core has ended; later reports of its carrier are ignored."""
 
     call: Call
 
@@ -56,9 +56,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PollEndpoints:
-    """Ask discovery for the endpoint list."""
+    """Poll discovery for the endpoint list."""
 
-    watch: bool  # True: wait for changes from now on; False: fetch the complete list once
+    watch: bool  # True: wait for changes from now on. False: fetch the complete list once.
 
 
 @dataclass(frozen=True, slots=True)
--- a/stepstream/core/dispatch_state.py
+++ b/stepstream/core/dispatch_state.py
@@ -10,10 +10,10 @@
 
 @dataclass(slots=True)
 class DispatchState:
-    """What requests, calls, notifications, timers and the policy's actions have in common."""
+    """The state that all handlers read and change."""
 
-    settings: Settings  # those in force; a reload replaces them
-    answer_margin_us: int  # time before a deadline that writing an answer needs
+    settings: Settings  # the current settings; a reload replaces them
+    answer_margin_us: int  # time that is reserved before a deadline for writing the answer
     timers: TimerWheel
     requests: RequestTable
     output: RoundOutput
--- a/stepstream/core/dispatcher.py
+++ b/stepstream/core/dispatcher.py
@@ -1,10 +1,9 @@
 """The dispatcher: routes events, timers and the policy's actions to their handlers.
 
-It knows no socket and no protocol. One round takes the time and a batch of events and returns
-commands; the node turns what fronts and carriers report into events and carries the commands out.
-The decision thread owns the dispatcher and all that it holds. Other threads may read `open_count`
-and call `endpoints.contains` and `endpoints.owner`. Times are microseconds on the process's
-monotonic clock.
+It knows no socket and no protocol. One round takes the time and a batch of events, and returns
+commands. Fronts and carriers post the events, and the node executes the commands. The decision
+thread owns the dispatcher and everything in it. Other threads may read `open_count` and call
+`endpoints.contains` and `endpoints.owner`. Times are microseconds on the process's monotonic clock.
 """
 
 from collections.abc import Callable
@@ -56,9 +55,9 @@
     ) -> None:
         """Create a dispatcher without requests.
 
-        `seed` starts the policy's random numbers; `tick_us` is the timers' resolution;
-        `answer_margin_us` is the time before a deadline that writing an answer needs; `log_fault`
-        takes one line a fault.
+        `seed` starts the policy's random numbers. `tick_us` is the timers' resolution.
+        `answer_margin_us` is the time that is reserved before a deadline for writing the answer.
+        `log_fault` takes one line for each fault.
         """
         self.load_balancer = LoadBalancer(settings, seed, now_us)
         self.endpoints = EndpointSet(log_fault)
@@ -80,25 +79,25 @@
 
     @property
     def requests(self) -> dict[str, Request]:
-        """The requests that are open or have calls in flight, by id; to be read."""
+        """The requests that are open or have calls in flight, by id; callers only read it."""
         return self._state.requests.by_id
 
     @property
     def open_count(self) -> int:
-        """The number of requests that are owed an answer; any thread may read it."""
+        """The number of requests without an answer; any thread may read it."""
         return self._state.requests.open_count
 
     def next_timer_us(self) -> int | None:
-        """Return when the next timer is due; None without timers."""
+        """Return when the next timer is due, in microseconds; None without timers."""
         return self._timers.next_due_us()
 
     def handle(self, now_us: int, events: list[Event]) -> list[Command]:
-        """Run one round: due timers, events, then the policy until it has no more to decide."""
+        """Run one round: due timers, then events, then the policy until no policy event is left."""
         for timer in self._timers.pop_due(now_us):
             self._run_guarded("on_timer", self._timer_handler.handle, now_us, timer)
         for event in events:
             self._run_guarded("on_event", self._route, now_us, event)
-        # An action may end a call at once, which is a new event for the policy.
+        # An action may end a call at once. That is a new event for the policy.
         while self._output.policy_events:
             policy_events = self._output.take_policy_events()
             actions = self._run_guarded("handle", self.load_balancer.handle, now_us, policy_events)
@@ -114,7 +113,7 @@
     ) -> Result | None:
         """Run a step; log its fault under `step_name` and return None.
 
-        A fault costs no more than the timer, event or action that it is about.
+        A fault costs only the timer, event or action that caused it.
         """
         try:
             return step(*arguments)
@@ -123,7 +122,10 @@
             return None
 
     def _fail_new_requests(self, policy_events: list[PolicyEvent]) -> None:
-        """Fail the new requests among events on which the policy failed: it never answers them."""
+        """Fail the new requests among events on which the policy failed.
+
+        The policy does not know these requests and would never answer them.
+        """
         for event in policy_events:
             if not isinstance(event, JobSubmitted):
                 continue
--- a/stepstream/core/drain.py
+++ b/stepstream/core/drain.py
@@ -1,12 +1,12 @@
-"""The drain of this dispatcher by its operators; free of I/O.
+"""The drain of this dispatcher by its operators; no I/O.
 
-`PUT /healthcheck/fail` starts it, `PUT /healthcheck/ok` ends it at once, without a restart.
+`PUT /healthcheck/fail` starts the drain. `PUT /healthcheck/ok` ends it at once, without a restart.
 
-While it is active, `GET /-/ready` tells the load balancer in front of the dispatcher that it is not
-ready. That one still sends new connections for a moment (it checks every 0.1 s and stops 0.2 s
-after the first failure) and uses open connections for as long as they stay open. Once the closing
-delay has passed, every answer therefore closes its connection, and idle connections are closed, so
-that no client waits idle for the end of the drain.
+During a drain, `GET /-/ready` answers 503 to the load balancer in front of the dispatcher. The load
+balancer checks every 0.1 s and stops sending new connections 0.2 s after the first failure. It
+keeps using open connections until they close. After the closing delay every answer therefore closes
+its connection, and idle connections are closed, so that no client stays connected until the end of
+the drain.
 
 The admin listener's thread owns the state; other threads may read `active`.
 """
@@ -16,13 +16,13 @@
 
 @dataclass
 class DrainState:
-    """Whether and since when this dispatcher drains. Times are monotonic seconds."""
+    """The drain of this dispatcher, if one is active. Times are monotonic seconds."""
 
     close_after_seconds: float  # from the start of the drain to the closing of connections
-    started_at_seconds: float | None = None  # time of the first call; None: not draining
+    started_at_seconds: float | None = None  # None: not draining
 
     def start(self, now_seconds: float) -> bool:
-        """Begin a drain; return False if there is one already, which keeps its start."""
+        """Start a drain; return False if one is active, whose start time stays as it is."""
         if self.started_at_seconds is not None:
             return False
         self.started_at_seconds = now_seconds
@@ -40,7 +40,11 @@
         return self.started_at_seconds is not None
 
     def closes_connections(self, now_seconds: float) -> bool:
-        """Return whether idle connections close now, and others after their next answer."""
+        """Decide whether idle connections close now, and others after their next answer.
+
+        True once `close_after_seconds` have passed since the start of the drain. Connections that
+        close sooner would be replaced by new ones, because the load balancer has not noticed yet.
+        """
         if self.started_at_seconds is None:
             return False
         return now_seconds - self.started_at_seconds >= self.close_after_seconds
--- a/stepstream/core/endpoint_set.py
+++ b/stepstream/core/endpoint_set.py
@@ -1,9 +1,10 @@
-"""The endpoint set: the workers of several sources merged into the one list that the policy sees.
+"""The endpoint set: the workers of several sources, merged into one list for the policy.
 
-Each source owns the workers that it has named. A complete list of one source says which of its own
-workers are gone, and nothing of another's. An id belongs to the source that named it first, until
-that source drops it: calls go to the owner's carrier, so nobody can take over a worker by using its
-id. A source that names an id of another's holds a claim, which waits until the id is free.
+Each source owns the workers that it lists. A complete list of one source removes its own workers
+that are not on it, and leaves the workers of other sources alone. An id belongs to the source that
+listed it first, until that source drops it. Calls go to the owner's carrier, so no source can take
+over a worker by listing its id. A source that lists an id of another source holds a claim. The
+claim waits until the id is free.
 
 The decision thread owns the set and changes it. Other threads may call `contains` and `owner`,
 which read one entry each.
@@ -32,7 +33,7 @@
 
 
 class ClaimKey(NamedTuple):
-    """A source and the id that it claims from another."""
+    """A source, and an id that it lists while another source owns it."""
 
     source: str
     worker_id: str
@@ -42,7 +43,7 @@
     """The workers of all sources, each with its owner, and the claims that wait for an id."""
 
     def __init__(self, log_conflict: Callable[[str], None]) -> None:
-        """Create an empty set; `log_conflict` takes one line for each claim that has to wait."""
+        """Create an empty set; `log_conflict` takes one line for each new claim."""
         self._log_conflict = log_conflict
         self._endpoints_by_source: dict[str, dict[str, Endpoint]] = {}
         self._owner_by_worker: dict[str, str] = {}
@@ -51,9 +52,9 @@
         self._maintenance: MaintenanceOverlay | None = None
 
     def apply(self, updated: EndpointsUpdated) -> EndpointList:
-        """Merge one source's update; return what the policy is to apply, of the same kind.
+        """Merge one source's update; return the update for the policy, of the same kind.
 
-        A complete list comes back with all other sources' workers, a failed one as it is.
+        To a complete list it adds the workers of all other sources. A failed one stays as it is.
         """
         source = updated.source
         update = updated.update
@@ -89,11 +90,11 @@
         return EndpointList(EndpointListKind.CHANGES, changed_endpoints)
 
     def contains(self, worker_id: str) -> bool:
-        """Return whether any source has a worker of that id; any thread may ask."""
+        """Return whether any source has a worker of that id; any thread may call it."""
         return worker_id in self._owner_by_worker
 
     def owner(self, worker_id: str) -> str | None:
-        """Return the source whose carrier takes calls to a worker; None if no source has it."""
+        """Return the source that owns a worker and carries its calls; None if no source has it."""
         return self._owner_by_worker.get(worker_id)
 
     def _registered(self) -> Iterator[Endpoint]:
@@ -101,7 +102,7 @@
             yield from endpoints.values()
 
     def _release_unlisted(self, source: str, listed: set[str]) -> None:
-        """Drop the workers and claims of a source that its complete list does not name."""
+        """Drop the workers and claims of a source that are not on its complete list."""
         endpoints = self._endpoints_by_source.get(source, {})
         for worker_id in [worker_id for worker_id in endpoints if worker_id not in listed]:
             del endpoints[worker_id]
@@ -111,7 +112,10 @@
                 del self._waiting_claims[claim]
 
     def _register(self, source: str, endpoint: Endpoint) -> bool:
-        """Record an endpoint if its id is free or the source's own; else have its claim wait."""
+        """Record an endpoint, or a claim if another source owns its id; return which (True, False).
+
+        The first owner keeps an id: its calls go on to the same worker, whatever others list.
+        """
         worker_id = endpoint.worker_id
         owner = self._owner_by_worker.get(worker_id, source)
         if owner != source:
@@ -137,14 +141,14 @@
         self._waiting_claims[claim] = endpoint
 
     def _grant_waiting_claims(self) -> list[Endpoint]:
-        """Register the claims whose ids are free now, the oldest first; return their endpoints."""
+        """Register the claims whose ids are free now, oldest first; return their endpoints."""
         granted = []
         free_claims = [
             claim for claim in self._waiting_claims if claim.worker_id not in self._owner_by_worker
         ]
         for claim in free_claims:
             endpoint = self._waiting_claims.pop(claim)
-            # Of several claims to one id, the first one registered makes the others wait again.
+            # If several sources claim one id, the oldest claim wins and the others wait on.
             if self._register(claim.source, endpoint):
                 granted.append(endpoint)
         return granted
--- a/stepstream/core/events.py
+++ b/stepstream/core/events.py
@@ -1,9 +1,9 @@
-"""Events: what fronts, carriers, endpoint sources and subsystems report to the core.
+"""Events: the reports of fronts, carriers, endpoint sources and subsystems to the core.
 
-Any thread may create one and post it to the node's event queue; none is changed afterwards. The
-decision thread takes them from the queue and hands them to `Dispatcher.handle` in their order.
-Events that the core does not handle itself pass to the policy as they are. Times are microseconds
-on the node's clock.
+Any thread may create an event and post it to the node's event queue. An event never changes
+afterwards. The decision thread passes events to `Dispatcher.handle` in the order of the queue. The
+core forwards events that it does not handle itself to the policy. Times are microseconds on the
+node's clock.
 """
 
 from dataclasses import dataclass
@@ -19,17 +19,17 @@
 
 
 class JobStatus(Enum):
-    """The status of a job in a worker's notification; the values are the platform's words."""
+    """The status of a job in a worker's notification; the values are the wire names."""
 
     STARTED = "started"
     RUNNING = "running"
     DONE = "done"
     FAILED = "failed"
-    RETURNED = "returned"  # the worker gave the job back without having run it
+    RETURNED = "returned"  # the worker has returned the job without running it
     LOST = "lost"  # the worker has lost the job; it may have run
 
 
-# How a call ends by a notification that the job ended without a result.
+# The result of a call whose job ended without a result, by the status in the notification.
 RESULT_BY_STATUS = {
     JobStatus.FAILED: AttemptResult.ERROR,
     JobStatus.RETURNED: AttemptResult.FULL,
@@ -60,32 +60,33 @@
 
 @dataclass(frozen=True, slots=True)
 class CallEnded:
-    """A call ended without its worker taking the job; sent by the carrier's thread."""
+    """A call ended and its worker did not accept the job; sent by the carrier's thread."""
 
     call: Call
     result: AttemptResult
-    load_report: dict[str, float] | None = None  # the worker's load by name, if its answer has it
+    load_report: dict[str, float] | None = None  # the worker's load by name, if it reported it
 
 
 @dataclass(frozen=True, slots=True)
 class CallTimeoutSet:
-    """A worker has set a time limit to a call that it has begun; sent by the carrier's thread."""
+    """A worker has set a timeout for a call that it has begun; sent by the carrier's thread."""
 
     call: Call
-    at_us: int  # past it the call has timed out
+    at_us: int  # the call times out then
 
 
 @dataclass(frozen=True, slots=True)
 class JobNotification:
     """A worker's notification of a job; sent by the thread that received it.
 
-    It may come before the worker's response to the call, more than once, or from before a restart.
+    It may arrive before the worker's response to the call, more than once, or after a restart of
+    this process.
     """
 
     request_id: str
     worker_id: str
     status: JobStatus
-    result: object = None  # of DONE: JSON value or `ports.payload.ChunkedResult`
+    result: object = None  # of DONE: JSON value or `core.job_results.ChunkedResult`
     progress: tuple[int, int] | None = None  # of RUNNING: parts complete, parts in all
     forwarded: bool = False  # came from the sibling process of a hot restart
     load_report: dict[str, float] | None = None  # the worker's load by name, where it ends a call
@@ -112,7 +113,7 @@
 class ShutdownStarted:
     """The process ends soon; sent by the main thread.
 
-    Every request that is open or still comes is answered by the deadline.
+    Every request that is open or arrives later is answered by the deadline.
     """
 
     deadline_us: int
--- a/stepstream/core/job_results.py
+++ b/stepstream/core/job_results.py
@@ -1,4 +1,4 @@
-"""Results of jobs as workers return them, in no protocol's form.
+"""Results of jobs as workers return them, independent of any protocol.
 
 All records are immutable and may be read by any thread.
 """
@@ -13,7 +13,7 @@
     """A part of a result that its worker sent before the end of the job."""
 
     data: bytes
-    warning: bool = False  # a warning is reported, but is no part of the result
+    warning: bool = False  # a warning is forwarded, but is not part of the result
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
     """
 
     chunks: tuple[ResultChunk, ...]
-    last: bytes  # what came with the end of the job
+    last: bytes  # the part that came with the end of the job
 
     @property
     def complete(self) -> bytes:
--- a/stepstream/core/maintenance.py
+++ b/stepstream/core/maintenance.py
@@ -1,9 +1,9 @@
-"""Maintenance of workers by operators, and how it changes the endpoints that the policy sees.
+"""Maintenance of workers by operators, and its effect on the endpoints that the policy sees.
 
-A worker in maintenance is shown to the policy as draining, whatever its source says: it gets
-nothing new once the policy's grace period is over. Maintenance lasts until an operator releases the
-worker. As operators restart a worker meanwhile, it is shown as started at its release, so that it
-goes through slow start, unless its source tells of a later start.
+The policy sees a worker in maintenance as draining, whatever its source reports. The worker gets no
+new jobs after the policy's grace period. Maintenance lasts until an operator releases the worker.
+Operators usually restart a worker in maintenance. The policy therefore sees the release as its
+start, so that the worker goes through slow start, unless its source reports a later start.
 
 `MaintenanceRegistry` belongs to the admin service and may be used by any thread;
 `MaintenanceOverlay` belongs to the endpoint set and thereby to the decision thread. A
@@ -15,14 +15,15 @@
 
 from stepstream.model.endpoints import Endpoint, EndpointState
 
-MAX_RELEASES = 1024  # releases remembered for their slow start; the oldest are dropped first
+# Releases that are remembered for slow start; the oldest are dropped first.
+MAX_REMEMBERED_RELEASES = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceState:
-    """The complete state, as it passes between processes and to the core."""
+    """The complete maintenance state, as it is sent to other processes and to the core."""
 
-    generation: int = 0  # orders two states: the higher one is newer
+    generation: int = 0  # the state with the higher generation is the newer one
     in_maintenance: frozenset[str] = frozenset()  # worker ids
     # Worker id and time of each release, the oldest first; microseconds on the clock that all
     # processes of a machine share.
@@ -31,18 +32,18 @@
 
 @dataclass
 class MaintenanceCounters:
-    """What operators' calls have come to since the start."""
+    """Counts of operators' requests since the start, by their effect."""
 
-    begun: int = 0  # calls that put a worker into maintenance
-    released: int = 0  # calls that released one
-    unchanged: int = 0  # calls that changed nothing
-    unknown: int = 0  # calls for ids that no source has
+    begun: int = 0  # put a worker into maintenance
+    released: int = 0  # released a worker
+    unchanged: int = 0  # changed nothing
+    unknown: int = 0  # named an id that no source has
 
 
 class MaintenanceRegistry:
     """The operators' maintenance state, as this process knows it.
 
-    Shared by the admin listener's thread and by those that hand the state over to another process.
+    The admin listener's thread and the threads that send the state to other processes share it.
     """
 
     def __init__(self) -> None:
@@ -71,17 +72,21 @@
                 self.counts.unchanged += 1
                 return False
             self.counts.released += 1
-            earlier = [pair for pair in self.state.released if pair[0] != worker_id]
+            earlier = [
+                (released_worker, at_us)
+                for released_worker, at_us in self.state.released
+                if released_worker != worker_id
+            ]
             released = (*earlier, (worker_id, now_us))
             self.state = MaintenanceState(
                 generation=self.state.generation + 1,
                 in_maintenance=self.state.in_maintenance - {worker_id},
-                released=released[-MAX_RELEASES:],
+                released=released[-MAX_REMEMBERED_RELEASES:],
             )
             return True
 
     def adopt(self, state: MaintenanceState) -> bool:
-        """Take over another process's state if it is newer; return whether it was."""
+        """Adopt another process's state if it is newer; return whether it was."""
         with self.lock:
             if state.generation <= self.state.generation:
                 return False
@@ -100,15 +105,14 @@
 
 @dataclass
 class MaintenanceOverlay:
-    """The maintenance state as the endpoint set lays it over every endpoint of its sources."""
+    """The maintenance state as the endpoint set applies it to the endpoints of its sources."""
 
     in_maintenance: frozenset[str] = frozenset()  # worker ids
-    released_us: dict[str, int] = field(
-        default_factory=dict
-    )  # time of the latest release, by worker
+    # Time of the latest release, by worker.
+    released_us: dict[str, int] = field(default_factory=dict)
 
     def update(self, state: MaintenanceState) -> set[str]:
-        """Take over a new state; return the ids of the workers that it shows differently."""
+        """Adopt a new state; return the ids of the workers whose maintenance or release changed."""
         released_us = dict(state.released)
         changed = set(self.in_maintenance ^ state.in_maintenance)
         changed.update(
@@ -121,7 +125,11 @@
         return changed
 
     def apply(self, endpoint: Endpoint) -> Endpoint:
-        """Return an endpoint as the policy is to see it."""
+        """Decide what the policy sees of an endpoint of a source.
+
+        In maintenance, an active worker is draining. After its release, a worker counts as started
+        at the release, unless its source reports a later start.
+        """
         if endpoint.worker_id in self.in_maintenance:
             if endpoint.state is EndpointState.ACTIVE:
                 return replace(endpoint, state=EndpointState.DRAINING)
--- a/stepstream/core/notification_handler.py
+++ b/stepstream/core/notification_handler.py
@@ -1,8 +1,8 @@
-"""Notifications that workers send of their jobs.
+"""Workers' notifications of their jobs.
 
-A notification may come before the worker's response to the call, more than once, or from before a
-restart: each takes effect at most once. It owns whether a sibling process of a hot restart exists.
-The decision thread calls it.
+A notification may arrive before the worker's response to the call, more than once, or after a
+restart of this process. Each takes effect at most once. The handler owns the flag that says whether
+a sibling process of a hot restart exists. The decision thread calls it.
 """
 
 from stepstream.core.call_handler import CallHandler
@@ -14,15 +14,15 @@
 
 
 class NotificationHandler:
-    """Finds the call that a notification is of, and answers, ends or reports it."""
+    """Finds the call of a notification, and answers its request, ends it or reports its start."""
 
     def __init__(self, state: DispatchState, calls: CallHandler) -> None:
-        self.has_sibling_process = False  # one may hold requests that are unknown here
+        self.has_sibling_process = False  # if True, requests unknown here may be open there
         self._state = state
         self._calls = calls
 
     def handle(self, now_us: int, notification: JobNotification) -> None:
-        """Apply a notification to the latest call of its request to its worker, if there is one."""
+        """Apply a notification to its request's latest call to that worker, if there is one."""
         request = self._state.requests.get(notification.request_id)
         if request is None:
             self._forward(notification)
@@ -54,8 +54,7 @@
         if call.open:
             self._calls.end(now_us, call, AttemptResult.OK, notification.load_report)
         elif first_result:
-            # A call that was given up, or broke before the worker's response, has served after all:
-            # the policy has only to forget the job.
+            # The call was given up or broke, but its worker has done the job: the policy drops it.
             self._state.output.policy_events.append(JobAbandoned(request.id))
 
     def _apply_to_open_call(
--- a/stepstream/core/request_handler.py
+++ b/stepstream/core/request_handler.py
@@ -1,6 +1,6 @@
-"""Events of requests: their arrival, their client's disconnection, a front's fault, the shutdown.
+"""Events of requests: arrival, the client's disconnection, a front's fault, and the shutdown.
 
-It owns the deadline of the shutdown. The decision thread calls it.
+The handler owns the deadline of the shutdown. The decision thread calls it.
 """
 
 from stepstream.core.dispatch_state import DispatchState
@@ -10,6 +10,7 @@
     RequestReceived,
     ShutdownStarted,
 )
+from stepstream.core.request_table import RequestTable
 from stepstream.core.requests import Answer, Outcome, Request
 from stepstream.core.timer_wheel import AnswerDeadline
 from stepstream.model.events import JobSubmitted
@@ -21,7 +22,7 @@
 
     def __init__(self, state: DispatchState) -> None:
         self._state = state
-        self._shutdown_deadline_us: int | None = None  # the process ends then
+        self._shutdown_deadline_us: int | None = None  # None: no shutdown has started
 
     def handle(
         self,
@@ -35,7 +36,7 @@
             case ClientDisconnected(request):
                 self._state.requests.abandon(request)
             case RequestFaulted(request):
-                # The fault of a second request with the same id must not end the first.
+                # A fault of a second request with the same id must not end the first one.
                 if self._state.requests.contains(request):
                     self._state.requests.fail(request)
             case ShutdownStarted(deadline_us):
@@ -44,26 +45,17 @@
                     self._limit_to_shutdown(request)
 
     def _receive(self, now_us: int, request: Request) -> None:
-        state = self._state
-        if request.id in state.requests.by_id:
-            # Two requests under one id would get one answer between them.
-            state.output.commands.append(Answer(request, Outcome.FAILED))
-            return
-        if state.requests.open_count >= state.settings.max_open_requests:
-            retry_after_us = state.settings.max_retry_after_us
-            state.output.commands.append(
-                Answer(request, Outcome.REJECTED, retry_after_us=retry_after_us)
-            )
-            return
-        if not translate_to_settings(request, state.settings):
-            state.output.commands.append(Answer(request, Outcome.FAILED))
-            return
-        self._admit(now_us, request)
+        immediate_answer = answer_on_arrival(request, self._state.requests, self._state.settings)
+        if immediate_answer is None:
+            self._admit(now_us, request)
+        else:
+            self._state.output.commands.append(immediate_answer)
 
     def _admit(self, now_us: int, request: Request) -> None:
         state = self._state
+        translate_to_settings(request, state.settings)
         state.requests.add(request)
-        state.timers.schedule(request.deadline_us - state.answer_margin_us, AnswerDeadline(request))
+        self._schedule_answer_deadline(request)
         self._limit_to_shutdown(request)
         state.output.policy_events.append(
             JobSubmitted(
@@ -79,31 +71,67 @@
         )
 
     def _limit_to_shutdown(self, request: Request) -> None:
-        """Bring the deadline forward to the shutdown: an answer in time beats a reset."""
         deadline_us = self._shutdown_deadline_us
-        if deadline_us is None or deadline_us >= request.deadline_us or request.answered:
+        if deadline_us is None or request.answered:
             return
-        request.deadline_us = deadline_us
-        self._state.timers.schedule(
-            deadline_us - self._state.answer_margin_us, AnswerDeadline(request)
-        )
+        if deadline_us < request.deadline_us:
+            # Its client must get an answer before the process ends and resets the connection.
+            request.deadline_us = deadline_us
+            self._schedule_answer_deadline(request)
+
+    def _schedule_answer_deadline(self, request: Request) -> None:
+        due_us = request.deadline_us - self._state.answer_margin_us
+        self._state.timers.schedule(due_us, AnswerDeadline(request))
 
 
-def translate_to_settings(request: Request, settings: Settings) -> bool:
-    """Make a request that was read under replaced settings index the current ones.
+def answer_on_arrival(
+    request: Request, open_requests: RequestTable, settings: Settings
+) -> Answer | None:
+    """Decide whether a request that arrives is answered at once; None: it is admitted.
 
-    Classes and tenants are matched by name. Return False if the current settings lack either.
+    - Failed, if a request with its id is open: the two could not be told apart, and would share one
+      answer.
+    - Rejected, if `settings.max_open_requests` are open. The advice is the longest retry-after,
+      `settings.max_retry_after_us`.
+    - Failed, if a reload has removed its job class or tenant since the front read it.
     """
+    if request.id in open_requests.by_id:
+        return Answer(request, Outcome.FAILED)
+    if open_requests.open_count >= settings.max_open_requests:
+        return Answer(request, Outcome.REJECTED, retry_after_us=settings.max_retry_after_us)
+    if not is_known_to(settings, request):
+        return Answer(request, Outcome.FAILED)
+    return None
+
+
+def is_known_to(settings: Settings, request: Request) -> bool:
+    """Return whether settings have the job class and the tenant of a request, by their names."""
     read_under = request.settings
     if read_under is None or read_under is settings:
         return True
-    class_name = read_under.classes[request.job_class].name
-    tenant_name = read_under.tenants[request.tenant] if read_under.tenants else ""
-    if class_name not in settings.class_names:
-        return False
-    if settings.tenants and tenant_name not in settings.tenants:
+    if read_under.classes[request.job_class].name not in settings.class_names:
         return False
+    return not settings.tenants or tenant_name(read_under, request.tenant) in settings.tenants
+
+
+def translate_to_settings(request: Request, settings: Settings) -> None:
+    """Make a request that a front read under earlier settings index the current ones.
+
+    A reload may reorder job classes and tenants. They are matched by name, and `settings` must have
+    both.
+    """
+    read_under = request.settings
+    if read_under is None or read_under is settings:
+        return
+    class_name = read_under.classes[request.job_class].name
     request.job_class = settings.class_names.index(class_name)
-    request.tenant = settings.tenants.index(tenant_name) if settings.tenants else 0
+    if settings.tenants:
+        request.tenant = settings.tenants.index(tenant_name(read_under, request.tenant))
+    else:
+        request.tenant = 0
     request.settings = settings
-    return True
+
+
+def tenant_name(settings: Settings, tenant: int) -> str:
+    """Return the name of a tenant by its index; empty if the settings have no tenants."""
+    return settings.tenants[tenant] if settings.tenants else ""
--- a/stepstream/core/request_table.py
+++ b/stepstream/core/request_table.py
@@ -1,4 +1,4 @@
-"""The table of open requests, and the rule that each gets at most one final answer.
+"""The table of open requests, and the rule that each request gets at most one final answer.
 
 The decision thread owns it. The main thread reads `open_count` for the status line and the
 shutdown.
@@ -14,11 +14,11 @@
 
     def __init__(self, output: RoundOutput) -> None:
         self.by_id: dict[str, Request] = {}
-        self.open_count = 0  # requests that are owed an answer
+        self.open_count = 0  # requests without an answer
         self._output = output
 
     def get(self, request_id: str) -> Request | None:
-        """Return the request of that id; None if there is none, or none any more."""
+        """Return the request with that id; None if there is none, or it has been removed."""
         return self.by_id.get(request_id)
 
     def contains(self, request: Request) -> bool:
@@ -26,7 +26,7 @@
         return self.by_id.get(request.id) is request
 
     def add(self, request: Request) -> None:
-        """Add a request that is owed an answer; its id must be new."""
+        """Add a request without an answer; its id must be new."""
         self.by_id[request.id] = request
         self.open_count += 1
 
@@ -37,7 +37,7 @@
         result: object = None,
         retry_after_us: int = 0,
     ) -> None:
-        """Give the final answer; drop it if the request has had one or is not in the table."""
+        """Give the final answer; drop it if the request has one or is not in the table."""
         if request.answered or not self.contains(request):
             return
         self._output.commands.append(Answer(request, outcome, result, retry_after_us))
@@ -49,7 +49,7 @@
         self._output.policy_events.append(JobAbandoned(request.id))
 
     def abandon(self, request: Request) -> None:
-        """Close a request whose client is gone, and have the policy cancel its calls."""
+        """Close a request whose client has disconnected, and have the policy cancel its calls."""
         if request.answered or not self.contains(request):
             return
         self._set_answered(request)
--- a/stepstream/core/requests.py
+++ b/stepstream/core/requests.py
@@ -1,11 +1,12 @@
 """Open requests, their outbound calls, and the answer that ends a request.
 
-These records are created by the fronts (`Request`) and the core (`Call`, `Answer`). The decision
-thread owns the state of both while the request is open; the fields that a front or a carrier may
-touch from its own threads say so. Times are microseconds on the node's clock.
+The fronts create each `Request`, the core each `Call` and `Answer`. The decision thread owns their
+state while the request is open. Fields that a front or a carrier may change from its own threads
+say so. Times are microseconds on the node's clock.
 
-`Payload`, `ResponseSink` and `CallCarrier` are what a request carries through the core. They stand
-here because the core imports nothing of `ports`; `ports.carriers.Carrier` extends the last one.
+A request carries a `Payload`, a `ResponseSink` and the `CallCarrier` of each call through the core.
+These types are defined here because the core imports nothing of `ports`; `ports.carriers.Carrier`
+extends `CallCarrier`.
 """
 
 from dataclasses import dataclass, field
@@ -18,11 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Payload:
-    """What a worker is given of a request, in no protocol's form; every carrier can send it."""
+    """The part of a request that its worker gets, independent of any protocol."""
 
-    path: str  # class, further path and query as the client sent them
+    path: str  # job class, further path and query, as the client sent them
     body: bytes = b""  # the job's input
-    idempotency_key: str = ""  # empty where the client gave none
+    idempotency_key: str = ""  # empty if the client sent none
 
 
 class Outcome(Enum):
@@ -34,14 +35,14 @@
 
 
 class ResponseSink(Protocol):
-    """Where the answer of a request goes.
+    """The receiver of a request's answer, implemented by the client connection of each front.
 
-    Implemented by the client connection of each front. The decision thread calls it, so no method
-    may wait for a peer: a sink queues or writes without blocking.
+    The decision thread calls it, so no method may wait for a peer: a sink queues or writes without
+    blocking.
     """
 
     def answer(self, answer: "Answer") -> None:
-        """Send the final answer; called once a request."""
+        """Send the final answer; called once for each request."""
 
     def progress(self, done: int, of: int) -> None:
         """Report that `done` of `of` parts of the job are complete; a front may drop it."""
@@ -57,44 +58,42 @@
         """Send the call to its worker."""
 
     def stop(self, call: "Call") -> None:
-        """Give the call up: its outcome is of no use any more."""
+        """Give up the call: its outcome is no longer needed."""
 
 
 @dataclass(eq=False, slots=True)
 class Request:
     """A job of one client, from its arrival until it is answered and all its calls have ended.
 
-    A front creates it and posts it with `RequestReceived`. From then on the decision thread owns
+    A front creates it and posts it with `RequestReceived`. From then on, the decision thread owns
     it.
     """
 
     id: str
     job_class: int  # index into `settings.classes`
     arrived_us: int
-    deadline_us: int  # the client gives up then; a shutdown may bring it forward
+    deadline_us: int  # the client gives up then; a shutdown may move it to an earlier time
     tenant: int = 0  # index into `settings.tenants`
     key: str | None = None  # affinity key: requests of one key prefer the same workers
     slots: float = 1.0  # demand on a worker's slots
     memory: float = 0.0  # demand on a worker's memory
-    client_retry: bool = False  # the client says that it repeats an earlier request
+    client_retry: bool = False  # the client reports that it repeats an earlier request
     payload: Payload = field(kw_only=True)  # for the carrier; the core does not read it
     response_sink: ResponseSink | None = None  # set by the front before it posts the request
-    settings: Settings | None = (
-        None  # the settings that `job_class` and `tenant` index; None: current
-    )
+    # The settings that `job_class` and `tenant` index; None: the current ones.
+    settings: Settings | None = None
     calls: "list[Call]" = field(default_factory=list)  # in the order of their numbers
-    answered: bool = False  # the final answer is given, or none is owed
-    # Set by the front's thread as soon as the client disconnects, before the core handles the
-    # event.
+    answered: bool = False  # it has its final answer, or its client has disconnected
+    # Set by the front's thread when the client disconnects, before the core handles the event.
     client_disconnected: bool = False
 
     @property
     def requires_new_connection(self) -> bool:
-        """Whether its calls must not reuse an idle connection.
+        """Decide whether each of its calls needs a new connection.
 
-        A reused connection that breaks leaves open whether the job ran, and a job without
-        idempotency must not run twice. Where the settings put a price on handshakes, idle
-        connections are reused all the same.
+        After a reset of a reused connection it is unknown whether the job ran, and a job that is
+        not idempotent must not run twice (RFC 9112, 9.3.1). If the settings put a price on
+        handshakes, its calls reuse idle connections all the same.
         """
         if self.settings is None or self.settings.handshake_price:
             return False
@@ -106,10 +105,11 @@
         return any(call.open for call in self.calls)
 
     def next_call_write_deadline_us(self) -> int | None:
-        """Return the time until which a further call may be written; None: no such limit.
+        """Decide until when another call may be written; None: at any time.
 
-        A worker drops the repeats of an idempotency key only inside the key's window, which starts
-        with the first call that may have run.
+        A worker drops repeats of an idempotency key only within the key's window. The window,
+        `idempotency_window_us`, starts with the first call that may have run. A later repeat could
+        run the job a second time.
         """
         if self.settings is None:
             return None
@@ -126,27 +126,28 @@
 class Call:
     """One attempt of a request at one worker.
 
-    The decision thread creates and ends it. Carriers' threads read it, and own `carrier_state`
-    alone.
+    The decision thread creates and ends it. Carriers' threads read it; they change only
+    `carrier_state`.
     """
 
     request: Request
     number: int  # index into `request.calls`; the policy's attempt number
     worker_id: str
     sent_us: int  # when it was handed to its carrier
-    deadline_us: int  # past it the call has timed out
+    deadline_us: int  # the call times out then
     open: bool = True
-    notified: bool = False  # a notification of the worker ended it and may be delivered again
+    notified: bool = False  # a notification ended it; the worker may deliver that one again
     result: AttemptResult | None = None  # None while open
-    write_deadline_us: int | None = None  # past it, no byte may be written; None: no such limit
+    write_deadline_us: int | None = None  # its first byte must be written by then; None: no limit
     carrier: CallCarrier | None = None  # the carrier that started it
-    carrier_state: object = None  # the carrier's own record of the call; opaque to everybody else
+    carrier_state: object = None  # the carrier's own record of the call; opaque to the core
 
     @property
     def worker_finished(self) -> bool:
         """Whether its worker no longer works on it.
 
-        A worker may not yet know of a call that timed out or was cancelled.
+        After a timeout or a cancellation the worker may still work on the call, because the stop
+        may not have reached it.
         """
         return not self.open and self.result not in (AttemptResult.TIMEOUT, AttemptResult.CANCELLED)
 
@@ -154,7 +155,7 @@
     def still_needed(self) -> bool:
         """Whether it is still worth sending: open, unanswered, and its client connected.
 
-        Any thread may ask; the answer may be outdated by one event.
+        Any thread may read it; the value may be one event old.
         """
         return self.open and not self.request.answered and not self.request.client_disconnected
 
@@ -165,7 +166,6 @@
 
     request: Request
     outcome: Outcome
-    result: object = (
-        None  # served: JSON value or `ports.payload.ChunkedResult`, as the worker gave it
-    )
-    retry_after_us: int = 0  # rejected: advice for the client; 0 gives none
+    # Of SERVED: JSON value or `core.job_results.ChunkedResult`, as the worker returned it.
+    result: object = None
+    retry_after_us: int = 0  # of REJECTED: advice to the client; 0: no advice
--- a/stepstream/core/timer_handler.py
+++ b/stepstream/core/timer_handler.py
@@ -1,6 +1,6 @@
-"""Timers that are due: the policy's own, the time limits of calls, the deadlines of answers.
+"""Timers that are due: the policy's own, the timeouts of calls, the deadlines of answers.
 
-The decision thread calls it; it owns nothing but what the shared state holds.
+The decision thread calls the handler, which has no state of its own.
 """
 
 from stepstream.core.call_handler import CallHandler
@@ -17,7 +17,7 @@
 
 
 class TimerHandler:
-    """Acts on each timer that is due, unless what it was set for is over."""
+    """Acts on each timer that is due, unless its call or request has ended."""
 
     def __init__(self, state: DispatchState, calls: CallHandler) -> None:
         self._state = state
@@ -38,9 +38,11 @@
                     self._state.requests.fail(request)
 
     def _end_calls(self, now_us: int, request: Request) -> None:
-        """End all calls, whatever their carriers do; the policy answers in the same round."""
+        """End all calls, whatever their carriers do; the policy answers in the same round.
+
+        If the policy fails to answer, the request fails one tick later.
+        """
         for call in request.calls:
             self._calls.time_out(now_us, call)
-        # The policy may fail to answer: then the request fails in the next tick.
         timers = self._state.timers
         timers.schedule(now_us + timers.tick_us, AnswerOverdue(request))
--- a/stepstream/core/timer_wheel.py
+++ b/stepstream/core/timer_wheel.py
@@ -1,6 +1,6 @@
-"""The core's timers, held as coarse ticks on a wheel: cheap to set, never due before their time.
+"""The core's timers on a timer wheel of coarse ticks: cheap to set, never due early.
 
-A timer cannot be cancelled: whoever handles one that is due checks whether it still matters. The
+A timer cannot be cancelled. The handler of a due timer checks whether it still matters. The
 decision thread owns the wheel. Times are microseconds on the node's clock.
 """
 
@@ -11,9 +11,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyTimer:
-    """The policy has asked to be called at this time."""
+    """The policy has requested a call at this time."""
 
-    token: int  # the policy's name for it
+    token: int  # the policy's id of the timer
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerDeadline:
-    """A request needs its answer now for it to reach the client in time."""
+    """The latest time at which a request's answer still reaches the client in time."""
 
     request: Request
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerOverdue:
-    """A tick has passed since the answer deadline: a request without an answer has failed."""
+    """One tick after the answer deadline: a request without an answer fails."""
 
     request: Request
 
@@ -45,7 +45,7 @@
 
     def __init__(self, now_us: int, tick_us: int) -> None:
         self.tick_us = tick_us
-        self._last_tick = now_us // tick_us  # this tick and all before it are past
+        self._last_tick = now_us // tick_us  # the latest tick whose timers were taken
         self._timers_by_tick: dict[int, list[Timer]] = {}
 
     def schedule(self, due_us: int, timer: Timer) -> None:
@@ -60,7 +60,7 @@
         ticks_passed = current_tick - self._last_tick
         if ticks_passed <= 0:
             return []
-        # After a long stall, the ticks with timers are fewer than the ticks that have passed.
+        # After a long stall there are fewer ticks with timers than ticks that have passed.
         if ticks_passed <= len(self._timers_by_tick):
             due_ticks = list(range(self._last_tick + 1, current_tick + 1))
         else:
@@ -69,7 +69,7 @@
         return [timer for tick in due_ticks for timer in self._timers_by_tick.pop(tick, ())]
 
     def next_due_us(self) -> int | None:
-        """Return when the next timer is due; None without timers."""
+        """Return when the next timer is due, in microseconds; None without timers."""
         if not self._timers_by_tick:
             return None
         return min(self._timers_by_tick) * self.tick_us
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -7,6 +7,7 @@
 from core_helpers import START_US, DispatcherHarness, of_type
 from net_helpers import LIMITS, SETTINGS, WORKERS, request
 
+from stepstream.core.call_handler import call_deadline_us, may_start
 from stepstream.core.commands import Answer, Outcome, PollEndpoints, Progress, StartCall, StopCall
 from stepstream.core.events import (
     CallEnded,
@@ -18,6 +19,7 @@
     RequestReceived,
     ShutdownStarted,
 )
+from stepstream.core.requests import Call
 from stepstream.model.actions import StartAttempt
 from stepstream.model.endpoints import EndpointList, EndpointListKind
 from stepstream.model.events import AttemptResult, SettingsChanged
@@ -259,6 +261,28 @@
     assert received.calls[-1].result == (AttemptResult.NOT_SENT if may_collide else None)
 
 
+@pytest.mark.parametrize(
+    ("number", "now_us", "answered", "allowed"),
+    [
+        (0, 99, False, True),
+        (1, 99, False, False),  # beyond the attempt limit
+        (0, 100, False, False),  # at its deadline
+        (0, 99, True, False),
+    ],
+)
+def test_a_call_starts_only_within_the_limits_of_its_request(number, now_us, answered, allowed):
+    received = request("aa")
+    received.answered = answered
+    call = Call(received, number, "s-0", sent_us=now_us, deadline_us=100)
+    assert may_start(call, now_us, attempt_limit=1) == allowed
+
+
+@pytest.mark.parametrize(("timeout_us", "deadline_us"), [(0, 990), (20, 520), (800, 990)])
+def test_a_call_ends_at_its_own_timeout_and_before_its_request_is_answered(timeout_us, deadline_us):
+    received = request("aa", now_us=0, budget_us=1000)
+    assert call_deadline_us(received, 500, timeout_us, answer_margin_us=10) == deadline_us
+
+
 @pytest.mark.parametrize(
     ("result", "has_limit"),
     [(AttemptResult.RESET, True), (None, True), (AttemptResult.CONNECT_FAILED, False)],
