--- a/stepstream/http/__init__.py
+++ b/stepstream/http/__init__.py
@@ -1,13 +1,13 @@
 """The platform's HTTP/1.1: with clients, workers and discovery.
 
 - Protocol, without I/O: `codec` (messages), `session` (an inbound connection), `exchange` (a call
-  to a worker), and what the platform says by them: `client_api`, `worker_api`, `discovery_api`.
-- Inbound: `server` accepts within the connection budget, `client_connection` drives a connection;
-  `server_state`, `eviction` and `lingering` serve both.
-- Outbound: `outbound` calls workers over a `connection_pool`; `destination_set` says where they
-  listen, `discovery_client` keeps it up to date by a `poll_schedule`, and `staleness` tells when
-  not to trust it.
+  to a worker), and the platform's messages: `client_api`, `worker_api`, `discovery_api`.
+- Inbound: `server` accepts connections within a budget, `client_connection` drives one connection;
+  both use `server_state`, `eviction` and `lingering`.
+- Outbound: `outbound` calls workers over a `connection_pool`. `destination_set` has the workers'
+  addresses, `discovery_client` updates it by a `poll_schedule`, and `staleness` detects when it may
+  be outdated.
 
-Sockets block, and each has one thread that reads it. Everything that comes in is posted to the core
-as an event; the core's answers and calls come from the decision thread, which never waits here.
+Sockets block, and one thread reads each of them. What they receive is posted to the core as events.
+The decision thread starts calls and answers requests, and never waits for a peer.
 """
--- a/stepstream/http/client_api.py
+++ b/stepstream/http/client_api.py
@@ -1,8 +1,7 @@
-"""The platform's API towards clients: the requests that they send and the answers that they get.
+"""The platform's API for clients: their requests and the answers to them.
 
-The paths, header names and spellings on the wire are the platform's; they are translated here and
-nowhere else. `ClientApi` is immutable after its construction: a reload makes a new one. Any thread
-may use what stands here.
+The paths, header names and spellings on the wire are the platform's. They are translated only here.
+`ClientApi` is immutable, and a reload creates a new one. Any thread may use this module.
 """
 
 import re
@@ -17,7 +16,7 @@
 from stepstream.model.settings import Settings
 from stepstream.ports.access_control import Rejection, RejectionKind
 
-READINESS_PATH = "/-/ready"  # the front's health check of this dispatcher
+READINESS_PATH = "/-/ready"  # health check of this dispatcher by the load balancer in front of it
 REQUEST_ID = re.compile(r"[0-9A-Za-z._~-]{1,64}")
 TIMEOUT_MS = re.compile(r"[0-9]{1,9}")
 MICROSECONDS_PER_SECOND = 1e6
@@ -27,9 +26,9 @@
     """Reads clients' requests by the names in the settings."""
 
     def __init__(self, settings: Settings, load_reports: LoadReportReader | None = None) -> None:
-        """Index the names; `load_reports` reads the load reports in workers' notifications.
+        """Index the names of job classes and tenants.
 
-        Without it those load reports are not read.
+        `load_reports` reads the load reports in workers' notifications; None: they are not read.
         """
         self.settings = settings
         self.load_reports = load_reports
@@ -50,9 +49,9 @@
         return job_class
 
     def read_request(self, message: Message, now_us: int, tenant: str | None = None) -> Request:
-        """Return the request in a message that arrived at `now_us`; ProtocolError if it has none.
+        """Return the request in a message that arrived at `now_us`; ProtocolError if malformed.
 
-        `tenant` is the one that the authenticated caller acts for; without it the header counts.
+        `tenant` is the tenant of the authenticated caller; None: the header names the tenant.
         """
         job_class = self.job_class_of(message)
         headers = message.headers
@@ -70,7 +69,7 @@
             deadline_us=now_us + timeout_us,
             tenant=tenant_index,
             key=parse_qs(query).get("user", [None])[0],
-            # The platform has two spellings of each.
+            # The platform uses two names for each.
             slots=info.get("cores_needed", info.get("slots", 1.0)),
             memory=info.get("ram_units", info.get("memory", 0.0)),
             client_retry=headers.get("client-retry") == "1",
@@ -79,7 +78,7 @@
         )
 
     def _timeout_us(self, timeout_ms: str | None, job_class: int) -> int:
-        """Return the header's timeout, or else that of the class, in microseconds."""
+        """Return the timeout of the header in microseconds; without one, that of the class."""
         if timeout_ms is None:
             return self.settings.classes[job_class].deadline_us
         if not TIMEOUT_MS.fullmatch(timeout_ms):
@@ -124,7 +123,7 @@
 
 
 def rejection_answer(rejection: Rejection, *, close: bool) -> bytes:
-    """Return 401 or 403 with a challenge (RFC 6750, 3); over a rate limit, the overload answer."""
+    """Return 401 or 403 with a challenge (RFC 6750, 3), or 503 for a caller over its rate limit."""
     if rejection.kind is RejectionKind.RATE_LIMITED:
         return overload_answer(
             int(rejection.retry_after_seconds * MICROSECONDS_PER_SECOND), close=close
@@ -139,7 +138,7 @@
 
 
 def overload_answer(retry_after_us: int, *, close: bool) -> bytes:
-    """Return 503, with Retry-After in the platform's decimal seconds unless that is 0."""
+    """Return 503 with Retry-After in decimal seconds, the platform's form; 0 omits the header."""
     headers = None
     if retry_after_us:
         headers = {"Retry-After": f"{retry_after_us / MICROSECONDS_PER_SECOND:.3f}"}
--- a/stepstream/http/client_connection.py
+++ b/stepstream/http/client_connection.py
@@ -2,18 +2,18 @@
 
 Three kinds of threads work on a connection:
 
-- The reader, a thread of the server's pool, runs `run` from the accept to the end. It alone reads
-  the socket and closes it, but for the case below.
-- Whoever has a reply writes it: the reader (errors, notifications), the decision thread (`answer`)
-  and the main thread (`enforce_timeouts`). None of them waits for the peer: they send what the
-  kernel takes at once.
-- A slow-writer thread of the server's pool sends the rest of a reply that the peer did not take at
-  once, and the replies that queued behind it. While it is at work no other thread sends, which
-  keeps the bytes in order, and it closes the socket if the reader has ended meanwhile.
-
-`lock` guards the session, the fields of this object and the socket's calls that do not wait.
-Received bytes are taken from the kernel under the lock only: whoever closes the connection under
-the lock either sees bytes that nobody has taken, or closes a session that has taken none.
+- The reader, a thread of the server's pool, runs `run` from the accept to the end. Only it reads
+  the socket and closes it, with the exception below.
+- The thread that has a reply writes it: the reader (errors, acknowledgements), the decision thread
+  (`answer`) or the main thread (`enforce_timeouts`). None of them waits for the peer: they send
+  what the kernel accepts at once.
+- A slow-writer thread of the server's pool sends the rest of a reply that the peer did not accept
+  at once, and the replies queued after it. Meanwhile no other thread sends, which keeps the bytes
+  in order. It closes the socket if the reader has ended.
+
+`lock` guards the session, the fields of this object and the socket's calls that do not wait. Bytes
+are received from the kernel only under the lock. A thread that closes the connection under the lock
+therefore sees either all unread bytes or a session that has none of them.
 """
 
 import math
@@ -35,7 +35,7 @@
 )
 from stepstream.core.requests import Request
 from stepstream.http.codec import ProtocolError
-from stepstream.http.eviction import EvictionRank
+from stepstream.http.eviction import EvictionRank, rank_without_open_request
 from stepstream.http.server_state import ServerState
 from stepstream.http.session import HttpSession, Reply, SessionEvent, SessionPhase
 from stepstream.ports.connections import Connection
@@ -47,12 +47,12 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection uses of the server that accepted it."""
+    """The part of the server that a connection uses."""
 
     limits: Limits
     clock: Clock
     state: ServerState
-    post: Callable[[Event], None]  # to the core; any thread
+    post: Callable[[Event], None]  # hands an event to the core; any thread may call it
     slow_writer_threads: ThreadPool
 
     def remove_connection(self, connection: Connection) -> None:
@@ -65,18 +65,18 @@
     def __init__(
         self, transport: Transport, server: ConnectionOwner, *, is_external: bool = True
     ) -> None:
-        """`is_external`: its peer is not on a worker's host."""
+        """`is_external` is True if the peer's host has no worker."""
         self.transport = transport
         self.server = server
         self.is_external = is_external
         self.lock = threading.Lock()
         self.session = HttpSession(server.limits, server.state, transport)
-        self.slow_writer_active = False  # a slow-writer thread sends; nobody else may
-        self.queued_replies: deque[Reply] = deque()  # behind the one that it sends
-        self.reader_ended = False  # the slow writer, if active, closes the socket
-        self.evicted = False  # guarded by the server's lock, not by this one's
-        # Monotonic seconds. Activity is a received byte or a given answer. A phase starts with the
-        # first byte of a message, or with the end of the last answer once the session is closed.
+        self.slow_writer_active = False  # if True, only a slow-writer thread sends
+        self.queued_replies: deque[Reply] = deque()  # for the slow writer
+        self.reader_ended = False  # if True, an active slow writer closes the socket
+        self.evicted = False  # guarded by the server's lock, not by this one
+        # Monotonic seconds. Activity is a received byte or an answer. A phase starts with the first
+        # byte of a message or, once the session is closed, with the end of the last answer.
         now_seconds = time.monotonic()
         self.accepted_at_seconds = now_seconds
         self.last_activity_at_seconds = now_seconds
@@ -85,7 +85,7 @@
     # -- the reader thread ------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Read until the connection ends, then close it and report a request that it leaves."""
+        """Read until the connection ends, then close it and report a request that is still open."""
         try:
             self._read_until_end()
         finally:
@@ -93,8 +93,7 @@
                 open_request = self.session.close()
                 self.reader_ended = True
                 if self.slow_writer_active:
-                    # Closed now, the descriptor's number could be another socket's by the time
-                    # that the slow writer sends.
+                    # Closed now, its descriptor could be another socket's when the writer sends.
                     self.transport.shut_down()
                 else:
                     self.transport.close()
@@ -114,14 +113,14 @@
                 return
 
     def _wait_for_input(self, read_bytes: int) -> bool:
-        """Wait until bytes can be taken; return whether there are any, or the connection ended."""
+        """Wait until bytes can be received; return False if the connection has ended."""
         try:
             return self.transport.wait_readable(read_bytes)
         except OSError:
             return False
 
     def _process_input_guarded(self) -> bool:
-        """Process input as below; a fault in it ends the open request instead of this thread."""
+        """Process input; a fault in it ends the open request instead of this thread."""
         try:
             return self._process_input()
         except Exception as error:  # noqa: BLE001  whatever it is, the request has to be answered
@@ -138,7 +137,7 @@
         return True
 
     def _process_input(self) -> bool:
-        """Take what has come; return whether to go on reading."""
+        """Receive and process the bytes that have arrived; return whether to go on reading."""
         limits = self.server.limits
         with self.lock:
             session = self.session
@@ -147,18 +146,14 @@
             now_seconds = time.monotonic()
             self.last_activity_at_seconds = now_seconds
             if session.phase is SessionPhase.CLOSED:
-                # Guards the thread against a peer that goes on sending after its last answer.
+                # Guards the thread against a peer that keeps sending after its last answer.
                 lingered_seconds = now_seconds - self.phase_started_at_seconds
                 return lingered_seconds < limits.timeouts.linger_seconds
             if session.is_idle and session.has_answered:
                 self.phase_started_at_seconds = now_seconds
             events = session.receive(data, now_us)
-            # Guards the thread against a peer that sends its message byte by byte: each byte is
-            # activity.
-            reading_seconds = now_seconds - self.phase_started_at_seconds
-            if session.is_reading_message and reading_seconds > session.state_timeout_seconds(
-                limits
-            ):
+            # Guards the thread against a peer that sends its message byte by byte.
+            if session.is_reading_message and self._has_timed_out(now_seconds):
                 events.append(session.fail(ProtocolError(400, "too slow")))
         self._dispatch(events)
         return True
@@ -172,7 +167,7 @@
                     if event.close:
                         with self.lock:
                             open_request = self.session.close()
-                        # An error ends the connection, and with it the request that was open.
+                        # An error closes the connection: its open request has lost its client.
                         self._report_disconnect(open_request)
                 case Request():
                     event.response_sink = self
@@ -182,7 +177,7 @@
 
     def _report_disconnect(self, open_request: Request | None) -> None:
         if open_request is not None:
-            # Before the event: no call for it begins any more, even before the core knows.
+            # Set before the event, so that no call of it starts even before the core handles it.
             open_request.client_disconnected = True
             self.server.post(ClientDisconnected(open_request))
 
@@ -194,7 +189,7 @@
             reply = self.session.answer(answer)
             if reply is None:
                 return
-            # A message that came behind the request begins now, however long that took.
+            # A message that arrived during the request is timed from now on.
             now_seconds = time.monotonic()
             self.last_activity_at_seconds = now_seconds
             self.phase_started_at_seconds = now_seconds
@@ -209,7 +204,7 @@
         """Ignore a job's progress: HTTP/1.1 has no message for it."""
 
     def write(self, reply: Reply) -> None:
-        """Send a reply without waiting; what the peer does not take is left to a slow writer."""
+        """Send a reply without waiting; a slow writer sends what the peer does not accept."""
         with self.lock:
             if self.slow_writer_active:
                 self.queued_replies.append(reply)
@@ -225,7 +220,7 @@
         self.server.slow_writer_threads.submit(self._write_slowly, reply)
 
     def _write_slowly(self, reply: Reply) -> None:
-        """Send the rest of a reply and those queued behind it, waiting for the peer."""
+        """Send the rest of a reply and the queued replies, waiting for the peer."""
         while True:
             try:
                 self.transport.flush()
@@ -244,15 +239,15 @@
                 self.transport.enqueue(reply.data)
 
     def _on_sent(self, reply: Reply) -> None:
-        """Close the sending side behind the last reply; the caller holds the lock."""
+        """Close the sending side after the last reply; the caller holds the lock."""
         if reply.close:
             self._half_close(time.monotonic())
 
     def _half_close(self, now_seconds: float) -> None:
         """Shut down the sending side; the caller holds the lock.
 
-        What the peer sends meanwhile is read to its end and dropped: a full close over unread bytes
-        would reset the connection and could take the last reply with it (RFC 9112, 9.6).
+        The peer's later bytes are read and dropped: a full close with unread bytes would reset the
+        connection and might destroy the last reply (RFC 9112, 9.6).
         """
         self.phase_started_at_seconds = now_seconds
         self.transport.half_close()
@@ -260,64 +255,66 @@
     # -- as the server sees it: `ports.Connection` ------------------------------------------------
 
     def has_open_request(self) -> bool:
-        """Tell whether a request awaits its answer."""
+        """Return whether a request awaits its answer."""
         return self.session.has_open_request
 
     def busy(self) -> bool:
-        """Tell whether a shutdown should wait: something is owed, or a client may come back."""
-        session = self.session
+        """Decide whether a shutdown must wait for this connection.
+
+        It waits for answers that are owed or being written, for the peer's end during
+        `close_grace_seconds` after a close, and for idle clients until connections are closed,
+        because they may send another request.
+        """
         if self._owes_answer() or self.slow_writer_active:
             return True
+        session = self.session
         if session.phase is SessionPhase.CLOSED:
             closed_seconds = time.monotonic() - self.phase_started_at_seconds
             return closed_seconds < self.server.limits.timeouts.close_grace_seconds
-        is_idle_client = (
-            session.has_sent_work
-            and not session.is_worker
-            and session.phase is SessionPhase.READING
-        )
-        return is_idle_client and not self.server.state.closing
+        may_send_request = session.is_client and session.phase is SessionPhase.READING
+        return may_send_request and not self.server.state.closing
 
     def _owes_answer(self) -> bool:
-        """Tell whether a request is open, or a message half read that may yet be one.
-
-        Guards the end of a shutdown against a crowd that connects and never finishes a message:
-        after SIGTERM the front opens new connections for a short while only, and what an unknown
-        peer began later is nobody's request.
-        """
+        """Return whether a request is open, or a partly read message may become one."""
         session = self.session
-        shutdown_started_at = self.server.state.shutdown_started_at
-        if not session.is_unfinished:
+        if session.has_open_request:
+            return True
+        if not session.is_reading_message:
             return False
-        if session.has_open_request or session.has_sent_work or shutdown_started_at is None:
+        if session.has_sent_work:
             return True
-        arrivals_seconds = self.server.limits.shutdown.arrivals_seconds
-        return self.accepted_at_seconds <= shutdown_started_at + arrivals_seconds
+        return counts_as_client(
+            self.accepted_at_seconds,
+            self.server.state.shutdown_started_at,
+            self.server.limits.shutdown.arrivals_seconds,
+        )
 
     def eviction_rank(self, now_seconds: float) -> tuple[EvictionRank, float]:
-        """Return the rank, and since when it has been quiet, as `evict_connections` takes them."""
+        """Return the rank, and since when the connection has been quiet (monotonic seconds)."""
         with self.lock:
             session = self.session
             if session.has_open_request or self.slow_writer_active:
                 return EvictionRank.NEVER, math.inf
-            if session.phase is SessionPhase.CLOSED:
-                # Counted from the last byte. Guards an error on its way to a peer that still sends:
-                # evicted now, the connection would be reset and the error lost.
-                return EvictionRank.DONE, self.last_activity_at_seconds
-            since_seconds = (
+            # A closed session is quiet from the last byte on: a peer that still sends must not lose
+            # the error that is on its way by a reset.
+            quiet_since_seconds = (
                 self.phase_started_at_seconds
                 if session.is_reading_message
                 else self.last_activity_at_seconds
             )
-            if session.has_sent_work:
-                return EvictionRank.IDLE, since_seconds
-            is_unused = now_seconds - since_seconds >= self.server.limits.timeouts.unproven_seconds
-            return (EvictionRank.UNUSED if is_unused else EvictionRank.NEW), since_seconds
+            rank = rank_without_open_request(
+                is_closed=session.phase is SessionPhase.CLOSED,
+                has_sent_work=session.has_sent_work,
+                quiet_seconds=now_seconds - quiet_since_seconds,
+                unproven_seconds=self.server.limits.timeouts.unproven_seconds,
+            )
+            return rank, quiet_since_seconds
 
     def evict(self) -> bool:
-        """End the connection at once, unless something is owed; return whether it was ended.
+        """End the connection at once, unless an answer is owed; return whether it was ended.
 
-        Guards the connection budget: peers that are slow or silent must not keep out others.
+        Frees its place in the connection budget, so that slow or silent peers do not keep out
+        others.
         """
         with self.lock:
             session = self.session
@@ -332,7 +329,7 @@
     def close_if_idle(self) -> bool:
         """Close a client's connection between requests; return whether it was closed.
 
-        It stays if bytes of the next request are here already.
+        It stays open if bytes of the next request have arrived.
         """
         with self.lock:
             session = self.session
@@ -343,18 +340,14 @@
             return True
 
     def enforce_timeouts(self, now_seconds: float) -> None:
-        """End what has gone on for too long.
+        """Close the connection, or answer with an error, if its state has timed out.
 
         Guards the reader threads against half-open, silent and slow peers.
         """
         reply = None
         with self.lock:
             session = self.session
-            since_seconds = (
-                self.last_activity_at_seconds if session.is_idle else self.phase_started_at_seconds
-            )
-            timeout_seconds = session.state_timeout_seconds(self.server.limits)
-            if self.slow_writer_active or now_seconds - since_seconds <= timeout_seconds:
+            if self.slow_writer_active or not self._has_timed_out(now_seconds):
                 return
             if session.is_reading_message:
                 reply = session.fail(ProtocolError(400, "too slow"))
@@ -365,3 +358,27 @@
                 self._half_close(now_seconds)
         if reply is not None:
             self.write(reply)
+
+    def _has_timed_out(self, now_seconds: float) -> bool:
+        """Return whether the session has stayed in its state for too long; with the lock held."""
+        session = self.session
+        state_since_seconds = (
+            self.last_activity_at_seconds if session.is_idle else self.phase_started_at_seconds
+        )
+        timeout_seconds = session.state_timeout_seconds(self.server.limits)
+        return now_seconds - state_since_seconds > timeout_seconds
+
+
+def counts_as_client(
+    accepted_at_seconds: float, shutdown_started_at: float | None, arrivals_seconds: float
+) -> bool:
+    """Decide whether a peer that has sent only a part of its first message counts as a client.
+
+    After SIGTERM, the load balancer in front of the dispatcher opens connections for at most
+    `arrivals_seconds`. The message of a later connection is no client's request. Without this rule
+    peers that connect and never finish a message would hold up the shutdown. Times are monotonic
+    seconds; without a shutdown (None) every peer counts.
+    """
+    if shutdown_started_at is None:
+        return True
+    return accepted_at_seconds <= shutdown_started_at + arrivals_seconds
--- a/stepstream/http/codec.py
+++ b/stepstream/http/codec.py
@@ -1,10 +1,10 @@
-"""HTTP/1.1 message syntax (RFC 9112) as a state machine that is fed bytes and knows no socket.
+"""HTTP/1.1 message syntax (RFC 9112) as a state machine without I/O.
 
-The parser is stricter than the RFC asks where a lenient reading could be used for request smuggling
-(RFC 9112, 11.2): a message whose framing is in doubt is an error and ends its connection.
+The parser is stricter than the RFC requires wherever a lenient reading allows request smuggling
+(RFC 9112, 11.2): a message with ambiguous framing is an error and ends its connection.
 
-A `Parser` belongs to one connection and has no lock of its own: it is used by one thread at a time,
-which its owner sees to. The writing functions keep no state and may be called by any thread.
+A `Parser` belongs to one connection and has no lock of its own; its owner lets one thread at a time
+use it. The functions that write messages keep no state, and any thread may call them.
 """
 
 import re
@@ -18,17 +18,19 @@
 CRLF = b"\r\n"
 HEAD_END = b"\r\n\r\n"
 TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")  # RFC 9110, 5.6.2
-# What a field value must not hold (RFC 9110, 5.5); bytes outside ASCII are refused before.
+# Characters that a field value must not contain (RFC 9110, 5.5). Bytes outside ASCII are rejected
+# before.
 FIELD_VALUE_CONTROL = re.compile(r"[\x00-\x08\x0a-\x1f]")
 REQUEST_TARGET = re.compile(r"[\x21-\x7e]+")
 REQUEST_LINE_PARTS = 3  # method, target, version
-# The space before a missing reason phrase may be missing too, which RFC 9112, 4, forbids to send.
+# Lenient to workers: the space before an empty reason phrase, which RFC 9112, 4, requires, may be
+# missing.
 STATUS_AND_REASON = re.compile(r"[1-9][0-9]{2}( .*)?")
 CONTENT_LENGTH = re.compile(r"[0-9]{1,18}")
 CHUNK_SIZE_LINE = re.compile(rb"([0-9a-fA-F]{1,8})(;[\x20-\x7e]*)?")
-# Fields whose repetition has no safe reading (RFC 9112, 3.2 and 6.3).
+# Fields whose repetition makes a message ambiguous (RFC 9112, 3.2 and 6.3).
 UNREPEATABLE_FIELDS = ("content-length", "transfer-encoding", "host")
-FIRST_FINAL_STATUS = 200  # those below are interim (RFC 9110, 15.2)
+FIRST_FINAL_STATUS = 200
 STATUSES_WITHOUT_BODY = (204, 304)
 REASONS = {
     200: "OK",
@@ -47,7 +49,7 @@
 
 
 class ProtocolError(HttpError):
-    """The peer broke the protocol; `status` is the HTTP status that it is due, if any is."""
+    """The peer broke the protocol; `status` is the HTTP status of the answer, if one is sent."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -56,7 +58,10 @@
 
 @dataclass(slots=True)
 class Message:
-    """A request (method and target) or an answer (status); header names are in lower case."""
+    """A request (with method and target) or an answer (with status).
+
+    Header names are in lower case.
+    """
 
     method: str = ""
     target: str = ""
@@ -67,7 +72,7 @@
 
 
 class ParserState(Enum):
-    """Which part of a message the parser expects next."""
+    """The part of a message that the parser expects next."""
 
     HEAD = 1  # the first line and the header fields
     FIXED_LENGTH_BODY = 2
@@ -81,14 +86,17 @@
 class Parser:
     """Turns bytes into complete messages.
 
-    After a `ProtocolError` every further call raises one: where the next message would begin is
+    After a `ProtocolError` every further call raises one, because the start of the next message is
     unknown.
     """
 
     def __init__(
         self, limits: Limits, *, answers: bool = False, max_body_bytes: int | None = None
     ) -> None:
-        """Parse answers if `answers`, else requests; the body limit defaults to the platform's."""
+        """Parse answers if `answers` is True, and requests otherwise.
+
+        `max_body_bytes` defaults to the platform's limit.
+        """
         self.limits = limits
         self.answers = answers
         self.max_body_bytes = limits.sizes.body_bytes if max_body_bytes is None else max_body_bytes
@@ -125,7 +133,7 @@
         return None
 
     def has_complete_message(self) -> bool:
-        """Tell whether `next` would return a message; nothing is consumed."""
+        """Return whether `next` would return a message; nothing is consumed."""
         lookahead = copy(self)
         lookahead.buffer = bytearray(self.buffer)
         lookahead.chunks = list(self.chunks)
@@ -136,10 +144,10 @@
             return False
 
     def end(self) -> Message | None:
-        """Take note that the peer closed its side; return the answer that this completes, if any.
+        """Handle the peer's end of the stream; return the answer that it completes, if any.
 
-        Only a body without a declared length ends so (RFC 9112, 6.3, rule 8); anything else that
-        is incomplete stays incomplete (RFC 9112, 8).
+        It completes only a body without a declared length (RFC 9112, 6.3, rule 8). Any other
+        incomplete message stays incomplete (RFC 9112, 8).
         """
         if self.state is not ParserState.BODY_UNTIL_CLOSE:
             return None
@@ -148,13 +156,13 @@
         self.buffer = bytearray()
         return self.message
 
-    # -- one method a state; each returns whether its part is complete and the state has changed ---
+    # -- one method for each state; it returns whether the state has changed -----------------------
 
     def _parse_head(self) -> bool:
         while self.buffer.startswith(CRLF):
             self._skip_empty_line()
         max_bytes = self.limits.sizes.head_bytes
-        # The end may begin within the bytes that were searched last.
+        # The end of the head may span the bytes that were searched before and the new ones.
         end = self.buffer.find(HEAD_END, max(self.searched_bytes - len(HEAD_END) + 1, 0))
         if end < 0 or end > max_bytes:
             self.searched_bytes = len(self.buffer)
@@ -177,7 +185,7 @@
         return True
 
     def _skip_empty_line(self) -> None:
-        """Skip one empty line before a message, as RFC 9112, 2.2, advises; a second is an error."""
+        """Skip one empty line before a message (RFC 9112, 2.2); a second one is an error."""
         if self.empty_line_skipped:
             raise ProtocolError(400, "empty lines in place of a message")
         self.empty_line_skipped = True
@@ -214,8 +222,8 @@
     def _parse_fields(lines: list[str]) -> dict[str, str]:
         """Read header fields (RFC 9112, 5).
 
-        A space before the colon and a folded line are errors (5.1 and 5.2): such names are no
-        tokens. Values of a repeated field are joined by commas (RFC 9110, 5.3).
+        A space before the colon and a folded line are errors (5.1 and 5.2), because their names are
+        not tokens. Values of a repeated field are joined by commas (RFC 9110, 5.3).
         """
         headers: dict[str, str] = {}
         for line in lines:
@@ -243,7 +251,7 @@
         coding = self.message.headers.get("transfer-encoding")
         length = self.message.headers.get("content-length")
         if coding is not None and minor_version == 0:
-            # To an HTTP/1.0 intermediary the coding means nothing (RFC 9112, 6.1).
+            # An HTTP/1.0 intermediary ignores the coding (RFC 9112, 6.1).
             raise ProtocolError(400, "HTTP/1.0 has no transfer codings")
         if self.answers and self._status_excludes_body():
             self._expect_body(0)
@@ -266,7 +274,7 @@
 
     def _status_excludes_body(self) -> bool:
         status = self.message.status
-        return status in STATUSES_WITHOUT_BODY or status < FIRST_FINAL_STATUS
+        return status in STATUSES_WITHOUT_BODY or is_interim(status)
 
     def _expect_body(self, size_bytes: int) -> None:
         self.expected_bytes = size_bytes
@@ -285,7 +293,7 @@
         return True
 
     def _take_line(self, max_bytes: int) -> bytes | None:
-        """Consume a line inside the body, without its end; None until it is complete."""
+        """Remove and return a line inside the body, without its end; None until it is complete."""
         end = self.buffer.find(CRLF)
         if end > max_bytes or (end < 0 and len(self.buffer) > max_bytes):
             raise ProtocolError(400, "a line inside the body is too long")
@@ -298,8 +306,8 @@
     def _parse_chunk_size(self) -> bool:
         """Read a chunk's size and ignore its extensions (RFC 9112, 7.1 and 7.1.1).
 
-        White space around the size and a bare line feed are errors: parties on the way read them
-        differently.
+        White space around the size and a bare line feed are errors, because intermediaries read
+        them differently.
         """
         line = self._take_line(self.limits.sizes.chunk_line_bytes)
         if line is None:
@@ -326,7 +334,7 @@
         return True
 
     def _parse_trailers(self) -> bool:
-        """Discard trailer fields, as RFC 9112, 7.1.2, allows, up to the empty line."""
+        """Discard trailer fields up to the empty line, as RFC 9112, 7.1.2, allows."""
         line = self._take_line(self.limits.sizes.head_bytes)
         if line is None:
             return False
@@ -349,14 +357,19 @@
     }
 
 
+def is_interim(status: int) -> bool:
+    """Return whether a status is interim: a final answer follows (RFC 9110, 15.2)."""
+    return status < FIRST_FINAL_STATUS
+
+
 def write_head(first_line: str, headers: dict[str, str]) -> bytes:
-    """Return the first line and the header fields, up to and with the empty line."""
+    """Return the first line, the header fields and the empty line."""
     lines = [first_line, *(f"{name}: {value}" for name, value in headers.items())]
     return ("\r\n".join(lines) + "\r\n\r\n").encode("ascii")
 
 
 def write_request(method: str, target: str, headers: dict[str, str], body: bytes = b"") -> bytes:
-    """Return a request; its length is declared if it has a body or could have one."""
+    """Return a request, with its length if it has a body or its method allows one."""
     framed = {**headers, "Content-Length": str(len(body))} if body or method == "POST" else headers
     return write_head(f"{method} {target} HTTP/1.1", framed) + body
 
@@ -364,7 +377,7 @@
 def write_answer(
     status: int, body: bytes = b"", headers: dict[str, str] | None = None, *, close: bool = False
 ) -> bytes:
-    """Return an answer with its length; `close` announces the connection's end (RFC 9112, 9.6)."""
+    """Return an answer with its length; `close` adds `Connection: close` (RFC 9112, 9.6)."""
     framed = {**(headers or {}), "Content-Length": str(len(body))}
     if close:
         framed["Connection"] = "close"
--- a/stepstream/http/connection_pool.py
+++ b/stepstream/http/connection_pool.py
@@ -1,9 +1,8 @@
 """The pool of connections to workers.
 
-State: the idle connections by worker, and the number of connections open in all, idle or in use.
-Any thread may acquire and put back; a connection in use belongs to the thread that acquired it,
-until that thread puts it back or closes it. The main thread retires old idle connections from time
-to time.
+State: the idle connections by worker, and the number of open connections, idle or in use. Any
+thread may acquire a connection. It belongs to that thread until the thread puts it back or closes
+it. The main thread periodically retires idle connections.
 """
 
 import socket
@@ -27,29 +26,38 @@
         self.address = address
         self.idle_since = 0.0  # monotonic seconds; set when it is put back
 
+    def may_be_reused(self, address: Address, now_seconds: float, max_idle_seconds: float) -> bool:
+        """Decide, without I/O, whether an idle connection may carry a request to `address`.
+
+        Not after `max_idle_seconds`, which end before the worker's own idle timeout: a request that
+        crosses the worker's close is reset. And not if the worker has moved.
+        """
+        is_fresh = now_seconds - self.idle_since < max_idle_seconds
+        return is_fresh and self.address == address
+
 
 class PoolExhaustedError(HttpError):
-    """As many connections are in use as the limits allow."""
+    """All connections that the limits allow are in use."""
 
 
 class ConnectionPool:
-    """Connections to workers, idle ones cached for the next call, all within one limit."""
+    """Connections to workers within one limit; idle ones are cached for the next call."""
 
     def __init__(self, limits: Limits) -> None:
-        self.limits = limits  # replaced as one at a reload
-        self.lock = threading.Lock()  # guards `idle` and `open_count`; not held for any I/O
-        # by worker, in the order in which they were put back: the longest idle comes first
+        self.limits = limits  # replaced as a whole at a reload
+        self.lock = threading.Lock()  # guards `idle` and `open_count`; not held during I/O
+        # By worker, in the order in which they were put back: the longest idle one is first.
         self.idle: dict[str, list[PooledConnection]] = {}
-        self.open_count = 0  # idle ones, those in use and those being made
+        self.open_count = 0  # idle, in use or being opened
 
     def acquire(
         self, worker: str, address: Address, *, requires_new: bool = False
     ) -> PooledConnection:
-        """Return an idle connection that still stands, or make a new one.
+        """Return an idle connection that is still open, or open a new one.
 
-        `requires_new` rules out idle ones, any of which may have died unnoticed; the new one takes
-        the place of the worker's longest idle one. Raises OSError if connecting fails,
-        PoolExhaustedError if the limit is reached.
+        `requires_new` excludes idle connections, because a worker may have closed one unnoticed.
+        The new connection then replaces the worker's longest idle one. Raises OSError if connecting
+        fails, PoolExhaustedError if the limit is reached.
         """
         if requires_new:
             displaced = self.pop_longest_idle(worker)
@@ -62,21 +70,20 @@
         return self.open_new(worker, address)
 
     def acquire_idle(self, worker: str, address: Address) -> PooledConnection | None:
-        """Return an idle connection that is safe to write to, closing those found that are not.
+        """Return an idle connection that is safe to write to, and close those that are not.
 
-        Guards against a stale connection: a request written to one that its worker has closed is
-        reset.
+        A request on a connection that its worker has closed is reset, and the job may have run.
         """
         while (connection := self.pop_reusable(worker)) is not None:
-            idle_seconds = time.monotonic() - connection.idle_since
-            is_fresh = idle_seconds < self.limits.timeouts.outbound_idle_seconds
-            if is_fresh and connection.address == address and not is_stale(connection.sock):
+            max_idle_seconds = self.limits.timeouts.outbound_idle_seconds
+            may_be_reused = connection.may_be_reused(address, time.monotonic(), max_idle_seconds)
+            if may_be_reused and not is_stale(connection.sock):
                 return connection
             self.close(connection)
         return None
 
     def open_new(self, worker: str, address: Address) -> PooledConnection:
-        """Connect within the limit; raises OSError or PoolExhaustedError."""
+        """Open a connection within the limit; raises OSError or PoolExhaustedError."""
         self.reserve_slot()
         try:
             sock = connect(
@@ -88,30 +95,30 @@
         return PooledConnection(sock, worker, address)
 
     def pop_longest_idle(self, worker: str) -> PooledConnection | None:
-        """Take out the worker's longest idle connection."""
+        """Remove and return the worker's longest idle connection, if there is one."""
         with self.lock:
             connections = self.idle.get(worker)
             return connections.pop(0) if connections else None
 
     def pop_reusable(self, worker: str) -> PooledConnection | None:
-        """Take out the worker's most recently used connection past the reuse delay.
+        """Remove and return the worker's most recently used connection past the reuse delay.
 
-        The delay guards the next call against a second answer, or half a line, that comes a moment
-        after the last one: it would pass for the answer to that call.
+        A worker may send a second answer, or a part of one, a moment after the first. On a
+        connection in use it would pass for the answer to the next call.
         """
-        idle_by = time.monotonic() - self.limits.timeouts.outbound_reuse_delay_seconds
+        latest_idle_since = time.monotonic() - self.limits.timeouts.outbound_reuse_delay_seconds
         with self.lock:
             connections = self.idle.get(worker, [])
             for index in reversed(range(len(connections))):
-                if connections[index].idle_since <= idle_by:
+                if connections[index].idle_since <= latest_idle_since:
                     return connections.pop(index)
             return None
 
     def reserve_slot(self) -> None:
-        """Count a connection about to be made.
+        """Count a connection that is about to be opened.
 
-        If the limit is reached, the longest idle one of all makes room; raises PoolExhaustedError
-        if there is none.
+        At the limit, the longest idle connection of all workers is closed to make room; raises
+        PoolExhaustedError if none is idle.
         """
         with self.lock:
             if self.open_count < self.limits.connections.outbound:
@@ -121,32 +128,32 @@
             if not candidates:
                 raise PoolExhaustedError("all outbound connections are in use")
             evicted = min(candidates, key=lambda idle: idle[0].idle_since).pop(0)
-        evicted.sock.close()  # its slot goes to the new one: the count stays
+        evicted.sock.close()  # its slot goes to the new connection: the count stays the same
 
     def release_slot(self) -> None:
-        """Count a connection as closed, or as not made."""
+        """Count a connection as closed, or as not opened."""
         with self.lock:
             self.open_count -= 1
 
     def put_back(self, connection: PooledConnection) -> None:
-        """Offer a connection between two messages to the worker's next call."""
+        """Cache a connection that is between two messages, for the worker's next call."""
         connection.idle_since = time.monotonic()
         with self.lock:
             self.idle.setdefault(connection.worker, []).append(connection)
 
     def close(self, connection: PooledConnection) -> None:
-        """Close a connection that is not, or no longer, among the idle ones."""
+        """Close a connection that is not among the idle ones."""
         connection.sock.close()
         self.release_slot()
 
     def retire_idle(self) -> None:
-        """Close connections idle for too long, before their workers do."""
-        idle_by = time.monotonic() - self.limits.timeouts.outbound_idle_seconds
+        """Close connections that have been idle for too long, before their workers close them."""
+        earliest_idle_since = time.monotonic() - self.limits.timeouts.outbound_idle_seconds
         retired: list[PooledConnection] = []
         with self.lock:
             for worker, connections in list(self.idle.items()):
-                retired.extend(one for one in connections if one.idle_since < idle_by)
-                remaining = [one for one in connections if one.idle_since >= idle_by]
+                retired.extend(one for one in connections if one.idle_since < earliest_idle_since)
+                remaining = [one for one in connections if one.idle_since >= earliest_idle_since]
                 if remaining:
                     self.idle[worker] = remaining
                 else:
--- a/stepstream/http/destination_set.py
+++ b/stepstream/http/destination_set.py
@@ -1,9 +1,9 @@
-"""The destination set: where discovery's workers listen, and which of them may get new work.
+"""The destination set: the addresses of discovery's workers, and which of them may get new work.
 
 State: the endpoint list as discovery last reported it, the workers in maintenance, and the detector
-of a stale list. The discovery client's thread replaces the list before the core hears of a change,
-so that calls on their way see it at their last check before the first byte; any thread may read.
-Both sides go through `DestinationSet`'s lock, except where a method says why it needs none.
+of a stale list. The discovery client's thread replaces the list before it notifies the core, so
+that a call in flight sees a change at the last check before its first byte. Any thread may read.
+All methods take the lock, unless a comment says why they need none.
 """
 
 import random
@@ -18,28 +18,28 @@
 
 
 def host_and_port(address: Address) -> str:
-    """Return an address as a Host header and discovery word it."""
+    """Return an address in the form of a Host header, which discovery uses as well."""
     return f"{address[0]}:{address[1]}"
 
 
 class DestinationSet:
-    """The endpoint list in force, merged from complete lists and changes."""
+    """The current endpoint list, merged from complete lists and changes."""
 
     def __init__(self, staleness: StalenessDetector | None = None) -> None:
-        """`staleness` defaults to the detector of a dispatcher that has discovery to itself."""
-        # Guards all that follows. Innermost: no other lock is taken while it is held.
+        """`staleness` defaults to the detector of a dispatcher that alone calls discovery."""
+        # Guards all fields. No other lock is taken while it is held.
         self.lock = threading.Lock()
         self.staleness = staleness or StalenessDetector(1, random.Random(0))
         self.addresses: dict[str, Address] = {}
         self.active_workers: set[str] = set()
         self.worker_hosts: frozenset[str] = frozenset()
-        self.in_maintenance: frozenset[str] = frozenset()  # no new work, whatever the list says
-        self.endpoints: dict[str, Endpoint] = {}  # for a hot restart's successor
-        self.version: int | None = None  # discovery's index of the list; None before the first
+        self.in_maintenance: frozenset[str] = frozenset()  # get no new work, listed or not
+        self.endpoints: dict[str, Endpoint] = {}  # handed over in a hot restart
+        self.version: int | None = None  # discovery's version of the list; None: no list yet
         self.update_count = 0
 
     def apply(self, answer: EndpointAnswer) -> None:
-        """Take over a complete list or a list of changes."""
+        """Apply a complete list or a list of changes."""
         with self.lock:
             is_complete = answer.update.kind is not EndpointListKind.CHANGES
             if is_complete:
@@ -56,32 +56,35 @@
             self.staleness.record_listed(None if is_complete else listed)
 
     def apply_endpoint(self, endpoint: Endpoint) -> None:
-        """Take over one entry; the caller holds the lock."""
+        """Apply one entry; the caller holds the lock."""
         if endpoint.state is EndpointState.ACTIVE:
             self.active_workers.add(endpoint.worker_id)
         else:
             self.active_workers.discard(endpoint.worker_id)
         if endpoint.state is EndpointState.REMOVED:
-            # Its address stays: a cancellation may still have to reach it.
+            # Its address stays, because a cancellation may still be sent to it.
             self.endpoints.pop(endpoint.worker_id, None)
         else:
             self.endpoints[endpoint.worker_id] = endpoint
 
     def set_in_maintenance(self, workers: frozenset[str]) -> None:
-        """Replace the workers in maintenance: none of them gets new work from now on."""
+        """Replace the workers in maintenance; none of them gets new work from now on."""
         with self.lock:
             self.in_maintenance = workers
 
     # -- addresses ---------------------------------------------------------------------------------
 
     def usable_address(self, worker: str) -> Address | None:
-        """Return where a worker listens; None for one that must not get new work."""
+        """Decide whether a worker may get new work; return its address, or None if it may not.
+
+        Only a worker that the list shows as active, and that is not in maintenance, may.
+        """
         with self.lock:
-            usable = worker in self.active_workers and worker not in self.in_maintenance
-            return self.addresses.get(worker) if usable else None
+            may_get_work = worker in self.active_workers and worker not in self.in_maintenance
+            return self.addresses.get(worker) if may_get_work else None
 
     def listed_address(self, worker: str) -> Address | None:
-        """Return where a worker listens, or last did, whether or not it may get new work."""
+        """Return a worker's latest address, whether or not it may get new work."""
         with self.lock:
             return self.addresses.get(worker)
 
@@ -92,7 +95,7 @@
 
     def is_worker_host(self, host: str) -> bool:
         """Return whether a worker listens at this host."""
-        # Needs no lock: the set is replaced as one.
+        # Needs no lock: the set is replaced as a whole.
         return host in self.worker_hosts
 
     # -- staleness ---------------------------------------------------------------------------------
@@ -100,8 +103,7 @@
     def report_refused(self, worker: str) -> None:
         """Report that a worker's machine refuses connections.
 
-        If the list calls the worker active, either the list is stale or the worker crashed just
-        now.
+        If the list shows the worker as active, the list is stale or the worker has just crashed.
         """
         with self.lock:
             if worker in self.active_workers:
@@ -109,13 +111,13 @@
 
     def report_reachable(self, worker: str) -> None:
         """Report that a worker accepts connections."""
-        # Read without the lock, which each call would have to wait for: it is nearly always empty.
+        # Read without the lock, so that calls do not wait for it: it is nearly always empty.
         if self.staleness.first_refusal_seconds:
             with self.lock:
                 self.staleness.record_connect(worker)
 
     def claim_staleness_check(self) -> bool:
-        """Return whether the list is to be checked now; whoever gets True must make the check."""
+        """Return whether the list must be checked now; after True the caller must check it."""
         with self.lock:
             return self.staleness.claim_check(time.monotonic())
 
@@ -138,7 +140,7 @@
 
 
 def export_endpoint(endpoint: Endpoint, address: Address) -> dict[str, object]:
-    """Return one entry as discovery words it; the keys and states are its wire names."""
+    """Return one entry in discovery's JSON form; the keys and states are wire names."""
     return {
         "id": endpoint.worker_id,
         "addr": host_and_port(address),
--- a/stepstream/http/discovery_api.py
+++ b/stepstream/http/discovery_api.py
@@ -1,7 +1,7 @@
 """The platform's discovery API: polls of the endpoint list and the answers to them.
 
-The paths and field names are the platform's; they are translated here and nowhere else.
-`DiscoveryApi` is immutable after its construction; any thread may use it.
+The paths and field names are the platform's. They are translated only here. `DiscoveryApi` is
+immutable, and any thread may use it.
 """
 
 from dataclasses import dataclass
@@ -14,8 +14,8 @@
 from stepstream.model.settings import Settings
 
 ENDPOINT_LIST_PATH = "/api/targets"
-OK = 200
-UNKNOWN_NAME = -1  # the index of a zone or worker kind that the settings do not list
+OK_STATUS = 200
+UNKNOWN_NAME_INDEX = -1  # of a zone or worker kind that the settings do not list
 STATE_BY_WIRE_NAME = {
     "ready": EndpointState.ACTIVE,
     "draining": EndpointState.DRAINING,
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointAnswer:
-    """An answer of discovery: the list as the core takes it, and where its workers listen."""
+    """An answer of discovery: the list for the core, and the workers' addresses."""
 
     version: int
     update: EndpointList
@@ -37,8 +37,6 @@
     """Writes polls and reads endpoint lists by the names in the settings."""
 
     def __init__(self, settings: Settings) -> None:
-        # Without polling, discovery's address is that of an agent beside this dispatcher.
-        self.pushed = not settings.polls_endpoints
         self.zone_index = {name: k for k, name in enumerate(settings.zones)}
         self.worker_kind_index = {name: k for k, name in enumerate(settings.worker_kinds)}
 
@@ -55,14 +53,14 @@
 
     def read_answer(self, message: Message) -> EndpointAnswer:
         """Return the list in an answer of discovery; ProtocolError if there is none."""
-        if message.status != OK:
+        if message.status != OK_STATUS:
             raise ProtocolError(400, f"discovery answered {message.status}")
         return self.read(read_json_object(message.body))
 
     def read(self, data: dict[str, Any], *, persisted: bool = False) -> EndpointAnswer:
         """Return a list from its JSON object; ProtocolError if it is malformed.
 
-        `persisted` marks a list from before this start, which may be outdated.
+        `persisted` is True for a list from before this start, which may be outdated.
         """
         try:
             rows = [self._read_row(row) for row in data.get("servers", ())]
@@ -81,7 +79,7 @@
         return EndpointAnswer(version, EndpointList(kind, endpoints), addresses)
 
     def _read_row(self, row: dict[str, Any]) -> tuple[Endpoint, Address | None]:
-        """Return a row's endpoint and address; wrong types and values raise as they come."""
+        """Return a row's endpoint and address; `read` handles the errors of malformed rows."""
         state = STATE_BY_WIRE_NAME[row.get("state", "ready")]
         host, _, port = row.get("addr", "").rpartition(":")
         if not host and state is not EndpointState.REMOVED:
@@ -101,8 +99,8 @@
 
 
 def index_of(indices: dict[str, int], name: object) -> int:
-    """Return the index of a name that the settings list; a number stands for itself."""
+    """Return the index of a name that the settings list; a number is an index already."""
     if isinstance(name, int):
         return name
-    # A value of any other type is in no table, or raises TypeError: then the list is malformed.
-    return indices.get(cast("str", name), UNKNOWN_NAME)
+    # A value that is no text is not found, or raises TypeError: then the list is malformed.
+    return indices.get(cast("str", name), UNKNOWN_NAME_INDEX)
--- a/stepstream/http/discovery_client.py
+++ b/stepstream/http/discovery_client.py
@@ -1,16 +1,16 @@
 """The client of the discovery service: it follows the endpoint list by a watch.
 
-A watch is a call that names the version at hand and that discovery answers once the list has
-changed, or when its wait is over. Threads:
+A watch is a long poll with the current version. Discovery answers it once the list has changed, or
+when its wait is over. Threads:
 
-- the client thread, which the node starts with `run`, makes one call after another and alone opens
-  and closes the connection;
-- a check thread, started by `check_beside_watch` and at most one at a time, calls beside a watch
-  that may have fallen silent;
-- any other thread may ask for a poll, adopt a list, or stop the client.
+- The client thread, which the node starts with `run`, makes one call after another. Only it opens
+  and closes the connection.
+- A check thread, started by `check_beside_watch`, calls beside a watch that may have fallen silent.
+  At most one runs at a time.
+- Any other thread may request a poll, adopt a list, or stop the client.
 
-State: the version of the list at hand, the client's state, and the connection. What each lock
-guards stands where it is made. `PollSchedule` decides on all pauses and timeouts.
+State: the version of the current list, the client's state, and the connection. A comment at each
+lock says what it guards. `PollSchedule` decides all pauses and timeouts.
 """
 
 import contextlib
@@ -36,26 +36,27 @@
 
 
 class ClientState(Enum):
-    """What the client thread is to do with its connection.
+    """The state of the client thread.
 
     FOLLOWING -- a check has found a newer list --> REOPENING -- the watch has ended --> FOLLOWING
     either    -- stop                           --> RETIRED, which is final
     """
 
     FOLLOWING = 1
-    REOPENING = 2  # the watch was shut down here, and its end is no failure
+    REOPENING = 2  # this client has shut down the watch, whose end is then no failure
     RETIRED = 3
 
 
 class ClientRetiredError(HttpError):
-    """The client was stopped while a call was about to begin."""
+    """The client was stopped before a call could begin."""
 
 
 class DiscoveryClient:
     """Follows the endpoint list at one address; a reload retires the client and starts another.
 
-    A watch that has not been answered in time stays open beside the next call. Closing it is giving
-    it up: what it missed would count as known from then on, before the next answer is here.
+    A watch that is not answered in time stays open beside the next call. Once the client closes the
+    watch, it must know the changes that the watch missed. It therefore closes the watch only after
+    the next answer.
     """
 
     def __init__(  # noqa: PLR0913, PLR0917  the composition root hands over each collaborator once
@@ -76,43 +77,41 @@
         self.post = post
         self.failures = failures
         self.schedule = schedule
-        self.wake_ups: SimpleQueue[None] = SimpleQueue()  # each cuts one pause between calls short
-        # Guards `state` and the replacing of `connection`, and makes adopting a list one step: once
-        # stop() has returned, nothing is adopted any more. The destination set's lock is taken
-        # inside it.
+        self.wake_ups: SimpleQueue[None] = SimpleQueue()  # each ends one pause between calls
+        # Guards `state`, the assignment of `connection`, and the adoption of a list: after stop()
+        # has returned, no list is adopted. The destination set's lock is taken inside this one.
         self.lock = threading.Lock()
         self.state = ClientState.FOLLOWING
         self.connection: socket.socket | None = None  # the client thread's
-        # The version of the list at hand; None: fetch the complete list. 0 is a version like any
-        # other.
+        # The version of the current list; None: fetch the complete list. 0 is a valid version.
         self.version: int | None = None
-        # Held while a check is under way; taken by whoever starts it, released by its thread.
+        # Held during a check: acquired by the thread that starts it, released by the check thread.
         self.check_in_progress = threading.Lock()
         self.first_answer_received = threading.Event()
 
     @property
     def retired(self) -> bool:
-        """Whether the client has been stopped; final, so that it may be read without the lock."""
+        """Whether the client has been stopped; final, and therefore read without the lock."""
         return self.state is ClientState.RETIRED
 
     @property
     def host(self) -> str:
-        """The Host header of each call."""
+        """The value of the Host header."""
         return host_and_port(self.address)
 
     # -- any thread --------------------------------------------------------------------------------
 
     def poll(self) -> None:
-        """Make the first call now if there is no list yet; a watch needs no asking."""
+        """Make the first call now if there is no list yet; later the watch reports changes."""
         if self.version is None and not self.first_answer_received.is_set():
             self.poll_now()
 
     def poll_now(self) -> None:
-        """Cut the pause before the next call short."""
+        """End the pause before the next call."""
         self.wake_ups.put(None)
 
     def stop(self) -> None:
-        """End the call under way; once this returns, no list is adopted any more."""
+        """End the current call; no list is adopted after this returns."""
         with self.lock:
             self.state = ClientState.RETIRED
             if self.connection is not None:
@@ -120,23 +119,30 @@
         self.poll_now()
 
     def adopt_list(self, answer: EndpointAnswer, since: int | None = None) -> bool:
-        """Take over a list, also one from before a start; the next watch goes on from its version.
+        """Adopt a list, and continue the watch from its version; return whether it was adopted.
 
-        With `since`, only if that version is still the one at hand. Returns whether the list was
-        adopted.
+        `since` is the version that the list was polled from; None: any.
         """
         with self.lock:
-            # Guards against a list from the address before a reload, which must not replace the new
-            # address's, and against a check's list that the watch has overtaken.
-            if self.retired or (since is not None and self.version != since):
+            if not self._may_adopt(since):
                 return False
             self.version = answer.version
             self.destinations.apply(answer)
             self.post(EndpointsUpdated(SOURCE, answer.update))
             return True
 
+    def _may_adopt(self, since: int | None) -> bool:
+        """Decide whether a list may replace the current one; the caller holds the lock.
+
+        After a reload, a list from the old address must not replace one from the new address. The
+        list of a check must not replace a list that the watch has received since the check began.
+        """
+        if self.retired:
+            return False
+        return since is None or self.version == since
+
     def check_beside_watch(self) -> None:
-        """Check, on a thread of its own, whether the watch has fallen silent; never waits."""
+        """Check, in a thread of its own, whether the watch has fallen silent; never waits."""
         if self.check_in_progress.acquire(blocking=False):
             spawn_thread("discovery check", self.run_check)
 
@@ -145,7 +151,7 @@
     def run_check(self) -> None:
         """Fetch the changes beside the watch; if there are any, adopt them and reopen the watch.
 
-        Without any the watch stays: refused connections alone do not prove it silent.
+        Without changes the watch stays open: refused connections do not prove that it is silent.
         """
         try:
             version = self.version
@@ -160,7 +166,7 @@
             self.check_in_progress.release()
 
     def reopen_watch(self) -> None:
-        """Make the client thread open its watch anew, from the version at hand."""
+        """Make the client thread reopen its watch, from the current version."""
         with self.lock:
             if not self.retired and self.connection is not None:
                 self.state = ClientState.REOPENING
@@ -176,7 +182,7 @@
         self.close_connection()
 
     def pause(self, seconds: float) -> None:
-        """Wait between two calls, or until a wake-up."""
+        """Wait between two calls for `seconds`, or until a wake-up."""
         if seconds > 0 and not self.retired:
             with contextlib.suppress(Empty):
                 self.wake_ups.get(timeout=seconds)
@@ -184,22 +190,21 @@
     def call_once(self) -> float:
         """Make one call, act on its outcome, and return the pause before the next one in seconds.
 
-        A watch from the version at hand, or a fetch of the complete list only where there is none:
-        it is expensive where many dispatchers call. A failure changes nothing and is followed by a
-        backoff.
+        The call is a watch from the current version. Only without a list it fetches the complete
+        list, which is expensive when many dispatchers do it. A failure changes nothing and is
+        followed by a backoff.
         """
         begun_seconds = time.monotonic()
         version = self.version
         try:
             answer = self.call_discovery(version)
-        except Exception as error:  # noqa: BLE001  without this thread no list would come any more
+        except Exception as error:  # noqa: BLE001  the thread must outlive any fault
             return self.pause_after_failure(error)
-        self.end_reopening()  # or a later failure would pass for the end of the reopened watch
+        # A later failure must not count as the end of the watch that was to be reopened.
+        self.end_reopening()
         self.adopt_list(answer)
         self.first_answer_received.set()
-        if version is not None and answer.version < version:
-            # Discovery counts anew, as after its restart: a watch would not report what came
-            # before.
+        if must_fetch_complete_list(version, answer.version):
             self.version = None
         unchanged = version is not None and answer.version == version
         took_seconds = time.monotonic() - begun_seconds
@@ -215,7 +220,7 @@
         return self.schedule.pause_after_failure_seconds()
 
     def end_reopening(self) -> bool:
-        """Return whether the watch was being reopened, and go on following."""
+        """Return whether the watch was being reopened, and continue in state FOLLOWING."""
         with self.lock:
             if self.state is not ClientState.REOPENING:
                 return False
@@ -223,7 +228,7 @@
             return True
 
     def call_discovery(self, version: int | None) -> EndpointAnswer:
-        """Return the answer to a fetch, to a watch, or to a call beside a watch that stays silent.
+        """Return the answer to a fetch, to a watch, or to a call beside a silent watch.
 
         Raises OSError, ProtocolError or ClientRetiredError.
         """
@@ -240,13 +245,13 @@
         except TimeoutError:
             self.failures.add("a watch fell silent")
         answer = self.fetch_until_answered(version)
-        self.close_connection()  # only now that what the silent watch missed is known
+        self.close_connection()  # not before the changes that the silent watch missed are known
         return answer
 
     def fetch_until_answered(self, version: int) -> EndpointAnswer:
-        """Call beside a silent watch, with backoff, until a call is answered.
+        """Call beside a silent watch until a call is answered, with backoff after failures.
 
-        Raises OSError or ProtocolError only once the client is stopped.
+        Raises OSError or ProtocolError only after the client was stopped.
         """
         while True:
             try:
@@ -258,7 +263,7 @@
                 self.pause(self.schedule.pause_after_failure_seconds())
 
     def open_connection(self) -> socket.socket:
-        """Return the client thread's connection, a new one if there is none or it is stale."""
+        """Return the client thread's connection; open one if there is none or it is stale."""
         if self.connection is not None and is_stale(self.connection):
             self.close_connection()
         if self.connection is None:
@@ -270,7 +275,7 @@
             with self.lock:
                 self.connection = connection
         if self.retired:
-            # stop() may have come before there was a connection for it to shut down.
+            # stop() may have been called before it had a connection to shut down.
             raise ClientRetiredError("retired")
         return self.connection
 
@@ -285,7 +290,7 @@
     # -- the client thread and the check thread ----------------------------------------------------
 
     def fetch_beside_watch(self, version: int) -> EndpointAnswer:
-        """Return the changes since a version, by a call of its own that does not wait."""
+        """Return the changes since a version, by a poll on a connection of its own."""
         begun_seconds = time.monotonic()
         timeout_seconds = self.schedule.call_timeout_seconds
         connection = connect(self.address, timeout_seconds, self.limits.timeouts.write_seconds)
@@ -299,10 +304,10 @@
     def request_list(
         self, connection: socket.socket, data: bytes, timeout_seconds: float
     ) -> EndpointAnswer:
-        """Send a call and return the list in its answer.
+        """Send a call and return the list in its answer; raises OSError or ProtocolError.
 
-        The answer is read from the moment the call is written, as a change counts as known once
-        discovery wrote it. Raises OSError or ProtocolError.
+        The answer is read as soon as the call is written, because the dispatcher must know a change
+        once discovery has written it.
         """
         deadline_seconds = time.monotonic() + timeout_seconds
         connection.sendall(data)
@@ -313,9 +318,19 @@
             connection, parser, deadline_seconds, self.limits.sizes.read_bytes
         )
         if message is None:
-            message = parser.end()  # an answer without a length ends with the connection
+            message = parser.end()  # the connection's end completes an answer without a length
         if message is None:
             raise ProtocolError(400, "the connection ended before the answer")
         if connection is self.connection and (not message.keep_alive or not parser.idle):
             self.close_connection()
         return self.api.read_answer(message)
+
+
+def must_fetch_complete_list(version: int | None, answered_version: int) -> bool:
+    """Decide whether the next call fetches the complete list, after the answer to a watch.
+
+    `version` is the version that the watch was made from; None: the call was a fetch. A lower
+    version in the answer means that discovery has restarted its count. The versions before and
+    after cannot be compared, so a watch could miss changes.
+    """
+    return version is not None and answered_version < version
--- a/stepstream/http/eviction.py
+++ b/stepstream/http/eviction.py
@@ -1,4 +1,4 @@
-"""Eviction: which inbound connections make room for new ones, whatever their protocol.
+"""Eviction: the choice of inbound connections that make room for new ones, for any protocol.
 
 There is no state here. `evict_connections` runs in the thread that accepts connections.
 """
@@ -11,42 +11,75 @@
 
 
 class EvictionRank(IntEnum):
-    """Which connections are evicted first: those of the least rank.
+    """The order of eviction: connections of the lowest rank first.
 
-    An idle client's next request costs it a new connection and no more. A new connection may be
-    that of a client that takes its time: evicted before its first request, that request has failed.
+    Eviction costs an idle client only a new connection for its next request. Eviction of a new
+    connection may cost a slow client its first request.
     """
 
     DONE = 1  # its last answer is written
-    UNUSED = 2  # it has sent neither a request nor a notification for a good while
+    UNUSED = 2  # open for some time without a request or a notification
     IDLE = 3  # between requests
-    NEW = 4  # it has sent nothing yet, and had little time to
+    NEW = 4  # opened a moment ago, without a complete message yet
     NEVER = 5  # a request is open
 
 
 def evict_connections(
     connections: Sequence[Connection], now_seconds: float, limits: Limits
 ) -> Iterator[Connection]:
-    """Evict connections by rank and, within a rank, the longest quiet first; yield each.
+    """Evict connections in their order, all of one rank; yield each.
 
-    Several are evicted at a time, or each new connection of a flood would rank all of them again.
-    Those of a higher rank than the first are spared: they cost their clients more, and one place
-    has been made. `now_seconds` is monotonic.
+    Several are evicted at one time, `evictions_at_once` at most: otherwise each new connection of a
+    flood would rank all connections again. After the first eviction connections of a higher rank
+    stay open, because there is room and their eviction costs their clients more. `now_seconds` is
+    monotonic.
     """
-    ranked = sorted(
-        (*connection.eviction_rank(now_seconds), index)
-        for index, connection in enumerate(connections)
-    )
-    first_rank = None
+    ranks = [connection.eviction_rank(now_seconds) for connection in connections]
+    evicted_rank = None
     evicted_count = 0
-    for rank, quiet_since_seconds, index in ranked:
+    for index in eviction_order(ranks, now_seconds, limits.timeouts.evictable_idle_seconds):
+        rank, _ = ranks[index]
         if evicted_count == limits.connections.evictions_at_once:
             return
-        if first_rank is not None and rank > first_rank:
+        if evicted_rank is not None and rank > evicted_rank:
             return
-        if now_seconds - quiet_since_seconds < limits.timeouts.evictable_idle_seconds:
-            continue
         if connections[index].evict():
-            first_rank = rank
+            evicted_rank = rank
             evicted_count += 1
             yield connections[index]
+
+
+def eviction_order(
+    ranks: Sequence[tuple[int, float]], now_seconds: float, min_quiet_seconds: float
+) -> list[int]:
+    """Decide which connections may be evicted, and in which order; return their indexes.
+
+    `ranks` has for each connection its `EvictionRank` and since when it has been quiet, in
+    monotonic seconds. The lowest rank comes first and, within a rank, the connection that has been
+    quiet for the longest time. A connection that was active within `min_quiet_seconds` is not
+    evicted: its peer may be about to send or to read.
+    """
+    quiet_enough = [
+        (rank, quiet_since_seconds, index)
+        for index, (rank, quiet_since_seconds) in enumerate(ranks)
+        if now_seconds - quiet_since_seconds >= min_quiet_seconds
+    ]
+    return [index for _, _, index in sorted(quiet_enough)]
+
+
+def rank_without_open_request(
+    *, is_closed: bool, has_sent_work: bool, quiet_seconds: float, unproven_seconds: float
+) -> EvictionRank:
+    """Decide the rank of a connection without an open request.
+
+    `is_closed` means that its last answer is given, `has_sent_work` that it has sent a request or a
+    notification. A peer that has sent neither counts as new for `unproven_seconds`, and then as
+    unused: a flood of silent connections must not keep out clients and workers.
+    """
+    if is_closed:
+        return EvictionRank.DONE
+    if has_sent_work:
+        return EvictionRank.IDLE
+    if quiet_seconds >= unproven_seconds:
+        return EvictionRank.UNUSED
+    return EvictionRank.NEW
--- a/stepstream/http/exchange.py
+++ b/stepstream/http/exchange.py
@@ -1,25 +1,22 @@
 """One HTTP exchange with a worker, as a state machine without I/O.
 
-The thread that makes the call owns the exchange and feeds it what happens on the connection; the
-exchange decides what that proves about the job: that it was accepted, that it cannot have run, or
-neither.
+The thread that makes the call owns the exchange and reports each event of the connection to it. The
+exchange decides what the events prove: the job was accepted, it cannot have run, or neither.
 """
 
 from enum import Enum
 
 from stepstream.config.limits import Limits
-from stepstream.http.codec import Message, Parser, ProtocolError
+from stepstream.http.codec import Message, Parser, ProtocolError, is_interim
 from stepstream.http.load_reports import HEADER
 from stepstream.http.worker_api import read_call_answer
 from stepstream.model.events import AttemptResult
 
-# RFC 9110, 15.2: answers with these statuses are interim, and the final one follows.
-FIRST_INTERIM_STATUS = 100
-FIRST_FINAL_STATUS = 200
-
 
 class ExchangePhase(Enum):
-    """How far an exchange has come.
+    """The progress of an exchange.
+
+    The transitions, by phase and event:
 
     - WRITING, request written: AWAITING_ANSWER
     - WRITING, connection lost: ENDED (CONNECT_FAILED: an incomplete request never runs)
@@ -40,40 +37,39 @@
 class HttpExchange:
     """One request to a worker and the answer to it.
 
-    Once it is over, `result` is how the attempt ended, or None if the worker has accepted the job;
-    `connection_reusable` says whether the connection stands between two messages.
+    At its end, `result` is the result of the attempt, or None if the worker has accepted the job.
+    `connection_reusable` says whether the connection is between two messages.
     """
 
     def __init__(self, limits: Limits) -> None:
         self.parser = Parser(limits, answers=True)
         self.phase = ExchangePhase.WRITING
         self.result: AttemptResult | None = None
-        # the load report, not yet read, of an answer that ended the exchange
+        # The unparsed load report in the answer that ended the exchange.
         self.load_report_text: str | None = None
         self.protocol_error: ProtocolError | None = None
         self.connection_reusable = False
 
     @property
     def is_over(self) -> bool:
-        """Whether the exchange has come to a final phase."""
+        """Whether the exchange is in a final phase."""
         return self.phase in (ExchangePhase.JOB_ACCEPTED, ExchangePhase.ENDED)
 
     def mark_request_written(self) -> None:
-        """Note that the request's last byte is out: from now on the job may run."""
+        """Record that the request's last byte is written: from now on the job may run."""
         self.phase = ExchangePhase.AWAITING_ANSWER
 
     def receive(self, data: bytes) -> None:
-        """Take bytes of the answer; none means that the worker closed its side."""
+        """Process bytes of the answer; empty `data` means that the worker closed its side."""
         try:
             self.parser.feed(data)
             message = self.parser.next() if data else self.parser.end()
-            while (
-                message is not None and FIRST_INTERIM_STATUS <= message.status < FIRST_FINAL_STATUS
-            ):
+            while message is not None and is_interim(message.status):
                 message = self.parser.next()
         except ProtocolError as error:
             self.protocol_error = error
-            self.end(AttemptResult.RESET)  # an unreadable answer proves nothing
+            # An unreadable answer does not prove that the job has not run.
+            self.end(AttemptResult.RESET)
             return
         if message is not None:
             self.handle_answer(message)
@@ -81,11 +77,8 @@
             self.connection_lost()
 
     def handle_answer(self, message: Message) -> None:
-        """Decide by the final answer."""
-        # An answer that comes before the request is written leaves the connection inside a message.
-        self.connection_reusable = (
-            message.keep_alive and self.parser.idle and self.phase is ExchangePhase.AWAITING_ANSWER
-        )
+        """Decide by the final answer how the exchange ends."""
+        self.connection_reusable = self._is_between_messages(message)
         result = read_call_answer(message)
         if result is None:
             self.phase = ExchangePhase.JOB_ACCEPTED
@@ -93,10 +86,20 @@
             self.load_report_text = message.headers.get(HEADER)
             self.end(result)
 
+    def _is_between_messages(self, message: Message) -> bool:
+        """Decide whether the connection may carry another exchange after this final answer.
+
+        Not if the worker closes it (RFC 9112, 9.3), if more bytes have come, or if a part of the
+        request is not written yet.
+        """
+        is_request_written = self.phase is ExchangePhase.AWAITING_ANSWER
+        return message.keep_alive and self.parser.idle and is_request_written
+
     def connection_lost(self) -> None:
-        """End an exchange whose connection broke or timed out.
+        """Decide how an exchange ends whose connection broke or timed out.
 
-        The job cannot have run only if the request's last byte was not written.
+        A worker does not run a job whose request is incomplete. After the request's last byte, the
+        job may have run.
         """
         if self.phase is ExchangePhase.WRITING:
             self.end(AttemptResult.CONNECT_FAILED)
@@ -104,7 +107,7 @@
             self.end(AttemptResult.RESET)
 
     def end(self, result: AttemptResult) -> None:
-        """End the exchange unless it is over."""
+        """End the exchange with a result, unless it is over."""
         if not self.is_over:
             self.phase = ExchangePhase.ENDED
             self.result = result
--- a/stepstream/http/in_flight_call.py
+++ b/stepstream/http/in_flight_call.py
@@ -15,7 +15,7 @@
 
 
 class CallPhase(Enum):
-    """What of a call has gone out; each phase follows the one before it.
+    """How much of a call has been written; each phase follows the one before it.
 
     UNSENT -- the request's last byte is written --> SENT -- 202, and no stop before it --> ACCEPTED
     """
@@ -26,41 +26,40 @@
 
 
 class UnsentReason(Enum):
-    """Why a call must not be written, or not any more."""
+    """Why a call must not be written."""
 
     STOPPED = "the core has stopped it"
-    NOT_NEEDED = "its client has gone, or another copy has answered"
+    NOT_NEEDED = "its client has disconnected, or another attempt was answered"
     QUEUED_TOO_LONG = "it has waited too long for a thread or a connection"
-    WINDOW_OVER = "the worker no longer recognizes it as a repeat of an earlier copy"
+    WINDOW_OVER = "the worker no longer recognizes it as a repeat of an earlier attempt"
     ADDRESS_CHANGED = "the worker drains, is in maintenance or has moved"
 
 
 class InFlightCall:
-    """What the carrier keeps with a call."""
+    """The carrier's record of a call."""
 
     __slots__ = ("lock", "connection", "stop_requested", "phase", "load_report")
 
     def __init__(self) -> None:
-        # Guards `connection` and `stop_requested`, and the step to ACCEPTED: a stop either closes
-        # the connection before the answer counts, or finds the job accepted.
+        # Guards `connection` and `stop_requested`, and the transition to ACCEPTED: a stop either
+        # closes the connection before the answer counts, or finds the job accepted.
         self.lock = threading.Lock()
         self.connection: PooledConnection | None = None  # while an exchange is under way
         self.stop_requested = False
         self.phase = CallPhase.UNSENT  # written by the calling thread only
-        self.load_report: Report | None = None  # of the calling thread
+        self.load_report: Report | None = None  # written by the calling thread only
 
     def request_stop(self) -> None:
-        """End the exchange, if one is under way; never waits for it."""
+        """Shut down the connection of the exchange, if one is under way; never waits."""
         with self.lock:
             self.stop_requested = True
             if self.connection is not None:
                 shut_down(self.connection.sock)
 
     def finish_exchange(self, exchange: HttpExchange) -> bool:
-        """Let go of the connection and return whether it may be used again.
+        """Release the connection and return whether it may be reused.
 
-        An answer after a stop counts for nothing: the core has ended the call, and a 202 is
-        followed by a cancellation.
+        An answer after a stop is ignored: the core has ended the call, and its job is cancelled.
         """
         with self.lock:
             self.connection = None
@@ -71,9 +70,10 @@
             return exchange.connection_reusable
 
     def may_run_after_stop(self, result: AttemptResult | None) -> bool:
-        """Return whether a stopped job may run: its 202 may have crossed our closing."""
-        return (
-            self.stop_requested
-            and self.phase is CallPhase.SENT
-            and result is not AttemptResult.FULL
-        )
+        """Decide whether the worker may run the job of a stopped call, so that it is cancelled.
+
+        The worker may have sent its 202 before it saw the connection close. The job cannot run if
+        the request was not written, or if the worker answered that it has not started the job.
+        """
+        has_rejected_job = result is AttemptResult.FULL
+        return self.stop_requested and self.phase is CallPhase.SENT and not has_rejected_job
--- a/stepstream/http/json_body.py
+++ b/stepstream/http/json_body.py
@@ -1,4 +1,4 @@
-"""The JSON body of a message, as the platform's APIs read it. No state; any thread."""
+"""The JSON body of a message of the platform's APIs. No state; any thread may use it."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 def read_json_object(body: bytes) -> dict[str, Any]:
-    """Return the JSON object in `body`; ProtocolError 400 if it holds anything else."""
+    """Return the JSON object in `body`; ProtocolError 400 for anything else."""
     try:
         data = ujson.loads(body)
     except (ValueError, RecursionError) as error:
--- a/stepstream/http/lingering.py
+++ b/stepstream/http/lingering.py
@@ -1,8 +1,8 @@
 """Lingering closes: sockets that are shut down here and closed a while later (RFC 9112, 9.6).
 
-Closed over bytes that its peer sends meanwhile, a connection would be reset, and an answer that the
-peer has not read yet could be lost with it. No thread waits for these sockets: the main thread's
-periodic check closes them.
+A socket that is closed while its peer still sends is reset, and the reset may destroy an answer
+that the peer has not read yet. No thread waits for these sockets: the main thread's periodic tasks
+close them.
 """
 
 import socket
@@ -13,49 +13,68 @@
 from stepstream.config.limits import Limits
 
 
+class LingeringSocket:
+    """A socket that is shut down for sending, and when it is closed (monotonic seconds)."""
+
+    __slots__ = ("sock", "close_at_seconds")
+
+    def __init__(self, sock: socket.socket, close_at_seconds: float) -> None:
+        self.sock = sock
+        self.close_at_seconds = close_at_seconds
+
+    def is_due(self, now_seconds: float) -> bool:
+        """Decide whether the socket is closed now: its peer has had the time to read the answer."""
+        return now_seconds > self.close_at_seconds
+
+    def discard_received(self, read_bytes: int) -> None:
+        """Read and drop what the peer has sent, `read_bytes` at a time, without waiting."""
+        try:
+            while self.sock.recv(read_bytes, socket.MSG_DONTWAIT):
+                pass
+        except OSError:
+            pass  # no bytes are left, or the connection has ended
+
+
 class LingeringSockets:
-    """The sockets that are to be closed, and when.
+    """The sockets that are closed later, at most `lingering` of the limits.
 
-    Any thread that accepts connections adds, the main thread closes. The lock guards `queue`.
+    Threads that accept connections add sockets; the main thread closes those that are due. The lock
+    guards `queue`.
     """
 
     def __init__(self, limits: Limits) -> None:
         self.limits = limits  # replaced by a reload
         self.lock = threading.Lock()
-        self.queue: deque[tuple[float, socket.socket]] = deque()  # close at (monotonic seconds)
+        self.queue: deque[LingeringSocket] = deque()  # in the order in which they were added
 
     def __len__(self) -> int:
         return len(self.queue)
 
     def add(self, sock: socket.socket, seconds: float) -> None:
-        """Close a socket after `seconds`; beyond the limit the oldest one is closed at once."""
+        """Close a socket after `seconds`; beyond the limit, close the oldest one at once.
+
+        Each socket occupies a descriptor, and a flood of rejected peers must not take them all.
+        """
         oldest = None
         with self.lock:
-            self.queue.append((time.monotonic() + seconds, sock))
+            self.queue.append(LingeringSocket(sock, time.monotonic() + seconds))
             if len(self.queue) > self.limits.connections.lingering:
-                _, oldest = self.queue.popleft()
+                oldest = self.queue.popleft()
         if oldest is not None:
-            self._discard_received(oldest)
-            oldest.close()
+            oldest.discard_received(self.limits.sizes.read_bytes)
+            oldest.sock.close()
 
     def close_due(self, now_seconds: float) -> None:
-        """Discard what has come, and close the sockets whose time is over (monotonic seconds)."""
+        """Discard the bytes that have arrived, and close the sockets that are due."""
         with self.lock:
             waiting = self.queue
             self.queue = deque()
         remaining = []
-        for close_at_seconds, sock in waiting:
-            self._discard_received(sock)
-            if now_seconds > close_at_seconds:
-                sock.close()
+        for lingering in waiting:
+            lingering.discard_received(self.limits.sizes.read_bytes)
+            if lingering.is_due(now_seconds):
+                lingering.sock.close()
             else:
-                remaining.append((close_at_seconds, sock))
+                remaining.append(lingering)
         with self.lock:
             self.queue.extendleft(reversed(remaining))
-
-    def _discard_received(self, sock: socket.socket) -> None:
-        try:
-            while sock.recv(self.limits.sizes.read_bytes, socket.MSG_DONTWAIT):
-                pass
-        except OSError:
-            pass  # nothing more, or no connection any more
--- a/stepstream/http/load_reports.py
+++ b/stepstream/http/load_reports.py
@@ -1,12 +1,12 @@
-"""Read the load reports of workers, whose field names the settings give.
+"""Read the load reports of workers; the settings name their fields.
 
 A report comes in one of three places: the header `Server-Load: TEXT inflight=7, queue=2` of an
 answer, the object `"load":{...}` of a job notification, or the body of a health check's answer, as
-that text or as a JSON object. A report that cannot be read is dropped and counted and changes
-nothing else; fields that the settings do not name are ignored.
+that text or as a JSON object. A malformed report is counted and dropped, and has no other effect.
+Fields that the settings do not name are ignored.
 
-No I/O. The only state is the reader's configuration, which the main thread replaces at a reload
-while any thread reads.
+No I/O. The only state is the reader's configuration. The main thread replaces it at a reload, and
+any thread reads it.
 """
 
 from collections.abc import Callable
@@ -45,21 +45,21 @@
 
 
 def as_decoded(load: object) -> object:
-    """Return a report that was decoded with the message around it."""
+    """Return a report unchanged: it was decoded as a part of its message."""
     return load
 
 
 class LoadReportReader:
-    """Reads reports by the settings in force; any thread."""
+    """Reads reports by the current settings; any thread may use it."""
 
     def __init__(self, settings: Settings, on_unreadable: Callable[[str], None]) -> None:
-        """`on_unreadable` gets what is wrong with each report that cannot be read."""
+        """`on_unreadable` takes the description of the fault in each malformed report."""
         self.on_unreadable = on_unreadable
         self.reconfigure(settings)
 
     def reconfigure(self, settings: Settings) -> None:
-        """Read by these settings from now on."""
-        # The policy's name of each field, by the worker's.
+        """Use these settings from now on."""
+        # The policy's name of each field, by the worker's name of it.
         self.column_names = dict(
             zip(settings.load_report_names, settings.load_report_columns, strict=True)
         )
@@ -69,8 +69,8 @@
     def read_header(self, text: str | None) -> Report | None:
         """Read the header of an answer that ends an attempt.
 
-        None for no report, for an unreadable one, and where the settings say that answers bring
-        none.
+        None without a report, for a malformed one, and if the settings do not expect reports in
+        answers.
         """
         return self.read(read_text, text) if self.in_answers else None
 
@@ -83,10 +83,10 @@
         return self.read(read_body, body or None) if self.in_health_checks else None
 
     def read(self, decode: Callable[[Given], object], given: Given | None) -> Report | None:
-        """Return the named fields of a report that `decode` splits, or None; never raises."""
+        """Return the named fields of a report that `decode` reads, or None; never raises."""
         if given is None:
             return None
-        column_names = self.column_names  # read once: the main thread may replace it meanwhile
+        column_names = self.column_names  # read once: a reload may replace it at any time
         try:
             fields = decode(given)
             if not isinstance(fields, dict):
--- a/stepstream/http/named_numbers.py
+++ b/stepstream/http/named_numbers.py
@@ -1,12 +1,12 @@
-"""Read `name=value` numbers as the platform's headers and load reports write them.
+"""Read `name=value` numbers in the form of the platform's headers and load reports.
 
 Pure functions: no state, no I/O.
 """
 
 from stepstream.http.errors import HttpError
 
-LARGEST_NUMBER = 1e6  # slots, memory units or waiting jobs; no worker has so many
-QUOTED_CHARACTERS = 40  # of malformed input, in an error's text
+MAX_NUMBER = 1e6  # slots, memory units or waiting jobs; no worker has as many
+MAX_QUOTED_CHARACTERS = 40  # of malformed input in the text of an error
 
 
 class PairFormatError(HttpError, ValueError):
@@ -22,24 +22,24 @@
     for part in filter(None, (piece.strip() for piece in text.split(","))):
         name, equals, value = part.partition("=")
         if not equals:
-            raise PairFormatError(f"{part[:QUOTED_CHARACTERS]!r} is not name=value")
+            raise PairFormatError(f"{part[:MAX_QUOTED_CHARACTERS]!r} is not name=value")
         pairs[name.strip()] = value
     return pairs
 
 
 def bounded_number(value: object) -> float:
-    """Return a number from 0 to LARGEST_NUMBER, given as one or as its text.
+    """Return a number from 0 to MAX_NUMBER that is given as a number or as text.
 
-    Raises ValueError for anything else, as float() does: discovery's log line names the type. The
-    bound guards the sums over workers: a number like 1e300 would swallow all others.
+    Raises ValueError for anything else. The bound guards the sums over workers: next to a number
+    like 1e300 all others would be lost to rounding.
     """
     number = float(value) if isinstance(value, str) else value
     if (
         isinstance(number, bool)
         or not isinstance(number, int | float)
-        or not 0 <= number <= LARGEST_NUMBER
+        or not 0 <= number <= MAX_NUMBER
     ):
         raise ValueError(
-            f"{value!r:.{QUOTED_CHARACTERS}} is not a number from 0 to {LARGEST_NUMBER:.0f}"
+            f"{value!r:.{MAX_QUOTED_CHARACTERS}} is not a number from 0 to {MAX_NUMBER:.0f}"
         )
     return float(number)
--- a/stepstream/http/outbound.py
+++ b/stepstream/http/outbound.py
@@ -1,18 +1,17 @@
 """The carrier of calls to discovery's workers: a thread for each exchange, over pooled connections.
 
-A call holds a thread only until its 202: the job's outcome arrives as a notification on the inbound
-side.
+A call uses a thread only until its 202. The outcome of the job arrives later, as a notification on
+an inbound connection.
 
-State: the connection pool and the pool of calling threads, which also sends cancellations and
-health checks. `OutboundCarrier` itself is stateless besides; what it keeps of a call is in the
-call's `InFlightCall`. The decision thread starts and stops calls, the main thread replaces the
-limits at a reload.
+State: the connection pool, and the pool of calling threads, which also send cancellations and
+health checks. The state of each call is in its `InFlightCall`. The decision thread starts and stops
+calls. The main thread replaces the limits at a reload.
 """
 
 import time
 from collections.abc import Callable
 
-from stepstream.config.limits import Limits
+from stepstream.config.limits import Limits, Timeouts
 from stepstream.core.events import CallEnded, Event
 from stepstream.core.requests import Call
 from stepstream.http.codec import Message, Parser, ProtocolError
@@ -37,7 +36,7 @@
 from stepstream.runtime.threads import ThreadPool
 
 HEALTHY_STATUS = 200
-MICROSECONDS = 1e6  # in a second
+MICROSECONDS_PER_SECOND = 1e6
 MICROSECONDS_PER_MILLISECOND = 1000
 
 
@@ -65,7 +64,7 @@
         self.threads = ThreadPool("outbound", limits.connections.call_threads)
 
     def reconfigure(self, limits: Limits) -> None:
-        """Take over limits after a reload; what exceeds a smaller one stays until it ends."""
+        """Adopt the limits of a reload; connections and threads beyond them stay until they end."""
         self.limits = limits
         self.pool.limits = limits
         self.threads.max_threads = limits.connections.call_threads
@@ -79,7 +78,7 @@
         self.threads.submit(self.run_call, call, in_flight)
 
     def stop(self, call: Call) -> None:
-        """Give a call up: before its 202 the connection is closed, after it the job is cancelled.
+        """Give up a call: close its connection before the 202, cancel its job after it.
 
         Never waits.
         """
@@ -93,7 +92,7 @@
     # -- calls: the calling thread -----------------------------------------------------------------
 
     def run_call(self, call: Call, in_flight: InFlightCall) -> None:
-        """Make a call, and post its end unless the worker has accepted the job."""
+        """Make a call, and post its end if the worker has not accepted the job."""
         try:
             result = self.call_worker(call, in_flight)
         except Exception as error:  # noqa: BLE001  a fault here must still end its call
@@ -137,7 +136,7 @@
     def claim_connection(
         self, call: Call, in_flight: InFlightCall, connection: PooledConnection
     ) -> bool:
-        """Make the last check before the first byte; once passed, a stop closes the connection."""
+        """Make the last check before the first byte; from then on, a stop closes the connection."""
         with in_flight.lock:
             if self.reason_not_to_send(call, in_flight, connection) is not None:
                 return False
@@ -147,32 +146,32 @@
     def reason_not_to_send(
         self, call: Call, in_flight: InFlightCall, connection: PooledConnection | None = None
     ) -> UnsentReason | None:
-        """Return why the call must not be written, or None if it may.
+        """Decide whether a call must not be written; return why, or None if it may.
 
-        Checked twice. Before a connection is acquired, it saves one for a call that is already
-        futile. With the acquired `connection`, under the call's lock, it is the last check before
-        the first byte: it guards against sending to a worker that began to drain, for a client that
-        left, or past a window, while the call waited for its thread or its connection.
+        The check runs twice. Without a `connection` it saves the cost of acquiring one for a call
+        that is already useless. With the acquired connection, under the call's lock, it is the last
+        check before the first byte. While the call waited for a thread or a connection, the core
+        may have stopped it, its client may have disconnected, its idempotency window may have
+        ended, and its worker may have begun to drain.
         """
         if in_flight.stop_requested:
             return UnsentReason.STOPPED
         if not call.still_needed:
             return UnsentReason.NOT_NEEDED
         now_us = self.clock.now_us()
-        longest_wait_seconds = self.limits.timeouts.call_queue_seconds
-        if connection is not None:
-            longest_wait_seconds += self.limits.timeouts.connect_seconds
-        if now_us - call.sent_us > longest_wait_seconds * MICROSECONDS:
+        max_wait_us = max_unsent_us(self.limits.timeouts, has_connected=connection is not None)
+        if now_us - call.sent_us > max_wait_us:
             return UnsentReason.QUEUED_TOO_LONG
         if call.write_deadline_us is not None and now_us > call.write_deadline_us:
             return UnsentReason.WINDOW_OVER
-        if (
-            connection is not None
-            and self.destinations.usable_address(call.worker_id) != connection.address
-        ):
+        if connection is not None and self._is_outdated(connection):
             return UnsentReason.ADDRESS_CHANGED
         return None
 
+    def _is_outdated(self, connection: PooledConnection) -> bool:
+        """Return whether the worker of a connection has moved or must not get new work."""
+        return self.destinations.usable_address(connection.worker) != connection.address
+
     def run_exchange(
         self, call: Call, in_flight: InFlightCall, connection: PooledConnection
     ) -> HttpExchange:
@@ -208,26 +207,26 @@
                 exchange.receive(
                     receive_until(connection.sock, read_by, self.limits.sizes.read_bytes)
                 )
-                # An answer that has begun must be complete soon.
+                # Guards the thread against an answer that begins and never ends.
                 body_by = time.monotonic() + self.limits.timeouts.answer_body_seconds
                 read_by = min(read_by, body_by)
         except OSError:
             exchange.connection_lost()
 
     def cancel_job(self, call: Call) -> None:
-        """Tell the worker that a job is not wanted any more; its answer changes nothing here."""
+        """Cancel a job at its worker; the answer is read and ignored."""
         address = self.destinations.listed_address(call.worker_id)
         if address is not None:
             data = cancel_bytes(host_and_port(address), call.request.id)
             timeout_seconds = self.limits.timeouts.cancel_answer_seconds
             self.send_request(call.worker_id, address, data, timeout_seconds)
 
-    # -- requests besides the calls ----------------------------------------------------------------
+    # -- other requests ----------------------------------------------------------------------------
 
     def send_request(
         self, worker: str, address: Address, data: bytes, timeout_seconds: float
     ) -> Message | None:
-        """Send a small request and return its answer, or None if none came in time."""
+        """Send a request and return its answer; None if there is none within the timeout."""
         try:
             connection = self.pool.acquire(worker, address)
         except (PoolExhaustedError, OSError):
@@ -250,11 +249,14 @@
     def check_health(
         self, worker: str, on_result: Callable[[HealthChecked], None] | None = None
     ) -> None:
-        """Check a worker's health on a calling thread; `on_result` or the core gets the result."""
+        """Check a worker's health on a calling thread.
+
+        `on_result` takes the result; without it, the result is posted to the core.
+        """
         self.threads.submit(self.run_health_check, worker, on_result or self.post)
 
     def run_health_check(self, worker: str, on_result: Callable[[HealthChecked], None]) -> None:
-        """Check a worker's health; a worker that must not get new work counts as unhealthy."""
+        """Check a worker's health; a worker without a usable address is unhealthy."""
         begun_us = self.clock.now_us()
         address = self.destinations.usable_address(worker)
         message = None
@@ -269,3 +271,15 @@
             report = self.reports.read_health_check(message.body)
         healthy = message is not None and message.status == HEALTHY_STATUS
         on_result(HealthChecked(worker, healthy, self.clock.now_us() - begun_us, report))
+
+
+def max_unsent_us(timeouts: Timeouts, *, has_connected: bool) -> float:
+    """Decide how long after its start, in microseconds, a call may still be written.
+
+    It may wait `call_queue_seconds` for a thread and, once it has a connection, `connect_seconds`
+    more. A call that has waited longer is more useful as a retry at another worker.
+    """
+    max_unsent_seconds = timeouts.call_queue_seconds
+    if has_connected:
+        max_unsent_seconds += timeouts.connect_seconds
+    return max_unsent_seconds * MICROSECONDS_PER_SECOND
--- a/stepstream/http/poll_schedule.py
+++ b/stepstream/http/poll_schedule.py
@@ -2,21 +2,21 @@
 
 No I/O and no clock: durations are seconds, passed in and returned.
 
-The platform holds a dispatcher to these bounds. A change counts as known 6 s after discovery had it
-and could be reached, whatever has failed in between. What a silent watch misses counts as known 6 s
-after the watch fell silent or, if that is later, 2 s after its wait is over. Where an agent beside
-the dispatcher is pushed the lists, what the agent holds counts as known at once.
+The platform sets these bounds. A dispatcher must know a change 6 s after discovery had it and could
+be reached, whatever has failed in between. If a silent watch missed the change, the bound is 6 s
+after the watch fell silent, or 2 s after the end of its wait if that is later. If an agent beside
+the dispatcher gets the lists by push, the dispatcher must know a list as soon as the agent has it.
 
-From one obtainable answer to the next, a dispatcher that shares discovery with at most three others
-therefore takes at most
+Between two answers that discovery could give, a dispatcher that shares discovery with at most three
+others therefore takes at most
 
     watch wait + overrun (2.75 s) + timeout of a call that hangs (2.2 s) + backoff (0.25 s) = 5.2 s
 
-and the next call's round trip. With more dispatchers, each call is work for a discovery service
-that serves a few a second: watches wait longer, and a silent one stays open until the call beside
-it has been answered. No call is given up before discovery itself would fail it (after 2 s in its
-queue): it would be served all the same, and the calls that replace it would keep the queue full for
-good.
+and the round trip of the next call. Discovery serves only a few calls a second. With more
+dispatchers, watches therefore wait longer, and a silent watch stays open until the call beside it
+is answered. A call's timeout is longer than the 2 s after which discovery fails a queued call.
+Otherwise discovery would still serve the abandoned call, and its replacements would keep the queue
+full.
 """
 
 import random
@@ -24,62 +24,51 @@
 
 from stepstream.model.settings import Settings
 
-# So many dispatchers may make their first calls at once; more would fill discovery's queue at a
-# common start.
-UNSPREAD_DISPATCHERS = 8
-
-# A watch waits for the largest of these, within the platform's bound. Shorter waits cost discovery
-# more calls, longer ones delay the notice of a watch that has fallen silent.
+# How long discovery may hold a watch. Shorter waits cost discovery more calls; with longer ones a
+# silent watch is noticed later.
 MIN_WATCH_WAIT_SECONDS = 2.35
-# Up to 109 dispatchers, watches then end less than twice a second in all.
 WATCH_WAIT_PER_DISPATCHER_SECONDS = 0.55
 MAX_WATCH_WAIT_SECONDS = 60.0  # the platform's bound
 
-# A watch unanswered so long after its wait is taken for silent, and a call is made beside it.
+# A watch counts as silent once this time has passed after the end of its wait.
 WATCH_OVERRUN_SECONDS = 0.4
-# Timeout of a call that does not wait. Discovery itself fails one after 2 s in its queue: a shorter
-# timeout keeps that queue full of calls whose callers have left.
+# Of a call that does not wait. Longer than the 2 s after which discovery fails a queued call.
 CALL_TIMEOUT_SECONDS = 2.2
 
-# First calls are spread over so much for each dispatcher, and over no more than the bound: a
-# dispatcher serves from the list of before its start for so long.
-FIRST_PAUSE_PER_DISPATCHER_SECONDS = 0.1
-MAX_FIRST_PAUSE_SECONDS = 4.0
-
-# Exponential backoff: the pause after a failed call begins at the larger of the first two and
-# doubles with each failure. Shorter pauses let a fleet whose calls all fail ask for more than
-# discovery serves.
-BACKOFF_SECONDS = 0.25
-BACKOFF_PER_DISPATCHER_SECONDS = 0.05
-# It grows up to so much for each dispatcher, within these bounds; longer pauses break the 6 s
-# above.
-MAX_BACKOFF_PER_DISPATCHER_SECONDS = 0.35
-MAX_BACKOFF_AT_LEAST_SECONDS = 0.5
-MAX_BACKOFF_AT_MOST_SECONDS = 3.0
-MAX_BACKOFF_DOUBLINGS = 8  # the bounds above are reached long before; keeps the power small
-MIN_JITTER_FACTOR = 0.5  # each pause is scaled by a random factor from this to 1
-
-# An agent on the same machine answers at no cost, and what it holds counts at once: all its times
-# are short.
+# The first calls of a large fleet that starts at one time are spread, or they would fill
+# discovery's queue. Until its first call a dispatcher serves from the list of before its start.
+MAX_DISPATCHERS_WITHOUT_SPREAD = 8
+FIRST_CALL_SPREAD_PER_DISPATCHER_SECONDS = 0.1
+MAX_FIRST_CALL_SPREAD_SECONDS = 4.0
+
+# Exponential backoff after failed calls. Shorter pauses overload discovery with a fleet whose calls
+# all fail; longer ones break the bound of 6 s.
+MIN_INITIAL_BACKOFF_SECONDS = 0.25
+INITIAL_BACKOFF_PER_DISPATCHER_SECONDS = 0.05
+MIN_BACKOFF_CAP_SECONDS = 0.5
+BACKOFF_CAP_PER_DISPATCHER_SECONDS = 0.35
+MAX_BACKOFF_CAP_SECONDS = 3.0
+MAX_BACKOFF_DOUBLINGS = 8  # keeps the power small; the cap is reached sooner
+MIN_JITTER_FRACTION = 0.5  # each pause is multiplied by a random number from this to 1
+
+# An agent on the same machine answers at no cost, so it is called often.
 AGENT_WATCH_WAIT_SECONDS = 0.25
 AGENT_WATCH_OVERRUN_SECONDS = 0.1
 AGENT_CALL_TIMEOUT_SECONDS = 0.25
 AGENT_BACKOFF_SECONDS = 0.05
 
-# Pause after a watch that was answered at once with nothing new: without it, a discovery service
-# that does not wait would be called in a loop. A pause of 0.2 s would make the watch count as
-# ended.
-UNCHANGED_PAUSE_SECONDS = 0.1
+# Keeps a discovery service that answers watches without waiting from being called in a loop.
+PAUSE_AFTER_UNCHANGED_SECONDS = 0.1
 
 
 @dataclass
 class PollSchedule:
     """The times of one discovery client's calls.
 
-    `dispatcher_count` is the number of dispatchers that call the same discovery service;
-    `agent_pushes` says that the address called is an agent beside the dispatcher. Owned by the
-    discovery client's thread; the main thread may replace `dispatcher_count` at any time, and check
-    threads read the timeouts.
+    `dispatcher_count` is the number of dispatchers that call the same discovery service.
+    `agent_pushes` is True if the client calls an agent beside the dispatcher. The thread of the
+    discovery client owns the schedule. The main thread may replace `dispatcher_count` at any time,
+    and check threads read the timeouts.
     """
 
     dispatcher_count: int
@@ -89,7 +78,7 @@
 
     @classmethod
     def from_settings(cls, settings: Settings, rng: random.Random) -> "PollSchedule":
-        """Make the schedule that the settings ask for."""
+        """Create the schedule for the settings."""
         return cls(settings.dispatcher_count, not settings.polls_endpoints, rng)
 
     @property
@@ -97,8 +86,7 @@
         """How long discovery may hold a watch before it answers."""
         if self.agent_pushes:
             return AGENT_WATCH_WAIT_SECONDS
-        fleet_wait = WATCH_WAIT_PER_DISPATCHER_SECONDS * self.dispatcher_count
-        return min(max(MIN_WATCH_WAIT_SECONDS, fleet_wait), MAX_WATCH_WAIT_SECONDS)
+        return fleet_watch_wait_seconds(self.dispatcher_count)
 
     @property
     def watch_overrun_seconds(self) -> float:
@@ -107,38 +95,61 @@
 
     @property
     def call_timeout_seconds(self) -> float:
-        """The timeout of a call that does not wait, and of making a connection."""
+        """The timeout of a call that does not wait, and of connecting."""
         return AGENT_CALL_TIMEOUT_SECONDS if self.agent_pushes else CALL_TIMEOUT_SECONDS
 
     def first_pause_seconds(self) -> float:
-        """Return the pause before the first call; spreads a fleet that starts at the same time."""
-        if self.agent_pushes or self.dispatcher_count <= UNSPREAD_DISPATCHERS:
+        """Return a random pause before the first call."""
+        if self.agent_pushes or self.dispatcher_count <= MAX_DISPATCHERS_WITHOUT_SPREAD:
             return 0.0
-        spread = FIRST_PAUSE_PER_DISPATCHER_SECONDS * self.dispatcher_count
-        return self.rng.uniform(0.0, min(spread, MAX_FIRST_PAUSE_SECONDS))
+        return self.rng.uniform(0.0, first_call_spread_seconds(self.dispatcher_count))
 
     def pause_after_failure_seconds(self) -> float:
         """Count a failed call and return the pause before the next one."""
         self.consecutive_failures += 1
         if self.agent_pushes:
             return AGENT_BACKOFF_SECONDS
-        shortest = max(BACKOFF_PER_DISPATCHER_SECONDS * self.dispatcher_count, BACKOFF_SECONDS)
-        longest = min(
-            max(
-                MAX_BACKOFF_PER_DISPATCHER_SECONDS * self.dispatcher_count,
-                MAX_BACKOFF_AT_LEAST_SECONDS,
-            ),
-            MAX_BACKOFF_AT_MOST_SECONDS,
-        )
-        doublings = min(self.consecutive_failures - 1, MAX_BACKOFF_DOUBLINGS)
-        return min(shortest * 2.0**doublings, longest) * self.rng.uniform(MIN_JITTER_FACTOR, 1.0)
+        pause_seconds = backoff_seconds(self.consecutive_failures, self.dispatcher_count)
+        return pause_seconds * self.rng.uniform(MIN_JITTER_FRACTION, 1.0)
 
     def pause_after_answer_seconds(self, took_seconds: float, *, unchanged: bool) -> float:
         """Count an answer and return the pause before the next call.
 
-        `unchanged` says that a watch was answered without anything new.
+        `took_seconds` is the duration of the call. `unchanged` is True for a watch whose answer has
+        nothing new.
         """
         self.consecutive_failures = 0
-        if unchanged and took_seconds < UNCHANGED_PAUSE_SECONDS:
-            return UNCHANGED_PAUSE_SECONDS
+        if unchanged and took_seconds < PAUSE_AFTER_UNCHANGED_SECONDS:
+            return PAUSE_AFTER_UNCHANGED_SECONDS
         return 0.0
+
+
+def fleet_watch_wait_seconds(dispatcher_count: int) -> float:
+    """Decide how long discovery may hold a watch.
+
+    The wait grows with the number of dispatchers, so that up to 109 of them end less than two
+    watches a second in all.
+    """
+    fleet_wait_seconds = WATCH_WAIT_PER_DISPATCHER_SECONDS * dispatcher_count
+    return min(max(MIN_WATCH_WAIT_SECONDS, fleet_wait_seconds), MAX_WATCH_WAIT_SECONDS)
+
+
+def first_call_spread_seconds(dispatcher_count: int) -> float:
+    """Decide over how long the first calls of a fleet are spread that starts at one time."""
+    fleet_spread_seconds = FIRST_CALL_SPREAD_PER_DISPATCHER_SECONDS * dispatcher_count
+    return min(fleet_spread_seconds, MAX_FIRST_CALL_SPREAD_SECONDS)
+
+
+def backoff_seconds(consecutive_failures: int, dispatcher_count: int) -> float:
+    """Decide the pause after the latest of `consecutive_failures` failed calls, without jitter.
+
+    It starts with the initial backoff and doubles with each failure up to the cap. Both grow with
+    the number of dispatchers, because all of them call the same discovery service.
+    """
+    initial_seconds = max(
+        INITIAL_BACKOFF_PER_DISPATCHER_SECONDS * dispatcher_count, MIN_INITIAL_BACKOFF_SECONDS
+    )
+    fleet_cap_seconds = BACKOFF_CAP_PER_DISPATCHER_SECONDS * dispatcher_count
+    cap_seconds = min(max(fleet_cap_seconds, MIN_BACKOFF_CAP_SECONDS), MAX_BACKOFF_CAP_SECONDS)
+    doublings = min(consecutive_failures - 1, MAX_BACKOFF_DOUBLINGS)
+    return min(initial_seconds * 2.0**doublings, cap_seconds)
--- a/stepstream/http/receiving.py
+++ b/stepstream/http/receiving.py
@@ -1,6 +1,6 @@
 """Receive an answer on a blocking socket.
 
-No state of its own: the socket and the parser belong to the thread that calls.
+No state: the socket and the parser belong to the calling thread.
 """
 
 import socket
@@ -12,11 +12,11 @@
 def receive_message(
     sock: socket.socket, parser: Parser, deadline_seconds: float, read_bytes: int
 ) -> Message | None:
-    """Return the next message, or None if the peer closes its side before one is complete.
+    """Return the next message, or None if the peer closes its side before it is complete.
 
-    The deadline (monotonic seconds) bounds the whole answer: one that comes in drips must not hold
-    its thread. Raises TimeoutError past it, OSError if the connection breaks, ProtocolError if the
-    answer is unreadable.
+    The deadline (monotonic seconds) bounds the complete answer, because an answer that arrives byte
+    by byte must not block its thread. Raises TimeoutError after the deadline, OSError if the
+    connection breaks, ProtocolError if the answer is malformed.
     """
     while data := receive_until(sock, deadline_seconds, read_bytes):
         parser.feed(data)
--- a/stepstream/http/server.py
+++ b/stepstream/http/server.py
@@ -1,12 +1,12 @@
-"""The inbound server: listening sockets, and the budget of connections whatever their protocol.
+"""The inbound server: listening sockets, and the budget of connections of all protocols.
 
-Each listener has an accepting thread (`accept_loop`, started by the node), each connection a reader
-thread of the server's pool; a second pool writes to slow peers. The main thread calls
-`enforce_timeouts` periodically and the methods of a shutdown; the admin listener's thread calls
+Each listener has an accepting thread (`accept_loop`, started by the node). Each connection has a
+reader thread of the server's pool. A second pool writes to slow peers. The main thread calls
+`enforce_timeouts` periodically, and the methods of a shutdown. The admin listener's thread calls
 `close_idle` during a drain.
 
 `lock` guards the connections and their counts. A connection may hold its own lock when it takes
-this one (`is_overloaded`), so no connection's lock is taken while this one is held:
+this one (`is_overloaded`). No connection's lock may therefore be taken while this one is held:
 `has_open_request` and `busy` take none.
 """
 
@@ -16,11 +16,11 @@
 import time
 from collections.abc import Callable
 
-from stepstream.config.limits import Limits
+from stepstream.config.limits import ConnectionLimits, Limits
 from stepstream.core.events import Event
 from stepstream.http.client_api import ClientApi, overload_answer
 from stepstream.http.client_connection import ClientConnection
-from stepstream.http.eviction import EvictionRank, evict_connections
+from stepstream.http.eviction import evict_connections
 from stepstream.http.lingering import LingeringSockets
 from stepstream.http.server_state import ServerState
 from stepstream.ports.connections import Connection, ListenerSpec
@@ -30,14 +30,12 @@
 from stepstream.runtime.threads import ThreadPool
 from stepstream.runtime.transport import Transport
 
-__all__ = ["EvictionRank", "InboundServer"]
-
 
 class InboundServer:
-    """Accepts connections, admits them within the budget and ends those that waste it.
+    """Accepts connections, admits them within the budget and enforces their timeouts.
 
-    "External" connections come from other hosts than the workers'. They may not take the places
-    that are reserved for workers, whose notifications end the requests that clients wait for.
+    An external connection comes from a host without a worker. It cannot use the connections that
+    are reserved for workers, whose notifications end the open requests.
     """
 
     def __init__(
@@ -46,9 +44,9 @@
         clock: Clock,
         client_api: ClientApi,
         post: Callable[[Event], None],
-        is_worker_host: Callable[[str], bool] = lambda _: False,
+        is_worker_host: Callable[[str], bool],
     ) -> None:
-        """`post` gives the core an event; any thread may call it."""
+        """`post` hands an event to the core; any thread may call it."""
         self.limits = limits
         self.clock = clock
         self.post = post
@@ -56,17 +54,17 @@
         self.state = ServerState(client_api)
         self.state.is_overloaded = self.is_overloaded
         self.reader_threads = ThreadPool("inbound", limits.connections.inbound)
-        self.slow_writer_threads = ThreadPool("late writer", limits.connections.slow_writer_threads)
+        self.slow_writer_threads = ThreadPool("slow writer", limits.connections.slow_writer_threads)
         self.lock = threading.Lock()
         self.connections: set[Connection] = set()
         self.external_count = 0  # of `connections`
-        self.evicted_count = 0  # evicted, but not closed yet by their reader threads
+        self.evicted_count = 0  # evicted, and not yet closed by their reader threads
         self.lingering = LingeringSockets(limits)
         self.rejected_count = 0
         self.listeners: list[ListenerSpec] = []
 
     def reconfigure(self, limits: Limits, client_api: ClientApi) -> None:
-        """Apply a reload; connections beyond a smaller budget stay until they end."""
+        """Apply a reload; connections beyond a smaller budget stay open until they end."""
         self.limits = limits
         self.lingering.limits = limits
         self.state.client_api = client_api
@@ -76,9 +74,9 @@
     # -- listeners --------------------------------------------------------------------------------
 
     def bind(self, address: tuple[str, int]) -> ListenerSpec:
-        """Reserve the platform's address; connections are refused until `start_listening`.
+        """Bind the platform's address; connections are refused until `start_listening`.
 
-        The new process of a hot restart holds the address beside the old one (SO_REUSEPORT).
+        In a hot restart, the old and the new process bind it at the same time (SO_REUSEPORT).
         """
         create_connection = self._http_connection_factory(Transport)
         return self.listen(
@@ -86,15 +84,15 @@
         )
 
     def start_listening(self, spec: ListenerSpec) -> None:
-        """Open a listener that `bind` made."""
+        """Open a listener that `bind` has created."""
         spec.listener.listen(self.limits.connections.listen_backlog)
 
     def listen_with_transport(
         self, address: tuple[str, int], create_transport: Callable[[socket.socket], Transport]
     ) -> ListenerSpec:
-        """Listen for HTTP over another kind of transport; OSError if the address cannot be had.
+        """Listen for HTTP over another kind of transport; OSError if the address is not available.
 
-        Its connections are closed without an answer when the budget is spent.
+        Beyond the budget, its connections are closed without an answer.
         """
         no_response = bytes
         create_connection = self._http_connection_factory(create_transport)
@@ -103,7 +101,7 @@
     def _http_connection_factory(
         self, create_transport: Callable[[socket.socket], Transport]
     ) -> Callable[[socket.socket, bool], Connection]:
-        """Return what makes an HTTP connection of an accepted socket, as `ListenerSpec` asks."""
+        """Return the `create_connection` of a `ListenerSpec` for HTTP."""
 
         def create_connection(sock: socket.socket, is_external: bool) -> Connection:  # noqa: FBT001  as ListenerSpec calls it
             return ClientConnection(create_transport(sock), self, is_external=is_external)
@@ -119,14 +117,14 @@
         reuse_port: bool = False,
         start: bool = True,
     ) -> ListenerSpec:
-        """Listen on an address for any protocol; OSError if it cannot be had.
+        """Listen on an address for any protocol; OSError if the address is not available.
 
-        `create_connection` is given an accepted socket and whether it is external. `reuse_port`
-        lets two processes of this user listen there at once; `start` False only binds.
+        `create_connection` takes an accepted socket and whether it is external. With `reuse_port`,
+        two processes of this user may listen on the address. With `start` False it is only bound.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
-            # A restart must not wait for the connections of the process before it.
+            # A restart must not wait for the connections of the previous process to expire.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             if reuse_port:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
@@ -160,7 +158,7 @@
             self.close_listener(spec)
 
     def close_listener(self, spec: ListenerSpec) -> None:
-        """Close a listener, after taking the connections that the kernel has accepted for it."""
+        """Close a listener, after accepting the connections in its backlog."""
         if spec.listener.fileno() < 0:
             return
         spec.listener.setblocking(False)  # noqa: FBT003  the socket's signature
@@ -190,31 +188,30 @@
                 self.external_count += 1
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # A pool, for workers bring each notification on a connection of its own.
+        # Workers open a connection for each notification: a pool saves starting as many threads.
         self.reader_threads.submit(connection.run)
 
     def _is_full(self, *, is_external: bool) -> bool:
-        budget = self.limits.connections
         with self.lock:
-            open_count = len(self.connections)
-            if open_count + self.evicted_count >= budget.inbound + budget.evicted_unclosed:
-                return True
-            max_external = budget.inbound - budget.reserved_for_workers
-            if is_external and self.external_count >= max_external:
-                return True
-            return open_count >= budget.inbound
+            return is_budget_spent(
+                self.limits.connections,
+                open_count=len(self.connections),
+                external_count=self.external_count,
+                evicted_count=self.evicted_count,
+                is_external=is_external,
+            )
 
     def _evict_connections(self) -> None:
         now_seconds = time.monotonic()
         for connection in evict_connections(self._snapshot(), now_seconds, self.limits):
-            # Its place is free at once, its descriptor when its reader thread has closed it.
+            # Its place is free at once; its descriptor once its reader thread has closed it.
             with self.lock:
                 if self._discard(connection):
                     self.evicted_count += 1
                     connection.evicted = True
 
     def _reject(self, spec: ListenerSpec, sock: socket.socket) -> None:
-        """Send the overload response before a byte is read, without a thread."""
+        """Send the overload response without reading a byte, and without a thread."""
         self.rejected_count += 1
         try:
             sock.send(spec.overload_response(), socket.MSG_DONTWAIT)
@@ -237,7 +234,7 @@
                 connection.evicted = False
 
     def _discard(self, connection: Connection) -> bool:
-        """Forget a connection, unless it is forgotten already; the caller holds the lock."""
+        """Remove a connection; return False if it was removed before. The caller holds the lock."""
         if connection not in self.connections:
             return False
         self.connections.discard(connection)
@@ -250,10 +247,11 @@
             return list(self.connections)
 
     def is_overloaded(self) -> bool:
-        """Tell whether requests are open on as many connections as may have one.
+        """Decide whether the next request is rejected.
 
-        Others do not count: connections between requests are evicted when a notification needs
-        their place.
+        It is once `open_requests` connections have an open request. The other connections remain
+        for notifications, without which no request would end. Connections between requests do not
+        count, because a notification's connection evicts them.
         """
         max_open_requests = self.limits.connections.open_requests
         if len(self.connections) < max_open_requests:
@@ -265,7 +263,7 @@
     # -- timeouts and shutdown --------------------------------------------------------------------
 
     def enforce_timeouts(self) -> None:
-        """End what has gone on for too long; the main thread calls this periodically."""
+        """Enforce the timeouts of all connections; the main thread calls this periodically."""
         now_seconds = time.monotonic()
         for connection in self._snapshot():
             connection.enforce_timeouts(now_seconds)
@@ -277,6 +275,32 @@
             connection.close_if_idle()
 
     def busy(self) -> bool:
-        """Tell whether a shutdown should wait for a connection, as `Connection.busy` tells."""
+        """Return whether a shutdown must wait for a connection (`Connection.busy`)."""
         with self.lock:
             return any(connection.busy() for connection in self.connections)
+
+
+def is_budget_spent(
+    budget: ConnectionLimits,
+    *,
+    open_count: int,
+    external_count: int,
+    evicted_count: int,
+    is_external: bool,
+) -> bool:
+    """Decide whether a new connection must be rejected unless another one is evicted.
+
+    - `open_count` connections are open, of them `external_count` from hosts without a worker.
+      Workers may use all of `inbound`. External connections leave `reserved_for_workers` free, so
+      that notifications still arrive when clients use all other connections.
+    - `evicted_count` evicted connections still use a descriptor, because their threads have not
+      closed them yet. At most `evicted_unclosed` of them are admitted on top of `inbound`, so that
+      the process does not run out of descriptors.
+    """
+    max_descriptors = budget.inbound + budget.evicted_unclosed
+    if open_count + evicted_count >= max_descriptors:
+        return True
+    max_external = budget.inbound - budget.reserved_for_workers
+    if is_external and external_count >= max_external:
+        return True
+    return open_count >= budget.inbound
--- a/stepstream/http/server_state.py
+++ b/stepstream/http/server_state.py
@@ -1,10 +1,10 @@
-"""What all inbound connections of the server go by: the platform's API and the server's phase.
+"""The state that all inbound connections of a server share: the platform's API and the phase.
 
-There is one `ServerState` a server, and its fields are flags and single references without a lock.
-The main thread sets them, at the start, a reload and a shutdown, but for `starting`, which the
-thread that awaits the first endpoint list resets, and for `draining` and `drain_closing`, which are
-the admin listener's thread's. Any thread reads them, at each message: one that has just read an old
-value acts as if it had come a moment sooner.
+Its fields are flags and single references without a lock. The main thread sets them, at the start,
+a reload and a shutdown. Two exceptions: the thread that awaits the first endpoint list resets
+`starting`, and the admin listener's thread sets `draining` and `drain_closing`. Any thread reads
+the fields, at each message. A thread that has just read an old value acts as if its message had
+arrived a moment earlier.
 """
 
 from collections.abc import Callable
@@ -14,20 +14,21 @@
 
 
 class ServerState:
-    """The server's phase, and what its connections ask for each request."""
+    """The server's phase, and the collaborators that its connections call for each request."""
 
     def __init__(self, client_api: ClientApi) -> None:
         self.client_api = client_api  # replaced by a reload, between two messages
-        self.access_control: AccessControl | None = None  # None: callers are not identified
-        # Whether one more request would leave no connection for the notification that ends it.
+        self.access_control: AccessControl | None = None  # None: callers are not authenticated
+        # Whether another open request would leave no connection for notifications.
         self.is_overloaded: Callable[[], bool] = lambda: False
 
-        # Each of these makes the readiness check fail, so that the front sends no new clients here.
-        self.starting = False  # there is no endpoint list to serve from yet
+        # Each of these makes the readiness check fail, so that the load balancer in front of the
+        # dispatcher sends no new clients.
+        self.starting = False  # there is no endpoint list yet
         self.shutting_down = False  # after SIGTERM
         self.draining = False  # by an operator's drain
 
-        # Each of these closes connections with their next answer.
+        # Each of these makes connections close with their next answer.
         self.closing = False  # some time after SIGTERM
         self.drain_closing = False  # some time after the drain began, until it ends
 
@@ -35,7 +36,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the front may send new clients here."""
+        """Whether the readiness check succeeds, so that new clients may come."""
         return not (self.starting or self.shutting_down or self.draining)
 
     @property
--- a/stepstream/http/session.py
+++ b/stepstream/http/session.py
@@ -1,17 +1,17 @@
 """The HTTP session of an inbound connection, as a state machine without I/O.
 
-Bytes and final answers go in; events and bytes that are due come out. The transitions:
+It takes bytes and final answers, and returns events and replies. The transitions:
 
-- READING, on a notification, a readiness check or an unauthorized request: answers it and goes on
-  READING, or is CLOSED if the connection closes with this answer.
-- READING, on a request: AWAITING_ANSWER; while the server is overloaded, CLOSED.
-- AWAITING_ANSWER, on more bytes: stays so and buffers them.
+- READING, on a notification, a readiness check or an unauthorized request: answers it and stays
+  READING, or becomes CLOSED if the connection closes with this answer.
+- READING, on a request: AWAITING_ANSWER, or CLOSED while the server is overloaded.
+- AWAITING_ANSWER, on more bytes: buffers them and stays AWAITING_ANSWER.
 - AWAITING_ANSWER, on the final answer: READING, or CLOSED if the connection closes with it.
 - READING or AWAITING_ANSWER, on a protocol error: CLOSED.
-- Any, on `close`, when the connection has ended on either side: CLOSED, and it stays so.
+- Any, on `close`, when the connection has ended on either side: CLOSED. CLOSED is final.
 
-A session belongs to one connection and has no lock of its own: every call is made with the
-connection's lock held, by its reader thread, the decision thread (final answers) or the main thread
+A session belongs to one connection and has no lock of its own. All its callers hold the
+connection's lock: the reader thread, the decision thread (final answers) and the main thread
 (timeouts and closes).
 """
 
@@ -41,21 +41,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Bytes that are due to the peer; `close`: nothing is sent behind them."""
+    """Bytes to send to the peer."""
 
     data: bytes
-    close: bool
+    close: bool  # the connection closes after them
 
 
 SessionEvent = Reply | Request | JobNotification
 
 
 class SessionPhase(Enum):
-    """What a session is doing."""
+    """The phase of a session."""
 
-    READING = 1  # a message, of which nothing may be here yet
-    AWAITING_ANSWER = 2  # a request is open; bytes behind it are buffered, not parsed
-    CLOSED = 3  # nothing is read any more
+    READING = 1  # a message; no byte of it may have arrived yet
+    AWAITING_ANSWER = 2  # a request is open; later bytes are buffered, not parsed
+    CLOSED = 3  # later bytes are dropped
 
 
 class HttpSession:
@@ -64,27 +64,27 @@
     def __init__(
         self, limits: Limits, server_state: ServerState, transport: Transport | None = None
     ) -> None:
-        """`transport` only tells the peer's certificate; nothing is read or written here."""
+        """`transport` only provides the peer's certificate; the session does no I/O."""
         self.limits = limits
         self.server_state = server_state
         self.transport = transport
         self.parser = Parser(limits)
         self.phase = SessionPhase.READING
-        self.request: Request | None = None  # the open one
+        self.request: Request | None = None  # the open request
         self.authorization: Authorization | None = None  # of the open request
-        self.keep_alive = True  # whether the peer lets the connection persist
-        self.is_worker = False  # it has sent a notification
-        self.has_sent_work = False  # it has sent a request or a notification
-        self.has_answered = False  # the first message has had its answer
+        self.keep_alive = True  # the latest message allows the connection to persist
+        self.is_worker = False  # the peer has sent a notification
+        self.has_sent_work = False  # the peer has sent a request or a notification
+        self.has_answered = False  # the first message has its answer
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is owed and no part of a message is here, so that it may be closed."""
+        """Whether no request is open and no part of a message has arrived."""
         return self.phase is SessionPhase.READING and self.parser.idle
 
     @property
     def is_reading_message(self) -> bool:
-        """Whether a part of a message is here and its rest is awaited."""
+        """Whether a part of a message has arrived, and its rest has not."""
         return self.phase is SessionPhase.READING and not self.parser.idle
 
     @property
@@ -93,19 +93,19 @@
         return self.phase is SessionPhase.AWAITING_ANSWER
 
     @property
-    def is_unfinished(self) -> bool:
-        """Whether a message is partly read or a request open."""
-        return self.has_open_request or self.is_reading_message
+    def is_client(self) -> bool:
+        """Whether the peer has sent a request, and no notification."""
+        return self.has_sent_work and not self.is_worker
 
     # -- input ------------------------------------------------------------------------------------
 
     def receive(self, data: bytes, now_us: int) -> list[SessionEvent]:
-        """Take bytes that arrived at `now_us`; return what follows from them, in order."""
+        """Process bytes that arrived at `now_us`; return the events that follow, in order."""
         if self.phase is SessionPhase.CLOSED:
             return []
         self.parser.feed(data)
         if self.has_open_request:
-            # Guards memory against a peer that sends on and on behind an open request.
+            # Guards memory against a peer that keeps sending while its request is open.
             max_bytes = self.limits.sizes.head_bytes + self.limits.sizes.body_bytes
             if len(self.parser.buffer) > max_bytes:
                 return [self.fail(ProtocolError(413, "too much behind an open request"))]
@@ -113,7 +113,7 @@
         return self.next_events(now_us)
 
     def next_events(self, now_us: int) -> list[SessionEvent]:
-        """Parse what is buffered, up to a request: more is parsed after its answer only."""
+        """Parse the buffered bytes up to a request; the rest is parsed after its answer."""
         events: list[SessionEvent] = []
         while self.phase is SessionPhase.READING:
             try:
@@ -168,8 +168,7 @@
             raise
         if self.server_state.is_overloaded():
             release(authorization)
-            # Guards notifications: with a waiting request on every connection none of them could
-            # come in, and no request would ever end.
+            # With an open request on every connection, no notification could arrive to end one.
             self.phase = SessionPhase.CLOSED
             retry_after_us = client_api.settings.max_retry_after_us
             return Reply(overload_answer(retry_after_us, close=True), close=True)
@@ -180,7 +179,7 @@
         return request
 
     def _authorize(self, message: Message) -> Authorization | Rejection | None:
-        """Return who may send this request, why nobody may, or None where nobody is asked."""
+        """Return the authorization of a request, its rejection, or None without access control."""
         access_control = self.server_state.access_control
         if access_control is None:
             return None
@@ -198,7 +197,7 @@
     # -- output -----------------------------------------------------------------------------------
 
     def answer(self, answer: Answer) -> Reply | None:
-        """Return the final answer's bytes; None if the request is not the one that is open."""
+        """Return the reply with the final answer; None if its request is not the open one."""
         if not self.has_open_request or answer.request is not self.request:
             return None
         close = self._closes_with_answer()
@@ -209,10 +208,10 @@
         return Reply(data, close)
 
     def fail(self, error: ProtocolError) -> Reply:
-        """End the session by an error.
+        """End the session with an error.
 
-        Behind a message in doubt nothing can be read, and a peer that nobody knows must not keep a
-        place by its errors.
+        The start of the next message is unknown, and an unknown peer must not keep its connection
+        by sending errors.
         """
         self.phase = SessionPhase.CLOSED
         return Reply(write_answer(error.status, close=True), close=True)
@@ -226,10 +225,11 @@
         return open_request
 
     def state_timeout_seconds(self, limits: Limits) -> float:
-        """Return for how many seconds the session may stay in its present state.
+        """Decide for how many seconds the session may stay in its present state.
 
-        Counted from the last activity if the session is idle, else from the state's start.
-        Silence is tolerated for longer in a peer that has sent work before than in a new one.
+        An idle session counts them from its last activity, any other from the start of its state. A
+        peer that has sent work before may be silent for longer than a new one. A request is open
+        without a limit here, because the core answers it by its deadline.
         """
         timeouts = limits.timeouts
         if self.has_open_request:
@@ -245,7 +245,7 @@
         return timeouts.message_seconds if self.has_answered else timeouts.first_message_seconds
 
     def _reject(self, rejection: Rejection) -> Reply:
-        """Answer an unauthorized message; as its framing is sound, another one may follow."""
+        """Answer an unauthorized message; its framing is intact, so another one may follow."""
         close = self._closes_with_answer()
         self._finish_exchange(close=close)
         return Reply(rejection_answer(rejection, close=close), close)
@@ -256,11 +256,11 @@
         return Reply(write_answer(status, close=close), close)
 
     def _closes_with_answer(self) -> bool:
-        """Whether the connection closes with the answer that is due now.
+        """Decide whether the connection closes with the answer that is sent now.
 
-        While connections are being closed, those of workers stay, for open requests await their
-        notifications, and a message that is complete already is answered before its connection
-        closes.
+        It does if the peer wants it (RFC 9112, 9.6). While the server closes connections, those of
+        workers stay open, because open requests await their notifications. A client's connection
+        stays open if another complete message has arrived, which is answered first.
         """
         if not self.keep_alive:
             return True
@@ -274,6 +274,6 @@
 
 
 def release(authorization: Authorization | None) -> None:
-    """Give an authorization back; any number of times."""
+    """Release an authorization; any number of times."""
     if authorization is not None:
         authorization.release()
--- a/stepstream/http/worker_api.py
+++ b/stepstream/http/worker_api.py
@@ -1,7 +1,7 @@
-"""The platform's API towards workers: calls to them, and the notifications that they send.
+"""The platform's API for workers: calls to them, and the notifications that they send.
 
-The platform calls a notification "news". Its paths, header and field names are translated here and
-nowhere else. There is no state; any thread may use what stands here.
+The platform calls a notification "news". Its paths, header and field names are translated only
+here. There is no state; any thread may use this module.
 """
 
 import ujson
@@ -13,24 +13,24 @@
 from stepstream.http.load_reports import LoadReportReader
 from stepstream.model.events import AttemptResult
 
-NOTIFICATION_PATH = "/_jobs/news"  # of this dispatcher
-HEALTH_CHECK_PATH = "/-/healthy"  # of a worker
-LOAD_REPORT_PATH = "/-/load"  # of a worker: a health check whose answer is a load report
+NOTIFICATION_PATH = "/_jobs/news"  # at this dispatcher
+HEALTH_CHECK_PATH = "/-/healthy"  # at a worker
+LOAD_REPORT_PATH = "/-/load"  # at a worker: a health check whose answer has a load report
 STATUS_BY_WIRE_NAME = {status.value: status for status in JobStatus}
-PROGRESS_STEPS = 1000  # progress is a share on the wire and a count of these inside
-ACCEPTED = 202  # the worker has taken the job
-# With "Not-Started: 1" the worker has turned the job away without starting it.
+PROGRESS_STEPS = 1000  # the whole of a job; the wire has a fraction from 0 to 1
+JOB_ACCEPTED_STATUS = 202
+# Together with the header "Not-Started: 1".
 NOT_STARTED_STATUSES = (503, 504)
 
 
 def read_notification(
     message: Message, load_reports: LoadReportReader | None = None, *, forwarded: bool = False
 ) -> JobNotification | None:
-    """Return the notification in a message; ProtocolError if there is none.
+    """Return the notification in a message; ProtocolError if it is malformed.
 
-    None stands for a status that is not known here: it is acknowledged all the same, for its sender
-    would repeat it. `forwarded` marks what the sibling process has passed on, which is never passed
-    on again.
+    None means an unknown status. Such a notification is acknowledged all the same, because its
+    sender would otherwise repeat it. `forwarded` marks one that the sibling process has forwarded;
+    it is not forwarded again.
     """
     if message.method != "POST":
         raise ProtocolError(405, "news arrives by POST")
@@ -48,22 +48,22 @@
         request_id,
         worker_id,
         STATUS_BY_WIRE_NAME[status],
-        data.get("result"),
-        read_progress(data.get("share")),
-        forwarded,
-        load_reports.read_notification(data.get("load")) if load_reports else None,
+        result=data.get("result"),
+        progress=read_progress(data.get("share")),
+        forwarded=forwarded,
+        load_report=load_reports.read_notification(data.get("load")) if load_reports else None,
     )
 
 
-def read_progress(share: object) -> tuple[int, int] | None:
-    """Return progress, a number from 0 to 1, as (done, total); None if it is no such number."""
-    if isinstance(share, int | float) and 0 <= share <= 1:
-        return int(share * PROGRESS_STEPS), PROGRESS_STEPS
+def read_progress(fraction: object) -> tuple[int, int] | None:
+    """Return a progress from 0 to 1 as (parts complete, parts in all); None for anything else."""
+    if isinstance(fraction, int | float) and 0 <= fraction <= 1:
+        return int(fraction * PROGRESS_STEPS), PROGRESS_STEPS
     return None
 
 
 def notification_body(notification: JobNotification) -> bytes:
-    """Return a notification in a worker's own form, for the sibling process."""
+    """Return a notification in a worker's wire form, for the sibling process."""
     data = {
         "id": notification.request_id,
         "from": notification.worker_id,
@@ -77,7 +77,7 @@
 
 
 def call_bytes(host: str, request_id: str, payload: Payload, timeout_ms: int) -> bytes:
-    """Return the call that gives a worker a job; `timeout_ms` is sent as 1 at least."""
+    """Return the call that sends a job to a worker; `timeout_ms` is sent as 1 at least."""
     headers = {"Host": host, "Request-Id": request_id}
     if payload.idempotency_key:
         headers["Idempotency-Key"] = payload.idempotency_key
@@ -96,8 +96,12 @@
 
 
 def read_call_answer(message: Message) -> AttemptResult | None:
-    """Return how a call ended by its worker's answer; None if the worker has taken the job."""
-    if message.status == ACCEPTED:
+    """Decide how a call ended by its worker's answer; None if the worker has accepted the job.
+
+    FULL only if the worker states that it has not started the job. After any other answer the job
+    may have run.
+    """
+    if message.status == JOB_ACCEPTED_STATUS:
         return None
     if message.status in NOT_STARTED_STATUSES and message.headers.get("not-started") == "1":
         return AttemptResult.FULL
--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -14,6 +14,7 @@
 
 from stepstream.config.limits import Limits, Timeouts
 from stepstream.core.events import ClientDisconnected, RequestFaulted, RequestReceived
+from stepstream.http.client_connection import counts_as_client
 from stepstream.http.session import HttpSession, SessionPhase
 
 
@@ -106,6 +107,16 @@
         wait_for(lambda: harness.requests(ClientDisconnected) == harness.requests(RequestReceived))
 
 
+@pytest.mark.parametrize(
+    ("accepted_at", "shutdown_started_at", "is_client"),
+    [(9.0, 10.0, True), (10.5, 10.0, True), (10.6, 10.0, False), (10.6, None, True)],
+)
+def test_after_sigterm_a_new_peer_with_half_a_message_is_a_client_only_for_a_while(
+    accepted_at, shutdown_started_at, is_client
+):
+    assert counts_as_client(accepted_at, shutdown_started_at, arrivals_seconds=0.5) == is_client
+
+
 class IdleClient:
     """A client with an idle connection, after one served request."""
 
--- a/tests/http/test_eviction.py
+++ b/tests/http/test_eviction.py
@@ -3,7 +3,7 @@
 import pytest
 
 from stepstream.config.limits import ConnectionLimits, Limits, Timeouts
-from stepstream.http.eviction import EvictionRank, evict_connections
+from stepstream.http.eviction import EvictionRank, evict_connections, rank_without_open_request
 
 LIMITS = Limits(
     connections=ConnectionLimits(evictions_at_once=2),
@@ -47,3 +47,23 @@
     made = [FakeConnection(*given) for given in connections]
     found = list(evict_connections(made, NOW_SECONDS, LIMITS))
     assert [made.index(connection) for connection in found] == evicted
+
+
+@pytest.mark.parametrize(
+    ("is_closed", "has_sent_work", "quiet_seconds", "rank"),
+    [
+        (True, True, 0.0, DONE),
+        (False, True, 9.0, IDLE),
+        (False, False, 1.9, NEW),
+        (False, False, 2.0, EvictionRank.UNUSED),
+    ],
+)
+def test_a_peer_that_has_sent_no_work_is_new_for_a_while_and_then_unused(
+    is_closed, has_sent_work, quiet_seconds, rank
+):
+    assert rank is rank_without_open_request(
+        is_closed=is_closed,
+        has_sent_work=has_sent_work,
+        quiet_seconds=quiet_seconds,
+        unproven_seconds=2.0,
+    )
--- a/tests/http/test_load_reports.py
+++ b/tests/http/test_load_reports.py
@@ -10,7 +10,7 @@
 
 from stepstream.http.codec import Message
 from stepstream.http.load_reports import LoadReportReader
-from stepstream.http.named_numbers import LARGEST_NUMBER
+from stepstream.http.named_numbers import MAX_NUMBER
 from stepstream.http.worker_api import NOTIFICATION_PATH, read_notification
 
 FULL = {"queue": 2.0, "free_slots": 1.5}
@@ -81,4 +81,4 @@
     ]
     for report in filter(None, reports):
         assert set(report) <= {"queue", "free_slots"}
-        assert all(0 <= number <= LARGEST_NUMBER for number in report.values())
+        assert all(0 <= number <= MAX_NUMBER for number in report.values())
--- a/tests/http/test_outbound.py
+++ b/tests/http/test_outbound.py
@@ -18,7 +18,9 @@
 
 from stepstream.config.limits import ConnectionLimits, Limits, Timeouts
 from stepstream.http.codec import write_answer
+from stepstream.http.connection_pool import PooledConnection
 from stepstream.http.in_flight_call import UnsentReason
+from stepstream.http.outbound import max_unsent_us
 from stepstream.model.endpoints import EndpointListKind, EndpointState
 from stepstream.model.events import AttemptResult
 from stepstream.model.settings import Effect
@@ -159,6 +161,12 @@
     assert reason is UnsentReason.QUEUED_TOO_LONG
 
 
+@pytest.mark.parametrize(("has_connected", "max_us"), [(False, 200_000), (True, 700_000)])
+def test_the_wait_of_a_call_counts_its_connecting_only_once_it_has_connected(has_connected, max_us):
+    timeouts = Timeouts(call_queue_seconds=0.2, connect_seconds=0.5)
+    assert max_unsent_us(timeouts, has_connected=has_connected) == max_us
+
+
 def test_a_drain_listed_while_the_connection_is_made_still_counts(monkeypatch):
     harness = OutboundHarness(accept_job)
     changes = endpoint_answer(
@@ -247,6 +255,16 @@
     assert [m.headers["request-id"] for m in harness.server.seen] == ["01", "02"]
 
 
+@pytest.mark.parametrize(
+    ("port", "now_seconds", "reused"), [(1, 14.9, True), (1, 15.0, False), (2, 14.9, False)]
+)
+def test_a_connection_idle_for_long_or_to_an_old_address_is_not_reused(port, now_seconds, reused):
+    connection = PooledConnection(socket.socket(), "w", ("127.0.0.1", 1))
+    connection.idle_since = 10.0
+    with connection.sock:
+        assert connection.may_be_reused(("127.0.0.1", port), now_seconds, 5.0) == reused
+
+
 def test_idle_connections_are_retired_before_the_worker_closes_them():
     limits = Limits(timeouts=Timeouts(outbound_idle_seconds=0.0))
     harness = OutboundHarness(accept_job, limits)
--- a/tests/http/test_poll_schedule.py
+++ b/tests/http/test_poll_schedule.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stepstream.http.poll_schedule import BACKOFF_SECONDS, PollSchedule
+from stepstream.http.poll_schedule import MIN_INITIAL_BACKOFF_SECONDS, PollSchedule
 
 KNOWN_BY_SECONDS = 6.0  # after discovery had a change and could be reached
 DRAIN_GRACE_SECONDS = 0.5  # the drain grace of the platform's days
@@ -81,7 +81,7 @@
     pauses = [schedule.pause_after_failure_seconds() for _ in range(failures)]
     longest = schedule.call_timeout_seconds + max(pauses) + ROUND_TRIP_SECONDS
     assert longest <= KNOWN_BY_SECONDS - DRAIN_GRACE_SECONDS + 1e-9
-    assert min(pauses) >= BACKOFF_SECONDS / 2  # bounded the other way too: no storm
+    assert min(pauses) >= MIN_INITIAL_BACKOFF_SECONDS / 2  # bounded the other way too: no storm
     schedule.pause_after_answer_seconds(1.0, unchanged=False)
     assert schedule.pause_after_failure_seconds() <= pauses[-1]
 
@@ -96,6 +96,14 @@
     assert schedule.watch_wait_seconds <= 60.0
 
 
+@pytest.mark.parametrize(
+    ("dispatcher_count", "spread_seconds"), [(8, 0.0), (9, 0.9), (30, 3.0), (200, 4.0)]
+)
+def test_the_first_calls_of_a_large_fleet_are_spread(dispatcher_count, spread_seconds):
+    first_pause_seconds = schedule_of(dispatcher_count).first_pause_seconds()
+    assert first_pause_seconds == pytest.approx(spread_seconds)
+
+
 @pytest.mark.parametrize(
     ("took_seconds", "unchanged", "pause_seconds"),
     [(0.05, True, 0.1), (0.1, True, 0.0), (0.05, False, 0.0)],
