--- a/stepstream/node/context.py
+++ b/stepstream/node/context.py
@@ -1,8 +1,8 @@
 """The wiring of one dispatcher: its core, the platform's network side and the subsystems.
 
-The context is created by the main thread, which alone replaces its attributes (at a reload, and
-`hot_restarting` at a shutdown). Other threads read them and post events; each component says itself
-which threads may call it. It is what a subsystem sees as `SubsystemContext`.
+The main thread creates the context, and only it replaces its attributes (at a reload, and
+`hot_restarting` at a shutdown). Other threads read them and post events. Each component documents
+which threads may call it. Subsystems see the context as `SubsystemContext`.
 """
 
 import random
@@ -42,7 +42,7 @@
     """The components of one dispatcher, wired to each other but not started.
 
     `operator` is the content of the operator's file, if there is one, and `operator_path` its path,
-    for a reload. `ConfigurationError` names what a subsystem cannot have.
+    for a reload. Raises ConfigurationError if a subsystem cannot be created.
     """
 
     def __init__(
@@ -58,8 +58,8 @@
         self.clock = Clock()
         self.events: SimpleQueue[Event] = SimpleQueue()  # to the decision thread
         self.post = self.events.put
-        # To the main thread. A queue and no Event: its put() may interrupt its own get(), as a
-        # signal handler does.
+        # To the main thread. A SimpleQueue and no Event, because a signal handler calls put() while
+        # the same thread may be inside get().
         self.signals: SimpleQueue[int] = SimpleQueue()
         self.bad_reports = RateLimitedLogger("load report ignored:", self.limits)
         self.bad_answers = RateLimitedLogger("answer", self.limits)
@@ -73,18 +73,18 @@
         )
         self.carriers: dict[str, Carrier] = {SOURCE: self.outbound}  # by endpoint source
         self.discovery = self.create_discovery_client(config, self.limits)
-        # The list from before the start: the configuration's, or a newer one handed over.
+        # The list from before the start: the configuration's, or a newer one of a hot restart.
         self.persisted_endpoints = config.persisted_endpoints
         self.hot_restarting = False
         self.is_health_check_delegated: Callable[[str], bool] = never_delegated
-        # Dispatchers that share the workers, where a subsystem knows better than the settings.
+        # The dispatchers that share the workers, as a subsystem has counted them; None: settings.
         self.observed_dispatcher_count: int | None = None
         self.subsystems: dict[str, Subsystem] = {}
         self.command_handlers: dict[type, Callable[[Command], None]] = {}
         self.create_subsystems()
 
     def create_server(self) -> InboundServer:
-        """Create the server of clients' and workers' connections; its start binds the address."""
+        """Create the server of inbound connections; the node's start binds its address."""
         return InboundServer(
             self.limits,
             self.clock,
@@ -94,9 +94,9 @@
         )
 
     def create_subsystems(self) -> None:
-        """Import and create each enabled subsystem, and collect the commands that it handles.
+        """Import and create each enabled subsystem, and register the commands that it handles.
 
-        Each finds those before it in `subsystems`.
+        Each subsystem finds the earlier ones in `subsystems`.
         """
         for key, module in enabled_subsystems(self.config, self.operator):
             self.subsystems[key] = import_module(module).create_subsystem(self)
@@ -104,7 +104,7 @@
             self.command_handlers.update(subsystem.command_handlers())
 
     def create_discovery_client(self, config: NodeConfig, limits: Limits) -> DiscoveryClient:
-        """Create a client of the discovery that `config` names; the caller starts its thread."""
+        """Create a client of the configured discovery service; the caller starts its thread."""
         return DiscoveryClient(
             limits,
             config.discovery,
@@ -116,7 +116,7 @@
         )
 
     def set_dispatcher_count(self, dispatchers: int) -> None:
-        """Share the workers among so many dispatchers from now on, this one included."""
+        """Set the number of dispatchers that share the workers, this one included."""
         self.observed_dispatcher_count = dispatchers
         self.post(SettingsChanged(self.effective_settings(self.config)))
         self.discovery.schedule.dispatcher_count = dispatchers
@@ -124,14 +124,14 @@
         log(f"the workers are shared by {dispatchers} dispatchers")
 
     def effective_settings(self, config: NodeConfig) -> Settings:
-        """Give the settings of `config` with the observed count of dispatchers, if there is one."""
+        """Return the settings of `config`, with the observed count of dispatchers if any."""
         if self.observed_dispatcher_count is None:
             return config.settings
         return replace(config.settings, dispatcher_count=self.observed_dispatcher_count)
 
 
 def create_core(config: NodeConfig, limits: Limits, clock: Clock) -> Dispatcher:
-    """Create the core, which the decision thread owns from its start on."""
+    """Create the core, which belongs to the decision thread once that has started."""
     return Dispatcher(
         config.settings,
         config.seed,
@@ -143,11 +143,11 @@
 
 
 def create_destinations(config: NodeConfig) -> DestinationSet:
-    """Create the set of discovery's workers, empty, with the detector of a stale list."""
+    """Create the empty set of discovery's workers, with the detector of a stale list."""
     detector = StalenessDetector(config.settings.dispatcher_count, random.Random(config.seed))
     return DestinationSet(detector)
 
 
-def never_delegated(worker_id: str) -> bool:  # noqa: ARG001  the form that a subsystem replaces
-    """Say that no worker's health check is left to another dispatcher."""
+def never_delegated(worker_id: str) -> bool:  # noqa: ARG001  a subsystem's function replaces it
+    """Return False: this dispatcher checks the health of every worker itself."""
     return False
--- a/stepstream/node/decision_thread.py
+++ b/stepstream/node/decision_thread.py
@@ -1,7 +1,6 @@
 """The decision thread: it takes events in batches, lets the core decide and executes its commands.
 
-This thread owns the core and the outcome counts; nobody else changes them. Nothing that it calls
-may wait for a peer.
+Only this thread changes the core and the outcome counts. Nothing that it calls may wait for a peer.
 """
 
 from queue import Empty
@@ -26,11 +25,11 @@
 from stepstream.runtime.log import log
 from stepstream.runtime.threads import run_guarded
 
-MICROSECONDS = 1e6
+MICROSECONDS_PER_SECOND = 1e6
 
 
 class DecisionThread:
-    """What the decision thread runs, and what it counts."""
+    """The loop of the decision thread, and its counts of answers."""
 
     def __init__(self, context: NodeContext) -> None:
         self.context = context
@@ -42,22 +41,22 @@
             run_guarded("decisions", self.run_batch)
 
     def run_batch(self) -> None:
-        """Wait for events or a timer, decide on them, and execute what the core commands."""
+        """Wait for events or a timer, let the core decide, and execute its commands."""
         context = self.context
         events = self.next_events()
         for command in context.core.handle(context.clock.now_us(), events):
             run_guarded("a command", self.execute, command)
 
     def next_events(self) -> list[Event]:
-        """Wait for an event, at most until the next timer; give all events there are, in order.
+        """Wait for an event, at most until the next timer; return the queued events in order.
 
-        At most a batch of them; none if a timer came first.
+        Returns at most `event_batch` events, and none if a timer is due first.
         """
         loop = self.context.limits.loop
         wait_seconds = loop.longest_wait_seconds
         timer_us = self.context.core.next_timer_us()
         if timer_us is not None:
-            wait_seconds = (timer_us - self.context.clock.now_us()) / MICROSECONDS
+            wait_seconds = (timer_us - self.context.clock.now_us()) / MICROSECONDS_PER_SECOND
         queue = self.context.events
         events: list[Event] = []
         try:
@@ -70,7 +69,7 @@
         return events
 
     def execute(self, command: Command) -> None:
-        """Execute one command; one that no handler knows is dropped."""
+        """Execute one command; a command without a handler is dropped."""
         context = self.context
         match command:
             case StartCall(call):
@@ -78,7 +77,7 @@
                 call.carrier = carrier
                 carrier.start(call)
             case StopCall(call):
-                # The core keeps a call's carrier and a request's sink without knowing their types.
+                # The core's records hold carriers and sinks without the types of `ports`.
                 cast(Carrier, call.carrier).stop(call)
             case Progress(request, done, of):
                 cast(ResponseSink, request.response_sink).progress(done, of)
@@ -98,8 +97,8 @@
                     handler(command)
 
     def carrier_of(self, worker_id: str) -> Carrier:
-        """Give the carrier of the source that has the worker.
+        """Return the carrier of the source that owns the worker.
 
-        For a worker that no source has it is discovery's, which ends the call as not sent.
+        For a worker without an owner it is discovery's carrier, which ends the call as not sent.
         """
         return self.context.carriers[self.context.core.endpoints.owner(worker_id) or SOURCE]
--- a/stepstream/node/node.py
+++ b/stepstream/node/node.py
@@ -1,7 +1,7 @@
 """One dispatcher as a process: the main thread that starts it, handles its signals and ends it.
 
-The main thread owns the node's life: start, reload, periodic tasks, status line and shutdown happen
-in it, one at a time. Decisions are made in a thread of their own, `decision_thread`.
+The main thread runs start, reload, periodic tasks, status line and shutdown, one at a time. The
+decisions have a thread of their own, `decision_thread`.
 """
 
 import gc
@@ -27,8 +27,8 @@
     from stepstream.config.operator_file import OperatorConfig
 
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-# Threads that wait for the interpreter ask for it sooner than after the usual 5 ms.
-THREAD_SWITCH_SECONDS = 0.001
+# Shorter than Python's 5 ms: with many threads, the decision thread must not wait for its turn.
+THREAD_SWITCH_INTERVAL_SECONDS = 0.001
 
 
 class Node(NodeContext):
@@ -44,21 +44,20 @@
         self.decision_thread = DecisionThread(self)
 
     def run(self) -> int:
-        """Serve until SIGTERM or SIGINT; give the exit status. SIGHUP reloads."""
+        """Serve until SIGTERM or SIGINT, and return the exit status. SIGHUP reloads."""
         for number in HANDLED_SIGNALS:
             signal.signal(number, self.on_signal)
-        sys.setswitchinterval(THREAD_SWITCH_SECONDS)
+        sys.setswitchinterval(THREAD_SWITCH_INTERVAL_SECONDS)
         self.start()
         if self.operator is not None:
-            # The modules of further packages live as long as the process: no garbage collection
-            # need look at them.
+            # The modules of the subsystems are never garbage: collections skip them.
             gc.freeze()
         self.serve()
         self.stop()
         return 0
 
     def serve(self) -> None:
-        """Handle signals and run what is due at intervals, until a signal ends the node."""
+        """Handle signals and run the periodic tasks, until a signal ends the node."""
         tasks_at = time.monotonic()
         status_at = tasks_at
         while (number := self.next_signal()) in (None, signal.SIGHUP):
@@ -78,13 +77,13 @@
         start_node(self, self.decision_thread)
 
     def stop(self) -> None:
-        """Answer all that was taken and close everything; see `shutdown`."""
+        """Answer every request and close everything; see `shutdown`."""
         shut_down_node(self)
         self.log_status()
         log("stopped")
 
     def run_periodic_tasks(self) -> None:
-        """Do what is due at every interval; see `periodic_tasks`."""
+        """Run the periodic tasks once; see `periodic_tasks`."""
         run_periodic_tasks(self)
 
     def log_status(self) -> None:
@@ -92,14 +91,14 @@
         log(status_line(self, self.decision_thread.outcome_counts))
 
     def on_signal(self, number: int, frame: FrameType | None) -> None:  # noqa: ARG002  Python's form
-        """Hand a signal to the main thread's loop; runs in that thread, between any two steps."""
+        """Queue a signal for the main thread's loop; runs in that thread, between any two steps."""
         self.signals.put(number)
 
     def next_signal(self) -> int | None:
-        """Wait for a signal, briefly; None if there is none.
+        """Wait for a signal for at most `signal_wait_seconds`; None if there is none.
 
-        Where a signal does not cut a wait short, SIGTERM is handled that much later, and the time
-        to answer everything before SIGKILL, which counts from the signal, is that much shorter.
+        The wait is short, because a signal may not interrupt it: a SIGTERM that is handled late
+        leaves less time to answer everything before SIGKILL.
         """
         try:
             return self.signals.get(timeout=self.limits.loop.signal_wait_seconds)
--- a/stepstream/node/periodic_tasks.py
+++ b/stepstream/node/periodic_tasks.py
@@ -1,6 +1,6 @@
-"""What the main thread does at intervals: timeouts, sweeps and the subsystems' own tasks.
+"""The periodic tasks of the main thread: timeouts, idle connections, the staleness check.
 
-A fault of one task is logged and does not hold up the others.
+A fault of one task is logged and does not prevent the others.
 """
 
 from stepstream.node.context import NodeContext
@@ -9,14 +9,14 @@
 
 
 def run_periodic_tasks(context: NodeContext) -> None:
-    """Do all of it; while the node serves."""
-    run_guarded("sweep", context.outbound.pool.retire_idle)
-    run_guarded("doubt", check_suspected_list, context)
+    """Run all periodic tasks once; for a node that serves."""
+    run_guarded("retire idle connections", context.outbound.pool.retire_idle)
+    run_guarded("staleness check", check_stale_list, context)
     enforce_timeouts(context)
 
 
-def check_suspected_list(context: NodeContext) -> None:
-    """Ask discovery anew, beside its watch, if the workers' refusals make its list look stale."""
+def check_stale_list(context: NodeContext) -> None:
+    """Poll discovery beside its watch if refused connections suggest that its list is stale."""
     if context.destinations.claim_staleness_check():
         log(
             "discovery asked beside its watch: workers that its list calls ready refuse connections"
@@ -25,10 +25,10 @@
 
 
 def enforce_timeouts(context: NodeContext) -> None:
-    """Enforce the timeouts of clients' connections, and run the subsystems' tasks.
+    """Enforce the timeouts of inbound connections, and run the subsystems' tasks.
 
-    Also while the node shuts down, more often then.
+    A shutdown calls it as well, and more often.
     """
-    run_guarded("look", context.server.enforce_timeouts)
+    run_guarded("enforce timeouts", context.server.enforce_timeouts)
     for key, subsystem in context.subsystems.items():
         run_guarded(key, subsystem.run_periodic_tasks)
--- a/stepstream/node/reload.py
+++ b/stepstream/node/reload.py
@@ -1,7 +1,7 @@
-"""A reload after SIGHUP, run by the main thread: both files are read anew, all or nothing.
+"""A reload after SIGHUP, run by the main thread: it applies both files completely, or nothing.
 
-Open requests and connections stay, and so does what the policy has learned. Everything that can be
-wrong is found before anything is changed.
+Open requests, connections and the policy's measurements stay. All checks come before the first
+change.
 """
 
 from dataclasses import replace
@@ -22,7 +22,7 @@
 
 
 def reload_configuration(context: NodeContext) -> None:
-    """Read the configuration and the operator's file anew; a fault in either leaves both as is."""
+    """Reload the configuration and the operator's file; a fault in either changes nothing."""
     try:
         config = read_config()
         operator = reread_operator(context, config)
@@ -42,10 +42,10 @@
 
 
 def reread_operator(context: NodeContext, config: NodeConfig) -> "OperatorConfig | None":
-    """Read the operator's file anew; `ConfigurationError` if a section has come or gone."""
+    """Reread the operator's file; `ConfigurationError` if a section was added or removed."""
     if context.operator_path is None or context.operator is None:
         return context.operator
-    # Imported here: without the file nothing of it is loaded.
+    # Imported here, because a dispatcher without the file must not load its reader.
     from stepstream.config.operator_file import read_operator
 
     operator = read_operator(context.operator_path, config.settings)
@@ -61,17 +61,18 @@
 
 
 def apply_configuration(context: NodeContext, config: NodeConfig) -> None:
-    """Let every component go on with a checked configuration."""
+    """Replace the configuration of every component; it must have passed all checks."""
     config = replace(config, settings=context.effective_settings(config))
     limits = limits_for(config)
     old = context.discovery
     new = context.create_discovery_client(config, limits)
     if config.discovery == context.config.discovery:
-        new.version = old.version  # the same list goes on: no need for a complete one
-    new.poll_now()  # its list counts soon after a reload
-    spawn_thread("discovery", new.run)  # first: without a thread nothing changes
+        new.version = old.version  # the watch continues without a fetch of the complete list
+    new.poll_now()  # the platform expects the new list soon after a reload
+    # Before any change: if no thread can be started, everything stays as it is.
+    spawn_thread("discovery", new.run)
     old.stop()
-    # Before anything is read by the new settings: the core is the first to get them.
+    # The core gets the new settings first, before any message is read by them.
     context.events.put(SettingsChanged(config.settings))
     context.config = config
     context.limits = limits
--- a/stepstream/node/shutdown.py
+++ b/stepstream/node/shutdown.py
@@ -1,24 +1,26 @@
-"""The graceful shutdown after SIGTERM, run by the main thread: everything taken is answered.
+"""The graceful shutdown after SIGTERM, run by the main thread: every request is answered.
 
-Connections keep arriving until the front has noticed. Clients go on with the connections that they
-have while there is time to answer: when dispatchers restart one after the other, the next one may
-not be back yet, and they would find nobody. The listener stays open to the end: workers bring the
-notifications that open requests wait for on new connections.
+New connections arrive until the load balancer in front of the dispatcher has noticed the shutdown.
+Clients may use their open connections as long as there is time to answer. When dispatchers restart
+one after the other, the next one may not serve yet, and the clients would find no dispatcher. The
+listener stays open to the end, because workers send the notifications that open requests await on
+new connections.
 """
 
 import time
 
+from stepstream.config.limits import ShutdownTimeouts
 from stepstream.core.events import ShutdownStarted
 from stepstream.node.context import NodeContext
 from stepstream.node.periodic_tasks import enforce_timeouts
 from stepstream.runtime.log import log
 from stepstream.runtime.threads import run_guarded
 
-MICROSECONDS = 1e6
+MICROSECONDS_PER_SECOND = 1e6
 
 
 def shut_down_node(context: NodeContext) -> None:
-    """Answer all that was taken, then close every listener and stop the subsystems."""
+    """Answer every request, then close every listener and stop the subsystems."""
     started_at = time.monotonic()
     context.server.state.shutdown_started_at = started_at
     announce_shutdown(context)
@@ -29,12 +31,12 @@
 
 
 def announce_shutdown(context: NodeContext) -> None:
-    """Tell the subsystems, the front and the core.
+    """Notify the subsystems, the load balancer and the core of the shutdown.
 
-    In a hot restart new connections go to the process beside this one, and the front, which asks
-    whether this node is ready, is not told no.
+    In a hot restart new connections go to the sibling process, and the readiness check goes on to
+    succeed.
     """
-    # A list: each of them is told, whatever the one before it says.
+    # A list, not a generator: every subsystem must be notified.
     context.hot_restarting = any(
         [subsystem.begin_shutdown() for subsystem in context.subsystems.values()]
     )
@@ -44,25 +46,48 @@
         context.server.close_listener(context.server.listeners[0])
     else:
         context.server.state.shutting_down = True
-    answering_us = int(context.limits.shutdown.answering_seconds * MICROSECONDS)
+    answering_us = int(context.limits.shutdown.answering_seconds * MICROSECONDS_PER_SECOND)
     context.events.put(ShutdownStarted(context.clock.now_us() + answering_us))
 
 
 def wait_until_answered(context: NodeContext, started_at: float) -> None:
-    """Serve on until nothing has been owed for a while, or the longest time is over.
-
-    `started_at`: on the monotonic clock, in seconds.
-    """
+    """Serve until the shutdown may end; `started_at` is in monotonic seconds."""
     last_busy_at = started_at
-    while (now := time.monotonic()) - started_at < context.limits.shutdown.longest_seconds:
-        limits = context.limits.shutdown
-        if context.hot_restarting or now - started_at >= limits.serving_seconds:
+    while True:
+        now = time.monotonic()
+        elapsed_seconds = now - started_at
+        timeouts = context.limits.shutdown
+        if elapsed_seconds >= timeouts.longest_seconds:
+            return
+        hot_restarting = context.hot_restarting
+        if must_close_connections(elapsed_seconds, timeouts, hot_restarting=hot_restarting):
             context.server.state.closing = True
             context.server.close_idle()
         enforce_timeouts(context)
         if context.server.busy() or context.core.open_count:
             last_busy_at = now
-        is_quiet = now - last_busy_at >= limits.quiet_seconds
-        if is_quiet and now - started_at >= limits.least_seconds:
+        if may_end(elapsed_seconds, now - last_busy_at, timeouts):
             return
-        time.sleep(limits.poll_seconds)
+        time.sleep(timeouts.poll_seconds)
+
+
+def must_close_connections(
+    elapsed_seconds: float, timeouts: ShutdownTimeouts, *, hot_restarting: bool
+) -> bool:
+    """Decide whether idle connections close now, and others after their next answer.
+
+    `elapsed_seconds` count from SIGTERM. In a hot restart the connections close at once, because
+    the sibling process accepts new ones. Otherwise clients keep theirs for `serving_seconds`.
+    """
+    return hot_restarting or elapsed_seconds >= timeouts.serving_seconds
+
+
+def may_end(elapsed_seconds: float, quiet_seconds: float, timeouts: ShutdownTimeouts) -> bool:
+    """Decide whether the shutdown may end, because no request can be left.
+
+    `elapsed_seconds` count from SIGTERM. For `quiet_seconds` no request has been open and no
+    connection has been busy. The load balancer may still send clients until it has noticed the
+    shutdown, so the shutdown takes `least_seconds` at least.
+    """
+    has_been_quiet = quiet_seconds >= timeouts.quiet_seconds
+    return has_been_quiet and elapsed_seconds >= timeouts.least_seconds
--- a/stepstream/node/startup.py
+++ b/stepstream/node/startup.py
@@ -1,7 +1,7 @@
 """A node's start, run by the main thread: from the first thread to readiness.
 
-Its order is what peers rely on: subsystems first, then the clients' address is bound, and it is
-listened on once an agent of pushed lists had its moment; ready is said last of all.
+Peers rely on its order. The subsystems start first. Then the clients' address is bound, and it is
+listened on once an agent that pushes lists has had time to send one. The node becomes ready last.
 """
 
 import threading
@@ -17,9 +17,9 @@
 def start_node(context: NodeContext, decision_thread: DecisionThread) -> None:
     """Start every thread and listener.
 
-    OSError if the clients' address cannot be had, `ConfigurationError` if a subsystem's cannot.
+    OSError if the clients' address is not available, `ConfigurationError` if a subsystem's is not.
     """
-    # Holds for all threads from here on.
+    # Applies to all threads that start from here on.
     threading.stack_size(context.limits.sizes.thread_stack_bytes)
     for subsystem in context.subsystems.values():
         subsystem.start()
@@ -39,17 +39,17 @@
         log(f"{context.config.name} serves on {host}:{port}{listener.log_suffix}")
     for subsystem in context.subsystems.values():
         subsystem.on_serving()
-    # Last: who is told that the node is ready may count on all of this.
+    # Last: a peer that sees the node ready relies on everything above.
     if context.destinations.version is None:
-        spawn_thread("first list", become_ready_with_list, context)
+        spawn_thread("await first endpoint list", become_ready_with_list, context)
     else:
         context.server.state.starting = False
 
 
 def load_persisted_endpoints(context: NodeContext) -> None:
-    """Begin with the list from before the start; one that cannot be read counts as none."""
+    """Adopt the list from before the start; a malformed one counts as none."""
     if not context.persisted_endpoints:
-        return  # its version would be one that discovery never gave
+        return  # an empty object would be adopted as version 0
     discovery = context.discovery
     try:
         discovery.adopt_list(discovery.api.read(context.persisted_endpoints, persisted=True))
@@ -60,7 +60,7 @@
 def wait_for_pushed_list(context: NodeContext) -> None:
     """Wait a moment for the list of an agent that pushes it.
 
-    Guards the first requests: what such an agent has counts from the first moment on.
+    The dispatcher must know such a list from its first request on.
     """
     if not context.config.settings.polls_endpoints:
         context.discovery.first_answer_received.wait(
@@ -69,7 +69,7 @@
 
 
 def become_ready_with_list(context: NodeContext) -> None:
-    """Wait for a list to serve from, or for a few seconds if none can be had; then be ready.
+    """Wait for the first endpoint list, for a few seconds at most; then become ready.
 
     Runs in a thread of its own.
     """
--- a/stepstream/node/subsystems.py
+++ b/stepstream/node/subsystems.py
@@ -1,7 +1,7 @@
-"""Which subsystems there are, and which of them a configuration enables.
+"""The list of subsystems, and the rule which of them a configuration enables.
 
-A subsystem is a package whose `subsystem` module has `create_subsystem`, and one line here. Its
-modules are imported only where it is enabled.
+A subsystem is a package whose module `subsystem` has the function `create_subsystem`, and one line
+here. Its modules are imported only if it is enabled.
 """
 
 from collections.abc import Iterator
@@ -28,18 +28,27 @@
 def enabled_subsystems(
     config: NodeConfig, operator: "OperatorConfig | None"
 ) -> Iterator[tuple[str, str]]:
-    """Give the key and the module of each enabled subsystem, in their order."""
+    """Yield the key and the module of each enabled subsystem, in their order.
+
+    The node's configuration enables the admin subsystem. A section of the operator's file enables
+    each other one.
+    """
     for key, module in SUBSYSTEM_MODULES.items():
         if key == ADMIN:
-            enabled = config.operator is not None
+            is_enabled = config.operator is not None
         else:
-            enabled = operator is not None and getattr(operator, key) is not None
-        if enabled:
+            is_enabled = operator is not None and has_section(operator, key)
+        if is_enabled:
             yield key, module
 
 
 def require_same_subsystems(old: "OperatorConfig", new: "OperatorConfig") -> None:
-    """Raise `ConfigurationError` if a section of the operator's file has come or gone."""
+    """Raise `ConfigurationError` if a section of the operator's file was added or removed."""
     for key in SUBSYSTEM_MODULES:
-        if key != ADMIN and (getattr(old, key) is None) != (getattr(new, key) is None):
+        if key != ADMIN and has_section(old, key) != has_section(new, key):
             raise ConfigurationError(f"{key} is switched on or off only with a restart")
+
+
+def has_section(operator: "OperatorConfig", key: str) -> bool:
+    """Return whether the operator's file has the section of a subsystem."""
+    return getattr(operator, key) is not None
