--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -20,7 +20,7 @@
     ShutdownStarted,
 )
 from stepstream.core.requests import Call
-from stepstream.model.actions import StartAttempt
+from stepstream.model.actions import Fail, Reject, StartAttempt
 from stepstream.model.endpoints import EndpointList, EndpointListKind
 from stepstream.model.events import AttemptResult, SettingsChanged
 from stepstream.model.settings import Settings
@@ -182,6 +182,13 @@
     assert commands == [Answer(second, Outcome.REJECTED, None, 5)]
 
 
+def test_a_second_answer_to_a_request_with_an_open_call_is_dropped():
+    harness = DispatcherHarness()
+    received, _ = harness.receive()
+    commands = harness.decide(Fail("aa"), Reject("aa", 5))
+    assert commands == [Answer(received, Outcome.FAILED)]
+
+
 # -- faults -------------------------------------------------------------------------------------
 
 
--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -9,7 +9,7 @@
 
 import pytest
 from inbound_helpers import ServerHarness, serve
-from net_helpers import job_bytes
+from net_helpers import LIMITS, job_bytes
 from node_helpers import PATIENCE, ask, wait_for
 
 from stepstream.config.limits import Limits, Timeouts
@@ -130,6 +130,18 @@
         assert ask(0, b"", self.peer).status == 200
 
 
+def test_a_shutdown_waits_for_an_idle_client_until_connections_close():
+    client = IdleClient()
+    assert client.connection.busy()
+    client.harness.server.state.closing = True
+    assert not client.connection.busy()
+    client.harness.server.close_idle()
+    assert client.connection.busy()  # for the peer's end
+    client.connection.phase_started_at_seconds -= LIMITS.timeouts.close_grace_seconds
+    assert not client.connection.busy()
+    client.peer.close()
+
+
 CLOSES = {
     "shutdown": lambda client: client.harness.server.close_idle(),
     "timeout": lambda client: client.connection.enforce_timeouts(time.monotonic() + 1000.0),
--- a/tests/http/test_exchange.py
+++ b/tests/http/test_exchange.py
@@ -1,5 +1,6 @@
 """An exchange with a worker as a state machine, by random steps against a model of its states."""
 
+import pytest
 from hypothesis import strategies as st
 from net_helpers import LIMITS
 from walk import walks
@@ -69,3 +70,23 @@
     answer=st.sampled_from(list(ANSWERS)),
     lose_connection=st.booleans(),
 )
+
+
+KEPT = write_answer(202)
+
+
+@pytest.mark.parametrize(
+    ("is_written", "answer", "reusable"),
+    [
+        (True, KEPT, True),
+        (True, write_answer(202, close=True), False),
+        (True, KEPT + b"H", False),  # a part of a second answer
+        (False, KEPT, False),
+    ],
+)
+def test_a_connection_is_reusable_only_between_two_messages(is_written, answer, reusable):
+    exchange = HttpExchange(LIMITS)
+    if is_written:
+        exchange.mark_request_written()
+    exchange.receive(answer)
+    assert exchange.connection_reusable == reusable
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -3,12 +3,14 @@
 import contextlib
 import time
 
+import pytest
 from inbound_helpers import NOTIFICATION, READINESS_CHECK, WORKER_HOST, ServerHarness, serve
 from net_helpers import job_bytes
 from node_helpers import PATIENCE, ask, wait_for
 
 from stepstream.config.limits import ConnectionLimits, Limits, Timeouts
 from stepstream.core.events import RequestReceived
+from stepstream.http.server import is_budget_spent
 
 
 def test_over_budget_a_connection_gets_503_at_once_and_open_requests_stay():
@@ -44,6 +46,31 @@
         assert ask(harness.port, b"").status == 503
 
 
+@pytest.mark.parametrize(
+    ("open_count", "external_count", "evicted_count", "is_external", "spent"),
+    [
+        (9, 5, 0, False, False),
+        (10, 5, 0, False, True),
+        (9, 7, 0, True, False),
+        (9, 8, 0, True, True),  # the last two connections are for workers
+        (9, 8, 0, False, False),
+        (8, 0, 5, False, True),  # descriptors that are not closed yet
+        (8, 0, 4, False, False),
+    ],
+)
+def test_the_budget_counts_external_and_evicted_connections(
+    open_count, external_count, evicted_count, is_external, spent
+):
+    budget = ConnectionLimits(inbound=10, reserved_for_workers=2, evicted_unclosed=3)
+    assert spent == is_budget_spent(
+        budget,
+        open_count=open_count,
+        external_count=external_count,
+        evicted_count=evicted_count,
+        is_external=is_external,
+    )
+
+
 def test_a_flood_of_silent_connections_keeps_out_neither_notifications_nor_clients():
     harness = ServerHarness(
         Limits(
