--- a/stepstream/core/dispatcher.py
+++ b/stepstream/core/dispatcher.py
@@ -94,18 +94,20 @@
     def handle(self, now_us: int, events: list[Event]) -> list[Command]:
         """Run one round: due timers, then events, then the policy until no policy event is left."""
         for timer in self._timers.pop_due(now_us):
-            self._run_guarded("on_timer", self._timer_handler.handle, now_us, timer)
+            self._run_guarded("timer handling", self._timer_handler.handle, now_us, timer)
         for event in events:
-            self._run_guarded("on_event", self._route, now_us, event)
+            self._run_guarded("event handling", self._route, now_us, event)
         # An action may end a call at once. That is a new event for the policy.
         while self._output.policy_events:
             policy_events = self._output.take_policy_events()
-            actions = self._run_guarded("handle", self.load_balancer.handle, now_us, policy_events)
+            actions = self._run_guarded(
+                "policy decisions", self.load_balancer.handle, now_us, policy_events
+            )
             if actions is None:
                 self._fail_new_requests(policy_events)
                 continue
             for action in actions:
-                self._run_guarded("on_action", self._action_handler.handle, now_us, action)
+                self._run_guarded("action handling", self._action_handler.handle, now_us, action)
         return self._output.take_commands()
 
     def _run_guarded(
