--- a/tests/http/test_platform_api.py
+++ b/tests/http/test_platform_api.py
@@ -75,15 +75,15 @@
     assert fault.value.status == status
 
 
-def read_news(body, method="POST"):
+def read_notification_body(body, method="POST"):
     return worker_api.read_notification(Message(method, worker_api.NOTIFICATION_PATH, body=body))
 
 
 def test_a_notification_is_read_and_an_unknown_status_is_ignored():
-    assert read_news(b'{"id":"a","from":"s","state":"done","result":"r"}') == JobNotification(
-        "a", "s", JobStatus.DONE, "r"
-    )
-    assert read_news(b'{"id":"a","from":"s","state":"dancing"}') is None
+    assert read_notification_body(
+        b'{"id":"a","from":"s","state":"done","result":"r"}'
+    ) == JobNotification("a", "s", JobStatus.DONE, "r")
+    assert read_notification_body(b'{"id":"a","from":"s","state":"dancing"}') is None
 
 
 @pytest.mark.parametrize(
@@ -91,7 +91,7 @@
 )
 def test_a_malformed_notification_is_a_400(body):
     with pytest.raises(ProtocolError) as fault:
-        read_news(body)
+        read_notification_body(body)
     assert fault.value.status == 400
 
 
--- a/tests/http/test_poll_schedule.py
+++ b/tests/http/test_poll_schedule.py
@@ -10,7 +10,7 @@
 
 KNOWN_BY_SECONDS = 6.0  # after discovery had a change and could be reached
 DRAIN_GRACE_SECONDS = 0.5  # the drain grace of the platform's days
-QUEUE_TIMEOUT_SECONDS = 2.0  # discovery fails a call that has waited for so long
+QUEUE_TIMEOUT_SECONDS = 2.0  # discovery fails a queued call after this time
 ROUND_TRIP_SECONDS = 0.3  # of a call that is answered at once
 LIST_COST_SECONDS = 0.5  # discovery's work for a complete list
 MEAN_JITTER = 0.75
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("dispatcher_count", range(1, 9))
-def test_a_fleet_whose_calls_all_fail_asks_for_less_than_discovery_serves(dispatcher_count):
+def test_a_fleet_whose_calls_all_fail_calls_less_often_than_discovery_serves(dispatcher_count):
     """Each makes a call that waits for 2 s and a pause; a complete list is half a second of work."""
     schedule = schedule_of(dispatcher_count)
     pauses = [schedule.pause_after_failure_seconds() * MEAN_JITTER for _ in range(20)]
--- a/tests/node/test_decision_thread.py
+++ b/tests/node/test_decision_thread.py
@@ -22,7 +22,7 @@
 
 
 class RecordingCarrier:
-    """Records what it is asked to do."""
+    """Records the calls and health checks that it gets."""
 
     def __init__(self):
         self.calls = []
@@ -38,16 +38,16 @@
 
 
 class RecordingSink:
-    """Records what a request's origin is told."""
+    """Records the answers and the progress of a request."""
 
     def __init__(self):
-        self.told = []
+        self.received = []
 
     def answer(self, answer):
-        self.told.append(answer)
+        self.received.append(answer)
 
     def progress(self, done, of):
-        self.told.append((done, of))
+        self.received.append((done, of))
 
 
 @pytest.fixture
@@ -101,7 +101,7 @@
     answer = Answer(request, Outcome.SERVED, b"1")
     node.decision_thread.execute(Progress(request, 1, 2))
     node.decision_thread.execute(answer)
-    assert request.response_sink.told == [(1, 2), answer]
+    assert request.response_sink.received == [(1, 2), answer]
     assert node.decision_thread.outcome_counts == {
         Outcome.SERVED: 1,
         Outcome.REJECTED: 0,
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -47,7 +47,7 @@
     made.discovery.sock.close()
 
 
-def test_a_job_is_served_with_what_the_worker_gave_though_news_precedes_the_202(world):
+def test_a_job_is_served_with_what_the_worker_gave_though_its_notification_precedes_the_202(world):
     answer = ask(world.port, job_bytes(body=b"payload"))
     assert (answer.status, answer.body) == (200, b"17.5")
     (job,) = world.jobs()
@@ -95,7 +95,7 @@
     wait_for(lambda: [m.target for m in world.worker.seen if m.method == "DELETE"] == ["/jobs/0b"])
 
 
-def test_full_is_tried_again_and_an_error_of_a_keyed_job_is_not_called_harmless(world):
+def test_a_full_worker_is_retried_and_an_error_of_a_job_with_a_key_proves_nothing(world):
     world.worker_answers += [write_answer(503, headers={"Not-Started": "1"})]
     assert ask(world.port, job_bytes(name="0c", path="/nav-publish")).status == 200
     world.worker_answers += [write_answer(500)] * 4
@@ -163,7 +163,7 @@
     assert not stop.is_alive()
 
 
-def test_a_reload_asks_the_new_discovery_and_keeps_what_is_open(world):
+def test_a_reload_polls_the_new_discovery_and_keeps_open_requests(world):
     world.hold_jobs.set()
     new = Server(world.on_discovery)
     with socket.create_connection(("127.0.0.1", world.port), timeout=PATIENCE) as peer:
@@ -250,7 +250,7 @@
         raise Empty
 
 
-def test_sigterm_is_heard_within_a_short_wait_where_it_does_not_cut_the_wait_short(monkeypatch):
+def test_sigterm_is_handled_soon_even_if_it_does_not_interrupt_the_wait(monkeypatch):
     node = Node(config_from(CONFIG, {}))
     node.signals = Signals(after=3)
     rounds, stopped = [], []
@@ -308,8 +308,8 @@
 
 
 @pytest.mark.parametrize("lists", ["automatic", "subscribe"])
-def test_a_start_is_not_ready_before_it_has_the_list_that_counts_as_told(lists):
-    """Pushed: what the agent holds counts from the first moment. Asked: with no list nobody can be served."""
+def test_a_start_is_not_ready_before_it_has_the_first_list(lists):
+    """Pushed: the agent's list counts from the first request on. Polled: without a list there are no workers."""
     answer = threading.Event()
     drained = {"id": "s-1", "addr": "127.0.0.1:1", "state": "draining", "zone": "ruzinov"}
 
