--- a/stepstream/config/errors.py
+++ b/stepstream/config/errors.py
@@ -2,7 +2,7 @@
 
 
 class ConfigurationError(Exception):
-    """A value is missing, cannot be read or cannot be had.
+    """A value is missing or cannot be read, or what it names cannot be opened.
 
     The text begins with the value's key as the operator wrote it, and ends with the expected form.
     `serve` and `check-config` print it as one line and exit with status 2.
--- a/stepstream/config/fields.py
+++ b/stepstream/config/fields.py
@@ -21,8 +21,8 @@
 class SettingsFields:
     """The name=value pairs of one message, each read as the type that its reader expects.
 
-    Pairs that nobody reads are ignored. Every method raises `ConfigurationError`, which names the
-    key, for a value that is missing without a default or not of the expected form.
+    Pairs that no reader takes are ignored. Every method raises `ConfigurationError`, which names
+    the key, for a value that is missing without a default or not of the expected form.
     """
 
     def __init__(self, parts: list[str]) -> None:
@@ -70,18 +70,18 @@
             raise ConfigurationError(f"{name}={value} is not a finite number")
         return number
 
-    def integer_at_least(self, name: str, least: int, default: int | None = None) -> int:
-        """Read a whole number that must not be below `least`."""
+    def integer_at_least(self, name: str, minimum: int, default: int | None = None) -> int:
+        """Read a whole number that must not be below `minimum`."""
         value = self.integer(name, default)
-        if value < least:
-            raise ConfigurationError(f"{name}={value} must be at least {least}")
+        if value < minimum:
+            raise ConfigurationError(f"{name}={value} must be at least {minimum}")
         return value
 
-    def number_between(self, name: str, low: float, high: float, default: float) -> float:
-        """Read a number from `low` to `high`, both included."""
+    def number_between(self, name: str, minimum: float, maximum: float, default: float) -> float:
+        """Read a number from `minimum` to `maximum`, both included."""
         value = self.number(name, default)
-        if not low <= value <= high:
-            raise ConfigurationError(f"{name}={value} is not between {low:g} and {high:g}")
+        if not minimum <= value <= maximum:
+            raise ConfigurationError(f"{name}={value} is not between {minimum:g} and {maximum:g}")
         return value
 
     def positive_number(self, name: str, default: float) -> float:
@@ -101,7 +101,7 @@
         raise ConfigurationError(f"{name}={value} is not a truth value (true or false)")
 
     def choice(self, name: str, meanings: Mapping[str, Value], default: str | None = None) -> Value:
-        """Read one of the words that `meanings` lists, as what it means there."""
+        """Read one of the words that `meanings` lists; return its meaning."""
         value = self.text(name, default)
         if value not in meanings:
             raise ConfigurationError(f"{name}={value} is not known ({', '.join(meanings)} are)")
@@ -122,7 +122,7 @@
 
 
 def flatten(value: object, path: str, pairs: dict[str, str]) -> dict[str, str]:
-    """Add a nested JSON value to `pairs` as the wire's dotted names, below `path`; give `pairs`.
+    """Add a nested JSON value to `pairs` as the wire's dotted names, below `path`; return `pairs`.
 
     A list of plain values becomes one comma-separated value, a list with objects in it becomes
     `path.count` and `path.0`, `path.1`, ...; null is left out.
@@ -154,3 +154,16 @@
 def scalar_text(value: object) -> str:
     """Write a JSON scalar as the wire does: `true` and `false` in lower case."""
     return str(value).lower() if isinstance(value, bool) else str(value)
+
+
+def split_address(text: str) -> tuple[str, int]:
+    """Split HOST:PORT, whose form has been checked."""
+    host, _, port = text.rpartition(":")
+    return host, int(port)
+
+
+def parse_whole_number(text: str, max_digits: int) -> int | None:
+    """Return the number that 1 to `max_digits` ASCII digits spell; None for any other text."""
+    if not (text.isascii() and text.isdigit() and len(text) <= max_digits):
+        return None
+    return int(text)
--- a/stepstream/config/limits.py
+++ b/stepstream/config/limits.py
@@ -1,9 +1,8 @@
 """Every size, count and time limit of the dispatcher, by concern.
 
 The main thread derives the limits from the configuration, at the start and at a reload, and hands
-them down; they are immutable, so any thread may read them. What a limit protects, or what happens
-beyond it, stands beside it. Nobody compares or prints limits, so no methods are generated for
-that: they would lengthen every start.
+them down. They are immutable, so any thread may read them. Nobody compares or prints limits, so no
+methods are generated for that: they would lengthen every start.
 """
 
 from dataclasses import dataclass, field
@@ -12,23 +11,41 @@
 
 KIB = 1024
 MIB = 1024 * KIB
+MICROSECONDS_PER_SECOND = 1e6
 
-# How memory and descriptors are divided.
-RESERVED_MEMORY_MB = 20  # for the program itself, before any connection
-LEAST_CONNECTION_MEMORY_MB = 4
-CONNECTION_KIB = 128  # an inbound connection with its thread, about
-LEAST_CONNECTIONS = 4
-# Descriptors beside the connections counted below: listeners, files, connections being closed.
+# Division of the memory.
+PROGRAM_MEMORY_MB = 20
+MIN_CONNECTION_MEMORY_MB = 4
+CONNECTION_MEMORY_KIB = 128  # the stack and buffers of a connection's thread
+GEARMAN_JOBS_PER_MEMORY_MB = 20
+MIN_GEARMAN_JOBS = 100
+MEMORY_MB_PER_GEARMAN_WORKLOAD_MB = 6
+
+# Division of the file descriptors.
 MAX_UNASSIGNED_DESCRIPTORS = 64
-MAX_RESERVED_FOR_WORKERS = 48
+UNASSIGNED_DESCRIPTOR_FRACTION = 0.25  # for listeners, files and connections that are closing
+EVICTED_UNCLOSED_FRACTION_OF_UNASSIGNED = 0.5
+LINGERING_FRACTION_OF_UNASSIGNED = 0.25
+INBOUND_CONNECTIONS_PER_OUTBOUND = 2
+MIN_CONNECTIONS_PER_DIRECTION = 4
+MAX_CONNECTIONS_RESERVED_FOR_WORKERS = 48
+RESERVED_FOR_WORKERS_FRACTION_OF_INBOUND = 0.25
+GEARMAN_WORKER_FRACTION_OF_INBOUND = 0.5
+# Below 1: notifications may come from hosts that discovery does not name.
+OPEN_REQUEST_FRACTION_OF_CLIENT_CONNECTIONS = 0.9375
+MIN_CALL_THREADS = 2
 MAX_CALL_THREADS = 200
-LEAST_CALL_THREADS = 2
-GEARMAN_JOBS_PER_MB = 20
-LEAST_GEARMAN_JOBS = 100
-# Fraction of a worker's idle timeout after which an idle connection to it is not used again.
-OUTBOUND_IDLE_FRACTION = 0.5
-LEAST_SHUTDOWN_SECONDS = 0.4
-MICROSECONDS = 1e6
+
+# A request must not cross the worker's closing of an idle connection.
+OUTBOUND_IDLE_FRACTION_OF_WORKER_TIMEOUT = 0.5
+
+# Division of the time between SIGTERM and the platform's kill, which comes after the longest
+# deadline and a grace period.
+MAX_DEADLINE_BEFORE_KILL_SECONDS = 3.0
+KILL_GRACE_SECONDS = 0.7
+ANSWERING_END_BEFORE_KILL_SECONDS = 0.3
+SERVING_END_BEFORE_KILL_SECONDS = 1.5
+MIN_SHUTDOWN_PHASE_SECONDS = 0.4
 
 
 @dataclass(frozen=True, eq=False, repr=False)
@@ -36,14 +53,14 @@
     """Sizes in bytes."""
 
     head_bytes: int = 16 * KIB  # a message's first line and headers
-    body_bytes: int = 64 * KIB  # the platform's bound for a body
-    endpoint_list_bytes: int = 4 * MIB  # discovery's answers
+    body_bytes: int = 64 * KIB  # the platform's own bound
+    endpoint_list_bytes: int = 4 * MIB  # an answer of discovery
     chunk_line_bytes: int = 256  # the line before a chunk
     read_bytes: int = 16 * KIB  # one read from a socket
     thread_stack_bytes: int = 256 * KIB  # ujson needs most of it for deep nesting
-    unsent_bytes: int = 1 * MIB  # that wait for one peer to take them; with more it is closed
-    admin_body_bytes: int = 64 * KIB  # of an admin request, or of a forwarded notification
-    handover_bytes: int = 1 * MIB  # the state of a hot restart; more is not read
+    unsent_bytes: int = 1 * MIB  # a peer with more of them is closed
+    admin_body_bytes: int = 64 * KIB  # an admin request, or a forwarded notification
+    handover_bytes: int = 1 * MIB  # the state file of a hot restart; the rest is not read
 
 
 @dataclass(frozen=True, eq=False, repr=False)
@@ -53,17 +70,18 @@
     packet_bytes: int = 72 * KIB  # a body and its names
     text_line_bytes: int = 1024  # a text command
     unique_id_bytes: int = 256
-    # WORK_DATA and WORK_WARNING of one job, buffered until its outcome
+    # WORK_DATA and WORK_WARNING of one job, buffered until its outcome.
     partial_result_bytes: int = 256 * KIB
-    in_flight_workload_bytes: int = 32 * MIB  # workloads of all open jobs
+    in_flight_workload_bytes: int = 32 * MIB  # the workloads of all open jobs
     workers: int = 250
     functions_per_worker: int = 256
-    errors_per_connection: int = 16  # of one connection, before it is closed
+    errors_per_connection: int = 16  # the connection ends with the last of them
     open_jobs: int = 4000  # each costs a few KiB beside its workload
-    # registrations and text commands of one peer before each costs it a pause
+    # Registrations and text commands that one peer may send in a burst.
     registration_changes: int = 300
-    registration_change_pause_seconds: float = 0.01  # between two of a slowed peer
-    core_backlog_events: int = 64  # events queued for the core; with more, clients are not read
+    registration_change_pause_seconds: float = 0.01  # between two after the burst
+    # Submissions are not read while more events wait for the core.
+    core_backlog_events: int = 64
     core_backlog_check_seconds: float = 0.005  # between two checks of that backlog
 
 
@@ -73,18 +91,17 @@
 
     inbound: int = 500  # connections of clients and workers, one thread each
     outbound: int = 350  # connections to workers, idle ones included
-    reserved_for_workers: int = MAX_RESERVED_FOR_WORKERS  # of the inbound ones
-    # a few fewer than the others: notifications may come from hosts that discovery does not name
+    reserved_for_workers: int = MAX_CONNECTIONS_RESERVED_FOR_WORKERS  # of the inbound ones
     open_requests: int = 430
     call_threads: int = MAX_CALL_THREADS  # outbound calls between their start and their 202
-    # evicted connections that their threads have yet to close; with more, new ones are rejected
+    # Evicted connections that their threads have yet to close; beyond, new ones are rejected.
     evicted_unclosed: int = 32
-    lingering: int = 16  # connections shut down here that are closed a while later
-    evictions_at_once: int = 32  # connections that one shortage may evict
+    lingering: int = 16  # rejected connections that wait for their peer to close
+    evictions_at_once: int = 32  # for one shortage
     slow_writer_threads: int = 8  # for answers that a slow client does not take at once
     listen_backlog: int = 1024
-    admin: int = 32  # admin requests open at once; the oldest unfinished one is evicted
-    forwarder_threads: int = 4  # that forward notifications to the sibling process
+    admin: int = 32  # connections to the admin listener
+    forwarder_threads: int = 4  # for notifications to the sibling process
 
 
 @dataclass(frozen=True, eq=False, repr=False)
@@ -93,30 +110,32 @@
 
     accept_retry_seconds: float = 0.01  # after a failed accept
     connect_seconds: float = 0.25
-    write_seconds: float = 2.0  # a peer that takes nothing for so long is given up
-    first_message_seconds: float = 2.0  # from the connect on, on a new connection
+    write_seconds: float = 2.0  # a peer that takes no byte meanwhile is closed
+    first_message_seconds: float = 2.0  # on a new connection, from the connect on
     message_seconds: float = 2.0  # a later message, from its first byte to its last
-    linger_seconds: float = 2.0  # after the last answer, for the peer to close
-    inbound_idle_seconds: float = 120.0  # of a connection that has brought jobs or notifications
-    # a new connection without a complete message is the next to be evicted by then
+    linger_seconds: float = 2.0  # from the last answer until the peer closes
+    # A connection that has brought jobs or notifications.
+    inbound_idle_seconds: float = 120.0
+    # A new connection without a complete message is then the next to be evicted.
     unproven_seconds: float = 1.0
     rejected_linger_seconds: float = 1.0
-    # after a shutdown of a connection: for the peer's bytes on their way, and its end
+    # After a shutdown of a connection: the peer's bytes and its own close are under way.
     close_grace_seconds: float = 0.3
-    evictable_idle_seconds: float = 0.05  # quiet for so long, an inbound connection may be evicted
-    # well before the worker closes: a request must not cross its closing
+    evictable_idle_seconds: float = 0.05  # an inbound connection may then be evicted
+    # Well before the worker closes: a request must not cross its closing.
     outbound_idle_seconds: float = 5.0
     outbound_reuse_delay_seconds: float = 0.05  # from an answer to the connection's next call
-    call_queue_seconds: float = 0.3  # a call not begun by then ends as not sent
-    call_answer_seconds: float = 30.0  # backstop of a read; the core ends calls long before
-    # from an answer's first byte to its last; each read extends the next one's bound
+    call_queue_seconds: float = 0.3  # a call that has not begun by then ends as not sent
+    call_answer_seconds: float = 30.0  # a backstop: the core ends calls long before
+    # From an answer's first byte to its last; each read extends the bound of the next one.
     answer_body_seconds: float = 1.0
     cancel_answer_seconds: float = 1.0
     health_check_seconds: float = 1.0
-    admin_poll_seconds: float = 0.05  # the admin listener checks its timers at least so often
-    admin_request_seconds: float = 5.0  # for a complete admin request; callers may take 4 s
+    admin_poll_seconds: float = 0.05  # longest wait of the admin listener between two turns
+    admin_request_seconds: float = 5.0  # from the connect on; callers may take 4 s
     forward_seconds: float = 0.5  # for the sibling process to take a forwarded notification
-    # after /healthcheck/fail: the front goes on sending for 0.2 s after its first refusal
+    # From /healthcheck/fail on. The front in front of the dispatcher goes on sending for 0.2 s
+    # after its first failed health check.
     drain_close_seconds: float = 0.5
 
 
@@ -124,30 +143,22 @@
 class StartupTimeouts:
     """How long a start waits for a first endpoint list, in seconds."""
 
-    first_endpoint_list_seconds: float = 6.0  # then the node is ready without a list
-    # for an agent beside the node that pushes lists, before clients are listened to
+    first_endpoint_list_seconds: float = 6.0  # the node is then ready without a list
+    # For an agent beside the node that pushes lists. The clients' listener opens afterwards.
     first_agent_list_seconds: float = 0.6
 
 
 @dataclass(frozen=True, eq=False, repr=False)
 class ShutdownTimeouts:
-    """Times of a shutdown after SIGTERM, in seconds.
-
-    The platform kills a stopped dispatcher after the longest deadline, taken as at most
-    `longest_deadline_seconds`, and `kill_grace_seconds` more.
-    """
-
-    longest_deadline_seconds: float = 3.0
-    kill_grace_seconds: float = 0.7
-    answer_margin_seconds: float = 0.3  # everything is answered so long before the kill
-    close_margin_seconds: float = 1.5  # clients' connections close so long before the kill
-    # The following count from SIGTERM on.
-    serving_seconds: float = 2.2  # clients are served on their open connections for so long
-    answering_seconds: float = 3.4  # everything is answered by then
-    arrivals_seconds: float = 0.4  # the front opens new connections for so long at most
-    quiet_seconds: float = 0.3  # nothing owed for so long means that the front has noticed
-    least_seconds: float = 0.8  # the process does not end sooner, however quiet it is
-    longest_seconds: float = 60.0  # the process ends then, whatever is owed
+    """Times of a shutdown in seconds; they count from SIGTERM unless the comment says otherwise."""
+
+    serving_seconds: float = 2.2  # clients are served on their open connections until then
+    answering_seconds: float = 3.4  # every request is answered by then
+    arrivals_seconds: float = 0.4  # the front opens no new connection afterwards
+    # Without an owed answer during this time, the front has noticed the shutdown.
+    quiet_seconds: float = 0.3
+    min_seconds: float = 0.8  # the process does not end sooner, however quiet it is
+    max_seconds: float = 60.0  # the process ends then, whatever is owed
     poll_seconds: float = 0.02  # between two checks of what is owed
 
 
@@ -156,21 +167,21 @@
     """Periods and batch sizes of the decision thread and of the main thread."""
 
     timer_tick_us: int = 2_000  # resolution of the timer wheel
-    # calls time out so long before the deadline: an answer takes time to write
+    # Calls time out earlier than the deadline: an answer takes time to write.
     answer_margin_us: int = 4_000
-    longest_wait_seconds: float = 0.5  # of the decision thread, for an event or a timer
+    max_wait_seconds: float = 0.5  # of the decision thread, for an event or a timer
     event_batch: int = 256  # events that the core takes at a time
-    sweep_seconds: float = 0.5  # between two runs of the main thread's periodic tasks
-    # the main thread's longest wait: a signal is handled by then at the latest
+    periodic_tasks_seconds: float = 0.5  # between two runs of the main thread's periodic tasks
+    # The main thread's longest wait: a signal is handled by then at the latest.
     signal_wait_seconds: float = 0.05
     status_period_seconds: float = 60.0  # between two status lines in the log
 
 
 @dataclass(frozen=True, eq=False, repr=False)
 class LogLimits:
-    """Rate limit of the log lines on one sort of input that cannot be read."""
+    """Rate limit of the log lines on one category of input that cannot be read."""
 
-    lines_per_period: int = 10  # further ones are counted, and the next line says how many
+    lines_per_period: int = 10  # the next line counts those that were suppressed
     period_seconds: float = 10.0
 
 
@@ -190,59 +201,97 @@
 
 def limits_for(config: NodeConfig) -> Limits:
     """Derive the limits of a dispatcher from its configured memory, descriptors and settings."""
+    settings = config.settings
     connections = connection_limits(config.sockets, config.memory_mb)
-    worker_idle_seconds = config.settings.worker_idle_timeout_us / MICROSECONDS
+    longest_deadline_us = max(job_class.deadline_us for job_class in settings.classes)
     return Limits(
-        gearman=gearman_limits(config.memory_mb, connections),
+        gearman=gearman_limits(config.memory_mb, connections.inbound),
         connections=connections,
         timeouts=Timeouts(
-            connect_seconds=config.settings.connect_timeout_us / MICROSECONDS,
-            outbound_idle_seconds=worker_idle_seconds * OUTBOUND_IDLE_FRACTION,
+            connect_seconds=settings.connect_timeout_us / MICROSECONDS_PER_SECOND,
+            outbound_idle_seconds=outbound_idle_seconds(settings.worker_idle_timeout_us),
         ),
-        shutdown=shutdown_timeouts(config),
+        shutdown=shutdown_timeouts(longest_deadline_us / MICROSECONDS_PER_SECOND),
     )
 
 
 def connection_limits(descriptors: int, memory_mb: int) -> ConnectionLimits:
-    """Divide the descriptors between inbound and outbound connections, within the memory."""
-    unassigned = min(MAX_UNASSIGNED_DESCRIPTORS, descriptors // 4)
+    """Divide the file descriptors between inbound and outbound connections, within the memory.
+
+    `descriptors` counts those that the process may open; `memory_mb` is its memory in MiB. Some
+    descriptors stay unassigned, so that an accept, a file or an evicted connection still finds one.
+    Some inbound connections are reserved for workers, because a client waits for their
+    notifications. Without these bounds a flood of connections ends every accept and every call.
+    """
+    unassigned = min(MAX_UNASSIGNED_DESCRIPTORS, int(descriptors * UNASSIGNED_DESCRIPTOR_FRACTION))
     assigned = descriptors - unassigned
-    connection_memory_mb = max(memory_mb - RESERVED_MEMORY_MB, LEAST_CONNECTION_MEMORY_MB)
-    by_memory = connection_memory_mb * KIB // CONNECTION_KIB
-    inbound = max(min(assigned * 2 // 3, by_memory), LEAST_CONNECTIONS)
-    outbound = max(min(assigned - inbound, by_memory), LEAST_CONNECTIONS)
-    reserved_for_workers = min(MAX_RESERVED_FOR_WORKERS, inbound // 4)
+    fitting_memory = connections_in_memory(memory_mb)
+    inbound_descriptors = (
+        assigned * INBOUND_CONNECTIONS_PER_OUTBOUND // (INBOUND_CONNECTIONS_PER_OUTBOUND + 1)
+    )
+    inbound = max(min(inbound_descriptors, fitting_memory), MIN_CONNECTIONS_PER_DIRECTION)
+    outbound = max(min(assigned - inbound, fitting_memory), MIN_CONNECTIONS_PER_DIRECTION)
+    reserved_for_workers = min(
+        MAX_CONNECTIONS_RESERVED_FOR_WORKERS,
+        int(inbound * RESERVED_FOR_WORKERS_FRACTION_OF_INBOUND),
+    )
     return ConnectionLimits(
         inbound=inbound,
         outbound=outbound,
         reserved_for_workers=reserved_for_workers,
-        open_requests=max((inbound - reserved_for_workers) * 15 // 16, 1),
-        evicted_unclosed=unassigned // 2,
-        lingering=unassigned // 4,
-        call_threads=max(min(MAX_CALL_THREADS, outbound), LEAST_CALL_THREADS),
+        open_requests=max_open_requests(inbound - reserved_for_workers),
+        evicted_unclosed=int(unassigned * EVICTED_UNCLOSED_FRACTION_OF_UNASSIGNED),
+        lingering=int(unassigned * LINGERING_FRACTION_OF_UNASSIGNED),
+        call_threads=max(min(MAX_CALL_THREADS, outbound), MIN_CALL_THREADS),
     )
 
 
-def gearman_limits(memory_mb: int, connections: ConnectionLimits) -> GearmanLimits:
-    """Bound Gearman's workers by the connections, its jobs by the memory."""
+def connections_in_memory(memory_mb: int) -> int:
+    """Return how many connections the memory in MiB holds beside the program itself."""
+    connection_memory_mb = max(memory_mb - PROGRAM_MEMORY_MB, MIN_CONNECTION_MEMORY_MB)
+    return connection_memory_mb * KIB // CONNECTION_MEMORY_KIB
+
+
+def max_open_requests(client_connections: int) -> int:
+    """Return the bound of open requests, a little below the connections that clients may use."""
+    return max(int(client_connections * OPEN_REQUEST_FRACTION_OF_CLIENT_CONNECTIONS), 1)
+
+
+def gearman_limits(memory_mb: int, inbound_connections: int) -> GearmanLimits:
+    """Bound Gearman's workers by the inbound connections, its jobs by the memory in MiB.
+
+    Workers hold their connections for hours, so that they may take only a part of them. Open jobs
+    and their workloads stay in memory until their outcome.
+    """
+    workload_mb = max(memory_mb // MEMORY_MB_PER_GEARMAN_WORKLOAD_MB, 1)
     return GearmanLimits(
-        workers=max(connections.inbound // 2, 1),
-        in_flight_workload_bytes=max(memory_mb // 6, 1) * MIB,
-        open_jobs=max(memory_mb * GEARMAN_JOBS_PER_MB, LEAST_GEARMAN_JOBS),
+        workers=max(int(inbound_connections * GEARMAN_WORKER_FRACTION_OF_INBOUND), 1),
+        in_flight_workload_bytes=workload_mb * MIB,
+        open_jobs=max(memory_mb * GEARMAN_JOBS_PER_MEMORY_MB, MIN_GEARMAN_JOBS),
     )
 
 
-def shutdown_timeouts(config: NodeConfig) -> ShutdownTimeouts:
-    """Fit the shutdown between SIGTERM and the platform's kill."""
-    defaults = ShutdownTimeouts()
-    longest_deadline_us = max(job_class.deadline_us for job_class in config.settings.classes)
-    longest_deadline_seconds = min(
-        longest_deadline_us / MICROSECONDS, defaults.longest_deadline_seconds
-    )
-    killed_at = longest_deadline_seconds + defaults.kill_grace_seconds  # seconds after SIGTERM
-    serving_seconds = killed_at - defaults.close_margin_seconds
-    answering_seconds = killed_at - defaults.answer_margin_seconds
+def outbound_idle_seconds(worker_idle_timeout_us: int) -> float:
+    """Return after how many seconds an idle connection to a worker is not used again.
+
+    `worker_idle_timeout_us` is when the worker closes it, in microseconds.
+    """
+    worker_idle_seconds = worker_idle_timeout_us / MICROSECONDS_PER_SECOND
+    return worker_idle_seconds * OUTBOUND_IDLE_FRACTION_OF_WORKER_TIMEOUT
+
+
+def shutdown_timeouts(longest_deadline_seconds: float) -> ShutdownTimeouts:
+    """Fit the shutdown between SIGTERM and the platform's kill.
+
+    The platform kills a stopped dispatcher after the longest deadline of a job class, given in
+    seconds and taken as `MAX_DEADLINE_BEFORE_KILL_SECONDS` at most, and a grace period. An answer
+    that is not written by then is lost.
+    """
+    waited_seconds = min(longest_deadline_seconds, MAX_DEADLINE_BEFORE_KILL_SECONDS)
+    killed_at_seconds = waited_seconds + KILL_GRACE_SECONDS
+    serving_seconds = killed_at_seconds - SERVING_END_BEFORE_KILL_SECONDS
+    answering_seconds = killed_at_seconds - ANSWERING_END_BEFORE_KILL_SECONDS
     return ShutdownTimeouts(
-        serving_seconds=max(serving_seconds, LEAST_SHUTDOWN_SECONDS),
-        answering_seconds=max(answering_seconds, LEAST_SHUTDOWN_SECONDS),
+        serving_seconds=max(serving_seconds, MIN_SHUTDOWN_PHASE_SECONDS),
+        answering_seconds=max(answering_seconds, MIN_SHUTDOWN_PHASE_SECONDS),
     )
--- a/stepstream/config/node_config.py
+++ b/stepstream/config/node_config.py
@@ -15,9 +15,9 @@
 from stepstream.config.settings_reader import read_settings
 from stepstream.model.settings import Settings
 
-# Keys of the file that are read here; `settings` and `known` are read apart.
+# Keys of the file that become pairs; `settings` and `known` are read on their own.
 OWN_KEYS = ("name", "listen", "discovery", "operator", "seed", "limits")
-# Those that an environment variable (EDGE_NAME, ...) supplies where the file leaves them out.
+# An environment variable (EDGE_NAME and so on) supplies these where the file leaves them out.
 ENVIRONMENT_KEYS = ("name", "listen", "discovery", "operator")
 
 JsonObject = dict[str, Any]
@@ -30,14 +30,14 @@
     name: str
     listen: tuple[str, int]  # where clients connect
     discovery: tuple[str, int]
-    seed: int  # of the load balancer's random draws, of poll times and of the staleness detector
+    seed: int  # of the load balancer, the poll times and the staleness detector
     cores: float
     memory_mb: int
     sockets: int  # file descriptors
     settings: Settings
-    # The file's `known`: an endpoint list in discovery's form, maybe an old one.
+    # The file's `known`: an endpoint list in discovery's form, possibly out of date.
     persisted_endpoints: JsonObject = field(default_factory=dict)
-    operator: tuple[str, int] | None = None  # the admin listener's address; None: there is none
+    operator: tuple[str, int] | None = None  # address of the admin listener, if there is one
 
 
 def read_config(environment: Mapping[str, str] = os.environ) -> NodeConfig:
@@ -60,7 +60,10 @@
 
 
 def config_from(data: JsonObject, environment: Mapping[str, str]) -> NodeConfig:
-    """Check the file's content and complete it from the environment."""
+    """Check the file's content and complete it from the environment.
+
+    Raise `ConfigurationError`, which names the key at fault.
+    """
     fields = own_fields(data, environment)
     if not isinstance(data.get("settings"), dict):
         raise ConfigurationError("settings is missing or not an object")
@@ -97,7 +100,7 @@
 
 
 def read_seed(fields: SettingsFields) -> int:
-    """Read the seed, a hexadecimal number."""
+    """Read the seed, a hexadecimal number; 0 by default."""
     seed = fields.text("seed", "0")
     try:
         return int(seed, 16)
--- a/stepstream/config/operator_checks.py
+++ b/stepstream/config/operator_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the operator's file that take more than one value.
+"""Checks of the operator's file that need more than one value.
 
 They compare sections with the deployment's settings and with each other. Each raises
 `ConfigurationError`, which names the key, and none changes anything.
@@ -17,10 +17,10 @@
 )
 from stepstream.model.settings import Settings
 
-ALL = "*"  # in a caller's tenants and classes
-# A lease is renewed well before its end: a round to the voters must fit in that often.
-LEAST_TIMEOUTS_PER_LEASE = 4
-MILLISECONDS = 1000
+ALL = "*"  # every tenant or class of a caller
+# The holder renews a lease before its end, and some of the rounds to the voters may be lost.
+MIN_TIMEOUTS_PER_LEASE = 4
+MILLISECONDS_PER_SECOND = 1000
 
 
 def check_operator_config(operator: OperatorConfig, settings: Settings) -> None:
@@ -36,7 +36,7 @@
 
 
 def check_gearman(gearman: GearmanSection, settings: Settings) -> None:
-    """Check `[gearman]`: its names are the settings', its port is one."""
+    """Check `[gearman]`: the settings know its names, and its port is in range."""
     check_name("gearman.tenant", gearman.tenant, settings.tenants)
     check_name("gearman.worker.zone", gearman.worker.zone, settings.zones)
     check_name("gearman.worker.kind", gearman.worker.kind, settings.worker_kinds)
@@ -44,7 +44,7 @@
 
 
 def check_membership(membership: MembershipSection) -> None:
-    """Check `[fleet]`: every port is one."""
+    """Check `[fleet]`: every port is in range."""
     check_port("fleet.listen", membership.listen)
     if membership.advertise is not None:
         check_port("fleet.advertise", membership.advertise)
@@ -63,14 +63,15 @@
             f"leases.longest_s={leases.longest_s:g} is under the "
             f"{PROBE_SWEEP_LEASE_SECONDS:g} s of probe_sweep's lease"
         )
-    if leases.longest_s * MILLISECONDS < LEAST_TIMEOUTS_PER_LEASE * leases.timeout_ms:
+    longest_ms = leases.longest_s * MILLISECONDS_PER_SECOND
+    if longest_ms < MIN_TIMEOUTS_PER_LEASE * leases.timeout_ms:
         raise ConfigurationError(
             f"leases.longest_s={leases.longest_s:g} is under four times leases.timeout_ms"
         )
 
 
 def check_identity(identity: IdentitySection, operator: OperatorConfig, settings: Settings) -> None:
-    """Check `[identity]`: names are the settings', callers are distinct, ports are ports."""
+    """Check `[identity]`: the settings know its names, callers are distinct, ports are in range."""
     for class_name in identity.methods:
         check_name(f"identity.methods.{class_name}", class_name, settings.class_names)
     owners: dict[tuple[str, str], str] = {}
@@ -92,7 +93,7 @@
     settings: Settings,
     owners: dict[tuple[str, str], str],
 ) -> None:
-    """Check a caller; `owners` collects the path of the caller of each name and subject so far."""
+    """Check a caller; `owners` collects which caller has each name and subject, by its path."""
     for tenant in caller.tenants:
         if tenant != ALL:
             check_name(f"{path}.tenants", tenant, settings.tenants)
@@ -109,7 +110,7 @@
 
 
 def claim_name(owners: dict[tuple[str, str], str], path: str, key: str, value: str) -> None:
-    """Record that a caller's name or subject is taken; a fault if another one has it."""
+    """Record a caller's name or subject; raise `ConfigurationError` if another caller has it."""
     owner = owners.get((key, value))
     if owner is not None:
         raise ConfigurationError(f"{path}.{key}={value} is {owner}'s too")
@@ -117,7 +118,7 @@
 
 
 def check_name(key: str, value: str, known: tuple[str, ...]) -> None:
-    """Check that the settings know a name; "" stands for a default and passes."""
+    """Check that the settings know a name; "" stands for the default and passes."""
     if value and value not in known:
         raise ConfigurationError(
             f"{key}={value} is not in the settings ({', '.join(known) or 'which name none'})"
@@ -125,13 +126,13 @@
 
 
 def check_port(key: str, address: str) -> None:
-    """Check the port of an address whose form the section's type has checked; 0 is any free one."""
+    """Check the port of an address whose form is checked already; 0 stands for any free port."""
     if int(address.rpartition(":")[2]) > MAX_PORT:
         raise ConfigurationError(f"{key}={address} is not HOST:PORT")
 
 
 def check_distinct(key: str, names: tuple[str, ...]) -> None:
-    """Check that no name stands in a list twice."""
+    """Check that no name is listed twice."""
     for position, name in enumerate(names):
         if name in names[:position]:
             raise ConfigurationError(f"{key}[{position}]={name} is there twice")
--- a/stepstream/config/operator_file.py
+++ b/stepstream/config/operator_file.py
@@ -2,7 +2,7 @@
 
 A subsystem whose section is missing is off: nothing of it is imported. The platform's dispatcher
 has no such file and never imports this module, nor `msgspec`. The main thread reads the file; what
-is read is immutable. The sections are given on from here: subsystems import this module alone.
+is read is immutable. Subsystems import the sections from here.
 """
 
 import tomllib
@@ -11,6 +11,7 @@
 import msgspec
 
 from stepstream.config.errors import ConfigurationError
+from stepstream.config.fields import split_address
 from stepstream.config.operator_checks import check_operator_config
 from stepstream.config.operator_sections import (
     PATTERN_FORMS,
@@ -69,10 +70,10 @@
 
 
 def key_first(fault: str) -> str:
-    """Put the key before the fault.
+    """Return the fault with its key in front.
 
-    msgspec words a fault as "Expected `int`, got `str` - at `$.gearman.queue`"; at the top level it
-    names no place.
+    msgspec writes "Expected `int`, got `str` - at `$.gearman.queue`". A fault at the top
+    level has no place.
     """
     text, _, path = fault.partition(" - at `$")
     key = path.rstrip("`").lstrip(".")
@@ -80,22 +81,16 @@
 
 
 def plain_forms(fault: str) -> str:
-    """Say in words what msgspec says by a regular expression."""
+    """Replace the regular expressions in a fault of msgspec by the form that they stand for."""
     for pattern, form in PATTERN_FORMS.items():
         fault = fault.replace(f"`str` matching regex {pattern!r}", form)
     return fault
 
 
-def split_address(text: str) -> tuple[str, int]:
-    """Split HOST:PORT, whose form has been checked."""
-    host, _, port = text.rpartition(":")
-    return host, int(port)
-
-
 def require_all_unchanged(
     keys: Iterable[str], old: OperatorConfig | None, new: OperatorConfig | None
 ) -> None:
-    """Raise `ConfigurationError` for the first key that `require_unchanged` refuses."""
+    """Raise `ConfigurationError` for the first of the keys that a reload would change."""
     for key in keys:
         require_unchanged(key, old, new)
 
@@ -103,7 +98,7 @@
 def require_unchanged(key: str, old: OperatorConfig | None, new: OperatorConfig | None) -> None:
     """Raise `ConfigurationError` if a reload would change what only a restart may change.
 
-    That is a value, or whether a section is there; `key` is its path, such as `gearman.listen`.
+    `key` is the path of a value, such as `gearman.listen`, or of a section, whose presence counts.
     None stands for no operator's file: all its sections are missing.
     """
     before = value_at(old, key)
@@ -116,7 +111,7 @@
 
 
 def value_at(operator: OperatorConfig | None, key: str) -> object:
-    """Give a section or a value by its path; None where a section on the way is missing."""
+    """Return a section or a value by its path; None where a section on the way is missing."""
     value: object = operator
     for name in key.split("."):
         value = getattr(value, name, None)
--- a/stepstream/config/operator_sections.py
+++ b/stepstream/config/operator_sections.py
@@ -1,9 +1,9 @@
 """The sections of the operator's TOML file, one typed structure each.
 
 Attributes are spelled as the file's keys, so that a fault and `require_unchanged` name what the
-operator wrote. Each docstring gives a key's default, unit and consequence. What one value alone can
-tell (type, bounds, form) is declared here; what takes the settings or another section is checked in
-`operator_checks`. Sections are immutable.
+operator wrote. Each docstring gives a key's default, unit and consequence. What concerns one value
+alone (type, bounds, form) is declared here; `operator_checks` compares values with the settings and
+with other sections. Sections are immutable.
 """
 
 from typing import Annotated, Literal
@@ -15,7 +15,7 @@
 HOST_PORT_PATTERN = r"^[^:\s]+:\d{1,5}$"
 IPV4_PORT_PATTERN = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
 IDENTIFIER_PATTERN = r"^[A-Za-z0-9._-]+$"
-# How a fault words each pattern.
+# The words for each pattern in a fault.
 PATTERN_FORMS = {
     HOST_PORT_PATTERN: "HOST:PORT",
     IPV4_PORT_PATTERN: "IPv4:PORT, never a name",
@@ -33,19 +33,19 @@
 
 
 class Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What all sections share: a key that is not known is a fault, never ignored."""
+    """Base of all sections: an unknown key is a fault, never ignored."""
 
 
 class WorkerDefaults(Section, frozen=True, kw_only=True):
-    """`[gearman.worker]`: what a Gearman worker is taken for that says nothing else of itself.
+    """`[gearman.worker]`: the defaults for what a Gearman worker's client id leaves out.
 
-    zone (""): name of its zone; "" stands for the first zone of the settings. A wrong one makes its
-        jobs pay for crossing zones.
-    kind (""): name of its kind; "" stands for the first kind of the settings. Decides which classes
-        it may run.
+    zone (""): name of its zone; "" stands for the first zone of the settings. With a wrong zone
+        its jobs pay for crossing zones.
+    kind (""): name of its kind; "" stands for the first kind of the settings. The kind decides
+        which classes it may run.
     cell (0): workers of one cell drop each other's repeats of a job with an idempotency key.
-    slots (1, 1 to 1024 jobs): jobs that it may hold at once. Too many, and jobs wait inside the
-        worker, where nobody sees them.
+    slots (1, 1 to 1024 jobs): jobs that it may hold at once. With too many, jobs wait inside the
+        worker, where the dispatcher does not see them.
     weight (1.0, above 0): its weight against the others' in the rotation.
     """
 
@@ -65,12 +65,12 @@
     allow_shutdown (false): whether the text command `shutdown` may end the program.
     queue (8, 0 to 10,000 jobs): jobs beyond its slots that may wait for one worker's GRAB_JOB; a
         further one finds the worker full.
-    queue_wait_ms (1,000 ms): a job that waits longer there is returned, never run, and may be
-        tried elsewhere.
-    keep_s (300 s): for how long the outcome of a background job can be asked for.
-    keep_most (10,000 jobs): for how many; the oldest go first.
+    queue_wait_ms (1,000 ms): a job that waits longer there is returned without having run, and may
+        be sent to another worker.
+    keep_s (300 s): how long the outcome of an ended background job is retained.
+    keep_most (10,000 jobs): how many outcomes are retained; the oldest are dropped first.
     jobs_a_connection (1,000 jobs): open jobs of one client connection; further ones are rejected.
-    worker: what a worker is taken for by default, `[gearman.worker]`.
+    worker: the defaults of workers, `[gearman.worker]`.
     """
 
     listen: HostPort
@@ -94,7 +94,7 @@
     state ("active"): "suspended" denies it everything.
     rate_per_s (0.0 requests a second): its rate limit; 0 is none.
     burst (1 request): requests that it may make at once within the rate limit.
-    most_open (0 requests): bound of its open requests; 0 is none of its own.
+    most_open (0 requests): bound of its open requests; 0 is no bound for this caller.
     """
 
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
@@ -138,10 +138,10 @@
     keys (required, path): JWK set that tokens are verified against.
     issuer (required): the tokens' `iss`.
     audience (required): must be among the tokens' `aud`.
-    leeway_s (5, 0 to 60 s): by which clocks may differ.
+    leeway_s (5, 0 to 60 s): tolerated difference between clocks.
     token_bytes (4,096, 256 to 12,288 bytes): a longer token is rejected unread.
-    longest_s (86,400 s): longest life of a token, from `iat` to `exp`.
-    cache (10,000 tokens): verified tokens that are remembered; less costs signature checks.
+    longest_s (86,400 s): longest lifetime of a token, from `iat` to `exp`.
+    cache (10,000 tokens): verified tokens that are cached; fewer cost more signature checks.
     workers (["worker/"]): a worker's subject is one of these prefixes and the worker's id.
     news ("identified"): "open" takes workers' notifications and registrations from anybody.
     admins ([]): subjects that may use Gearman's text commands.
@@ -182,14 +182,14 @@
     share_maintenance (false): whether worker maintenance set at one dispatcher holds at all.
     follow_size (true): whether the policy's count of dispatchers follows the membership list;
         otherwise the settings' `fleet_size` holds, whoever has crashed or joined.
-    hold_s (30, 1 to 86,400 s): for so long a dead member still counts as a dispatcher. Short: a
-        stop of some seconds moves everybody's share twice.
+    hold_s (30, 1 to 86,400 s): how long a dead member still counts as a dispatcher. Short: a stop
+        of a few seconds changes every dispatcher's share twice.
     period_ms (400, 10 to 600,000 ms): protocol period, between two probes. Longer: crashes are
         noticed later; shorter: more datagrams.
     timeout_ms (200 ms): of a direct probe, before indirect ones. Under the round trip every probe
         becomes an indirect one.
-    helpers (3, 0 to 16 members): members asked for an indirect probe. 0: one lossy link is a
-        suspicion.
+    helpers (3, 0 to 16 members): members that are sent an indirect probe. 0: one lossy link is
+        enough for a suspicion.
     suspicion (3, 1 to 100 periods): shortest suspicion, times the logarithm of the cluster's size.
         Short: slow members are declared dead.
     slack (6, 1 to 100 times): longest suspicion over the shortest, where nobody confirms it.
@@ -199,11 +199,11 @@
     sync_ms (5,000 ms): between two anti-entropy exchanges with a random member.
     reach_ms (1,000 ms): between two attempts to reach a seed or a dead member. Longer: a healed
         partition is noticed later.
-    young_s (10, 1 to 600 s): after its start, for so long, the settings' `fleet_size` is the least
-        that counts. Short: a member that has yet to hear of the others takes more than its share.
+    young_s (10, 1 to 600 s): time after its start in which at least the settings' `fleet_size`
+        counts. Short: a member that does not know the others yet takes more than its share.
     health (8, 0 to 32): highest local health score (Lifeguard); each point stretches its probes by
         a period. 0 switches it off.
-    forget_s (86,400, 60 to 2,592,000 s): a death or leave is remembered at least so long.
+    forget_s (86,400, 60 to 2,592,000 s): shortest time that a death or leave is remembered.
     most (1,024, 2 to 4,096): names of members, and workers with a maintenance record.
     log ("console"): format of its log lines, "json" or "console".
     """
@@ -234,17 +234,17 @@
 class LeasesSection(Section, frozen=True, kw_only=True):
     """`[leases]`: cluster-wide tasks with one holder at a time (PaxosLease); docs/leases.md.
 
-    voters (required, 1 to 15 names): the acceptors; leases are granted by a majority of them. Three
-        bear one failure, five two.
-    old_voters ([], up to 15 names): while the voters are changed: majorities of both sets are
-        needed.
-    drift (0.01, above 0 to 0.2): fraction by which a clock may run fast or slow. Too small, and two
-        may hold a lease at once; too large costs time after a holder's loss.
-    longest_s (60, 1 to 3,600 s): longest time to live of a lease. A voter is silent for so long
+    voters (required, 1 to 15 names): the acceptors; a majority of them grants leases. Three
+        tolerate one failure, five two.
+    old_voters ([], up to 15 names): the previous set while the voters are changed; majorities of
+        both sets are needed.
+    drift (0.01, above 0 to 0.2): fraction by which a clock may run fast or slow. If it is too
+        small, two may hold a lease at once; if too large, a lost holder blocks its lease longer.
+    longest_s (60, 1 to 3,600 s): longest time to live of a lease. A voter is silent for this time
         after its start.
     timeout_ms (300 ms): one round to the voters and back; under the true round trip nobody gets a
         lease.
-    turn_ms (300 ms): for so long the one that waited longest goes first when a lease becomes free.
+    turn_ms (300 ms): how long the candidate that waited longest goes first once a lease is free.
     most (4,096, 1 to 65,536): leases that a voter remembers.
     most_sessions (1,024, 1 to 65,536): programs and tasks that want leases through this dispatcher;
         further ones get 503.
--- a/stepstream/config/settings_reader.py
+++ b/stepstream/config/settings_reader.py
@@ -2,8 +2,12 @@
 
 Both become `model.settings.Settings` by the same checks and defaults, so that a key means one
 thing. This is the one place where the platform's keys are translated into the program's names.
-Each section function reads the keys of its section and gives the settings with them filled in; a
-refusal is a `ConfigurationError` that names the key.
+Each section function reads the keys of its section and returns the settings with them filled in;
+a refusal is a `ConfigurationError` that names the key.
+
+Three keys are accepted and checked and have no effect, because no rule reads their fields:
+`deductions.probe`, `safety.stop_sending_within_us` and `safety.grace_to_answer_us`. They count only
+in the settings digest, by which members compare their settings.
 """
 
 from dataclasses import replace
@@ -23,7 +27,7 @@
 LOAD_REPORT_SOURCES = {source.value: source for source in LoadReportSource}
 
 ANY_WORKER_KIND = -1
-# Columns of a load report without a meaning of their own: `extra.report_x0` gives it.
+# Load report columns without a fixed meaning; `extra.report_x0` and `extra.report_x1` give it.
 UNNAMED_COLUMNS = ("x0", "x1")
 
 DEFAULT_POLL_INTERVAL_US = 10_000_000
@@ -93,7 +97,7 @@
     deadline_us = fields.integer_at_least(f"{path}.deadline_us", 1)
     effect = fields.choice(f"{path}.effect", EFFECTS, "side_effect")
     key_scope = KeyScope.CELL
-    if effect is Effect.IDEMPOTENT_WITH_KEY:  # to the others a scope means nothing
+    if effect is Effect.IDEMPOTENT_WITH_KEY:
         key_scope = fields.choice(f"{path}.key_scope", KEY_SCOPES, "cell")
     return JobClass(
         latency_objective_us=fields.integer_at_least(f"{path}.goal_time_us", 1, deadline_us),
@@ -103,7 +107,7 @@
         late_weight_fraction=fields.number(f"{path}.late_worth", 0.0),
         objective_stretch=objective_stretch,
         key_scope=key_scope,
-        # 0: no repeat falls inside the window, and none is sent.
+        # With a window of 0 no retry falls inside it, and none is sent.
         idempotency_window_us=fields.integer_at_least(f"{path}.window_us", 0, 0),
         worker_kind=worker_kind,
         name=fields.text(f"{path}.name", ""),
@@ -130,7 +134,7 @@
 
 
 def column_meaning(fields: SettingsFields, column: str) -> str:
-    """Give the meaning that the settings assign to a column, as one word joined by underscores."""
+    """Return the meaning that the settings assign to a column, its words joined by underscores."""
     meaning = column
     if column in UNNAMED_COLUMNS:
         meaning = fields.text(f"extra.report_{column}", column)
@@ -171,7 +175,7 @@
 
 
 def read_retries(fields: SettingsFields, settings: Settings) -> Settings:
-    """Read the part of `limits` that says what the policy may do with one job."""
+    """Read the part of `limits` on what the policy may do with one job."""
     return replace(
         settings,
         attempt_limit=fields.integer_at_least("limits.try_limit", 1, 1),
@@ -184,7 +188,7 @@
 
 
 def read_prices(fields: SettingsFields, settings: Settings) -> Settings:
-    """Read `deductions`: what a decision costs of a job's weight."""
+    """Read `deductions`: what decisions deduct from a job's weight."""
     return replace(
         settings,
         cross_zone_price=fields.number("deductions.cross_zone", 0.0),
@@ -200,7 +204,7 @@
         drain_grace_us=fields.integer_at_least("safety.stop_sending_within_us", 0, 0),
         cold_capacity_fraction=fields.number_between("safety.cold_share", 0, 1, 1.0),
         slow_start_us=fields.integer_at_least("safety.warm_within_us", 0, 0),
-        # 0: a worker gets nothing while it is cold.
+        # With 0 a worker gets no job while it is cold.
         overload_multiple=fields.number_between("safety.fall_multiple", 0, inf, 1.0),
         overload_window_us=fields.integer_at_least(
             "safety.tip_after_us", 0, DEFAULT_OVERLOAD_WINDOW_US
--- a/stepstream/node/decision_thread.py
+++ b/stepstream/node/decision_thread.py
@@ -54,7 +54,7 @@
         At most a batch of them; none if a timer came first.
         """
         loop = self.context.limits.loop
-        wait_seconds = loop.longest_wait_seconds
+        wait_seconds = loop.max_wait_seconds
         timer_us = self.context.core.next_timer_us()
         if timer_us is not None:
             wait_seconds = (timer_us - self.context.clock.now_us()) / MICROSECONDS
@@ -62,7 +62,7 @@
         events: list[Event] = []
         try:
             if wait_seconds > 0:
-                events.append(queue.get(timeout=min(wait_seconds, loop.longest_wait_seconds)))
+                events.append(queue.get(timeout=min(wait_seconds, loop.max_wait_seconds)))
             while len(events) < loop.event_batch:
                 events.append(queue.get_nowait())
         except Empty:
--- a/stepstream/node/node.py
+++ b/stepstream/node/node.py
@@ -66,7 +66,7 @@
                 run_guarded("reload", reload_configuration, self)
             loop = self.limits.loop  # a reload replaces the limits
             now = time.monotonic()
-            if now - tasks_at >= loop.sweep_seconds:
+            if now - tasks_at >= loop.periodic_tasks_seconds:
                 tasks_at = now
                 self.run_periodic_tasks()
             if now - status_at >= loop.status_period_seconds:
--- a/stepstream/node/shutdown.py
+++ b/stepstream/node/shutdown.py
@@ -54,7 +54,7 @@
     `started_at`: on the monotonic clock, in seconds.
     """
     last_busy_at = started_at
-    while (now := time.monotonic()) - started_at < context.limits.shutdown.longest_seconds:
+    while (now := time.monotonic()) - started_at < context.limits.shutdown.max_seconds:
         limits = context.limits.shutdown
         if context.hot_restarting or now - started_at >= limits.serving_seconds:
             context.server.state.closing = True
@@ -63,6 +63,6 @@
         if context.server.busy() or context.core.open_count:
             last_busy_at = now
         is_quiet = now - last_busy_at >= limits.quiet_seconds
-        if is_quiet and now - started_at >= limits.least_seconds:
+        if is_quiet and now - started_at >= limits.min_seconds:
             return
         time.sleep(limits.poll_seconds)
--- a/tests/gearman/test_gearman_codec.py
+++ b/tests/gearman/test_gearman_codec.py
@@ -95,7 +95,7 @@
 def test_partial_messages_and_silent_peers_time_out_within_three_seconds():
     assert (
         max(LIMITS.timeouts.first_message_seconds, LIMITS.timeouts.message_seconds)
-        + LIMITS.loop.sweep_seconds
+        + LIMITS.loop.periodic_tasks_seconds
         < 3.0
     )
 
--- a/tests/node/test_decision_thread.py
+++ b/tests/node/test_decision_thread.py
@@ -70,14 +70,14 @@
     monkeypatch.setattr(node.core, "next_timer_us", lambda: node.clock.now_us() - 1)
     started_at = time.monotonic()
     assert node.decision_thread.next_events() == []
-    assert time.monotonic() - started_at < node.limits.loop.longest_wait_seconds
+    assert time.monotonic() - started_at < node.limits.loop.max_wait_seconds
 
 
 def test_without_a_timer_a_wait_for_events_ends_by_itself(node, monkeypatch):
     monkeypatch.setattr(node.core, "next_timer_us", lambda: None)
     started_at = time.monotonic()
     assert node.decision_thread.next_events() == []
-    assert time.monotonic() - started_at >= node.limits.loop.longest_wait_seconds
+    assert time.monotonic() - started_at >= node.limits.loop.max_wait_seconds
 
 
 def test_a_call_is_stopped_at_the_carrier_that_started_it(node):
