--- a/stepstream/admin/subsystem.py
+++ b/stepstream/admin/subsystem.py
@@ -1,6 +1,6 @@
 """How the admin listener plugs into the node, and with it maintenance, drains and the hot restart.
 
-The main thread makes and starts it; the service's docstrings say what other threads may call.
+The main thread creates and starts it; the service's docstrings name what other threads may call.
 """
 
 from collections.abc import Callable, Mapping
@@ -11,8 +11,9 @@
 from stepstream.core.commands import Command, ForwardNotification
 from stepstream.core.drain import DrainState
 from stepstream.hot_restart.controller import HotRestartController
+from stepstream.hot_restart.precedence import is_newer_list
 from stepstream.hot_restart.process import own_record
-from stepstream.hot_restart.state import HandoverState, is_newer_list
+from stepstream.hot_restart.state import HandoverState
 from stepstream.hot_restart.state_file import StateFile, state_folder
 from stepstream.runtime.log import log
 from stepstream.runtime.threads import spawn_thread
@@ -21,7 +22,7 @@
 
 
 class AdminSubsystem(Subsystem):
-    """The subsystem behind the settings' `operator`; it is also `ports.admin.WorkerMaintenance`."""
+    """The subsystem of the setting `operator`; it implements `ports.admin.WorkerMaintenance`."""
 
     def __init__(self, context: SubsystemContext, address: tuple[str, int]) -> None:
         self.context = context
@@ -81,7 +82,7 @@
     def on_serving(self) -> None:
         """Record that clients are taken.
 
-        First in the state file, then in the answers to health checks: SIGTERM may reach the
+        The state file comes before the answers to health checks: SIGTERM may reach the
         predecessor as soon as a health check has succeeded.
         """
         if self.service.hot_restart is not None:
@@ -89,7 +90,7 @@
         self.service.started = True
 
     def begin_shutdown(self) -> bool:
-        """Tell whether this is a hot restart: a successor takes clients on the same address.
+        """Return whether this is a hot restart: a successor takes clients on the same address.
 
         New connections go to it. This process answers what it has taken and closes idle
         connections; the notifications of its requests that reach the successor are forwarded to it.
@@ -101,7 +102,7 @@
         return hot_restart.successor() is not None
 
     def command_handlers(self) -> Mapping[type, Callable[[Command], None]]:
-        """Carry out the forwarding of notifications, in the decision thread."""
+        """Return the handler that forwards notifications, on the decision thread."""
         return {ForwardNotification: self._forward_notification}
 
     def _forward_notification(self, command: Command) -> None:
@@ -112,24 +113,31 @@
 
     @property
     def on_change(self) -> Callable[[str, bool], None] | None:
-        """What is called with each maintenance request taken here: worker, whether it starts."""
+        """The callback for each maintenance request accepted here: worker id, whether it starts."""
         return self.service.on_maintenance_change
 
     @on_change.setter
     def on_change(self, callback: Callable[[str, bool], None] | None) -> None:
         self.service.on_maintenance_change = callback
 
-    def apply_remote_change(self, worker: str, out: bool, by: str, at_us: int) -> None:  # noqa: FBT001  the port's
-        """Take over a maintenance request of dispatcher `by`, soon; any thread, never waits."""
-        self.service.queue_remote_change(RemoteMaintenanceChange(worker, out, by, at_us))
+    def apply_remote_change(
+        self,
+        worker_id: str,
+        in_maintenance: bool,  # noqa: FBT001  the port's signature
+        member: str,
+        at_us: int,
+    ) -> None:
+        """Queue a maintenance request that `member` accepted at `at_us`; any thread may call it."""
+        change = RemoteMaintenanceChange(worker_id, in_maintenance, member, at_us)
+        self.service.queue_remote_change(change)
 
     def draining(self) -> bool:
-        """Tell whether an operator's drain of this dispatcher goes on; any thread."""
+        """Return whether an operator drains this dispatcher; any thread may call it."""
         return self.service.drain.active
 
 
 def create_subsystem(context: SubsystemContext) -> AdminSubsystem:
-    """Make the subsystem; the node does so only where the settings have an `operator`."""
+    """Create the subsystem; the node calls this only where the settings have an `operator`."""
     address = context.config.operator
     if address is None:
         raise ConfigurationError("operator is missing: HOST:PORT of the admin listener")
--- a/stepstream/hot_restart/__init__.py
+++ b/stepstream/hot_restart/__init__.py
@@ -1,7 +1,7 @@
 """The hot restart: a successor starts beside the running process and takes over its state.
 
 Both processes listen on the clients' address at the same time. The state passes through a file in
-$TMPDIR (`state` is its codec, `state_file` reads and writes it); `controller` detects the sibling
-process, and `forwarder` sends it the notifications of requests that it holds. Loaded only where
-`operator` is set.
+$TMPDIR (`state` is its codec, `state_file` reads and writes it). `precedence` decides which process
+and which state win, `controller` detects the sibling process, and `forwarder` sends it the
+notifications of requests that it holds. Loaded only where `operator` is set.
 """
--- a/stepstream/hot_restart/controller.py
+++ b/stepstream/hot_restart/controller.py
@@ -12,22 +12,23 @@
 from stepstream.core.events import JobNotification
 from stepstream.core.maintenance import MaintenanceRegistry
 from stepstream.hot_restart.forwarder import NotificationForwarder
-from stepstream.hot_restart.process import ProcessRecord, is_alive, newest_sibling
-from stepstream.hot_restart.state import (
+from stepstream.hot_restart.precedence import (
     EndpointListJson,
-    HandoverState,
-    HandoverStateError,
     is_newer_list,
+    is_successor,
+    newest_sibling,
     replace_own_record,
 )
+from stepstream.hot_restart.process import ProcessRecord, is_alive
+from stepstream.hot_restart.state import HandoverState, HandoverStateError
 from stepstream.hot_restart.state_file import StateFile
 from stepstream.runtime.log import log
 
 
 class HotRestartController:
-    """Keeps this process and its sibling informed of each other through the state file.
+    """Exchanges the state of this process and its sibling through the state file.
 
-    `own` describes this process, `maintenance` is the registry that follows newer states of a
+    `own` describes this process; `maintenance` is the registry that adopts newer states of a
     sibling.
     """
 
@@ -60,7 +61,7 @@
     def write(self, *, ready: bool | None = None) -> None:
         """Write the state; `ready` changes this process's own record first.
 
-        A failure costs a line in the log, and the next change writes again.
+        A failure is logged, and the next change writes again.
         """
         if ready is not None:
             self.own = replace(self.own, ready=ready)
@@ -74,7 +75,7 @@
             log(f"handover: state not written: {error}")
 
     def check_file(self) -> bool:
-        """Follow what a sibling has written; return whether that changed the maintenance state."""
+        """Adopt what a sibling has written; return whether that changed the maintenance state."""
         try:
             state = self.file.read_if_changed()
         except (OSError, HandoverStateError) as error:
@@ -85,15 +86,15 @@
         generation_before = self.maintenance.snapshot().generation
         self._adopt(state)
         if all(process.pid != self.own.pid for process in state.processes):
-            # Guards this process's record against a sibling that wrote without knowing of it.
+            # Guards this process's record against a sibling that wrote before reading it.
             self.write()
         return self.maintenance.snapshot().generation != generation_before
 
     def _adopt(self, state: HandoverState) -> None:
-        """Take over the siblings, and whatever is newer than this process's own."""
+        """Take over the siblings, and what is newer than this process's own state."""
         self.siblings = tuple(process for process in state.processes if process.pid != self.own.pid)
         self.maintenance.adopt(state.maintenance)
-        if self.endpoint_list is None or is_newer_list(state.endpoint_list, self.endpoint_list):
+        if is_newer_list(state.endpoint_list, self.endpoint_list):
             self.endpoint_list = state.endpoint_list
 
     def sibling(self) -> ProcessRecord | None:
@@ -104,12 +105,10 @@
     def successor(self) -> ProcessRecord | None:
         """Return the sibling if it started after this process and takes clients, else None."""
         sibling = self.sibling()
-        if sibling is None or not sibling.ready or sibling.started_at_us <= self.own.started_at_us:
-            return None
-        return sibling
+        return sibling if sibling is not None and is_successor(sibling, self.own) else None
 
     def forward_notification(self, notification: JobNotification) -> None:
-        """Forward a notification whose request this process does not hold: the sibling may."""
+        """Forward a notification of a request that this process does not hold to its sibling."""
         sibling = self.sibling()
         if sibling is not None:
             self.forwarder.submit(sibling, notification)
--- a/stepstream/hot_restart/forwarder.py
+++ b/stepstream/hot_restart/forwarder.py
@@ -1,12 +1,13 @@
 """Forwarding of workers' notifications to the sibling process, by its admin listener.
 
-Owns a pool of threads, so that the decision thread, which asks for the forwarding, never waits for
-a peer.
+Owns a pool of threads, so that the decision thread, which submits notifications, never waits for a
+peer.
 """
 
 import contextlib
 import socket
 
+from stepstream.config.fields import split_address
 from stepstream.config.limits import Limits
 from stepstream.core.events import JobNotification
 from stepstream.hot_restart.process import ProcessRecord
@@ -31,7 +32,7 @@
         self.threads.submit(self.forward, sibling, notification)
 
     def forward(self, sibling: ProcessRecord, notification: JobNotification) -> None:
-        """Send the notification and wait for the answer, whatever it says."""
+        """Send the notification and wait for the answer, whose status is ignored."""
         headers = {"Host": sibling.admin_address, FORWARDED_HEADER: "1", "Connection": "close"}
         data = write_request("POST", FORWARDING_PATH, headers, notification_body(notification))
         try:
@@ -42,12 +43,12 @@
             self._exchange(connection, data)
 
     def _connect(self, sibling: ProcessRecord) -> socket.socket:
-        host, _, port = sibling.admin_address.rpartition(":")
+        address = split_address(sibling.admin_address)
         timeouts = self.limits.timeouts
-        return connect((host, int(port)), timeouts.connect_seconds, timeouts.forward_seconds)
+        return connect(address, timeouts.connect_seconds, timeouts.forward_seconds)
 
     def _exchange(self, connection: socket.socket, data: bytes) -> None:
-        """Write the request and read one answer, or up to the connection's end."""
+        """Write the request and read one answer, or until the connection ends."""
         set_socket_timeout(connection, socket.SO_RCVTIMEO, self.limits.timeouts.forward_seconds)
         connection.sendall(data)
         parser = Parser(self.limits, answers=True)
--- a/stepstream/hot_restart/process.py
+++ b/stepstream/hot_restart/process.py
@@ -1,7 +1,6 @@
-"""The record of a process that shares the clients' address in a hot restart; owns no state."""
+"""The record of a process that shares the clients' address in a hot restart."""
 
 import os
-from collections.abc import Iterable
 from dataclasses import dataclass
 
 
@@ -21,14 +20,8 @@
     return ProcessRecord(os.getpid(), f"{host}:{port}", now_us)
 
 
-def newest_sibling(processes: Iterable[ProcessRecord], own_pid: int) -> ProcessRecord | None:
-    """Return the process other than `own_pid` that started last, None if there is no other."""
-    siblings = [process for process in processes if process.pid != own_pid]
-    return max(siblings, key=lambda process: process.started_at_us, default=None)
-
-
 def is_alive(pid: int) -> bool:
-    """Tell whether a process of this id exists; signal 0 only checks that (kill(2))."""
+    """Return whether a process with this id exists; signal 0 only checks that (kill(2))."""
     try:
         os.kill(pid, 0)
     except ProcessLookupError:
--- a/stepstream/hot_restart/state.py
+++ b/stepstream/hot_restart/state.py
@@ -1,25 +1,23 @@
 """The handover state and its codec: what one process of a hot restart leaves to the next.
 
 The file is a JSON object of `format`, `version`, `sum` (CRC-32 of the body's UTF-8 bytes) and
-`body`, itself JSON in a string. It is accepted as a whole or not at all: each deviation raises an
-error of its own, and the reader starts clean. Owns no state; any thread may call it.
+`body`, itself JSON in a string. It is accepted as a whole or not at all: each kind of deviation
+raises its own error, and the reader starts clean. There is no state here; any thread may call the
+functions.
 """
 
-from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import Any
 from zlib import crc32
 
 import ujson
 
 from stepstream.core.maintenance import MaintenanceState
+from stepstream.hot_restart.precedence import EndpointListJson
 from stepstream.hot_restart.process import ProcessRecord
 
 FORMAT = "stepstream-handover"
 VERSION = 1
 
-EndpointListJson = dict[str, Any]  # an endpoint list in the form in which discovery sends it
-
 
 @dataclass(frozen=True, slots=True)
 class HandoverState:
@@ -31,7 +29,7 @@
 
 
 class HandoverStateError(Exception):
-    """The bytes are no usable handover state; the text names the deviation, for one log line."""
+    """The bytes are no usable handover state; the text names the deviation in one line."""
 
 
 class StateFormatError(HandoverStateError):
@@ -99,7 +97,7 @@
 
 
 def _read_body(body: object) -> HandoverState:
-    """Convert the parsed body; raise ValueError, KeyError or TypeError where it does not fit."""
+    """Convert the parsed body; raise ValueError, KeyError or TypeError for a faulty field."""
     if not isinstance(body, dict):
         raise TypeError("the body is not an object")
     maintenance = MaintenanceState(
@@ -115,20 +113,3 @@
     if endpoint_list is not None and not isinstance(endpoint_list, dict):
         raise TypeError("the endpoint list is not an object")
     return HandoverState(maintenance, processes, endpoint_list)
-
-
-def replace_own_record(
-    processes: Iterable[ProcessRecord], own: ProcessRecord, alive_pids: set[int]
-) -> tuple[ProcessRecord, ...]:
-    """Return the records of running processes, this process's own one renewed and last."""
-    siblings = [
-        process for process in processes if process.pid != own.pid and process.pid in alive_pids
-    ]
-    return (*siblings, own)
-
-
-def is_newer_list(candidate: EndpointListJson | None, current: EndpointListJson | None) -> bool:
-    """Tell whether the candidate has a later version; any list is newer than none."""
-    if candidate is None:
-        return False
-    return current is None or int(candidate.get("version", 0)) > int(current.get("version", 0))
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -21,7 +21,8 @@
 from stepstream.core.maintenance import MaintenanceRegistry, MaintenanceState
 from stepstream.hot_restart.controller import HotRestartController
 from stepstream.hot_restart.forwarder import NotificationForwarder
-from stepstream.hot_restart.process import ProcessRecord, newest_sibling
+from stepstream.hot_restart.precedence import newest_sibling, replace_own_record
+from stepstream.hot_restart.process import ProcessRecord
 from stepstream.hot_restart.state import (
     HandoverState,
     StateChecksumError,
@@ -30,7 +31,6 @@
     StateVersionError,
     decode,
     encode,
-    replace_own_record,
 )
 from stepstream.hot_restart.state_file import StateFile
 from stepstream.http.codec import Message
