--- a/stepstream/admin/connection.py
+++ b/stepstream/admin/connection.py
@@ -1,6 +1,6 @@
 """One connection to the admin listener: its parser, its response's unsent bytes and its age.
 
-A record without a thread of its own; the listener's thread alone touches it.
+Only the listener's thread touches it.
 """
 
 import contextlib
@@ -19,7 +19,7 @@
     parser: Parser
     opened_at: float  # monotonic seconds
     unsent: bytearray = field(default_factory=bytearray)
-    responded: bool = False  # the response is sent or on its way; what arrives now is not read
+    responded: bool = False  # the response is sent or queued; no more requests are read
 
     def receive(self, max_bytes: int) -> bytes:
         """Read what has arrived; b"" at the end. Raise OSError if the connection has broken."""
@@ -31,7 +31,7 @@
         return self.parser.next()
 
     def respond(self, response: AdminResponse, *, head_only: bool = False) -> None:
-        """Queue the response; `head_only` leaves its body out, as HEAD asks (RFC 9110, 9.3.2)."""
+        """Queue the response; `head_only` leaves its body out, for HEAD (RFC 9110, 9.3.2)."""
         body = f"{response.text}\n".encode("utf-8", "replace")
         headers = {"Content-Type": response.content_type}
         data = write_answer(response.status, body, headers, close=True)
--- a/stepstream/admin/listener.py
+++ b/stepstream/admin/listener.py
@@ -1,8 +1,8 @@
 """The driver of the admin listener: one thread, non-blocking sockets and poll(2).
 
-A caller that holds a connection without a complete request delays nobody else; every connection is
-bounded in time, and all of them in number. The listener owns its sockets and connections, and its
-thread alone touches them. `AdminSubsystem.start` starts that thread.
+A caller that holds a connection without a complete request delays no other caller. Connections are
+bounded in number and each of them in time. The listener owns its sockets and connections, and only
+its thread touches them. `AdminSubsystem.start` starts that thread.
 """
 
 import contextlib
@@ -12,6 +12,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import replace
 
+from stepstream.admin import decisions
 from stepstream.admin.connection import AdminConnection
 from stepstream.admin.routing import (
     HTTP_SERVER_ERROR,
@@ -36,10 +37,10 @@
 class AdminListener:
     """Accepts operators' connections and passes complete requests on.
 
-    `answer` gets the requests to the listener's own routes, the routes of `subsystem_routes` answer
-    theirs. `run_periodic_tasks` is called with the monotonic time at every turn, at least once in
-    `admin_poll_seconds`. All of these run in the listener's thread. The constructor raises OSError
-    if the address cannot be bound.
+    `answer` gets the requests to the listener's own routes; each of `subsystem_routes` answers its
+    own. `run_periodic_tasks` is called with the monotonic time in seconds at every turn, at least
+    once in `admin_poll_seconds`. All of them run in the listener's thread. The constructor raises
+    OSError if the address cannot be bound.
     """
 
     def __init__(
@@ -92,28 +93,26 @@
         self.run_periodic_tasks(now)
 
     def _accept(self) -> None:
-        """Take the waiting connections; each beyond the bound evicts the oldest."""
+        """Accept the waiting connections; one beyond the bound evicts another."""
         max_connections = self.limits.connections.admin
         for _ in range(max_connections):
             try:
                 sock, _ = self.listening_socket.accept()
             except OSError:
-                return  # none left, or gone before its accept
-            if len(self.connections) >= max_connections:
-                # Guards the next callers against those that hold connections without a request.
-                self._close(
-                    min(self.connections.values(), key=lambda connection: connection.opened_at)
-                )
+                return  # none is left, or the caller has gone before the accept
+            evicted = decisions.connection_to_evict(self.connections.values(), max_connections)
+            if evicted is not None:
+                self._close(evicted)
             sock.setblocking(False)  # noqa: FBT003  the socket's own signature
             parser = Parser(self.limits, max_body_bytes=self.limits.sizes.admin_body_bytes)
             self.connections[sock.fileno()] = AdminConnection(sock, parser, time.monotonic())
             self.poll.register(sock, READABLE)
 
     def _close_expired(self, now: float) -> None:
-        """Close the connections that are still open after the time for a request."""
+        """Close the connections that have had their time for a request."""
         max_age_seconds = self.limits.timeouts.admin_request_seconds
         for connection in list(self.connections.values()):
-            if now - connection.opened_at > max_age_seconds:
+            if decisions.has_expired(connection, now, max_age_seconds):
                 self._close(connection)
 
     def _serve(self, connection: AdminConnection, events: int) -> None:
@@ -129,7 +128,8 @@
         """Read, and respond once the request is complete or cannot become so."""
         received = connection.receive(self.limits.sizes.read_bytes)
         if not received or connection.responded:
-            self._close(connection)  # the caller has closed it, or sends on after its one request
+            # The caller has closed it, or sends more than its one request.
+            self._close(connection)
             return
         try:
             message = connection.parse(received)
@@ -143,7 +143,7 @@
         self._flush(connection)
 
     def _respond(self, connection: AdminConnection, message: Message) -> None:
-        """Route the request and queue its response; that to an unroutable HEAD has a body too."""
+        """Route the request and queue its response; an error has a body even for HEAD."""
         try:
             request = route(message.method, message.target, self.subsystem_routes)
         except AdminRequestError as error:
@@ -162,12 +162,11 @@
         try:
             return request.route.answer(replace(request.request, body=body))
         except Exception as error:  # noqa: BLE001  a subsystem's fault must not end the listener
-            # Guards the caller too: the fault is a response, not a silence.
             log_fault("an admin call", error)
             return AdminResponse(HTTP_SERVER_ERROR, "fault")
 
     def _flush(self, connection: AdminConnection) -> None:
-        """Send on; close once the response is out, else wait until the socket takes more."""
+        """Send what is left; close after the last byte, or wait until the socket takes more."""
         if connection.flush():
             self._close(connection)
         else:
--- a/stepstream/admin/routing.py
+++ b/stepstream/admin/routing.py
@@ -1,8 +1,8 @@
-"""The routing table of the admin listener, and the decision on each of its actions; free of I/O.
+"""The routing table of the admin listener; free of I/O.
 
-One request a connection, HTTP/1.1; 2xx means done, 4xx and 5xx mean refused. Changes come by PUT
-(POST is taken as well, as other proxies' admin listeners want it). Owns no state; any thread may
-call it.
+A connection carries one HTTP/1.1 request. 2xx means done, 4xx and 5xx mean rejected. Changes come
+by PUT; POST is accepted as well, as at other proxies' admin listeners. There is no state here; any
+thread may call the functions.
 """
 
 import re
@@ -11,13 +11,7 @@
 from enum import Enum
 from urllib.parse import parse_qsl, unquote
 
-from stepstream.ports.admin import (
-    READ_METHODS,
-    WRITE_METHODS,
-    AdminRequest,
-    AdminResponse,
-    AdminRoute,
-)
+from stepstream.ports.admin import READ_METHODS, WRITE_METHODS, AdminRequest, AdminRoute
 
 HTTP_OK = 200
 HTTP_BAD_REQUEST = 400
@@ -26,19 +20,19 @@
 HTTP_SERVER_ERROR = 500
 HTTP_UNAVAILABLE = 503
 
-MAX_QUERY_CHARACTERS = 1024  # more of a query is not read
-MAX_ECHOED_CHARACTERS = 64  # of a path, in a response or a log line
+MAX_QUERY_CHARACTERS = 1024  # the rest of a query is ignored
+MAX_ECHOED_CHARACTERS = 64  # the rest of a path is left out of responses and log lines
 
 
 class AdminAction(Enum):
-    """What a request asks for; the value names it in the response to a wrong method."""
+    """The action of a request. The response to a wrong method names it by the value."""
 
-    CHECK_HEALTH = "healthcheck"  # 200 while this process takes clients and is not draining
+    CHECK_HEALTH = "healthcheck"
     START_DRAIN = "healthcheck/fail"
     CANCEL_DRAIN = "healthcheck/ok"
-    START_MAINTENANCE = "maint"  # of one worker
+    START_MAINTENANCE = "maint"  # one worker's
     END_MAINTENANCE = "ready"
-    TAKE_NOTIFICATION = "news"  # a worker's, forwarded by the sibling process of a hot restart
+    TAKE_NOTIFICATION = "news"  # forwarded by the sibling process of a hot restart
 
 
 # Path to action and methods; `*` stands for a worker's id.
@@ -51,7 +45,7 @@
     "/_jobs/news": (AdminAction.TAKE_NOTIFICATION, frozenset({"POST"})),
 }
 WORKER_PATH = re.compile(r"/workers/([^/]*)(/.*)")
-WORKER_ID = re.compile(r"[A-Za-z0-9._:@~-]{1,128}")  # discovery's ids, and Gearman's names
+WORKER_ID = re.compile(r"[A-Za-z0-9._:@~-]{1,128}")  # ids of discovery and of Gearman
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,8 +53,8 @@
     """A request to one of the listener's own routes."""
 
     action: AdminAction
-    worker_id: str = ""  # of the maintenance actions
-    body: bytes = b""  # of a forwarded notification
+    worker_id: str = ""  # for the maintenance actions
+    body: bytes = b""  # a forwarded notification
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,41 +110,3 @@
         raise AdminRequestError(
             HTTP_METHOD_NOT_ALLOWED, f"{what} takes {' or '.join(sorted(allowed))}"
         )
-
-
-@dataclass(frozen=True, slots=True)
-class ProcessView:
-    """What a decision needs to know of the process, taken by its caller."""
-
-    serving: bool  # clients are taken: their listener is open, no drain and no shutdown goes on
-    worker_known: bool  # an endpoint list or the Gearman front has the request's worker
-    worker_in_maintenance: bool
-
-
-@dataclass(frozen=True, slots=True)
-class Decision:
-    """The response to a request, and the action to carry out before it is sent, if any."""
-
-    response: AdminResponse
-    effect: AdminAction | None = None
-
-
-def decide(request: OperatorRequest, view: ProcessView) -> Decision:
-    """Decide on any action but a forwarded notification, which depends on its body alone.
-
-    Maintenance does not count its starts: one end is enough. An id that nobody knows is refused,
-    unless it is in maintenance.
-    """
-    match request.action:
-        case AdminAction.CHECK_HEALTH if view.serving:
-            return Decision(AdminResponse(HTTP_OK, "OK"))
-        case AdminAction.CHECK_HEALTH:
-            return Decision(AdminResponse(HTTP_UNAVAILABLE, "not serving"))
-        case AdminAction.START_DRAIN | AdminAction.CANCEL_DRAIN:
-            return Decision(AdminResponse(HTTP_OK, "OK"), request.action)
-    if not view.worker_known and not view.worker_in_maintenance:
-        return Decision(AdminResponse(HTTP_NOT_FOUND, f"no worker {request.worker_id}"))
-    starts = request.action is AdminAction.START_MAINTENANCE
-    if starts == view.worker_in_maintenance:
-        return Decision(AdminResponse(HTTP_OK, "OK: out already" if starts else "OK: in already"))
-    return Decision(AdminResponse(HTTP_OK, "OK"), request.action)
--- a/stepstream/admin/service.py
+++ b/stepstream/admin/service.py
@@ -1,8 +1,8 @@
 """The admin service: what operators' requests do to the process, and what follows from them later.
 
 Each effect holds before its request is answered: a worker in maintenance is marked in the
-destination set, so that no call is written to it from then on, and the core learns of it in its
-next round. The service owns the maintenance registry and the drain. Everything here runs in the
+destination set, so that no call is written to it from then on, and the core gets it with its next
+events. The service owns the maintenance registry and the drain. Everything here runs in the
 admin listener's thread, except where a docstring says otherwise.
 """
 
@@ -12,14 +12,9 @@
 from queue import SimpleQueue
 from typing import TYPE_CHECKING
 
-from stepstream.admin.routing import (
-    HTTP_NOT_FOUND,
-    HTTP_OK,
-    AdminAction,
-    OperatorRequest,
-    ProcessView,
-    decide,
-)
+from stepstream.admin import decisions
+from stepstream.admin.decisions import ProcessView
+from stepstream.admin.routing import HTTP_NOT_FOUND, HTTP_OK, AdminAction, OperatorRequest
 from stepstream.core.drain import DrainState
 from stepstream.core.events import MaintenanceChanged, SiblingProcessChanged
 from stepstream.core.maintenance import MaintenanceRegistry
@@ -32,25 +27,23 @@
 if TYPE_CHECKING:
     from stepstream.hot_restart.controller import HotRestartController
 
-IDLE_CLOSE_PERIOD_SECONDS = 0.1  # between two closings of idle connections in a drain
-
 
 @dataclass(frozen=True, slots=True)
 class RemoteMaintenanceChange:
-    """A maintenance request that another dispatcher, `source`, has taken."""
+    """A maintenance request that another dispatcher, `source`, has accepted."""
 
     worker_id: str
     in_maintenance: bool
     source: str
-    at_us: int  # when it was taken: microseconds since the epoch, by that dispatcher's clock
+    at_us: int  # when it was accepted: microseconds since the epoch, by that dispatcher's clock
 
 
 class AdminService:
     """Carries out maintenance of workers, drains, and the admin part of a hot restart.
 
-    `context` is the node that it acts on. `started` is set once clients are taken, `hot_restart`
-    where there is a state folder, and `on_maintenance_change` by whoever spreads maintenance to
-    other dispatchers.
+    `context` is the node that it acts on. `started` is set once the clients' listener is open,
+    `hot_restart` where there is a state folder, and `on_maintenance_change` by the subsystem that
+    spreads maintenance to other dispatchers.
     """
 
     def __init__(self, context: SubsystemContext, drain: DrainState) -> None:
@@ -75,30 +68,33 @@
         view = ProcessView(
             self.is_serving(), self._is_known(worker_id), self.maintenance.contains(worker_id)
         )
-        decision = decide(request, view)
-        status = decision.response.status
+        decision = decisions.decide(request, view)
         if decision.effect is not None:
             self._carry_out(decision.effect, worker_id)
-        elif status == HTTP_NOT_FOUND:
+        elif decision.response.status == HTTP_NOT_FOUND:
             self.maintenance.counts.unknown += 1
-        if self.on_maintenance_change is not None and status == HTTP_OK and worker_id:
-            # Also where nothing changes here: another dispatcher may have been told the opposite.
+        if self.on_maintenance_change is not None and decisions.spreads_to_members(
+            request, decision
+        ):
             starts = request.action is AdminAction.START_MAINTENANCE
             self.on_maintenance_change(worker_id, starts)
         return decision.response
 
     def is_serving(self) -> bool:
-        """Tell whether clients are taken: started, and neither shutting down nor draining."""
-        shutting_down = self.context.server.state.shutting_down
-        return self.started and not shutting_down and not self.drain.active
+        """Return whether health checks succeed."""
+        return decisions.is_serving(
+            started=self.started,
+            shutting_down=self.context.server.state.shutting_down,
+            draining=self.drain.active,
+        )
 
     def _is_known(self, worker_id: str) -> bool:
-        """Tell whether discovery's endpoint list or the Gearman front has the worker."""
+        """Return whether discovery's endpoint list or the Gearman front has the worker."""
         listed = self.context.destinations.listed_address(worker_id) is not None
         return listed or self.context.core.endpoints.contains(worker_id)
 
     def _take_notification(self, body: bytes) -> AdminResponse:
-        """Post a notification that a worker sent to the sibling process, and that belongs here."""
+        """Post a worker's notification that the sibling process has forwarded."""
         try:
             notification = read_notification(Message(method="POST", body=body), forwarded=True)
         except ProtocolError as error:
@@ -125,12 +121,12 @@
             self._spread_maintenance(f"worker {worker_id} out for maintenance{origin}")
 
     def _end_maintenance(self, worker_id: str, at_us: int, origin: str = "") -> None:
-        """Release the worker, which starts over as one that has started at `at_us`."""
+        """Release the worker; it goes through slow start as if it had started at `at_us`."""
         if self.maintenance.release(worker_id, at_us):
             self._spread_maintenance(f"worker {worker_id} back from maintenance, cold{origin}")
 
     def _spread_maintenance(self, change: str) -> None:
-        """Apply the changed maintenance state here and hand it over, with a line in the log."""
+        """Apply the changed maintenance state here, hand it over and log it."""
         count = self._apply_maintenance()
         if self.hot_restart is not None:
             self.hot_restart.write()
@@ -139,7 +135,7 @@
     def adopt_maintenance(self) -> None:
         """Apply the maintenance state taken over from another process.
 
-        The main thread calls it too, before the listener's thread is there.
+        The main thread calls it as well, before the listener's thread starts.
         """
         count = self._apply_maintenance()
         log(f"maintenance taken over: {count} out")
@@ -152,7 +148,7 @@
         return len(state.in_maintenance)
 
     def queue_remote_change(self, change: RemoteMaintenanceChange) -> None:
-        """Leave a change to the listener's next turn; any thread, never waits."""
+        """Queue a change for the listener's next turn; any thread may call it."""
         self.remote_changes.put(change)
 
     def _apply_remote_changes(self) -> None:
@@ -180,9 +176,11 @@
             log("drain ended: the front is told yes again")
 
     def _close_idle_connections(self, now: float) -> None:
-        """Close clients' idle connections in a drain, once that is due and then once a period."""
-        in_period = now - self.idle_closed_at < IDLE_CLOSE_PERIOD_SECONDS
-        if not self.drain.closes_connections(now) or in_period:
+        """Close clients' idle connections where a drain has come to that step."""
+        if not decisions.closes_idle_now(
+            drain_closes=self.drain.closes_connections(now),
+            seconds_since_last_close=now - self.idle_closed_at,
+        ):
             return
         self.idle_closed_at = now
         server = self.context.server
@@ -215,7 +213,7 @@
             hot_restart.write()
 
     def _post_sibling_change(self, hot_restart: "HotRestartController") -> None:
-        """Tell the core when a sibling process has appeared or gone."""
+        """Notify the core when a sibling process has appeared or ended."""
         present = hot_restart.sibling() is not None
         if present != self.sibling_present:
             self.sibling_present = present
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -13,15 +13,21 @@
 from net_helpers import LIMITS, job_bytes
 from node_helpers import PATIENCE, ROOT, World, ask, free_port, wait_for
 
+from stepstream.admin.connection import AdminConnection
+from stepstream.admin.decisions import (
+    Decision,
+    ProcessView,
+    connection_to_evict,
+    decide,
+    has_expired,
+    is_serving,
+)
 from stepstream.admin.listener import AdminListener
 from stepstream.admin.routing import (
     AdminAction,
     AdminRequestError,
-    Decision,
     OperatorRequest,
-    ProcessView,
     SubsystemRequest,
-    decide,
     route,
 )
 from stepstream.core.drain import DrainState
@@ -117,6 +123,29 @@
     assert decision.effect is None
 
 
+@pytest.mark.parametrize(
+    ("started", "shutting_down", "draining", "serving"),
+    [
+        (True, False, False, True),
+        (False, False, False, False),
+        (True, True, False, False),
+        (True, False, True, False),
+    ],
+)
+def test_clients_are_taken_between_the_start_and_a_shutdown_or_drain(
+    started, shutting_down, draining, serving
+):
+    found = is_serving(started=started, shutting_down=shutting_down, draining=draining)
+    assert found is serving
+
+
+def test_the_oldest_connection_makes_room_and_each_one_expires():
+    older, newer = (AdminConnection(None, None, opened_at) for opened_at in (10.0, 11.0))
+    assert connection_to_evict([newer, older], 3) is None
+    assert connection_to_evict([newer, older], 2) is older
+    assert [has_expired(older, now, 5.0) for now in (15.0, 15.01)] == [False, True]
+
+
 @pytest.mark.parametrize("action", [AdminAction.START_DRAIN, AdminAction.CANCEL_DRAIN])
 def test_a_drain_starts_and_ends_on_request_in_any_state(action):
     decision = decide(OperatorRequest(action), ProcessView(False, False, False))
