--- a/stepstream/ports/access_control.py
+++ b/stepstream/ports/access_control.py
@@ -1,4 +1,4 @@
-"""Authentication and authorization of peers, as the fronts ask for them.
+"""Authentication and authorization of peers, as the fronts use them.
 
 Implemented by the identity subsystem; without it the fronts admit every peer.
 """
@@ -30,7 +30,7 @@
 
     kind: RejectionKind
     reason: str  # one word, for the peer and the log
-    retry_after_seconds: float = 0.0  # of RATE_LIMITED
+    retry_after_seconds: float = 0.0  # for RATE_LIMITED
 
 
 class Authorization(Protocol):
@@ -44,10 +44,10 @@
 
 
 class AccessControl(Protocol):
-    """Who may do what. The fronts' threads call it; no method waits.
+    """Decides who may do what. The fronts' threads call it; no method waits.
 
-    `front` names the front that asks. Rejections are written to the audit log, admissions only
-    where the operators ask for it.
+    `front` names the calling front. Rejections are written to the audit log, admissions only if
+    the operators have switched that on.
     """
 
     def authorize_request(
--- a/stepstream/ports/admin.py
+++ b/stepstream/ports/admin.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-# Methods of an admin route. Changes come by PUT; POST is taken as well, as other proxies' admin
-# listeners want it.
+# Methods of an admin route. Changes come by PUT; POST is accepted as well, as at other proxies'
+# admin listeners.
 READ_METHODS = frozenset({"GET", "HEAD"})
 WRITE_METHODS = frozenset({"PUT", "POST"})
 
@@ -46,8 +46,8 @@
     """
 
     # Set by the membership subsystem before the admin listener opens. The admin listener's thread
-    # calls it for each operator's command given here: worker id, and whether the worker is in
-    # maintenance from now on. It must not wait.
+    # calls it for each operator's command at this dispatcher, with the worker id and whether the
+    # worker is in maintenance from now on. It must not wait.
     on_change: Callable[[str, bool], None] | None
 
     def apply_remote_change(
@@ -57,7 +57,10 @@
         member: str,
         at_us: int,
     ) -> None:
-        """Apply an operator's command that was given to another member at `at_us`."""
+        """Apply an operator's command to another member.
+
+        `at_us`: when that member accepted it, in microseconds since the epoch on its clock.
+        """
 
     def draining(self) -> bool:
         """Return whether operators drain this dispatcher."""
--- a/stepstream/ports/carriers.py
+++ b/stepstream/ports/carriers.py
@@ -10,10 +10,10 @@
 class Carrier(CallCarrier, Protocol):
     """Carries the calls to the workers of one endpoint source.
 
-    Implemented by the HTTP outbound carrier and the Gearman service. The node calls it on the
-    decision thread, so no method may wait. What becomes of a call is posted to the core as an
-    event: `CallEnded` where it ended without its worker taking the job, `JobNotification` where the
-    worker reports on the job.
+    Implemented by the HTTP outbound carrier and the Gearman front. The node calls it on the
+    decision thread, so no method may wait. The end of a call is posted to the core as an event:
+    `CallEnded` where its worker has not accepted the job, `JobNotification` where the worker
+    reports on the job.
     """
 
     def check_health(self, worker: str) -> None:
--- a/stepstream/ports/connections.py
+++ b/stepstream/ports/connections.py
@@ -19,7 +19,7 @@
     """
 
     is_external: bool  # its peer is not on the host of a known worker
-    evicted: bool  # evicted from the budget, its socket not yet closed; the server sets it
+    evicted: bool  # taken out of the budget, its socket not yet closed; the server sets it
 
     def run(self) -> None:
         """Read and handle what the peer sends until the connection ends."""
@@ -30,11 +30,11 @@
     def busy(self) -> bool:
         """Return whether a shutdown must wait for it.
 
-        It must while the peer is owed something, and for as long as a client may still use it.
+        It must while the peer is owed something or a client may still use the connection.
         """
 
     def eviction_rank(self, now: float) -> tuple[int, float]:
-        """Return its rank for eviction, the lowest first, and since when it has been idle."""
+        """Return its rank for eviction, the lowest first, and the time since which it is idle."""
 
     def evict(self) -> bool:
         """Close it to make room; return False, and leave it open, if the peer is owed something."""
@@ -51,10 +51,9 @@
     """A listening socket and how its front treats what it accepts."""
 
     listener: socket.socket
-    # Make a connection of an accepted socket; the flag is its `is_external`. On the accepting
-    # thread.
+    # Makes a connection of an accepted socket, on the accepting thread; the flag is `is_external`.
     create_connection: Callable[[socket.socket, bool], Connection]
-    overload_response: Callable[[], bytes]  # what a peer is sent when no connection is left for it
+    overload_response: Callable[[], bytes]  # sent to a peer when no connection is left for it
 
 
 @dataclass(frozen=True, slots=True)
--- a/stepstream/ports/messaging.py
+++ b/stepstream/ports/messaging.py
@@ -11,17 +11,17 @@
     methods once it has started; none of them waits.
     """
 
-    process: str  # name of this start of the process, unique among all processes ever
+    process: str  # name of this run of the process; no other run ever has it
 
     def subscribe(self, kind: str, on_message: Callable[[str, bytes], None]) -> None:
-        """Have messages of a kind passed to `on_message`, with the name of their sender.
+        """Pass each message of a kind to `on_message`, with the name of its sender.
 
-        To be called before the transport starts. The transport's thread calls `on_message`, which
-        must not wait.
+        Called before the transport starts. The transport's thread calls `on_message`, which must
+        not wait.
         """
 
     def send(self, member: str, kind: str, data: bytes) -> None:
-        """Send up to 1,064 bytes to a member by its name, whatever its state.
+        """Send up to 1,064 bytes to a member by its name, in whatever state it is.
 
         A message may be lost, duplicated or delayed.
         """
@@ -30,4 +30,4 @@
         """Return the names of the other members that are alive or suspect."""
 
     def superseded(self) -> bool:
-        """Return whether a later process has taken this one's name and speaks for it."""
+        """Return whether a later process has taken over this member's name."""
--- a/stepstream/subsystem_api/__init__.py
+++ b/stepstream/subsystem_api/__init__.py
@@ -1,4 +1,5 @@
-"""What the author of a subsystem needs: its base class, the node as it sees it, admin routes.
+"""What the author of a subsystem needs: its base class, its view of the node, admin routes.
 
-It stands above `http` and below the subsystems. It is loaded only where one of them is switched on.
+The package stands above `http` and below the subsystems. It is loaded only where one of them is
+switched on.
 """
--- a/stepstream/subsystem_api/admin_client.py
+++ b/stepstream/subsystem_api/admin_client.py
@@ -1,4 +1,4 @@
-"""One call to a dispatcher's admin listener, for commands that ask a running program."""
+"""One request to a dispatcher's admin listener, for commands on a running program."""
 
 import http.client
 from http import HTTPStatus
@@ -10,11 +10,11 @@
 from stepstream.config.fields import MAX_PORT
 
 TIMEOUT_SECONDS = 5.0
-NO_ANSWER = 0  # in place of a status
+NO_ANSWER = 0  # the status of a request without an answer
 
 
 class AdminCallError(Exception):
-    """The dispatcher refused a call, or could not be asked; the text says where and why.
+    """The dispatcher rejected a request or gave no answer; the text says where and why.
 
     `status` is the answer's, or NO_ANSWER; `reason` is the answer's error text, "" without one.
     """
@@ -28,10 +28,11 @@
 def call_admin(
     at: str, path: str, method: str = "GET", timeout_seconds: float = TIMEOUT_SECONDS
 ) -> tuple[int, Any]:
-    """Make a call to the admin listener at HOST:PORT; give the status and the JSON of the answer.
+    """Send a request to the admin listener at HOST:PORT; return status and JSON of the answer.
 
-    An answer that is not JSON is given as the text under `error`. ConnectionError without an
-    answer, `ConfigurationError` if `at`, the option `--at`, is no address.
+    The text of an answer that is not JSON is returned under `error`. Raise ConnectionError if there
+    is no answer within `timeout_seconds`, and `ConfigurationError` if `at`, the option `--at`, is
+    not HOST:PORT.
     """
     host, _, port = at.rpartition(":")
     if not host or not (port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
@@ -52,7 +53,7 @@
 
 
 def request_json(at: str, path: str, method: str = "GET") -> Any:  # noqa: ANN401  parsed JSON
-    """Make a call as `call_admin` does; give the JSON of a success, AdminCallError otherwise."""
+    """Call `call_admin`; return the JSON of a success, raise `AdminCallError` otherwise."""
     try:
         status, answer = call_admin(at, path, method)
     except ConnectionError as error:
--- a/stepstream/subsystem_api/admin_json.py
+++ b/stepstream/subsystem_api/admin_json.py
@@ -2,8 +2,11 @@
 
 import ujson
 
+from stepstream.config.fields import parse_whole_number
 from stepstream.ports.admin import AdminResponse
 
+__all__ = ["json_error", "json_or_not_found", "json_response", "parse_whole_number"]
+
 HTTP_OK = 200
 HTTP_NOT_FOUND = 404
 
@@ -24,10 +27,3 @@
     if found is None:
         return json_error(HTTP_NOT_FOUND, error)
     return json_response(HTTP_OK, found)
-
-
-def parse_whole_number(text: str, max_digits: int) -> int | None:
-    """Return a query parameter's whole number; None if it is none of at most `max_digits`."""
-    if not (text.isascii() and text.isdigit() and len(text) <= max_digits):
-        return None
-    return int(text)
--- a/stepstream/subsystem_api/context.py
+++ b/stepstream/subsystem_api/context.py
@@ -1,10 +1,11 @@
-"""The node as its subsystems see it."""
+"""The view that a subsystem has of its node."""
 
 from collections.abc import Callable
 from queue import SimpleQueue
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
 from stepstream.config.errors import ConfigurationError
+from stepstream.config.fields import split_address
 from stepstream.config.limits import Limits
 from stepstream.config.node_config import NodeConfig
 from stepstream.core.dispatcher import Dispatcher
@@ -24,7 +25,7 @@
 
 
 class SubsystemContext(Protocol):
-    """The node as a subsystem sees it; `node.context` implements it.
+    """The view that a subsystem has of its node; `node.context` implements it.
 
     The main thread owns the attributes and replaces some of them at a reload. Subsystems read them,
     and set only those that say so, while they are created.
@@ -34,24 +35,24 @@
     operator: "OperatorConfig | None"
     limits: Limits
     clock: Clock
-    post: Callable[[Event], None]  # to the core; any thread
-    core: Dispatcher  # to be read; what is to change goes through `post`
+    post: Callable[[Event], None]  # posts to the core; any thread may call it
+    core: Dispatcher  # read only; changes go through `post`
     server: InboundServer
     destinations: DestinationSet
-    signals: "SimpleQueue[int]"  # as if the process had got them; any thread
-    events: "SimpleQueue[Event]"  # those that the core has yet to take; `post` adds to it
+    signals: "SimpleQueue[int]"  # handled as if the process had received them; any thread
+    events: "SimpleQueue[Event]"  # events that the core has not taken yet; `post` adds to it
     carriers: dict[str, Carrier]  # by endpoint source; a subsystem adds its own
-    outbound: HealthChecker  # of discovery's workers
-    subsystems: dict[str, Subsystem]  # by section; those created so far
-    # The endpoint list from before the start, in discovery's form; a subsystem may set a newer one.
+    outbound: HealthChecker  # for discovery's workers
+    subsystems: dict[str, Subsystem]  # by section, those already created
+    # The endpoint list from before the start, in discovery's form. A subsystem may set a newer one.
     persisted_endpoints: dict[str, Any]
-    # Whether the core's health check of a worker is left to another dispatcher, which has reported
-    # on it of late; a subsystem may set it. Called by the decision thread.
+    # Returns whether another dispatcher has checked a worker's health recently, so that this one
+    # need not. A subsystem may set it; the decision thread calls it.
     is_health_check_delegated: Callable[[str], bool]
-    hot_restarting: bool  # this process stops, and one beside it serves on
+    hot_restarting: bool  # this process stops, and a sibling process continues
 
     def set_dispatcher_count(self, dispatchers: int) -> None:
-        """Share the workers among so many from now on, this one included; any thread."""
+        """Divide the workers among this many dispatchers, this one included; any thread."""
 
 
 def worker_maintenance(context: SubsystemContext) -> WorkerMaintenance | None:
@@ -65,12 +66,11 @@
     create_listener: Callable[[tuple[str, int]], ListenerSpec],
     log_suffix: str,
 ) -> BoundListener:
-    """Open a listener at HOST:PORT; `ConfigurationError` names the key if it cannot be had.
+    """Open a listener at HOST:PORT; `ConfigurationError` names the key if that fails.
 
     `log_suffix` ends the log line that announces the listener.
     """
-    host, _, port = text.rpartition(":")
-    address = host, int(port)
+    address = split_address(text)
     try:
         return BoundListener(address, create_listener(address), log_suffix)
     except OSError as error:
--- a/stepstream/subsystem_api/subsystem.py
+++ b/stepstream/subsystem_api/subsystem.py
@@ -13,7 +13,7 @@
 
 
 class Subsystem:
-    """A part of the program that the operator's file switches on, and what it does by default.
+    """A part of the program that the operator's file switches on, with defaults that do nothing.
 
     Base of the class in each package's `subsystem` module, which the node creates from the
     operator's file before anything listens. The main thread calls all methods; the admin routes'
@@ -24,7 +24,7 @@
     def start(self) -> None:
         """Start its threads and listeners, before the clients' listener opens.
 
-        Raise `ConfigurationError`, which names the key, for what cannot be had.
+        Raise `ConfigurationError`, which names the key, for what cannot be opened.
         """
 
     def open_listeners(self) -> Sequence[BoundListener]:
@@ -35,7 +35,7 @@
         return ()
 
     def on_serving(self) -> None:
-        """Take note that the clients' listener accepts connections."""
+        """Act on the clients' listener having opened."""
 
     def prepare_reload(
         self,
@@ -50,7 +50,7 @@
         return lambda: None
 
     def run_periodic_tasks(self) -> None:
-        """Run what is due, twice a second and more often in a shutdown; must not wait."""
+        """Run what is due; called twice a second, more often in a shutdown; must not wait."""
 
     def begin_shutdown(self) -> bool:
         """Begin the shutdown on SIGTERM.
@@ -60,7 +60,7 @@
         return False
 
     def stop(self) -> None:
-        """End its work: all requests are answered and the process ends.
+        """End its work, after all requests are answered and before the process ends.
 
         It may take a moment, but must not wait for a peer.
         """
@@ -70,12 +70,12 @@
         return ()
 
     def command_handlers(self) -> Mapping[type[Command], Callable[[Any], None]]:
-        """Return the core's commands that it carries out: by type, the function that takes one.
+        """Return the handlers of the core's commands that it carries out, by the command's type.
 
         The decision thread calls the functions, which must not wait.
         """
         return {}
 
     def status(self) -> str:
-        """Return what it adds to the status line; empty for nothing."""
+        """Return its part of the status line; empty for none."""
         return ""
