--- a/stepstream/cli/__init__.py
+++ b/stepstream/cli/__init__.py
@@ -66,7 +66,7 @@
 from stepstream.cli.errors import CommandError
 
 # The module of each command, loaded once the command is called: its `run` takes docopt's arguments
-# and gives the exit code.
+# and returns the exit code.
 COMMANDS = {
     "version": "stepstream.cli.version",
     "demo": "stepstream.cli.demo",
@@ -96,7 +96,7 @@
 
 
 def run_command(command_line: list[str]) -> int:
-    """Run the command that the command line names; give its exit code."""
+    """Run the command that the command line names; return its exit code."""
     first = command_line[0] if command_line else ""
     if first in COMMANDS_WITH_OWN_USAGE:
         return load_command(COMMANDS_WITH_OWN_USAGE[first])(command_line)
@@ -106,6 +106,6 @@
 
 
 def load_command(module: str) -> Callable[[Any], int]:
-    """Import a command's module and give its `run`."""
+    """Import a command's module and return its `run`."""
     run: Callable[[Any], int] = import_module(module).run
     return run
--- a/stepstream/cli/check_config.py
+++ b/stepstream/cli/check_config.py
@@ -12,7 +12,7 @@
 
 
 def run(arguments: Arguments) -> int:
-    """Print the summary; CommandError names the first faulty key."""
+    """Print the summary; raise CommandError, which names the first faulty key."""
     config, operator = read_configuration(operator_path(arguments))
     print_summary(config, operator)
     return EXIT_OK
--- a/stepstream/cli/configuration.py
+++ b/stepstream/cli/configuration.py
@@ -1,7 +1,7 @@
 """The two files that configure a dispatcher, read for the commands that need them.
 
-EDGE_CONFIG names the platform's JSON file, `--operator` or STEPSTREAM_OPERATOR the operator's own
-TOML file, whose reader is imported only if there is one.
+EDGE_CONFIG names the platform's JSON file. `--operator` or STEPSTREAM_OPERATOR names the operator's
+own TOML file, whose reader is imported only if there is one.
 """
 
 import os
@@ -24,7 +24,7 @@
 
 
 def read_configuration(path: str | None) -> tuple[NodeConfig, "OperatorConfig | None"]:
-    """Read the platform's file, then the operator's at `path`; CommandError if one is at fault."""
+    """Read the platform's file, then the operator's at `path`; raise CommandError for a fault."""
     with command_errors(ConfigurationError, prefix=ERROR_PREFIX):
         config = read_config()
         if path is None:
--- a/stepstream/cli/errors.py
+++ b/stepstream/cli/errors.py
@@ -1,4 +1,4 @@
-"""The error that ends a command, and what turns other errors into it.
+"""The error that ends a command, and the translation of other errors into it.
 
 `stepstream.cli.main` prints a `CommandError` as one line after `stepstream: ` on standard error and
 exits with its code. Nothing here keeps state.
@@ -8,11 +8,11 @@
 from contextlib import contextmanager
 
 EXIT_OK = 0
-EXIT_FAULT = 2  # of the configuration, of a missing package, or of the call
+EXIT_FAULT = 2  # a faulty configuration or call, or a missing package
 
 
 class CommandError(Exception):
-    """A command cannot be carried out; the text says why, `exit_code` is the process's."""
+    """A command cannot be carried out; the text says why, and the process ends with `exit_code`."""
 
     def __init__(self, text: str, exit_code: int = EXIT_FAULT) -> None:
         super().__init__(text)
--- a/stepstream/cli/fleet.py
+++ b/stepstream/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`stepstream fleet`: how a running dispatcher sees the others; membership has usage and texts."""
+"""`stepstream fleet`: the members that a running dispatcher knows; membership has the usage."""
 
 from contextlib import suppress
 
@@ -7,9 +7,9 @@
 
 
 def run(command_line: list[str]) -> int:
-    """Run the command line, which begins with `fleet`; give its exit code."""
+    """Run the command line, which begins with `fleet`; return its exit code."""
     with optional_packages("fleet", extra="fleet"):
         from stepstream.membership.commands import run as run_fleet
     with command_errors(ConfigurationError), suppress(KeyboardInterrupt):
         return run_fleet(command_line)
-    return EXIT_OK  # interrupted: the operator has seen enough
+    return EXIT_OK  # interrupted by the operator
--- a/stepstream/cli/identity_explain.py
+++ b/stepstream/cli/identity_explain.py
@@ -7,9 +7,9 @@
 
 
 def run(arguments: Arguments) -> int:
-    """Print the decision and give its exit code; CommandError if the configuration is at fault."""
+    """Print the decision and return its exit code; raise CommandError on faulty input."""
     _, operator = read_configuration(operator_path(arguments))
-    if operator is None:  # the usage asks for --operator, but its FILE may be an empty text
+    if operator is None:  # the usage demands --operator, but its FILE may be empty
         raise CommandError("identity explain needs --operator FILE")
     from stepstream.identity import commands  # not loaded where the configuration is at fault
 
--- a/stepstream/cli/keys_and_token.py
+++ b/stepstream/cli/keys_and_token.py
@@ -5,9 +5,9 @@
 
 
 def run(arguments: Arguments) -> int:
-    """Make, rotate, revoke or list keys, or issue or inspect a token; give the exit code.
+    """Make, rotate, revoke or list keys, or issue or inspect a token; return the exit code.
 
-    CommandError if what was asked cannot be done, or if the key folder cannot be read or written.
+    Raise CommandError if the command cannot be carried out or the key folder not be accessed.
     """
     with optional_packages("this", extra="identity"):
         from stepstream.identity import commands
--- a/stepstream/cli/lease.py
+++ b/stepstream/cli/lease.py
@@ -1,4 +1,4 @@
-"""`stepstream lease`: leases known to a running dispatcher; leases has usage and texts."""
+"""`stepstream lease`: the leases that a running dispatcher knows; leases has the usage."""
 
 from contextlib import suppress
 
@@ -7,9 +7,9 @@
 
 
 def run(command_line: list[str]) -> int:
-    """Run the command line, which begins with `lease`; give its exit code."""
+    """Run the command line, which begins with `lease`; return its exit code."""
     with optional_packages("lease", extra="fleet"):
         from stepstream.leases.commands import run as run_lease
     with command_errors(ConfigurationError), suppress(KeyboardInterrupt):
         return run_lease(command_line)
-    return EXIT_OK  # interrupted: the operator has seen enough
+    return EXIT_OK  # interrupted by the operator
--- a/stepstream/cli/serve.py
+++ b/stepstream/cli/serve.py
@@ -7,9 +7,9 @@
 
 
 def run(arguments: Arguments) -> int:
-    """Serve in this thread until the node stops; give its exit code.
+    """Serve in this thread until the node stops; return its exit code.
 
-    CommandError if the configuration is at fault or an address cannot be bound.
+    Raise CommandError if the configuration is at fault or an address cannot be bound.
     """
     path = operator_path(arguments)
     config, operator = read_configuration(path)
--- a/stepstream/simulator_adapter/adapter.py
+++ b/stepstream/simulator_adapter/adapter.py
@@ -22,7 +22,7 @@
 from stepstream.simulator_adapter.wire_writer import write_action
 
 END_OF_BATCH = "END"
-NO_TABLE = -1  # what a TOPOLOGY without `sheet` names
+NO_TABLE = -1  # for a TOPOLOGY without `sheet`
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,9 +41,9 @@
         self.instances: dict[int, Instance] = {}
 
     def run_batch(self, now_us: int, lines: Iterator[str]) -> list[str]:
-        """Take one batch up to its END; return the reply's lines, without the last, FINISHED.
+        """Read one batch up to its END; return the reply's lines without the last one, FINISHED.
 
-        Raise ConfigurationError for a message at fault, and whatever a fault in deciding raises.
+        Raise ConfigurationError for a faulty message, and any error that the policy raises.
         """
         batch = Batch(self, now_us, lines)
         for line in lines:
@@ -56,7 +56,7 @@
 
 
 class Batch:
-    """The messages of one moment: the instance that they are for, its events, the reply so far.
+    """The messages of one batch: the instance that they address, its events, the reply so far.
 
     An instance decides once on all its events in a row: when another one is selected, when it
     starts anew or stops, or at the batch's end.
@@ -65,13 +65,13 @@
     def __init__(self, adapter: SimulatorAdapter, now_us: int, lines: Iterator[str]) -> None:
         self.adapter = adapter
         self.now_us = now_us
-        self.lines = lines  # a TABLE takes more of them
+        self.lines = lines  # a TABLE reads its RUNNER lines from them
         self.dispatcher: int | None = None  # number of the selected instance, running or not
         self.events: list[PolicyEvent] = []
         self.reply: list[str] = []
 
     def decide(self) -> None:
-        """Have the instance decide on its events, if there are any, and write its actions."""
+        """Let the instance decide on its events, if there are any, and write its actions."""
         if not self.events or self.dispatcher is None:
             return
         balancer = self.adapter.instances[self.dispatcher].load_balancer
@@ -82,13 +82,13 @@
         self.events.clear()
 
     def _selected(self, message: Message) -> int:
-        """Return the number of the instance that the message is for, whether or not it runs."""
+        """Return the number of the instance that the message addresses, running or not."""
         if self.dispatcher is None:
             raise WireError(f"{message.name} comes before any SWITCH_TO")
         return self.dispatcher
 
     def _running(self, message: Message) -> Instance:
-        """Return the running instance that the message is for."""
+        """Return the running instance that the message addresses."""
         dispatcher = self._selected(message)
         instance = self.adapter.instances.get(dispatcher)
         if instance is None:
@@ -98,7 +98,7 @@
     # -- messages ----------------------------------------------------------------------------------
 
     def read_table(self, message: Message) -> None:
-        """Take TABLE, and its RUNNER lines: a table of endpoints that replaces one so numbered."""
+        """Handle TABLE and its RUNNER lines: a table of endpoints, in place of an earlier one."""
         fields = message.fields()
         number = fields.integer("sheet")
         count = fields.integer("lines", 0)
@@ -107,12 +107,12 @@
         )
 
     def switch_instance(self, message: Message) -> None:
-        """Take SWITCH_TO: the messages that follow are for the dispatcher that it names."""
+        """Handle SWITCH_TO: the messages that follow address the dispatcher that it names."""
         self.decide()
         self.dispatcher = message.fields().integer("dispatcher")
 
     def start_instance(self, message: Message) -> None:
-        """Take ENLIST: the instance starts, or starts anew, with these settings."""
+        """Handle ENLIST: the instance starts, or starts again, with these settings."""
         dispatcher = self._selected(message)
         self.decide()
         fields = message.fields()
@@ -121,14 +121,14 @@
         self.adapter.instances[dispatcher] = Instance(settings, balancer)
 
     def stop_instance(self, message: Message) -> None:
-        """Take EXIT: the instance and what it has learned are gone."""
+        """Handle EXIT: the instance and its learned state end."""
         dispatcher = self._selected(message)
         self._running(message)  # an instance that does not run cannot stop
         self.decide()
         del self.adapter.instances[dispatcher]
 
     def add_endpoint_list(self, message: Message) -> None:
-        """Take TOPOLOGY: an event whose endpoints are those of a table as it is now."""
+        """Handle TOPOLOGY: an event with the endpoints that a table has now."""
         self._running(message)
         fields = message.fields()
         kind = fields.choice("mode", LIST_KINDS)
@@ -141,7 +141,7 @@
         self.events.append(EndpointList(kind, self.adapter.tables[number]))
 
     def add_event(self, message: Message) -> None:
-        """Take any other message: an event, or one that the policy has no use for."""
+        """Handle any other message: an event, or a message that the policy does not use."""
         event = read_event(message, self._running(message).settings)
         if event is not None:
             self.events.append(event)
--- a/stepstream/simulator_adapter/command.py
+++ b/stepstream/simulator_adapter/command.py
@@ -45,7 +45,7 @@
 def run(source: TextIO, sink: TextIO, report_error: Callable[[str], None]) -> int:
     """Answer every batch of `source` on `sink`; return the exit code.
 
-    Input that cannot be read is reported with its line's number, and ends the run.
+    Faulty input is reported with its line's number and ends the run.
     """
     adapter = SimulatorAdapter()
     lines = NumberedLines(source)
@@ -61,9 +61,9 @@
 
 
 def answer_batch(adapter: SimulatorAdapter, first_line: str, lines: NumberedLines) -> str:
-    """Take the batch that `first_line`, its MARK, begins; return the whole reply.
+    """Answer the batch that begins with `first_line`, its MARK; return the complete reply.
 
-    Raise ConfigurationError for input that cannot be read.
+    Raise ConfigurationError for faulty input.
     """
     head = Message(first_line)
     if head.name != HEAD_OF_BATCH:
@@ -75,7 +75,7 @@
         reply = adapter.run_batch(now_us, lines)
     except ConfigurationError:
         raise
-    except Exception as error:  # noqa: BLE001  any fault in deciding must be seen by the simulator
+    except Exception as error:  # noqa: BLE001  the simulator must see every fault of the policy
         reply = [write_panic(error)]
     reply.append(f"FINISHED batch={number}")
     return "\n".join(reply) + "\n"
--- a/stepstream/simulator_adapter/errors.py
+++ b/stepstream/simulator_adapter/errors.py
@@ -4,4 +4,4 @@
 
 
 class WireError(ConfigurationError):
-    """The simulator has sent a message that cannot be read, or that has no place here."""
+    """The simulator has sent a message that cannot be read, or that its state does not allow."""
--- a/stepstream/simulator_adapter/wire_reader.py
+++ b/stepstream/simulator_adapter/wire_reader.py
@@ -1,7 +1,7 @@
 """Messages of the simulator's wire, read as events and endpoints. Nothing here keeps state.
 
-This is the one place where the wire's names of messages, pairs and values that come in are
-translated into the program's.
+This is the one place where the names of incoming messages, pairs and values are translated into
+the program's names.
 """
 
 from collections.abc import Callable
@@ -43,11 +43,11 @@
     "Error": EndpointListKind.FAILED,
 }
 HEALTHY = "OK"
-PROGRESS_STARTED = 1  # the `kind` of a PROGRESS message: the job has begun to run
+PROGRESS_STARTED = 1  # the `kind` of a PROGRESS message for a job that has started
 
 
 class Message:
-    """One line: the message's name, and its pairs, which are separated only where they are read."""
+    """One line: the message's name and its pairs, which are split only where they are read."""
 
     __slots__ = ("name", "pairs")
 
@@ -55,7 +55,7 @@
         self.name, *self.pairs = line.split(" ")
 
     def fields(self) -> SettingsFields:
-        """Separate the pairs; ConfigurationError names what is not name=value."""
+        """Split the pairs; raise ConfigurationError for one that is not name=value."""
         return SettingsFields(self.pairs)
 
 
@@ -63,9 +63,9 @@
 
 
 def read_event(message: Message, settings: Settings) -> PolicyEvent | None:
-    """Read an event of an instance with these settings; None if the policy has no use for it.
+    """Read an event of an instance with these settings; None if the policy does not use it.
 
-    Raise WireError for a message that is not known, ConfigurationError for one at fault.
+    Raise WireError for an unknown message and ConfigurationError for a faulty one.
     """
     fields = message.fields()
     read = EVENT_READERS.get(message.name)
@@ -136,7 +136,7 @@
 
 
 def ignore_event(_fields: SettingsFields, _settings: Settings) -> None:
-    """Skip a message that the policy has no use for."""
+    """Ignore a message that the policy does not use."""
 
 
 EVENT_READERS: dict[str, EventReader] = {
--- a/stepstream/simulator_adapter/wire_writer.py
+++ b/stepstream/simulator_adapter/wire_writer.py
@@ -1,7 +1,7 @@
 """Actions of the policy, written as messages of the simulator's wire. Nothing here keeps state.
 
-This is the one place where the program's names are translated into the wire's names of messages
-and pairs that go out.
+This is the one place where the program's names are translated into those of outgoing messages and
+pairs.
 """
 
 from collections.abc import Callable
@@ -80,11 +80,11 @@
 
 
 def write_panic(fault: Exception) -> str:
-    """Return PANIC, which stands for the actions that a fault has kept from being decided."""
+    """Return PANIC, which replaces the actions of a batch that a fault has ended."""
     return "PANIC body_text=" + one_line(f"{type(fault).__name__}: {fault}")
 
 
-# By the action's own type: each writer takes that type alone.
+# By the action's own type; each writer accepts that type alone.
 ACTION_WRITERS: dict[type[PolicyAction], Callable[[Any], str]] = {
     StartAttempt: write_start_attempt,
     Reject: write_reject,
