--- a/stepstream/gearman/access.py
+++ b/stepstream/gearman/access.py
@@ -1,4 +1,4 @@
-"""Access checks: what peers may do where the installation identifies its callers.
+"""Access checks: what peers may do where the identity subsystem is on.
 
 Without access control everything is allowed. The service calls it, under the lock of its front.
 """
@@ -13,13 +13,12 @@
 from stepstream.gearman.state import SOURCE, ServiceState
 from stepstream.ports.access_control import Authorization, Rejection, RejectionKind
 
-# For how long a worker's credential counts as good: no longer than a changed key file may take to
-# be read.
-RECHECK_US = 500_000
+# No longer than a changed key file takes to be read: a revoked credential ends as soon.
+CREDENTIAL_RECHECK_PERIOD_US = 500_000
 
 
 class AccessChecks:
-    """Asks the access control, and turns its rejections into errors."""
+    """Calls the access control, and turns its rejections into errors."""
 
     def __init__(self, state: ServiceState) -> None:
         self.state = state
@@ -59,11 +58,11 @@
     def check_worker(self, now_us: int, worker: Worker) -> None:
         """Check that a worker's credential has not expired since it registered.
 
-        It is assigned nothing more; what is assigned already goes on.
+        Such a worker is assigned nothing more; what is assigned already goes on.
         """
         access_control = self.state.host.access_control
         peer = worker.peer
-        if access_control is None or now_us - peer.authorized_at_us < RECHECK_US:
+        if access_control is None or not needs_recheck(now_us, peer.authorized_at_us):
             return
         _raise_if(access_control.authorize_worker(SOURCE, peer.credential, worker.identity.name))
         peer.authorized_at_us = now_us
@@ -76,6 +75,15 @@
         return access_control.authorize_admin(SOURCE, peer.credential, " ".join(tokens))
 
 
+def needs_recheck(now_us: int, authorized_at_us: int) -> bool:
+    """Decide whether a worker's credential is verified again before it is assigned a job.
+
+    Times are microseconds on the node's clock. A verification for each GRAB_JOB would cost too
+    much, and one at the registration only would keep a revoked worker for hours.
+    """
+    return now_us - authorized_at_us >= CREDENTIAL_RECHECK_PERIOD_US
+
+
 def _raise_if(rejection: Rejection | None) -> None:
     if rejection is not None:
         raise _error_for(rejection)
--- a/stepstream/gearman/admin.py
+++ b/stepstream/gearman/admin.py
@@ -1,21 +1,30 @@
 """The text commands of the protocol, for operators and their scripts.
 
-Reader threads call it, under the lock of the front that owns the service. Tables end with a line
-that holds a period.
+Reader threads call this module, under the lock of the front that owns the service. Tables end with
+a line that holds a period.
 """
 
 from collections.abc import Callable, Iterator
+from dataclasses import dataclass
 
 from stepstream import __version__
 from stepstream.gearman.names import registered_name
 from stepstream.gearman.notifications import ClientNotifier
 from stepstream.gearman.state import ServiceState
-from stepstream.gearman.text_commands import TextCommand, error_line
+from stepstream.gearman.text_commands import ParsedCommand, TextCommand, error_line
 
 END_OF_TABLE = ".\n"
 OK = "OK\n"
 MAX_MAXQUEUE = 10**9
-MAX_MAXQUEUE_DIGITS = 10  # further ones are not read
+MAX_MAXQUEUE_DIGITS = 10  # further digits are not checked against the bound
+
+
+@dataclass(frozen=True, slots=True)
+class CommandResult:
+    """The answer to a text command, and whether the program is to shut down."""
+
+    answer: str
+    shuts_down: bool = False
 
 
 class AdminCommands:
@@ -25,18 +34,16 @@
         self.state = state
         self.notifier = notifier
 
-    def run(self, now_us: int, command: TextCommand, args: tuple[str, ...]) -> tuple[str, bool]:
-        """Run a command; return the answer, and whether the program is to shut down."""
-        match command:
+    def run(self, now_us: int, parsed: ParsedCommand) -> CommandResult:
+        """Run a command and return its result."""
+        match parsed.command:
             case TextCommand.SHUTDOWN:
                 return self._shutdown()
             case TextCommand.MAXQUEUE:
-                answer = self._maxqueue(args)
+                return CommandResult(self._maxqueue(parsed.arguments))
             case TextCommand.CANCEL_JOB:
-                answer = self._cancel_job(now_us, args)
-            case _:
-                answer = self._report(command)
-        return answer, False
+                return CommandResult(self._cancel_job(now_us, parsed.arguments))
+        return CommandResult(self._report(parsed.command))
 
     def _report(self, command: TextCommand) -> str:
         """Return the answer of a command without arguments that changes nothing."""
@@ -87,7 +94,7 @@
                 yield f"{tenant}/{class_name}" if tenant else class_name, class_name, tenant
 
     def _maxqueue(self, args: tuple[str, ...]) -> str:
-        """Run `maxqueue FUNCTION [N]`: at most N open jobs of it; no N lifts the bound."""
+        """Run `maxqueue FUNCTION [N]`: bound its open jobs by N; without N there is no bound."""
         functions = {function for function, _, _ in self._functions()}
         if not args or args[0] not in functions:
             known = ", ".join(sorted(functions))
@@ -132,10 +139,9 @@
         ]
         return "".join(rows) + END_OF_TABLE
 
-    def _shutdown(self) -> tuple[str, bool]:
+    def _shutdown(self) -> CommandResult:
         if not self.state.section.allow_shutdown:
-            return (
-                error_line("NOT_ALLOWED", "gearman.allow_shutdown is off in the operator file"),
-                False,
+            return CommandResult(
+                error_line("NOT_ALLOWED", "gearman.allow_shutdown is off in the operator file")
             )
-        return OK, True
+        return CommandResult(OK, shuts_down=True)
--- /dev/null
+++ b/stepstream/gearman/admission_rules.py
@@ -0,0 +1,87 @@
+"""Which submissions are admitted, as pure functions.
+
+Each rule raises the error that the client is answered with; a submission that passes all of them is
+admitted. `job_admission` applies them in the order of this module.
+"""
+
+import re
+from dataclasses import dataclass
+
+from stepstream.config.limits import GearmanLimits, Limits
+from stepstream.gearman.errors import JobQueueFullError, RequestError
+from stepstream.model.settings import Effect, JobClass
+
+IDEMPOTENCY_KEY = re.compile(rb"[!-~]{1,128}")
+
+
+@dataclass(frozen=True, slots=True)
+class OpenJobUsage:
+    """What is open at this dispatcher when a submission would open one more job."""
+
+    function: str  # TENANT/CLASS, or CLASS where the settings name no tenants
+    function_jobs: int  # open jobs of that function
+    max_function_jobs: int | None  # set by the text command `maxqueue`; None: no bound
+    jobs: int  # open jobs of all functions
+    workload_bytes: int  # their workloads together
+    core_is_full: bool  # the core takes no further request
+
+
+def check_submission(
+    job_class: JobClass, unique: bytes, workload_bytes: int, limits: Limits
+) -> None:
+    """Raise `RequestError` for a submission that no retry can make admissible.
+
+    A class that is idempotent with a key needs a unique id, because it is the key; without one a
+    retry could run the job twice. The bounds of the unique id and the workload, in bytes, are those
+    that every worker accepts.
+    """
+    needs_key = job_class.effect is Effect.IDEMPOTENT_WITH_KEY
+    if needs_key and not IDEMPOTENCY_KEY.fullmatch(unique):
+        raise RequestError(
+            "BAD_UNIQUE", f"{job_class.name} needs a unique id of 1 to 128 printable characters"
+        )
+    if len(unique) > limits.gearman.unique_id_bytes:
+        raise RequestError(
+            "BAD_UNIQUE", f"a unique id has at most {limits.gearman.unique_id_bytes} bytes"
+        )
+    if workload_bytes > limits.sizes.body_bytes:
+        raise RequestError(
+            "WORKLOAD_TOO_LARGE", f"a workload has at most {limits.sizes.body_bytes} bytes"
+        )
+
+
+def check_client_usage(
+    open_submissions: int, max_open_submissions: int, retry_after_seconds: float
+) -> None:
+    """Raise `JobQueueFullError` for a client connection with too many open submissions.
+
+    One connection could take all open jobs of the dispatcher otherwise.
+    """
+    if open_submissions >= max_open_submissions:
+        raise JobQueueFullError("this connection has too many open jobs", retry_after_seconds)
+
+
+def check_shutdown(*, is_closing: bool) -> None:
+    """Raise `RequestError` in a shutdown: a new job might not end before the process does."""
+    if is_closing:
+        raise RequestError("SHUTTING_DOWN", "no new jobs are taken; another server may")
+
+
+def check_dispatcher_usage(
+    usage: OpenJobUsage, workload_bytes: int, limits: GearmanLimits, retry_after_seconds: float
+) -> None:
+    """Raise `JobQueueFullError` if the dispatcher has no room for one more open job.
+
+    `workload_bytes` is the size of the new job's workload. The operator's bound of a function comes
+    first, then the core's bound, then those that guard the memory of the process.
+    """
+    max_function_jobs = usage.max_function_jobs
+    if max_function_jobs is not None and usage.function_jobs >= max_function_jobs:
+        raise JobQueueFullError(
+            f"{usage.function} has as many jobs as maxqueue allows", retry_after_seconds
+        )
+    has_too_many_jobs = usage.jobs >= limits.open_jobs
+    open_bytes = usage.workload_bytes + workload_bytes
+    has_too_many_bytes = open_bytes > limits.in_flight_workload_bytes
+    if usage.core_is_full or has_too_many_jobs or has_too_many_bytes:
+        raise JobQueueFullError("too many jobs are open here", retry_after_seconds)
--- a/stepstream/gearman/codec.py
+++ b/stepstream/gearman/codec.py
@@ -1,9 +1,9 @@
-"""Gearman's packets as tables, a parser that is fed bytes, and the writing of packets; free of I/O.
+"""Gearman's packets as tables, their parser and their writer; free of I/O.
 
 Source: the published protocol (gearman.org, "Gearman Protocol"). A packet is a magic (NUL and REQ
 or RES), its type and its size, each four bytes, most significant first, then its arguments, all but
-the last ended by a NUL. What does not begin with a NUL is a text command, which ends with a line
-feed. Both may come on one connection.
+the last ended by a NUL. A message that does not begin with a NUL is a text command, which ends with
+a line feed. Both may come on one connection.
 
 A parser belongs to one connection, whose owner lets one thread at a time use it.
 """
@@ -24,7 +24,7 @@
 TAB = 9
 FIRST_PRINTABLE = 32
 LAST_PRINTABLE = 126
-MAX_NUMBER = 10**15  # of a number among the arguments
+MAX_ARGUMENT_NUMBER = 10**15
 
 
 class Kind(IntEnum):
@@ -83,7 +83,7 @@
     Kind.WORK_DATA: ("handle", "data"),
     Kind.WORK_WARNING: ("handle", "data"),
 }
-# The names of the arguments: of what clients and workers send, then of what the server sends.
+# The names of the arguments in the packets that clients and workers send.
 REQUESTS: dict[Kind, tuple[str, ...]] = {
     Kind.CAN_DO: ("function",),
     Kind.CAN_DO_TIMEOUT: ("function", "timeout"),
@@ -120,6 +120,7 @@
     Kind.ECHO_REQ: ("data",),
     **_WORK,
 }
+# The names of the arguments in the packets that the server sends.
 ANSWERS: dict[Kind, tuple[str, ...]] = {
     Kind.NOOP: (),
     Kind.NO_JOB: (),
@@ -164,15 +165,15 @@
 class ParserState(Enum):
     """What the parser reads next."""
 
-    IDLE = 1  # the next byte tells a packet from a text command
+    IDLE = 1  # the next byte decides between a packet and a text command
     HEADER = 2
     BODY = 3
     TEXT = 4
-    BROKEN = 5  # nothing any more
+    BROKEN = 5  # nothing
 
 
 class Parser:
-    """Bytes in, complete packets and text commands out; once broken it stays so."""
+    """Bytes in, complete packets and text commands out; a broken parser stays broken."""
 
     def __init__(self, limits: Limits, *, answers: bool = False) -> None:
         """`answers`: parse what a server sends, as clients and workers do; no text commands."""
@@ -183,7 +184,7 @@
         self.buffer = bytearray()
         self.type_number = 0  # of the packet whose body is read
         self.body_bytes = 0
-        self.searched_bytes = 0  # of the buffer, where the end of a text line is not
+        self.searched_bytes = 0  # the buffer's beginning, known to hold no end of a text line
 
     @property
     def idle(self) -> bool:
@@ -221,7 +222,7 @@
         return None, True
 
     def _step_header(self) -> tuple[Item | None, bool]:
-        # The magic is checked as it comes: a peer of another protocol must not be waited for.
+        # The magic is checked as it arrives: a peer of another protocol sends no complete header.
         if not self.magic.startswith(bytes(self.buffer[:MAGIC_BYTES])):
             raise FramingError("BAD_MAGIC", "the packet does not begin with its magic")
         if len(self.buffer) < HEADER.size:
@@ -229,7 +230,7 @@
         _, self.type_number, self.body_bytes = HEADER.unpack_from(self.buffer)
         max_bytes = self.limits.gearman.packet_bytes
         if self.body_bytes > max_bytes:
-            # Guards memory: no body is awaited before its size is bounded.
+            # Guards memory: a body is read only after its size is bounded.
             raise FramingError("PACKET_TOO_LARGE", f"a packet holds at most {max_bytes} bytes")
         del self.buffer[: HEADER.size]
         self.state = ParserState.BODY
@@ -293,16 +294,18 @@
         number = float(argument)
     except ValueError:
         number = -1.0
-    if not 0 <= number <= MAX_NUMBER:
-        raise RequestError("BAD_ARGUMENTS", f"{name} is not a number from 0 to {MAX_NUMBER}")
+    if not 0 <= number <= MAX_ARGUMENT_NUMBER:
+        raise RequestError(
+            "BAD_ARGUMENTS", f"{name} is not a number from 0 to {MAX_ARGUMENT_NUMBER}"
+        )
     return int(number)
 
 
 def write(magic: bytes, kind: Kind, *args: bytes) -> bytes:
     """Return the bytes of a packet.
 
-    Raise ValueError for a wrong number of arguments, and if one besides the last holds a NUL:
-    nobody could split it.
+    Raise ValueError for a wrong number of arguments, and for a NUL in any but the last: the packet
+    could not be split again.
     """
     argument_names = ANSWERS if magic is RES else REQUESTS
     if len(args) != len(argument_names[kind]):
--- a/stepstream/gearman/connection.py
+++ b/stepstream/gearman/connection.py
@@ -1,15 +1,14 @@
 """A Gearman connection: its reader thread, its sending side, and how the inbound server sees it.
 
-Each connection has a reader thread of the server's pool, which feeds the session and brings the
-service what comes out. Any thread sends, without waiting; what the peer does not take is kept, up
-to a bound, and left to the writer thread.
+Each connection has a reader thread of the server's pool, which feeds the session and passes the
+service its steps. Any thread sends, without waiting. What the peer does not take is buffered, up to
+a bound, and left to the writer thread.
 
 Locks are taken in this order: the front's, which guards the service and the session; the
 connection's, which guards its sending side; the writer's. The server's lock is taken under the
 front's, and the server calls a connection without holding its own. Times are monotonic seconds.
 """
 
-import math
 import signal
 import socket
 import threading
@@ -18,9 +17,10 @@
 from queue import SimpleQueue
 from typing import Protocol
 
-from stepstream.gearman.codec import Kind, Line, Packet
+from stepstream.gearman import connection_rules
+from stepstream.gearman.codec import Line, Packet
+from stepstream.gearman.connection_rules import ConnectionView, RegistrationCredit, TimeoutAction
 from stepstream.gearman.errors import FramingError
-from stepstream.gearman.job_admission import SUBMISSIONS
 from stepstream.gearman.peers import Peer
 from stepstream.gearman.service import GearmanService
 from stepstream.gearman.session import Reply, Session, Step
@@ -31,14 +31,10 @@
 from stepstream.runtime.transport import Transport
 
 KEEPALIVE_OPTIONS = {
-    socket.TCP_KEEPIDLE: 30,  # seconds of silence before the first probe
+    socket.TCP_KEEPIDLE: 30,  # seconds without a byte before the first probe
     socket.TCP_KEEPINTVL: 10,  # seconds between probes
     socket.TCP_KEEPCNT: 3,  # probes without an answer until the connection is dead
 }
-# Each of these makes the policy go through its whole list of workers.
-REGISTRATION_CHANGES = frozenset(
-    (Kind.CAN_DO, Kind.CAN_DO_TIMEOUT, Kind.CANT_DO, Kind.RESET_ABILITIES, Kind.SET_CLIENT_ID)
-)
 
 
 class ConnectionOwner(Protocol):
@@ -73,18 +69,19 @@
         # `last_reply_sent`, `sent_at_seconds`.
         self.lock = threading.Lock()
         self.ended = False  # the reader thread closes the socket
-        self.last_reply_sent = False  # nothing more is sent
+        self.last_reply_sent = False  # nothing is sent after it
         self.sent_at_seconds = 0.0  # when the peer last took some of the unsent bytes
-        self.dropped = False  # the peer reads too little: nothing more of it is handled
+        self.dropped = False  # the peer reads too little: its further messages are ignored
         self.session = Session(front.server.limits)
         # A phase starts with the first byte of a message, or with the end of the last reply once
-        # the session is closed. Single values without a lock: the server's checks may read one that
-        # is a moment old. The registration credit is the reader thread's alone.
+        # the session is closed. No lock guards these values: the server's checks may read one that
+        # is a moment old. Only the reader thread uses the registration credit.
         now_seconds = time.monotonic()
         self.phase_started_at_seconds = now_seconds
         self.last_activity_at_seconds = now_seconds
-        self.credit_updated_at_seconds = now_seconds
-        self.registration_credit = float(front.server.limits.gearman.registration_changes)
+        self.registration_credit = RegistrationCredit(
+            float(front.server.limits.gearman.registration_changes), now_seconds
+        )
         with front.lock:
             self.peer = front.service.connect(self.session, peer_host(transport.sock))
             front.connections[self.peer] = self
@@ -99,12 +96,12 @@
             self.peer.certificate = self.transport.certificate
             self._read_until_end()
         except OSError:
-            pass  # it has ended before its first message
+            pass  # the connection has ended before its first message
         finally:
             self._end()
 
     def _enable_keepalive(self) -> None:
-        # A sleeping worker sends nothing for hours: only the kernel can tell that its host is gone.
+        # A sleeping worker sends nothing for hours: only the kernel detects that its host is gone.
         sock = self.transport.sock
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         for option, value in KEEPALIVE_OPTIONS.items():
@@ -121,7 +118,7 @@
             try:
                 self._process(data)
             except Exception as error:  # noqa: BLE001  whatever it is, the thread goes on to `_end`
-                # Guards the program: what this peer has open ends as with its connection.
+                # Guards the thread: this connection ends and gives back what it holds.
                 log(f"fault in gearman: {type(error).__name__}: {error}")
                 return
 
@@ -138,14 +135,14 @@
         for step in steps:
             if self.dropped:
                 return
-            # One step at a time: nobody waits for the lock longer than for one.
+            # One step at a time: no thread waits for the lock longer than for one step.
             self._throttle(step)
             with self.front.lock:
                 self._handle(step)
                 self.front.flush()
 
     def _handle(self, step: Step) -> None:
-        """Bring a step to the service; the caller holds the front's lock."""
+        """Pass a step to the service; the caller holds the front's lock."""
         service = self.front.service
         now_us = self.front.now_us()
         match step:
@@ -158,33 +155,20 @@
                     self.front.signals.put(signal.SIGTERM)
 
     def _throttle(self, step: Step) -> None:
-        """Wait, if the peer sends faster than is fair to all others.
+        """Wait if the peer sends faster than is fair to all others.
 
-        It waits in its own thread, and what it sends on waits in its own socket.
+        It waits in its own thread, and what it sends meanwhile waits in its own socket.
         """
-        if isinstance(step, Line):
-            self._spend_registration_credit()
-        elif isinstance(step, Packet):
-            if step.kind in REGISTRATION_CHANGES:
-                self._spend_registration_credit()
-            elif step.kind in SUBMISSIONS:
-                self._wait_for_core()
-
-    def _spend_registration_credit(self) -> None:
-        """Wait a pause once the credit is spent; it grows by one each pause, up to its bound."""
-        limits = self.server.limits.gearman
-        pause_seconds = limits.registration_change_pause_seconds
-        now_seconds = time.monotonic()
-        earned = (now_seconds - self.credit_updated_at_seconds) / pause_seconds
-        self.registration_credit = (
-            min(self.registration_credit + earned, limits.registration_changes) - 1
-        )
-        self.credit_updated_at_seconds = now_seconds
-        if self.registration_credit < 0:
-            time.sleep(pause_seconds)
+        if connection_rules.costs_registration_credit(step):
+            limits = self.server.limits.gearman
+            pause_seconds = self.registration_credit.spend(time.monotonic(), limits)
+            if pause_seconds > 0:
+                time.sleep(pause_seconds)
+        elif connection_rules.waits_for_core(step):
+            self._wait_for_core()
 
     def _wait_for_core(self) -> None:
-        """Wait while the core has too many events to take."""
+        """Wait while the core has a backlog of events."""
         limits = self.server.limits.gearman
         while self.front.pending_event_count() > limits.core_backlog_events and not self.ended:
             time.sleep(limits.core_backlog_check_seconds)
@@ -204,9 +188,9 @@
     # -- sending ----------------------------------------------------------------------------------
 
     def send(self, data: bytes, *, close: bool = False) -> None:
-        """Send without waiting; any thread. After bytes with `close`, nothing more is sent.
+        """Send without waiting; any thread may call it. After bytes with `close`, nothing is sent.
 
-        What the peer does not take is left to the writer thread. A peer that takes too little is
+        The writer thread sends what the peer does not take. A peer that takes too little is
         dropped.
         """
         with self.lock:
@@ -232,7 +216,7 @@
             self.front.writer.add(self)
 
     def send_unsent(self) -> None:
-        """Send on from the unsent bytes, without waiting; the writer thread."""
+        """Send more of the unsent bytes without waiting; the writer thread calls it."""
         with self.lock:
             before_bytes = len(self.transport.unsent)
             try:
@@ -262,76 +246,60 @@
     # -- as the server sees it: `ports.Connection` ------------------------------------------------
 
     def has_open_request(self) -> bool:
-        """Tell whether the peer is owed the outcome of a job."""
+        """Return whether the peer is owed the outcome of a job."""
         return self.peer in self.front.service.state.jobs.submissions
 
     def is_worker(self) -> bool:
-        """Tell whether the peer is a worker."""
+        """Return whether the peer is a worker."""
         return self.peer.worker is not None
 
     def busy(self) -> bool:
-        """Tell whether a shutdown should wait: something is owed, or a client may come back."""
-        if self.session.closed:
-            return bool(self.transport.unsent)
-        may_come_back = (
-            self.session.has_sent_work and not self.is_worker() and not self.server.state.closing
-        )
-        return (
-            self.has_open_request()
-            or bool(self.transport.unsent)
-            or may_come_back
-            or not self.session.is_idle
+        """Return whether a shutdown waits for this connection."""
+        return connection_rules.delays_shutdown(
+            self._view(), server_is_closing=self.server.state.closing
         )
 
     def eviction_rank(self, now: float) -> tuple[EvictionRank, float]:
-        """Return the rank, and since when it has been quiet, as `evict_connections` takes them."""
-        if self._is_in_use() or self.transport.unsent:
-            return EvictionRank.NEVER, math.inf
-        if self.session.closed:
-            return EvictionRank.DONE, self.last_activity_at_seconds
-        if self.session.has_sent_work:
-            return EvictionRank.IDLE, self.last_activity_at_seconds
-        since_seconds = self.phase_started_at_seconds
-        is_unused = now - since_seconds >= self.server.limits.timeouts.unproven_seconds
-        return (EvictionRank.UNUSED if is_unused else EvictionRank.NEW), since_seconds
+        """Return the rank for eviction, and the time since which the connection is quiet."""
+        unproven_seconds = self.server.limits.timeouts.unproven_seconds
+        return connection_rules.eviction_rank(self._view(), now, unproven_seconds)
 
     def evict(self) -> bool:
         """End the connection at once, unless it is in use; return whether it was ended."""
-        if self._is_in_use():
+        if self._view().is_in_use:
             return False
         self.transport.shut_down()
         return True
 
     def close_if_idle(self) -> bool:
         """Close a client's connection between messages; return whether it was closed."""
-        if self._is_in_use() or self.transport.unsent or not self.session.is_idle:
+        if not connection_rules.closes_when_idle(self._view()):
             return False
         self.transport.shut_down()
         return True
 
     def enforce_timeouts(self, now: float) -> None:
-        """End what has gone on for too long.
-
-        Guards the reader threads against half a message, silent peers, and peers that read nothing.
-        """
+        """Close the connection, or reply to a slow message, if a timeout has passed."""
         timeouts = self.server.limits.timeouts
-        phase_seconds = now - self.phase_started_at_seconds
-        if self.transport.unsent and now - self.sent_at_seconds > timeouts.write_seconds:
-            self.transport.shut_down()
-        elif self.session.closed:
-            if phase_seconds > timeouts.linger_seconds:
+        match connection_rules.timeout_action(self._view(), now, timeouts):
+            case TimeoutAction.CLOSE:
                 self.transport.shut_down()
-        elif not self.session.is_idle:
-            if phase_seconds > timeouts.message_seconds:
+            case TimeoutAction.REPLY_AND_CLOSE:
                 self._end_slow_message()
-        elif not self.session.has_sent_work:
-            if phase_seconds > timeouts.first_message_seconds:
-                self.transport.shut_down()
-        elif not self._is_in_use() and self._idle_seconds(now) > timeouts.inbound_idle_seconds:
-            self.transport.shut_down()
 
-    def _idle_seconds(self, now: float) -> float:
-        return now - self.last_activity_at_seconds
+    def _view(self) -> ConnectionView:
+        """Return what a decision needs; each value is read once, and without a lock."""
+        return ConnectionView(
+            is_worker=self.is_worker(),
+            has_open_request=self.has_open_request(),
+            has_unsent_bytes=bool(self.transport.unsent),
+            session_closed=self.session.closed,
+            session_idle=self.session.is_idle,
+            has_sent_work=self.session.has_sent_work,
+            phase_started_at_seconds=self.phase_started_at_seconds,
+            last_activity_at_seconds=self.last_activity_at_seconds,
+            sent_at_seconds=self.sent_at_seconds,
+        )
 
     def _end_slow_message(self) -> None:
         with self.front.lock:
@@ -339,9 +307,6 @@
             reply = self.session.close_with_error(error)
             self.send(reply.data, close=reply.close)
 
-    def _is_in_use(self) -> bool:
-        return self.has_open_request() or self.is_worker()
-
 
 def peer_host(sock: socket.socket) -> str:
     """Return the address of a socket's peer; "-" if it has gone."""
--- /dev/null
+++ b/stepstream/gearman/connection_rules.py
@@ -0,0 +1,148 @@
+"""When a Gearman connection is slowed down, closed or evicted, as pure functions.
+
+The connection passes what it knows of itself as a `ConnectionView` and carries the decision out.
+Times are monotonic seconds.
+"""
+
+import math
+from dataclasses import dataclass
+from enum import Enum
+
+from stepstream.config.limits import GearmanLimits, Timeouts
+from stepstream.gearman.codec import Kind, Line, Packet
+from stepstream.gearman.job_admission import SUBMISSIONS
+from stepstream.gearman.session import Step
+from stepstream.http.eviction import EvictionRank
+
+REGISTRATION_CHANGES = frozenset(
+    (Kind.CAN_DO, Kind.CAN_DO_TIMEOUT, Kind.CANT_DO, Kind.RESET_ABILITIES, Kind.SET_CLIENT_ID)
+)
+
+
+@dataclass(slots=True)
+class ConnectionView:
+    """What a decision needs to know of a connection."""
+
+    is_worker: bool
+    has_open_request: bool  # the peer is owed the outcome of a job
+    has_unsent_bytes: bool
+    session_closed: bool  # its last reply is given
+    session_idle: bool  # no message is partly received
+    has_sent_work: bool  # it has sent a message that means something
+    phase_started_at_seconds: float  # first byte of the message, or end of the last reply
+    last_activity_at_seconds: float  # last byte received
+    sent_at_seconds: float  # when the peer last took some of the unsent bytes
+
+    @property
+    def is_in_use(self) -> bool:
+        """Whether closing it would lose something: a job's outcome, or a worker."""
+        return self.has_open_request or self.is_worker
+
+
+class TimeoutAction(Enum):
+    """What becomes of a connection whose timeouts are checked."""
+
+    KEEP = 1
+    CLOSE = 2
+    REPLY_AND_CLOSE = 3  # with the error of a message that took too long
+
+
+def timeout_action(view: ConnectionView, now_seconds: float, timeouts: Timeouts) -> TimeoutAction:
+    """Decide what a connection's timeouts demand at `now_seconds`.
+
+    Without them, peers that send half a message, stay silent or read nothing would hold a reader
+    thread and a place for a connection each. A worker may sleep for hours: only the kernel's
+    keep-alive ends its connection.
+    """
+    if view.has_unsent_bytes and now_seconds - view.sent_at_seconds > timeouts.write_seconds:
+        return TimeoutAction.CLOSE
+    phase_seconds = now_seconds - view.phase_started_at_seconds
+    if not view.session_closed and not view.session_idle:
+        is_slow = phase_seconds > timeouts.message_seconds
+        return TimeoutAction.REPLY_AND_CLOSE if is_slow else TimeoutAction.KEEP
+    if view.session_closed:
+        has_expired = phase_seconds > timeouts.linger_seconds
+    elif not view.has_sent_work:
+        has_expired = phase_seconds > timeouts.first_message_seconds
+    else:
+        idle_seconds = now_seconds - view.last_activity_at_seconds
+        has_expired = not view.is_in_use and idle_seconds > timeouts.inbound_idle_seconds
+    return TimeoutAction.CLOSE if has_expired else TimeoutAction.KEEP
+
+
+def eviction_rank(
+    view: ConnectionView, now_seconds: float, unproven_seconds: float
+) -> tuple[EvictionRank, float]:
+    """Return a connection's rank for eviction, and the time since which it is quiet.
+
+    A connection that has sent nothing for `unproven_seconds` is evicted before an idle client: it
+    may never send anything.
+    """
+    if view.is_in_use or view.has_unsent_bytes:
+        return EvictionRank.NEVER, math.inf
+    if view.session_closed:
+        return EvictionRank.DONE, view.last_activity_at_seconds
+    if view.has_sent_work:
+        return EvictionRank.IDLE, view.last_activity_at_seconds
+    is_unused = now_seconds - view.phase_started_at_seconds >= unproven_seconds
+    rank = EvictionRank.UNUSED if is_unused else EvictionRank.NEW
+    return rank, view.phase_started_at_seconds
+
+
+def delays_shutdown(view: ConnectionView, *, server_is_closing: bool) -> bool:
+    """Decide whether a shutdown waits for a connection.
+
+    It does while the peer is owed something or is sending a message, and until the server closes
+    idle connections while a client may still submit on it.
+    """
+    if view.session_closed:
+        return view.has_unsent_bytes
+    is_client = view.has_sent_work and not view.is_worker
+    client_may_submit = is_client and not server_is_closing
+    is_owed = view.has_open_request or view.has_unsent_bytes
+    return is_owed or client_may_submit or not view.session_idle
+
+
+def closes_when_idle(view: ConnectionView) -> bool:
+    """Decide whether a drain or shutdown closes a connection now.
+
+    Only between messages and with nothing owed; the peer would lose a message or an outcome
+    otherwise.
+    """
+    return not view.is_in_use and not view.has_unsent_bytes and view.session_idle
+
+
+def costs_registration_credit(step: Step) -> bool:
+    """Decide whether a step spends registration credit.
+
+    A registration makes the policy go through its list of workers, a text command goes through all
+    jobs or connections: one peer could keep everyone else from the lock.
+    """
+    if isinstance(step, Packet):
+        return step.kind in REGISTRATION_CHANGES
+    return isinstance(step, Line)
+
+
+def waits_for_core(step: Step) -> bool:
+    """Decide whether a step waits while the core has a backlog of events: only submissions do."""
+    return isinstance(step, Packet) and step.kind in SUBMISSIONS
+
+
+@dataclass(slots=True)
+class RegistrationCredit:
+    """How many registrations and text commands a peer may send before it is slowed down.
+
+    The reader thread of the connection owns it. The credit grows by one each pause, up to its
+    bound, so that a peer may register a burst of functions and then one each pause.
+    """
+
+    credit: float
+    updated_at_seconds: float
+
+    def spend(self, now_seconds: float, limits: GearmanLimits) -> float:
+        """Spend one; return how many seconds to pause before the step, 0.0 for none."""
+        pause_seconds = limits.registration_change_pause_seconds
+        earned = (now_seconds - self.updated_at_seconds) / pause_seconds
+        self.credit = min(self.credit + earned, limits.registration_changes) - 1
+        self.updated_at_seconds = now_seconds
+        return pause_seconds if self.credit < 0 else 0.0
--- a/stepstream/gearman/errors.py
+++ b/stepstream/gearman/errors.py
@@ -5,7 +5,7 @@
 
 
 class GearmanError(Exception):
-    """What a peer sent cannot be acted on; `code` is the first argument of the ERROR it gets."""
+    """A peer's message cannot be handled; `code` is the first argument of the ERROR packet."""
 
     def __init__(self, code: str, text: str) -> None:
         super().__init__(text)
@@ -17,14 +17,14 @@
 
 
 class RequestError(GearmanError):
-    """A complete packet cannot be acted on; the connection goes on."""
+    """A complete packet cannot be handled; the connection goes on."""
 
 
 class JobQueueFullError(RequestError):
-    """A job or request is rejected for now; trying it again later is harmless."""
+    """A job or request is rejected for now; a retry is harmless."""
 
     def __init__(self, reason: str, retry_after_seconds: float) -> None:
-        """Put the time to wait where clients look for it: docs/gearman.md, "Outcomes"."""
+        """Put the time to wait into the text, as docs/gearman.md specifies under "Outcomes"."""
         super().__init__(
             "JOB_QUEUE_FULL", f"refused retry-after={retry_after_seconds:.3f} {reason}"
         )
--- a/stepstream/gearman/front.py
+++ b/stepstream/gearman/front.py
@@ -1,8 +1,8 @@
 """The Gearman front and carrier: its listeners, and where it meets the core.
 
 `GearmanFront` owns the service and guards it with its lock. The main thread opens listeners,
-reloads and runs what is due; the decision thread brings answers and calls; reader threads, one a
-connection, bring what peers send; one writer thread sends on to slow peers.
+reloads and runs periodic tasks. The decision thread passes answers and calls. A reader thread for
+each connection passes what peers send, and one writer thread sends the rest to slow peers.
 """
 
 import secrets
@@ -30,7 +30,7 @@
 from stepstream.runtime.transport import Transport
 
 OVERLOAD_RESPONSE = codec.error("SERVER_FULL", "refused: too many connections")
-REQUEST_ID_BYTES = 8  # random ones
+REQUEST_ID_RANDOM_BYTES = 8
 
 
 class GearmanFront:
@@ -49,7 +49,7 @@
         pending_event_count: Callable[[], int],
         access_control: AccessControl | None = None,
     ) -> None:
-        """`pending_event_count`: how many events the core has yet to take; any thread."""
+        """Create the front; `pending_event_count` counts the events that wait for the core."""
         self.server = server
         self.signals = signals
         self.pending_event_count = pending_event_count
@@ -58,7 +58,7 @@
         self.connections: dict[Peer, GearmanConnection] = {}
         self.writer = Writer()
         host = ServiceHost(
-            new_request_id=lambda: secrets.token_hex(REQUEST_ID_BYTES),
+            new_request_id=lambda: secrets.token_hex(REQUEST_ID_RANDOM_BYTES),
             is_overloaded=server.is_overloaded,
             is_closing=lambda: server.state.closing,
             on_answer=self._on_answer,
@@ -70,19 +70,19 @@
     # -- the main thread --------------------------------------------------------------------------
 
     def listen(self) -> ListenerSpec:
-        """Open the listener and start the writer thread; OSError if the address cannot be had."""
+        """Open the listener and start the writer thread; raise OSError if that fails."""
         spec = self.server.listen(
             self.address, self._connection_factory(Transport), lambda: OVERLOAD_RESPONSE
         )
-        spawn_thread(THREAD_NAME, self.writer.run)  # this front's, for as long as the process
+        spawn_thread(THREAD_NAME, self.writer.run)  # it runs until the process ends
         return spec
 
     def listen_with_transport(
         self, address: tuple[str, int], create_transport: Callable[[socket.socket], Transport]
     ) -> ListenerSpec:
-        """Listen over another kind of transport; OSError if the address cannot be had.
+        """Listen over another kind of transport; raise OSError if that fails.
 
-        Its connections are closed without an answer when the budget is spent.
+        Connections beyond the server's budget are closed without an answer.
         """
         no_response = bytes
         return self.server.listen(address, self._connection_factory(create_transport), no_response)
@@ -101,7 +101,7 @@
             self.service.reconfigure(section, config.settings, self.server.limits)
 
     def run_periodic_tasks(self) -> None:
-        """End what has gone on for too long."""
+        """End the queued calls and drop the retained outcomes whose time is over."""
         with self.lock:
             self.service.run_periodic_tasks(self.now_us())
             self.flush()
@@ -145,7 +145,7 @@
             self.flush()
 
     def stop(self, call: Call) -> None:
-        """Give a call up; one that its worker has begun goes on there."""
+        """Drop a call; one that its worker has begun goes on there."""
         with self.lock:
             self.service.stop(call)
 
--- a/stepstream/gearman/job_admission.py
+++ b/stepstream/gearman/job_admission.py
@@ -1,19 +1,26 @@
-"""Job admission: what becomes of SUBMIT_JOB packets, from the access check to JOB_CREATED.
+"""Job admission: SUBMIT_JOB packets from the access check to JOB_CREATED.
 
-A submission coalesces with the open job of its function and unique id, or opens a job within the
-limits. Reader threads call it, under the lock of the front that owns the service.
+A submission coalesces with the open job of its function and unique id, or opens a job.
+`admission_rules` decides whether it may. Reader threads call this module, under the lock of the
+front that owns the service.
 """
 
 import hashlib
-import re
 from dataclasses import dataclass
 
 from stepstream.core.events import RequestReceived
 from stepstream.core.requests import Payload, Request
 from stepstream.gearman import codec
 from stepstream.gearman.access import AccessChecks
+from stepstream.gearman.admission_rules import (
+    OpenJobUsage,
+    check_client_usage,
+    check_dispatcher_usage,
+    check_shutdown,
+    check_submission,
+)
 from stepstream.gearman.codec import Kind, Packet
-from stepstream.gearman.errors import GearmanError, JobQueueFullError, RequestError
+from stepstream.gearman.errors import GearmanError
 from stepstream.gearman.jobs import Job
 from stepstream.gearman.names import (
     FunctionName,
@@ -25,7 +32,7 @@
 from stepstream.gearman.notifications import JobResponseSink
 from stepstream.gearman.peers import Peer
 from stepstream.gearman.state import SECOND_US, ServiceState
-from stepstream.model.settings import Effect, JobClass
+from stepstream.model.settings import Effect
 from stepstream.ports.access_control import Authorization
 
 BACKGROUND_SUBMISSIONS = frozenset(
@@ -36,8 +43,7 @@
     Kind.SUBMIT_JOB_HIGH,
     Kind.SUBMIT_JOB_LOW,
 }
-UNIQUE_OF_WORKLOAD = b"-"  # the protocol's unique id for: by the workload's content
-IDEMPOTENCY_KEY = re.compile(rb"[!-~]{1,128}")
+UNIQUE_OF_WORKLOAD = b"-"  # in place of a unique id: the hash of the workload counts
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,14 +59,14 @@
 
 
 class JobAdmission:
-    """Takes submissions, and opens jobs in the core."""
+    """Admits submissions, and opens jobs in the core."""
 
     def __init__(self, state: ServiceState, access: AccessChecks) -> None:
         self.state = state
         self.access = access
 
     def submit(self, now_us: int, peer: Peer, packet: Packet) -> None:
-        """Take a submission of any priority; raise `RequestError` if it cannot be admitted."""
+        """Admit a submission of any priority; raise `RequestError` if that is not possible."""
         function_name, unique, workload = packet.args
         function = parse_function(function_name, self.state.settings)
         authorization = self.access.authorize_submission(peer, function)
@@ -77,51 +83,55 @@
 
     def _admit(self, now_us: int, submission: Submission) -> None:
         state = self.state
-        authorization = submission.authorization
-        tenant = submission.function.tenant if authorization is None else authorization.tenant
-        target = find_target(
-            submission.function,
-            state.settings,
-            state.section.tenant if tenant is None else tenant,
-        )
-        self._check_limits(submission, state.settings.classes[target.job_class])
+        target = self._target_of(submission)
+        self._check_submission(submission, target)
         function = full_function_name(state.settings, target.job_class, target.tenant)
         job = state.jobs.find_open(function, submission.unique)
         if job is None:
             job = self._open_job(now_us, function, submission, target)
-        elif authorization is not None:
-            authorization.release()  # the job counts once, for the caller who opened it
-        if authorization is not None:
-            job.callers.add(authorization.caller)
-        job.background = job.background or submission.background
-        if not submission.background:
-            state.jobs.add_submission(job, submission.client)
-        # The handle first: an outcome may follow at once.
+        elif submission.authorization is not None:
+            # The job counts once, for the caller that opened it.
+            submission.authorization.release()
+        self._join(job, submission)
+        # The handle comes before the outcome, which may follow at once.
         state.output.send(submission.client, codec.answer(Kind.JOB_CREATED, job.handle))
 
-    def _check_limits(self, submission: Submission, job_class: JobClass) -> None:
-        limits = self.state.limits
-        is_keyed = job_class.effect is Effect.IDEMPOTENT_WITH_KEY
-        if is_keyed and not IDEMPOTENCY_KEY.fullmatch(submission.unique):
-            raise RequestError(
-                "BAD_UNIQUE", f"{job_class.name} needs a unique id of 1 to 128 printable characters"
-            )
-        if len(submission.unique) > limits.gearman.unique_id_bytes:
-            raise RequestError(
-                "BAD_UNIQUE", f"a unique id has at most {limits.gearman.unique_id_bytes} bytes"
-            )
-        if len(submission.workload) > limits.sizes.body_bytes:
-            raise RequestError(
-                "WORKLOAD_TOO_LARGE", f"a workload has at most {limits.sizes.body_bytes} bytes"
-            )
-        open_count = self.state.jobs.submission_count(submission.client)
-        if open_count >= self.state.section.jobs_a_connection:
-            raise self._queue_full("this connection has too many open jobs")
+    def _target_of(self, submission: Submission) -> FunctionTarget:
+        """Return the class and tenant of a submission; an identified caller's tenant counts."""
+        state = self.state
+        tenant = submission.function.tenant
+        if submission.authorization is not None:
+            tenant = submission.authorization.tenant
+        if tenant is None:
+            tenant = state.section.tenant
+        return find_target(submission.function, state.settings, tenant)
+
+    def _check_submission(self, submission: Submission, target: FunctionTarget) -> None:
+        state = self.state
+        check_submission(
+            state.settings.classes[target.job_class],
+            submission.unique,
+            len(submission.workload),
+            state.limits,
+        )
+        check_client_usage(
+            state.jobs.submission_count(submission.client),
+            state.section.jobs_a_connection,
+            self._retry_after_seconds(),
+        )
+
+    def _join(self, job: Job, submission: Submission) -> None:
+        """Add a submission's caller and client to its job."""
+        if submission.authorization is not None:
+            job.callers.add(submission.authorization.caller)
+        job.background = job.background or submission.background
+        if not submission.background:
+            self.state.jobs.add_submission(job, submission.client)
 
     def _open_job(
         self, now_us: int, function: str, submission: Submission, target: FunctionTarget
     ) -> Job:
-        self._check_capacity(function, len(submission.workload))
+        self._check_usage(function, len(submission.workload))
         state = self.state
         job_class = state.settings.classes[target.job_class]
         job = Job(state.new_handle(), function, submission.unique, len(submission.workload))
@@ -143,18 +153,22 @@
         state.output.post(RequestReceived(job.request))
         return job
 
-    def _check_capacity(self, function: str, workload_bytes: int) -> None:
+    def _check_usage(self, function: str, workload_bytes: int) -> None:
+        """Raise `RequestError` if no further job is opened here."""
         state = self.state
         jobs = state.jobs
-        limits = state.limits.gearman
-        if state.host.is_closing():
-            raise RequestError("SHUTTING_DOWN", "no new jobs are taken; another server may")
-        max_queue = state.max_queue.get(function)
-        if max_queue is not None and jobs.open_counts.get(function, 0) >= max_queue:
-            raise self._queue_full(f"{function} has as many jobs as maxqueue allows")
-        is_full = state.host.is_overloaded() or jobs.open_count >= limits.open_jobs
-        if is_full or jobs.open_workload_bytes + workload_bytes > limits.in_flight_workload_bytes:
-            raise self._queue_full("too many jobs are open here")
-
-    def _queue_full(self, reason: str) -> JobQueueFullError:
-        return JobQueueFullError(reason, self.state.settings.max_retry_after_us / SECOND_US)
+        check_shutdown(is_closing=state.host.is_closing())
+        usage = OpenJobUsage(
+            function=function,
+            function_jobs=jobs.open_counts.get(function, 0),
+            max_function_jobs=state.max_queue.get(function),
+            jobs=jobs.open_count,
+            workload_bytes=jobs.open_workload_bytes,
+            core_is_full=state.host.is_overloaded(),
+        )
+        check_dispatcher_usage(
+            usage, workload_bytes, state.limits.gearman, self._retry_after_seconds()
+        )
+
+    def _retry_after_seconds(self) -> float:
+        return self.state.settings.max_retry_after_us / SECOND_US
--- a/stepstream/gearman/job_assignment.py
+++ b/stepstream/gearman/job_assignment.py
@@ -1,7 +1,8 @@
 """Job assignment: calls of the core wait for their worker and are assigned by its GRAB_JOB.
 
-The decision thread starts and stops calls, reader threads bring the workers' packets, all under the
-lock of the front that owns the service.
+`assignment_rules` decides what waits and what is assigned. The decision thread starts and stops
+calls, reader threads pass the workers' packets, all under the lock of the front that owns the
+service.
 """
 
 from stepstream.core.events import CallTimeoutSet, JobNotification, JobStatus
@@ -17,7 +18,7 @@
 
 
 class JobAssignment:
-    """Queues calls for workers, wakes workers that sleep, and assigns jobs to those that ask."""
+    """Queues calls for workers, wakes sleeping workers, and assigns jobs on GRAB_JOB."""
 
     def __init__(self, state: ServiceState, access: AccessChecks) -> None:
         self.state = state
@@ -26,7 +27,7 @@
     def start(self, now_us: int, call: Call) -> None:
         """Queue a call for its worker, and wake the worker if it sleeps."""
         request = call.request
-        settings = request.settings or self.state.settings  # a reload may have moved the class
+        settings = request.settings or self.state.settings  # those that the class index belongs to
         class_name = settings.classes[request.job_class].name
         tenant = settings.tenant_name(request.tenant)
         ended = self.state.workers.enqueue(now_us, call, class_name, tenant)
@@ -39,7 +40,7 @@
         self.state.workers.stop(call)
 
     def pre_sleep(self, _now_us: int, peer: Peer, _packet: Packet) -> None:
-        """Take PRE_SLEEP: the worker waits for a NOOP, which it gets at once if it has work."""
+        """Handle PRE_SLEEP: the worker waits for a NOOP, which it gets at once if it has work."""
         if peer.worker is not None:
             peer.worker.asleep = True
             self.wake(peer.worker)
@@ -63,12 +64,12 @@
             self.state.output.post(CallTimeoutSet(call, now_us + timeout_us))
 
     def wake(self, worker: Worker) -> None:
-        """Send a worker a NOOP if it sleeps and has work; no other worker is woken."""
+        """Send a worker a NOOP if it sleeps and has work; other workers stay asleep."""
         if self.state.workers.take_wakeup(worker):
             self.state.output.send(worker.peer, codec.answer(Kind.NOOP))
 
     def expire_queued(self, now_us: int) -> None:
-        """End the calls that no GRAB_JOB came for in time."""
+        """End the calls that have waited too long for a GRAB_JOB."""
         self.state.output.post_all(self.state.workers.expire_queued(now_us))
 
 
--- a/stepstream/gearman/jobs.py
+++ b/stepstream/gearman/jobs.py
@@ -1,7 +1,7 @@
-"""Clients' jobs: who waits for which, how they ended, and for how long that is kept; free of I/O.
+"""Clients' jobs: who waits for which, how they ended, and the retained outcomes; free of I/O.
 
-A job is one request of the core, however many clients submitted it. It is given up when the last
-client that waits for it disconnects, unless one of them submitted it as a background job.
+A job is one request of the core, even if several clients submitted it. It is cancelled when the
+last client that waits for it disconnects, unless one of them submitted it as a background job.
 
 The service owns the table; all access is under the lock of its front.
 """
@@ -9,6 +9,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import NamedTuple
 
 from stepstream.core.commands import Answer, Outcome
 from stepstream.core.requests import Request
@@ -18,7 +19,7 @@
 
 
 class JobStage(Enum):
-    """How far a job is. The values are the words of the text command `show jobs`."""
+    """The stage of a job. The values are the words of the text command `show jobs`."""
 
     OPEN = "open"
     SERVED = "served"
@@ -33,6 +34,18 @@
 }
 
 
+class StatusFields(NamedTuple):
+    """The fields of STATUS_RES behind the handle; see docs/gearman.md, "Status"."""
+
+    known: int
+    running: int
+    numerator: int
+    denominator: int
+
+
+UNKNOWN_JOB_STATUS = StatusFields(0, 0, 0, 0)
+
+
 @dataclass(eq=False, slots=True)
 class Job:
     """A job by its handle, open or ended.
@@ -44,52 +57,66 @@
     function: str  # TENANT/CLASS, or CLASS where the settings name no tenants
     unique: bytes
     workload_bytes: int
-    background: bool = False  # some client submitted it in the background
+    background: bool = False  # at least one client submitted it in the background
     clients: list[Peer] = field(default_factory=list)
     request: Request | None = None  # None once it has ended
     stage: JobStage = JobStage.OPEN
-    numerator: int = 0  # of its progress
+    numerator: int = 0  # its progress, over `denominator`
     denominator: int = 0
     retry_after_us: int = 0
-    exception: bytes = b""  # the worker's, of the latest attempt that failed
+    exception: bytes = b""  # reported by the worker of the latest failed attempt
     ended_us: int = 0
-    authorization: Authorization | None = None  # of the caller who opened it
-    callers: set[str] = field(default_factory=set)  # all who submitted it, where they are known
+    authorization: Authorization | None = None  # held by the caller that opened it
+    callers: set[str] = field(default_factory=set)  # all that submitted it, if identified
 
     @property
     def running(self) -> bool:
-        """Whether a worker has it, as far as is known."""
+        """Whether a worker holds it, as far as this dispatcher knows."""
         return self.request is not None and self.request.has_open_calls
 
-    def status(self) -> tuple[int, int, int, int]:
-        """Return known, running, numerator and denominator, as STATUS_RES has them.
-
-        See docs/gearman.md, "Status".
-        """
+    def status(self) -> StatusFields:
+        """Return its status as STATUS_RES encodes it."""
         if self.stage is JobStage.OPEN:
-            return (1, 1, self.numerator, self.denominator) if self.running else (1, 0, 0, 0)
+            if self.running:
+                return StatusFields(1, 1, self.numerator, self.denominator)
+            return StatusFields(1, 0, 0, 0)
         if self.stage is JobStage.SERVED:
-            return 1, 0, self.denominator or 1, self.denominator or 1
+            steps = self.denominator or 1
+            return StatusFields(1, 0, steps, steps)
         if self.stage is JobStage.REJECTED:
-            return 1, 0, max(self.retry_after_us // MILLISECOND_US, 1), 0
-        return 1, 0, 0, 1
+            retry_after_ms = max(self.retry_after_us // MILLISECOND_US, 1)
+            return StatusFields(1, 0, retry_after_ms, 0)
+        return StatusFields(1, 0, 0, 1)
+
+
+def is_abandoned(job: Job) -> bool:
+    """Decide whether an open job is cancelled because no client waits for it.
+
+    A background job goes on: its outcome is retained. A foreground job would take a worker's slot
+    for a result that has no recipient.
+    """
+    return not job.clients and not job.background
 
 
 class JobTable:
     """All open jobs, and the ended background jobs whose outcome clients may still ask for."""
 
     def __init__(self, retention_us: int, max_retained: int) -> None:
-        """`retention_us`, `max_retained`: for how long, and how many, outcomes are kept."""
+        """Make an empty table.
+
+        `retention_us`: how long the outcome of a background job is retained, in microseconds.
+        `max_retained`: how many outcomes are retained.
+        """
         self.retention_us = retention_us
         self.max_retained = max_retained
         self.by_handle: dict[str, Job] = {}  # open or retained
         self.open_by_unique: dict[tuple[str, bytes], Job] = {}  # by function and unique id
-        # By unique id alone, as GET_STATUS_UNIQUE asks.
+        # By unique id alone, for GET_STATUS_UNIQUE.
         self.latest_by_unique: dict[bytes, Job] = {}
         self.retained: OrderedDict[str, Job] = OrderedDict()  # ended ones, oldest first
         self.open_counts: dict[str, int] = {}  # open jobs by function
         self.open_workload_bytes = 0
-        # By client: its open foreground jobs, and how many submissions it made of each.
+        # Each client's open foreground jobs, with the number of its submissions.
         self.submissions: dict[Peer, dict[Job, int]] = {}
 
     @property
@@ -102,7 +129,7 @@
         return self.open_by_unique.get((function, unique)) if unique else None
 
     def add(self, job: Job) -> None:
-        """Enter a new open job."""
+        """Add a new open job."""
         self.by_handle[job.handle] = job
         self.open_counts[job.function] = self.open_counts.get(job.function, 0) + 1
         self.open_workload_bytes += job.workload_bytes
@@ -121,11 +148,11 @@
         return sum(self.submissions.get(client, {}).values())
 
     def remove_client(self, client: Peer) -> list[Job]:
-        """Forget a client that has disconnected; return the jobs that nobody waits for any more."""
+        """Remove a client that has disconnected; return the jobs that are abandoned with it."""
         submissions = self.submissions.pop(client, {})
         for job in submissions:
             job.clients = [other for other in job.clients if other is not client]
-        return [job for job in submissions if not job.clients and not job.background]
+        return [job for job in submissions if is_abandoned(job)]
 
     def finish(self, job: Job, answer: Answer, now_us: int) -> list[Peer]:
         """End a job by the core's answer; return as `end` does."""
@@ -157,15 +184,19 @@
         return clients
 
     def expire_outcomes(self, now_us: int) -> None:
-        """Forget ended jobs beyond the retention; guards memory."""
+        """Drop the retained outcomes that are too many or too old, the oldest first."""
         while self.retained:
             oldest = next(iter(self.retained.values()))
-            is_recent = now_us - oldest.ended_us < self.retention_us
-            if len(self.retained) <= self.max_retained and is_recent:
+            if not self._must_drop(oldest, now_us):
                 return
             del self.retained[oldest.handle]
             self._forget(oldest)
 
+    def _must_drop(self, oldest: Job, now_us: int) -> bool:
+        """Decide whether the oldest retained outcome is dropped; guards memory."""
+        has_too_many = len(self.retained) > self.max_retained
+        return has_too_many or now_us - oldest.ended_us >= self.retention_us
+
     def _remove_submissions(self, client: Peer, job: Job) -> None:
         submissions = self.submissions.get(client)
         if submissions is None:
--- a/stepstream/gearman/names.py
+++ b/stepstream/gearman/names.py
@@ -1,4 +1,4 @@
-"""What names mean on this wire: functions as job classes and tenants, client ids of workers.
+"""The names on this wire: functions as job classes and tenants, client ids of workers.
 
 There is no state here; any thread may call the functions.
 """
@@ -14,7 +14,7 @@
 CLIENT_ID = re.compile(r"[!-:<-~]{1,64}")  # printable, no space and no semicolon
 CLIENT_ID_KEYS = ("zone", "kind", "cell", "slots", "weight", "start")
 MAX_SLOTS = 1024
-MAX_SLOT_DIGITS = 9  # further ones are not read
+MAX_SLOT_DIGITS = 9  # further digits are not checked against the bound
 MAX_CELL = 2**31
 MIN_WEIGHT = 1e-6
 MAX_WEIGHT = 1e6
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FunctionName:
-    """The parts of a function's name; `tenant` is None where it names none."""
+    """The parts of a function's name; `tenant` is None if the name has no tenant."""
 
     class_name: str
     tenant: str | None
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FunctionTarget:
-    """What a function stands for, by index into the settings."""
+    """The job class and tenant of a function, by index into the settings."""
 
     job_class: int
     tenant: int
@@ -41,7 +41,10 @@
 
 
 def parse_function(name: bytes, settings: Settings) -> FunctionName:
-    """Parse `CLASS` or `TENANT/CLASS`, each with `+N` behind it for a job of N slots."""
+    """Parse `CLASS` or `TENANT/CLASS`, each with `+N` behind it for a job of N slots.
+
+    Raise `RequestError` for an unknown class or a number of slots out of bounds.
+    """
     text = name.decode("utf-8", "replace")
     full_name, plus, slots = text.partition("+")
     if plus:
@@ -60,7 +63,10 @@
 
 
 def find_target(function: FunctionName, settings: Settings, tenant: str) -> FunctionTarget:
-    """Return what a function stands for in a job of `tenant`."""
+    """Return the job class and tenant of a function in a job of `tenant`.
+
+    Raise `RequestError` for an unknown tenant.
+    """
     if settings.tenants and tenant not in settings.tenants:
         reason = f"no such tenant {tenant}" if tenant else "a function here is TENANT/CLASS"
         raise RequestError("UNKNOWN_FUNCTION", f"{function.class_name}: {reason}")
@@ -77,14 +83,17 @@
 
 
 def registered_name(functions: Container[str], class_name: str, tenant: str) -> str | None:
-    """Return the name under which a worker registered a class, the narrower first, or None."""
+    """Return the name under which a worker registered a class, or None.
+
+    TENANT/CLASS goes before CLASS: a worker may give the narrower one its own timeout.
+    """
     candidates = (f"{tenant}/{class_name}", class_name)
     return next((name for name in candidates if name in functions), None)
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerIdentity:
-    """What a worker's client id says of it, with the operator file's defaults for the rest.
+    """The worker that a client id describes, with the operator file's defaults for the rest.
 
     `zone` and `kind` are indexes into the settings.
     """
@@ -103,9 +112,9 @@
 ) -> WorkerIdentity:
     """Parse `ID` or `ID;zone=Z;kind=K;cell=N;slots=N;weight=W;start=MS`.
 
-    Each field comes at most once, in any order. `start` is the worker's last start in Unix
-    milliseconds. Without it the connection counts as the start, and a start in the future counts as
-    now: a worker is cold rather than trusted too early.
+    Each field comes at most once, in any order; raise `RequestError` otherwise. `start` is the
+    worker's last start in Unix milliseconds. Without it the connection counts as the start, and a
+    start in the future counts as `now_us`: a worker must not skip its slow start.
     """
     name, *parts = client_id.decode("utf-8", "replace").split(";")
     if not CLIENT_ID.fullmatch(name):
@@ -163,7 +172,7 @@
         number = float(text)
     except ValueError:
         raise _not_a_number(key, text, minimum, maximum) from None
-    if not minimum <= number <= maximum:  # nor is NaN
+    if not minimum <= number <= maximum:  # true for NaN
         raise _not_a_number(key, text, minimum, maximum)
     return number
 
--- a/stepstream/gearman/notifications.py
+++ b/stepstream/gearman/notifications.py
@@ -1,6 +1,6 @@
-"""What clients are sent about their jobs: WORK_* packets and the answers to status requests.
+"""The packets that clients get about their jobs: WORK_* and the answers to status requests.
 
-The core's answers and progress come on the decision thread, requests on reader threads, all under
+The decision thread passes the core's answers and progress, reader threads pass requests, all under
 the lock of the front that owns the service.
 """
 
@@ -13,7 +13,7 @@
 from stepstream.gearman import codec
 from stepstream.gearman.access import AccessChecks
 from stepstream.gearman.codec import Kind, Packet
-from stepstream.gearman.jobs import Job, JobStage
+from stepstream.gearman.jobs import UNKNOWN_JOB_STATUS, Job, JobStage, StatusFields
 from stepstream.gearman.peers import Peer
 from stepstream.gearman.state import SECOND_US, ServiceState
 
@@ -59,14 +59,14 @@
             )
 
     def cancel(self, now_us: int, job: Job) -> None:
-        """Cancel a job for an operator: its clients get a failure, its calls are given up."""
+        """Cancel a job for an operator: its clients get a failure, its calls are cancelled."""
         job.exception = b"cancelled by an operator"
-        self._notify_outcome(self._give_up(job, now_us), job, None)
+        self._notify_outcome(self._abandon(job, now_us), job, None)
 
     def remove_client(self, peer: Peer) -> None:
-        """Give up the jobs that only a client that has disconnected waited for."""
+        """Cancel the jobs that are abandoned with a disconnected client."""
         for job in self.state.jobs.remove_client(peer):
-            self._give_up(job, 0)  # foreground jobs: the time of their end is not kept
+            self._abandon(job, 0)  # the end of a foreground job is not retained
 
     def send_status(self, _now_us: int, peer: Peer, packet: Packet) -> None:
         """Answer GET_STATUS."""
@@ -85,7 +85,7 @@
             peer, codec.answer(Kind.STATUS_RES_UNIQUE, unique, *status_of(job), client_count)
         )
 
-    def _give_up(self, job: Job, now_us: int) -> list[Peer]:
+    def _abandon(self, job: Job, now_us: int) -> list[Peer]:
         request = job.request
         clients = self.state.jobs.end(job, JobStage.FAILED, now_us)
         if request is not None:
@@ -101,7 +101,7 @@
 def outcome_packets(job: Job, result: object, *, exceptions: bool) -> list[bytes]:
     """Return the packets of an ended job's outcome: the table of docs/gearman.md, "Outcomes".
 
-    `exceptions`: the client has asked for WORK_EXCEPTION.
+    `exceptions`: the client has switched on WORK_EXCEPTION.
     """
     if job.stage is JobStage.SERVED:
         return _result_packets(job.handle, result)
@@ -127,6 +127,6 @@
     return packets
 
 
-def status_of(job: Job | None) -> tuple[int, int, int, int]:
-    """Return known, running, numerator and denominator, as STATUS_RES has them."""
-    return job.status() if job else (0, 0, 0, 0)
+def status_of(job: Job | None) -> StatusFields:
+    """Return the status of a job, or of one that is not known."""
+    return UNKNOWN_JOB_STATUS if job is None else job.status()
--- a/stepstream/gearman/peers.py
+++ b/stepstream/gearman/peers.py
@@ -31,7 +31,7 @@
 
     call: Call
     handle: str  # the job handle that the worker was given
-    function: str  # under the name that the worker registered
+    function: str  # as the worker registered it
     chunks: list[ResultChunk] = field(default_factory=list)  # of WORK_DATA and WORK_WARNING
     chunk_bytes: int = 0
 
@@ -64,11 +64,6 @@
             supported_jobs=frozenset(self.timeouts_us),
         )
 
-    @property
-    def has_free_slot(self) -> bool:
-        """Whether it may be assigned one more job."""
-        return len(self.assigned) < self.identity.slots
-
 
 @dataclass(eq=False, slots=True)
 class Peer:
@@ -76,11 +71,11 @@
 
     session: Session
     host: str = ""
-    number: int = 0  # of all connections since the start
+    number: int = 0  # counts the connections since the start
     client_id: bytes = b""  # as SET_CLIENT_ID gave it
     token: bytes | None = None
     certificate: object = None  # set by the connection's reader thread before its first packet
-    authorized_at_us: int = 0  # when its credential was last found good for its worker id
+    authorized_at_us: int = 0  # when its credential was last verified for its worker id
     worker: Worker | None = None
     disconnected: bool = False
 
--- a/stepstream/gearman/service.py
+++ b/stepstream/gearman/service.py
@@ -1,8 +1,8 @@
 """The Gearman service without its sockets: packets, answers and calls in, packets and events out.
 
-Routes what comes to the part that handles it. The front that owns the service guards it with one
-lock: reader threads bring packets, the decision thread answers and calls, the main thread reloads
-and runs what is due. It never waits; `take_output` returns what has become due.
+Routes each input to the part that handles it. The front that owns the service guards it with one
+lock: reader threads pass packets, the decision thread answers and calls, the main thread reloads
+and runs periodic tasks. It never waits; `take_output` returns the packets and events.
 """
 
 from collections.abc import Callable
@@ -36,7 +36,7 @@
 
 
 class GearmanService:
-    """All that is decided about Gearman's clients, workers and jobs."""
+    """The parts of the service, and the packets that each of them handles."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         limits: Limits,
         host: ServiceHost,
     ) -> None:
-        """`name`: of this dispatcher, part of each job handle."""
+        """Create the parts; `name` is this dispatcher's, and part of each job handle."""
         self.state = ServiceState(name, section, settings, limits, host)
         self.access = AccessChecks(self.state)
         self.admission = JobAdmission(self.state, self.access)
@@ -55,7 +55,7 @@
         self.reports = WorkReports(self.state, self.assignment)
         self.notifier = ClientNotifier(self.state, self.access)
         self.admin = AdminCommands(self.state, self.notifier)
-        # Of ALL_YOURS nothing depends: it says that the worker has no other server.
+        # ALL_YOURS has no handler: it states only that the worker has no other server.
         self.handlers: dict[Kind, PacketHandler] = {
             **dict.fromkeys(SUBMISSIONS, self.admission.submit),
             **dict.fromkeys(GRABS, self.assignment.grab),
@@ -76,13 +76,13 @@
         self.state.reconfigure(section, settings, limits)
 
     def take_output(self) -> Output:
-        """Return what has become due since the last call: bytes by peer, and events, in order."""
+        """Return the bytes for peers and the events since the last call, each in order."""
         return self.state.take_output()
 
     # -- connections ------------------------------------------------------------------------------
 
     def connect(self, session: Session, host: str) -> Peer:
-        """Take note of a new connection."""
+        """Add a new connection; return its peer."""
         self.state.peer_count += 1
         peer = Peer(session, host, self.state.peer_count)
         self.state.peers[peer] = None
@@ -98,11 +98,11 @@
         self.registry.remove(peer)
 
     def send(self, peer: Peer, data: bytes, *, close: bool = False) -> None:
-        """Send a peer bytes in order with all else that it is sent."""
+        """Send a peer bytes, in order with its other packets."""
         self.state.output.send(peer, data, close=close)
 
     def on_packet(self, now_us: int, peer: Peer, packet: Packet) -> None:
-        """Handle a packet; errors are answered, those of the framing have ended it before this."""
+        """Handle a packet; an error is answered."""
         handler = self.handlers.get(packet.kind)
         if handler is None:
             return
@@ -123,9 +123,9 @@
         if parsed is None:
             self.send(peer, unknown_command_error().encode())
             return False
-        text, shuts_down = self.admin.run(now_us, *parsed)
-        self.send(peer, text.encode())
-        return shuts_down
+        result = self.admin.run(now_us, parsed)
+        self.send(peer, result.answer.encode())
+        return result.shuts_down
 
     # -- the core ---------------------------------------------------------------------------------
 
@@ -142,10 +142,10 @@
         self.assignment.start(now_us, call)
 
     def stop(self, call: Call) -> None:
-        """Give a call up."""
+        """Drop a call that the core gave up."""
         self.assignment.stop(call)
 
     def run_periodic_tasks(self, now_us: int) -> None:
-        """End what has gone on for too long."""
+        """End the queued calls and drop the retained outcomes whose time is over."""
         self.assignment.expire_queued(now_us)
         self.state.jobs.expire_outcomes(now_us)
--- a/stepstream/gearman/session.py
+++ b/stepstream/gearman/session.py
@@ -1,9 +1,9 @@
 """One Gearman connection as a state machine without I/O: bytes in, steps out.
 
-What concerns the connection alone is answered here (ECHO_REQ, OPTION_REQ, what is unknown or not
-offered); the rest passes on, checked. Framing in doubt ends the connection, and nothing behind it
-is parsed. The connection's reader thread feeds it under the front's lock; its flags may be read
-without.
+The session answers what concerns the connection alone (ECHO_REQ, OPTION_REQ, unknown packets and
+those that are not offered) and returns the rest. An error of the framing ends the connection, and
+nothing behind it is parsed. The connection's reader thread feeds it under the front's lock; its
+flags may be read without the lock.
 """
 
 from dataclasses import dataclass
@@ -36,14 +36,14 @@
 
 
 class Session:
-    """What has been received on a connection, and what it has turned on."""
+    """The protocol state of a connection, and the options that its peer has switched on."""
 
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
         self.parser = Parser(limits)
         self.closed = False  # its last reply is given
-        self.has_sent_work = False  # it has sent a message that means something
-        self.exceptions = False  # WORK_EXCEPTION is sent, by OPTION_REQ
+        self.has_sent_work = False  # the peer has sent a message for the service
+        self.exceptions = False  # OPTION_REQ has switched on WORK_EXCEPTION
         self.error_count = 0
 
     @property
@@ -65,14 +65,14 @@
         return steps
 
     def close_with_error(self, error: GearmanError) -> Reply:
-        """Return the last reply; what stands behind the error is not parsed."""
+        """Return the last reply; the bytes behind the error are not parsed."""
         self.closed = True
         return Reply(codec.error(error.code, str(error)), close=True)
 
     def reply_to_error(self, error: GearmanError) -> Reply:
-        """Return the reply to an error that leaves the framing whole.
+        """Return the reply to an error after which the framing is intact.
 
-        A peer that makes too many errors is ended.
+        The connection ends after too many errors.
         """
         self.error_count += 1
         if self.error_count >= self.limits.gearman.errors_per_connection:
@@ -83,7 +83,7 @@
         match item:
             case Line(tokens):
                 if parse_command(tokens) is None:
-                    # Guards against a request of another protocol, whose body may hide packets.
+                    # Guards against a request of another protocol, whose body may hold packets.
                     self.closed = True
                     return Reply(unknown_command_error().encode(), close=True)
             case Unknown(number):
@@ -105,7 +105,7 @@
 
     def _step_for_option(self, packet: Packet, option: bytes) -> Step:
         if option.startswith(TOKEN_OPTION):
-            return packet  # the service takes the token; it does not count as work yet
+            return packet  # the service stores the token; it does not count as work
         if option != EXCEPTIONS_OPTION:
             return self.reply_to_error(
                 RequestError("UNKNOWN_OPTION", "the one option is 'exceptions'")
--- a/stepstream/gearman/state.py
+++ b/stepstream/gearman/state.py
@@ -1,8 +1,7 @@
 """What the parts of the Gearman service share: its tables, its configuration and its output.
 
-One `ServiceState` a service. The front that owns the service guards it with its lock: connections'
-reader threads bring packets, the decision thread answers and calls, the main thread reloads and
-runs what is due. Nothing here waits.
+A service has one `ServiceState`. The front that owns the service guards it with its lock. Nothing
+here waits.
 """
 
 from collections.abc import Callable, Iterable
@@ -34,7 +33,7 @@
 
 @dataclass(slots=True)
 class Output:
-    """What has become due: bytes for peers and events for the core, each in order."""
+    """Bytes for peers and events for the core, each in order."""
 
     sends: list[Send] = field(default_factory=list)
     events: list[Event] = field(default_factory=list)
@@ -55,11 +54,11 @@
 
 @dataclass(slots=True)
 class ServiceHost:
-    """What the service uses of the program around it."""
+    """The functions of the program that the service uses."""
 
-    new_request_id: Callable[[], str]  # an id that no other request has and nobody guesses
-    is_overloaded: Callable[[], bool]  # no place for one more open request
-    is_closing: Callable[[], bool]  # some time after SIGTERM: no new jobs
+    new_request_id: Callable[[], str]  # an id that no other request has and no peer can guess
+    is_overloaded: Callable[[], bool]  # the core takes no further request
+    is_closing: Callable[[], bool]  # the last phase of a shutdown: no new jobs
     # The core's answer to a job and its progress; called on the decision thread.
     on_answer: Callable[[Job, Answer], None]
     on_progress: Callable[[Job, int, int], None]
@@ -77,7 +76,7 @@
         limits: Limits,
         host: ServiceHost,
     ) -> None:
-        """`name`: of this dispatcher, part of each job handle."""
+        """Create empty tables; `name` is this dispatcher's, and part of each job handle."""
         self.name = name
         self.section = section
         self.settings = settings
@@ -90,7 +89,7 @@
             limits.gearman.partial_result_bytes,
         )
         self.peers: dict[Peer, None] = {}  # a dict for its order
-        self.max_queue: dict[str, int] = {}  # by function, set by the text command
+        self.max_queue: dict[str, int] = {}  # by function, set by the text command `maxqueue`
         self.peer_count = 0  # since the start
         self.handle_count = 0  # since the start
         self.output = Output()
@@ -106,12 +105,12 @@
         self.workers.queue_wait_us = section.queue_wait_ms * MILLISECOND_US
 
     def new_handle(self) -> str:
-        """Return a job handle that was never given before."""
+        """Return a job handle that was never used before."""
         self.handle_count += 1
         return f"H:{self.name}:{self.handle_count}"
 
     def take_output(self) -> Output:
-        """Return what has become due since the last call."""
+        """Return the output since the last call."""
         output = self.output
         self.output = Output()
         return output
--- a/stepstream/gearman/subsystem.py
+++ b/stepstream/gearman/subsystem.py
@@ -53,7 +53,7 @@
     def prepare_reload(
         self, config: NodeConfig, operator: OperatorConfig | None
     ) -> Callable[[], None]:
-        """Check that the address stays; return what puts the new section into force."""
+        """Check that the address is unchanged; return what puts the new section into force."""
         # With this subsystem there is an operator's file, before and after the reload.
         current = cast("OperatorConfig", self.context.operator)
         reloaded = cast("OperatorConfig", operator)
@@ -62,12 +62,12 @@
         return lambda: self.front.reconfigure(section, config)
 
     def run_periodic_tasks(self) -> None:
-        """End what has gone on for too long."""
+        """End the queued calls and drop the retained outcomes whose time is over."""
         self.front.run_periodic_tasks()
 
 
 def section_of(operator: OperatorConfig | None) -> GearmanSection:
-    """Return `[gearman]`, without which the node does not make this subsystem."""
+    """Return `[gearman]`, without which the node does not create this subsystem."""
     assert operator is not None
     assert operator.gearman is not None
     return operator.gearman
--- a/stepstream/gearman/text_commands.py
+++ b/stepstream/gearman/text_commands.py
@@ -1,9 +1,10 @@
-"""The text commands of the protocol: their names, how a line is parsed, and how errors read.
+"""The text commands of the protocol: their names, their parser and their error lines.
 
 `admin` runs them. There is no state here; any thread may call the functions.
 """
 
 from enum import Enum
+from typing import NamedTuple
 
 
 class TextCommand(Enum):
@@ -19,12 +20,19 @@
     SHUTDOWN = "shutdown"
 
 
-def parse_command(tokens: tuple[str, ...]) -> tuple[TextCommand, tuple[str, ...]] | None:
+class ParsedCommand(NamedTuple):
+    """A text command and the tokens behind it."""
+
+    command: TextCommand
+    arguments: tuple[str, ...]
+
+
+def parse_command(tokens: tuple[str, ...]) -> ParsedCommand | None:
     """Return the command that a line begins with, and its arguments; None for none."""
     for command in TextCommand:
         command_tokens = tuple(command.value.split())
         if tokens[: len(command_tokens)] == command_tokens:
-            return command, tokens[len(command_tokens) :]
+            return ParsedCommand(command, tokens[len(command_tokens) :])
     return None
 
 
@@ -35,5 +43,5 @@
 
 
 def error_line(code: str, text: str) -> str:
-    """Return an error's line; its words are joined by +, as the protocol's own server does it."""
+    """Return an error's line, its words joined by + as at the protocol's own server."""
     return f"ERR {code} {text.replace(' ', '+')}\n"
--- a/stepstream/gearman/work_reports.py
+++ b/stepstream/gearman/work_reports.py
@@ -1,7 +1,8 @@
-"""Work reports: what workers send about the jobs that are assigned to them.
+"""Work reports: the packets of workers about the jobs that are assigned to them.
 
-Data and warnings are kept until the outcome, so that a client gets those of the attempt that served
-its job and of no other. Reader threads call it, under the lock of the front that owns the service.
+Data and warnings are buffered until the outcome, so that a client gets those of the attempt that
+served its job and of no other. Reader threads call this module, under the lock of the front that
+owns the service.
 """
 
 from stepstream.core.events import CallEnded, JobNotification, JobStatus
@@ -27,14 +28,14 @@
 
 
 class WorkReports:
-    """Takes the WORK_* packets of workers, and reports on their calls to the core."""
+    """Handles the WORK_* packets of workers, and reports on their calls to the core."""
 
     def __init__(self, state: ServiceState, assignment: JobAssignment) -> None:
         self.state = state
         self.assignment = assignment
 
     def report(self, _now_us: int, peer: Peer, packet: Packet) -> None:
-        """Take a report on an assigned job; one on a job that has ended is ignored."""
+        """Handle a report on an assigned job; one on an ended job is ignored."""
         worker = peer.worker
         if worker is None:
             raise RequestError(
@@ -43,7 +44,7 @@
         handle, *args = packet.args
         assigned = self.state.workers.find_assigned(worker, handle)
         if assigned is None:
-            return  # reported twice, or a WORK_FAIL behind its WORK_EXCEPTION
+            return  # reported twice, or a WORK_FAIL after its WORK_EXCEPTION
         match packet.kind:
             case Kind.WORK_STATUS:
                 self._report_progress(assigned, *args)
--- a/stepstream/gearman/worker_registry.py
+++ b/stepstream/gearman/worker_registry.py
@@ -1,7 +1,7 @@
-"""The worker registry: who a worker is, which functions it registered, and when it is gone.
+"""The worker registry: workers' identities, their registered functions and their end.
 
 Changes go to the core as updates of the endpoint list, before the calls that they end. Reader
-threads call it, under the lock of the front that owns the service.
+threads call this module, under the lock of the front that owns the service.
 """
 
 import re
@@ -11,7 +11,7 @@
 from stepstream.gearman.access import AccessChecks
 from stepstream.gearman.codec import Packet, parse_number
 from stepstream.gearman.errors import RequestError
-from stepstream.gearman.names import parse_client_id
+from stepstream.gearman.names import WorkerIdentity, parse_client_id
 from stepstream.gearman.peers import Peer, Worker
 from stepstream.gearman.state import SECOND_US, SOURCE, ServiceState
 from stepstream.model.endpoints import EndpointList, EndpointListKind, EndpointState
@@ -21,14 +21,14 @@
 
 
 class WorkerRegistry:
-    """Takes SET_CLIENT_ID, CAN_DO, CANT_DO and their like."""
+    """Handles SET_CLIENT_ID, CAN_DO, CAN_DO_TIMEOUT, CANT_DO and RESET_ABILITIES."""
 
     def __init__(self, state: ServiceState, access: AccessChecks) -> None:
         self.state = state
         self.access = access
 
     def set_client_id(self, now_us: int, peer: Peer, packet: Packet) -> None:
-        """Take SET_CLIENT_ID; a worker with another identity leaves and joins as another worker."""
+        """Handle SET_CLIENT_ID; a worker with another identity is removed and added anew."""
         (client_id,) = packet.args
         identity = parse_client_id(
             client_id, self.state.settings, self.state.section.worker, now_us
@@ -37,8 +37,7 @@
         worker = peer.worker
         if worker is None:
             return
-        # Its start counts from the first id, where the client id does not give one.
-        if worker.identity == replace(identity, started_us=worker.identity.started_us):
+        if is_same_identity(worker.identity, identity):
             return
         if worker.assigned:
             raise RequestError("BAD_CLIENT_ID", "a worker that holds jobs keeps its id")
@@ -77,7 +76,7 @@
         worker = peer.worker
         peer.worker = None
         if worker is not None:
-            # The endpoint first: the calls that end must not be pushed here again.
+            # The endpoint comes first: the calls that end must not be sent here again.
             self._announce(worker, EndpointState.REMOVED)
             self.state.output.post_all(self.state.workers.remove(worker))
 
@@ -90,7 +89,7 @@
             self.state.output.post_all(ended)
 
     def _worker_of(self, now_us: int, peer: Peer) -> Worker:
-        """Return a peer's worker; make it one if it is none yet."""
+        """Return a peer's worker; register it as one if it is none yet."""
         if peer.worker is not None:
             return peer.worker
         max_workers = self.state.limits.gearman.workers
@@ -107,3 +106,12 @@
     def _announce(self, worker: Worker, state: EndpointState | None = None) -> None:
         change = EndpointList(EndpointListKind.CHANGES, (worker.endpoint(state),))
         self.state.output.post(EndpointsUpdated(SOURCE, change))
+
+
+def is_same_identity(known: WorkerIdentity, announced: WorkerIdentity) -> bool:
+    """Decide whether a client id leaves a worker as it is.
+
+    The start does not count: without `start` in the client id, every SET_CLIENT_ID would be another
+    start, and a warm worker would go through slow start again.
+    """
+    return known == replace(announced, started_us=known.started_us)
--- a/stepstream/gearman/workers.py
+++ b/stepstream/gearman/workers.py
@@ -1,7 +1,7 @@
-"""Gearman's workers: their queues, what is assigned to them and when they are woken; free of I/O.
+"""The table of Gearman's workers, with the calls that wait for them or are assigned; free of I/O.
 
-The policy pushes, Gearman's workers pull: a call waits here for its worker's next GRAB_JOB. Up to
-the assignment the job has provably never run; from then on it may have.
+The policy pushes, Gearman's workers pull: a call waits here for its worker's next GRAB_JOB.
+`assignment_rules` decides what waits and what is assigned.
 
 The service owns the table; all access is under the lock of its front. Methods that end calls return
 the events to post to the core.
@@ -12,19 +12,31 @@
 from stepstream.core.events import CallEnded
 from stepstream.core.job_results import ResultChunk
 from stepstream.core.requests import Call
+from stepstream.gearman.assignment_rules import (
+    function_to_assign,
+    has_free_slot,
+    has_waited_too_long,
+    is_wakeup_due,
+    reason_not_to_queue,
+)
 from stepstream.gearman.errors import RequestError
 from stepstream.gearman.names import WorkerIdentity, registered_name
 from stepstream.gearman.peers import AssignedCall, Peer, QueuedCall, Worker
 from stepstream.model.events import AttemptResult
 
-MAX_ENDED_HANDLES = 64  # a worker's ended jobs whose late reports are ignored without an error
+# Late reports on a worker's latest ended jobs are ignored; on older ones they are errors.
+MAX_ENDED_HANDLES_PER_WORKER = 64
 
 
 class WorkerTable:
     """All connected workers; a call is in one place only, queued or assigned."""
 
     def __init__(self, queue_length: int, queue_wait_us: int, max_chunk_bytes: int) -> None:
-        """`queue_length`: calls beyond a worker's slots; `max_chunk_bytes`: of one job."""
+        """Make an empty table.
+
+        `queue_length`: calls that may wait beyond a worker's slots. `queue_wait_us`: longest wait
+        of a call, in microseconds. `max_chunk_bytes`: bound of one job's chunks together.
+        """
         self.queue_length = queue_length
         self.queue_wait_us = queue_wait_us
         self.max_chunk_bytes = max_chunk_bytes
@@ -51,7 +63,9 @@
         """Forget a worker; its queued calls have never run, its assigned ones may have."""
         self.by_id.pop(worker.worker_id, None)
         ended = [CallEnded(queued.call, AttemptResult.NOT_SENT) for queued in worker.queue]
-        ended += [CallEnded(each.call, AttemptResult.RESET) for each in worker.assigned.values()]
+        ended.extend(
+            CallEnded(assigned.call, AttemptResult.RESET) for assigned in worker.assigned.values()
+        )
         worker.queue.clear()
         worker.assigned.clear()
         return ended
@@ -81,19 +95,17 @@
     def enqueue(self, now_us: int, call: Call, class_name: str, tenant: str) -> list[CallEnded]:
         """Queue a call for its worker, or end it at once if the worker cannot take it."""
         worker = self.by_id.get(call.worker_id)
-        if worker is None or registered_name(worker.timeouts_us, class_name, tenant) is None:
-            return [CallEnded(call, AttemptResult.NOT_SENT)]
-        # Given up or not, the worker still works on it: the protocol cannot recall a job.
-        if any(each.call.request is call.request for each in worker.assigned.values()):
+        if worker is None:
             return [CallEnded(call, AttemptResult.NOT_SENT)]
-        if len(worker.queue) + len(worker.assigned) >= worker.identity.slots + self.queue_length:
-            return [CallEnded(call, AttemptResult.FULL)]
+        result = reason_not_to_queue(worker, call, class_name, tenant, self.queue_length)
+        if result is not None:
+            return [CallEnded(call, result)]
         worker.queue.append(QueuedCall(call, class_name, tenant, now_us))
         return []
 
     def take_wakeup(self, worker: Worker) -> bool:
-        """Return whether to send a worker a NOOP now: once, and only if it has work and a slot."""
-        if not (worker.asleep and worker.queue and worker.has_free_slot):
+        """Return whether to send a worker a NOOP now; it counts as awake from then on."""
+        if not is_wakeup_due(worker):
             return False
         worker.asleep = False
         return True
@@ -101,17 +113,16 @@
     def assign(self, now_us: int, worker: Worker, handle: str) -> AssignedCall | None:
         """Assign a worker its next queued call under a job handle; None if there is none.
 
-        Calls that are not needed any more are dropped here: this is the last check.
+        Queued calls that may not be assigned any more are dropped.
         """
         worker.asleep = False
-        if not worker.has_free_slot:
+        if not has_free_slot(worker):
             return None
         while worker.queue:
             queued = worker.queue.popleft()
-            call = queued.call
-            function = registered_name(worker.timeouts_us, queued.class_name, queued.tenant)
-            if function is not None and call.open and now_us < call.deadline_us:
-                assigned = AssignedCall(call, handle, function)
+            function = function_to_assign(queued, worker.timeouts_us, now_us)
+            if function is not None:
+                assigned = AssignedCall(queued.call, handle, function)
                 worker.assigned[handle] = assigned
                 return assigned
         return None
@@ -126,7 +137,7 @@
         """End the calls that have waited too long for a GRAB_JOB; they have never run."""
         ended = []
         for worker in self.by_id.values():
-            while worker.queue and now_us - worker.queue[0].queued_at_us >= self.queue_wait_us:
+            while worker.queue and has_waited_too_long(worker.queue[0], now_us, self.queue_wait_us):
                 ended.append(CallEnded(worker.queue.popleft().call, AttemptResult.FULL))
         return ended
 
@@ -145,14 +156,14 @@
         raise RequestError("JOB_NOT_FOUND", "this connection holds no job of that handle")
 
     def end_assigned(self, worker: Worker, assigned: AssignedCall) -> None:
-        """Free the slot of an assigned call; its handle is remembered for a while."""
+        """Free the slot of an assigned call; its handle is remembered for late reports."""
         del worker.assigned[assigned.handle]
         worker.ended_handles[assigned.handle] = None
-        while len(worker.ended_handles) > MAX_ENDED_HANDLES:
+        while len(worker.ended_handles) > MAX_ENDED_HANDLES_PER_WORKER:
             worker.ended_handles.popitem(last=False)
 
     def add_chunk(self, assigned: AssignedCall, chunk: ResultChunk) -> bool:
-        """Keep a chunk of a result; return False if its job's chunks are too large together."""
+        """Add a chunk of a result; return False if the job's chunks are too large together."""
         assigned.chunk_bytes += len(chunk.data)
         if assigned.chunk_bytes > self.max_chunk_bytes:
             return False
--- a/stepstream/gearman/writer.py
+++ b/stepstream/gearman/writer.py
@@ -1,7 +1,7 @@
-"""The writer thread: sends on to the peers that do not take their bytes at once.
+"""The writer thread: sends the rest to the peers that do not take their bytes at once.
 
-One thread waits on all such peers together, so that none holds up another. It costs nothing while
-every peer takes what it is sent.
+One thread waits on all such peers together, so that none delays another. It costs nothing while
+every peer takes its bytes.
 """
 
 import contextlib
@@ -13,8 +13,8 @@
 from stepstream.runtime.threads import run_guarded
 from stepstream.runtime.transport import Transport
 
-THREAD_NAME = "gearman writer"  # part of the log line of a fault
-WAKE_BYTES = 4096  # read at once of the bytes that wake the thread
+THREAD_NAME = "gearman writer"
+WAKE_READ_BYTES = 4096
 
 
 class UnsentConnection(Protocol):
@@ -42,21 +42,21 @@
         self.poll.register(self.wake_read, select.POLLIN)
 
     def add(self, connection: UnsentConnection) -> None:
-        """Send on to a connection as soon as it takes bytes; any thread."""
+        """Send more to a connection as soon as it takes bytes; any thread may call it."""
         with self.lock:
             descriptor = connection.transport.sock.fileno()
             if descriptor < 0 or descriptor in self.by_descriptor:
                 return
             self.by_descriptor[descriptor] = connection
             self.poll.register(descriptor, select.POLLOUT)
-        # A full pipe wakes the thread all the same.
+        # A full pipe wakes the thread, too.
         with contextlib.suppress(BlockingIOError):
             os.write(self.wake_write, b"x")
 
     def remove(self, connection: UnsentConnection) -> None:
-        """Wait for a connection no more; any thread, before the descriptor is closed.
+        """Stop waiting for a connection; any thread, before the descriptor is closed.
 
-        Once closed, its number may be another connection's.
+        The number of a closed descriptor may become another connection's.
         """
         with self.lock:
             descriptor = connection.transport.sock.fileno()
@@ -65,17 +65,17 @@
                 self.poll.unregister(descriptor)
 
     def run(self) -> None:
-        """Serve for ever; the body of the writer thread."""
+        """Serve until the process ends; the body of the writer thread."""
         while True:
             run_guarded(THREAD_NAME, self._serve_writable)
 
     def _serve_writable(self) -> None:
-        """Wait until connections are writable, and let each send on."""
+        """Wait until connections are writable, and let each send more."""
         for descriptor, _ in self.poll.poll():
             if descriptor == self.wake_read:
-                os.read(self.wake_read, WAKE_BYTES)
+                os.read(self.wake_read, WAKE_READ_BYTES)
                 continue
-            # Without the lock: the connection checks by its own whether there is still work.
+            # Without this lock: the connection checks under its own whether there is still work.
             connection = self.by_descriptor.get(descriptor)
             if connection is not None:
                 connection.send_unsent()
--- /dev/null
+++ b/tests/gearman/test_connection_rules.py
@@ -0,0 +1,85 @@
+"""When a Gearman connection is closed, evicted or slowed down, decided on views of it."""
+
+from dataclasses import replace
+
+import pytest
+from net_helpers import LIMITS
+
+from stepstream.gearman.connection_rules import (
+    ConnectionView,
+    RegistrationCredit,
+    TimeoutAction,
+    closes_when_idle,
+    delays_shutdown,
+    eviction_rank,
+    timeout_action,
+)
+from stepstream.http.eviction import EvictionRank
+
+NOW = 1000.0
+CLIENT = ConnectionView(False, False, False, False, True, True, NOW, NOW, NOW)
+NEW = replace(CLIENT, has_sent_work=False)
+WORKER = replace(CLIENT, is_worker=True)
+OWED = replace(CLIENT, has_open_request=True)
+PARTIAL = replace(CLIENT, session_idle=False)
+UNREAD = replace(CLIENT, has_unsent_bytes=True)
+CLOSED = replace(CLIENT, session_closed=True)
+TIMEOUTS = LIMITS.timeouts
+
+
+@pytest.mark.parametrize(
+    ("view", "timeout_seconds", "action"),
+    [
+        (CLIENT, TIMEOUTS.inbound_idle_seconds, TimeoutAction.CLOSE),
+        (NEW, TIMEOUTS.first_message_seconds, TimeoutAction.CLOSE),
+        (PARTIAL, TIMEOUTS.message_seconds, TimeoutAction.REPLY_AND_CLOSE),
+        (UNREAD, TIMEOUTS.write_seconds, TimeoutAction.CLOSE),
+        (CLOSED, TIMEOUTS.linger_seconds, TimeoutAction.CLOSE),
+    ],
+)
+def test_each_state_has_its_timeout(view, timeout_seconds, action):
+    assert timeout_action(view, NOW + timeout_seconds, TIMEOUTS) is TimeoutAction.KEEP
+    assert timeout_action(view, NOW + timeout_seconds + 0.01, TIMEOUTS) is action
+
+
+@pytest.mark.parametrize("view", [WORKER, OWED])
+def test_a_connection_in_use_has_no_idle_timeout(view):
+    assert timeout_action(view, NOW + 1e6, TIMEOUTS) is TimeoutAction.KEEP
+
+
+@pytest.mark.parametrize(
+    ("view", "quiet_seconds", "rank"),
+    [
+        (CLOSED, 0.0, EvictionRank.DONE),
+        (NEW, 1.0, EvictionRank.UNUSED),
+        (NEW, 0.99, EvictionRank.NEW),
+        (CLIENT, 0.0, EvictionRank.IDLE),
+        (WORKER, 1e6, EvictionRank.NEVER),
+        (OWED, 1e6, EvictionRank.NEVER),
+        (UNREAD, 1e6, EvictionRank.NEVER),
+    ],
+)
+def test_a_connection_in_use_is_never_evicted_and_a_new_one_last(view, quiet_seconds, rank):
+    assert eviction_rank(view, NOW + quiet_seconds, unproven_seconds=1.0)[0] is rank
+
+
+def test_a_shutdown_waits_for_what_is_owed_and_for_clients_until_the_server_closes():
+    views = (CLIENT, NEW, WORKER, OWED, PARTIAL, UNREAD, CLOSED)
+    waits = {
+        closing: [delays_shutdown(view, server_is_closing=closing) for view in views]
+        for closing in (False, True)
+    }
+    assert waits[False] == [True, False, False, True, True, True, False]
+    assert waits[True] == [False, False, False, True, True, True, False]
+    assert [closes_when_idle(view) for view in views] == [
+        *(True, True, False, False, False, False, True)
+    ]
+
+
+def test_registrations_beyond_the_burst_cost_a_pause_each():
+    limits = replace(LIMITS.gearman, registration_changes=2, registration_change_pause_seconds=0.5)
+    credit = RegistrationCredit(2.0, NOW)
+    assert [credit.spend(NOW, limits) for _ in range(3)] == [0.0, 0.0, 0.5]
+    assert credit.spend(NOW + 0.75, limits) == 0.5
+    assert credit.spend(NOW + 1.75, limits) == 0.0
+    assert [credit.spend(NOW + 100.0, limits) for _ in range(3)] == [0.0, 0.0, 0.5]
