--- a/stepstream/identity/access_control.py
+++ b/stepstream/identity/access_control.py
@@ -1,42 +1,27 @@
 """The access control of the running program, for every front: authentication, then authorization.
 
-Owns what is in force: `ActiveRules`, replaced as a whole by the main thread, at a reload of the
-operator's file or when the key file changes. The fronts' threads ask it. Its lock guards the rate
-limiters and the audit log.
+Owns the active rules. The main thread replaces them as a whole, at a reload of the operator's file
+or when the key file changes. The fronts' threads call it. Its lock guards the rate limiters and the
+audit log.
 """
 
 import socket
 import threading
 import time
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
 
 from stepstream.config.errors import ConfigurationError
-from stepstream.config.operator_file import IdentitySection
-from stepstream.identity.audit import AuditLog
-from stepstream.identity.certificates import (
-    NAME_KINDS,
-    ClientCertificate,
-    RevocationList,
-    check_validity,
+from stepstream.identity.active_rules import (
+    ActiveRules,
+    rules_after_reload,
+    rules_at_start,
+    rules_with_new_keys,
 )
-from stepstream.identity.configuration import (
-    LoadedIdentity,
-    key_file_version,
-    load_identity,
-    permissions_of,
-    token_rules_of,
-)
-from stepstream.identity.errors import CertificateError, CredentialError, TokenError
-from stepstream.identity.permissions import (
-    AuthenticationMethod,
-    Decision,
-    Permissions,
-    Principal,
-    Verdict,
-)
-from stepstream.identity.tls import TlsCredentials, TlsTransport
-from stepstream.identity.token_cache import CachingTokenVerifier
+from stepstream.identity.authentication import PresentedCredential, authenticate
+from stepstream.identity.configuration import LoadedIdentity, key_file_version, load_identity
+from stepstream.identity.permissions import Decision, Verdict
+from stepstream.identity.tls import TlsTransport
 from stepstream.ports.access_control import Credential, Rejection, RejectionKind
 from stepstream.runtime.log import log
 
@@ -53,7 +38,7 @@
 
     caller: str
     tenant: str
-    # Where the request is counted; None once it is over, or for a caller without limits.
+    # Where the request is counted; None after its end, and for a caller without limits.
     counted_by: "IdentityAccessControl | None" = None
 
     def release(self) -> None:
@@ -64,61 +49,22 @@
             access_control.release_request(self.caller)
 
 
-@dataclass(frozen=True, slots=True)
-class PresentedCredential:
-    """Whom a peer's credential identifies, or why nobody."""
-
-    principal: Principal | None = None
-    failure: Decision | None = None
-    key_id: str = ""  # kid or serial number, as far as it is known
-
-    @property
-    def subject(self) -> str:
-        """The principal's subject; empty without one."""
-        return "" if self.principal is None else self.principal.subject
-
-
-@dataclass(frozen=True)
-class ActiveRules:
-    """What is in force; a decision that has begun goes on with the rules it began with."""
-
-    section: IdentitySection
-    token_verifier: CachingTokenVerifier
-    permissions: Permissions
-    tls: TlsCredentials | None
-    audit_log: AuditLog
-
-    @property
-    def revocation_list(self) -> RevocationList:
-        """The revoked certificates; none without TLS."""
-        return self.tls.revocation_list if self.tls else RevocationList()
-
-
 class IdentityAccessControl:
     """Authenticates and authorizes peers; implements `ports.access_control.AccessControl`.
 
-    Any thread may call it; no method waits for more than the check of a signature. Only requests of
-    callers with limits are counted, under the lock; all others share only what is read. `now` gives
-    Unix seconds.
+    Any thread may call it; no method waits longer than the check of a signature takes. Only
+    requests of callers with limits are counted, under the lock; the others read immutable rules.
+    `now` returns Unix seconds.
     """
 
     def __init__(self, loaded: LoadedIdentity, now: Callable[[], float] = time.time) -> None:
-        section = loaded.section
         self.now = now
         self.lock = threading.Lock()  # guards the rate limiters and the audit log
         self.key_file_version = loaded.key_file_version
-        self.rules = ActiveRules(
-            section=section,
-            token_verifier=CachingTokenVerifier(
-                loaded.key_set, token_rules_of(section), section.cache
-            ),
-            permissions=permissions_of(section),
-            tls=loaded.tls,
-            audit_log=audit_log_of(section),
-        )
+        self.rules = rules_at_start(loaded)
 
     def create_tls_transport(self, sock: socket.socket) -> TlsTransport:
-        """Make a transport with the present certificates; only where there is TLS."""
+        """Create a transport with the present certificates; called only where there is TLS."""
         tls = self.rules.tls
         assert tls is not None
         return TlsTransport(sock, tls.context)
@@ -130,16 +76,11 @@
 
         Callers keep what they have used of their limits; cached tokens are verified anew.
         """
-        section = loaded.section
         previous = self.rules
-        permissions = permissions_of(section)
-        token_verifier = previous.token_verifier.replaced(
-            loaded.key_set, token_rules_of(section), section.cache
-        )
-        audit_log = audit_log_of(section)
+        rules = rules_after_reload(previous, loaded)
         with self.lock:
-            permissions.adopt_usage(previous.permissions)
-            self.rules = ActiveRules(section, token_verifier, permissions, loaded.tls, audit_log)
+            rules.permissions.adopt_usage(previous.permissions)
+            self.rules = rules
             self.key_file_version = loaded.key_file_version
 
     def reload_changed_keys(self) -> None:
@@ -151,19 +92,16 @@
         try:
             version = key_file_version(rules.section)
         except OSError:
-            return  # being replaced, or gone: the present keys stay in force
+            return  # it is being replaced or is missing: the present keys stay in force
         if version == self.key_file_version:
             return
-        self.key_file_version = version  # a faulty file is logged once a change
+        self.key_file_version = version  # a faulty file is logged once
         try:
             loaded = load_identity(rules.section)
         except ConfigurationError as error:
             log(f"keys: {error}; the old ones serve on")
             return
-        token_verifier = rules.token_verifier.replaced(
-            loaded.key_set, token_rules_of(rules.section), rules.section.cache
-        )
-        self.rules = replace(rules, token_verifier=token_verifier, tls=loaded.tls)
+        self.rules = rules_with_new_keys(rules, loaded)
         self.key_file_version = loaded.key_file_version
         log(f"keys: {len(loaded.key_set.keys)} read anew")
 
@@ -188,7 +126,7 @@
         )
         if is_counted:
             with self.lock:
-                # By the rules of now: a reload may have moved the rate limiters to new ones.
+                # By the present rules: a reload may have moved the rate limiters to them.
                 decision = self.rules.permissions.admit(principal, class_name, tenant, now)
         operation = f"{tenant or decision.tenant or '-'}/{class_name}"
         self._audit(rules, front, operation, decision, presented)
@@ -245,7 +183,7 @@
         presented: PresentedCredential,
         reason: str,
     ) -> Rejection:
-        """Reject for the credential's failure, or else for the reason, and write it down."""
+        """Reject for the credential's failure, or for `reason` without one, and audit that."""
         decision = presented.failure or Decision(Verdict.DENIED, reason, "identity")
         self._audit(rules, front, operation, decision, presented)
         return rejection_of(decision)
@@ -265,74 +203,7 @@
                 )
 
 
-def audit_log_of(section: IdentitySection) -> AuditLog:
-    """Make the audit log of a section."""
-    return AuditLog(section.audit, section.denials_per_s, include_allowed=section.audit_allowed)
-
-
 def rejection_of(decision: Decision) -> Rejection:
-    """Translate a decision that does not allow into the fronts' form."""
+    """Return the fronts' form of a decision that does not allow the request."""
     kind = REJECTION_KINDS[decision.verdict]
     return Rejection(kind, decision.reason, decision.retry_after_seconds)
-
-
-# -- authentication -------------------------------------------------------------------------------
-
-
-def authenticate(rules: ActiveRules, credential: Credential, now: float) -> PresentedCredential:
-    """Identify who presents a credential at the Unix time `now`.
-
-    A certificate takes precedence over a token; a token beside it must be the same caller's.
-    """
-    by_certificate = None
-    by_token = None
-    try:
-        if credential.certificate is not None:
-            assert isinstance(credential.certificate, ClientCertificate)
-            by_certificate = authenticate_certificate(rules, credential.certificate, now)
-        if credential.token is not None:
-            by_token = authenticate_token(rules, credential.token, now)
-    except TokenError as error:
-        return unauthenticated(error, "identity")
-    except CertificateError as error:
-        return unauthenticated(error, "identity.tls")
-    principal = by_certificate or by_token
-    if principal is None:
-        return PresentedCredential(failure=Decision(Verdict.UNKNOWN, "no_credential", "identity"))
-    failure = None
-    if (
-        by_certificate is not None
-        and by_token is not None
-        and not rules.permissions.is_same_caller(by_certificate, by_token)
-    ):
-        failure = Decision(Verdict.DENIED, "two_callers", "identity")
-    return PresentedCredential(principal, failure, principal.key_id)
-
-
-def unauthenticated(error: CredentialError, rule: str) -> PresentedCredential:
-    """Return a credential that identifies nobody, as the check that `rule` names found."""
-    decision = Decision(Verdict.UNKNOWN, error.reason, rule)
-    return PresentedCredential(failure=decision, key_id=error.key_id)
-
-
-def authenticate_token(rules: ActiveRules, token: bytes, now: float) -> Principal:
-    """Return whom a bearer token identifies; raise `TokenError`."""
-    claims = rules.token_verifier.verify(token, now)
-    return Principal(claims.subject, AuthenticationMethod.TOKEN, claims.key_id, claims.expires_at)
-
-
-def authenticate_certificate(
-    rules: ActiveRules, certificate: ClientCertificate, now: float
-) -> Principal:
-    """Return whom a client certificate identifies; raise `CertificateError`.
-
-    Checked for every request: it may expire or be revoked while its connection is open.
-    """
-    check_validity(certificate, rules.revocation_list, rules.token_verifier.advance_clock(now))
-    name_kinds = rules.section.tls.names if rules.section.tls else NAME_KINDS
-    return Principal(
-        certificate.subject(name_kinds),
-        AuthenticationMethod.CERTIFICATE,
-        certificate.key_id,
-        certificate.not_after,
-    )
--- a/stepstream/identity/audit.py
+++ b/stepstream/identity/audit.py
@@ -1,4 +1,4 @@
-"""The audit log: who asked for what, what was decided and why; never a token, a key or a body.
+"""The audit log: who requested what, the decision and its reason; never a token, a key or a body.
 
 Lines of denials are rate-limited: a flood of forged tokens must not fill the log. Suppressed lines
 are counted, and the next line states their number. An `AuditLog` owns that count and the bucket;
@@ -14,7 +14,7 @@
 from stepstream.identity.rate_limiter import TokenBucket
 from stepstream.runtime.structured_log import LogFormat, structured_logger
 
-MAX_TEXT_LENGTH = 128  # of a field that a peer may have made up
+MAX_TEXT_LENGTH = 128  # characters of a field that a peer may have invented
 
 
 class AuditLog:
@@ -41,20 +41,20 @@
         self.suppressed_count = 0  # since the last line of a denial
 
     def wants(self, decision: Decision) -> bool:
-        """Return whether such a decision is written, as far as the rate limit allows."""
+        """Decide whether a decision is written, unless the rate limit suppresses it."""
         return self.include_allowed or decision.verdict is not Verdict.ALLOWED
 
     def record(
         self, front: str, operation: str, decision: Decision, subject: str = "", key_id: str = ""
     ) -> None:
-        """Write a decision, unless it is not wanted or over the rate limit."""
+        """Write a decision if it is wanted and within the rate limit."""
         if not self.wants(decision):
             return
         if decision.verdict is Verdict.ALLOWED:
             self._write(front, operation, decision, subject, key_id)
             return
-        rate = self.max_denials_per_second
-        if not self.bucket.try_take(self.now(), rate, float(rate)):
+        rate_per_second = self.max_denials_per_second
+        if not self.bucket.try_take(self.now(), rate_per_second, float(rate_per_second)):
             self.suppressed_count += 1
             return
         suppressed_count = self.suppressed_count
--- a/stepstream/identity/certificates.py
+++ b/stepstream/identity/certificates.py
@@ -12,14 +12,14 @@
 
 from stepstream.identity.errors import CertificateError, RevocationListError
 
-NAME_KINDS = ("uri", "dns", "cn")  # the operator's `identity.tls.names`
+NAME_KINDS = ("uri", "dns", "cn")  # the values of `identity.tls.names`
 SPIFFE_SCHEME = "spiffe://"
 CRL_HEADER = b"-----BEGIN X509 CRL-----"
 
 
 @dataclass(frozen=True, slots=True)
 class ClientCertificate:
-    """What a peer's certificate states; times in Unix seconds.
+    """The content of a peer's certificate; times in Unix seconds.
 
     `names` has the names by kind (`NAME_KINDS`), in the certificate's order.
     """
@@ -125,7 +125,10 @@
 def check_validity(
     certificate: ClientCertificate, revocation_list: RevocationList, now: float
 ) -> None:
-    """Raise `CertificateError` if it is not good at the Unix time `now` (RFC 5280, 4.1.2.5)."""
+    """Raise `CertificateError` if a certificate is not valid at the Unix time `now`.
+
+    Sources: RFC 5280, 4.1.2.5 (validity) and 5 (revocation).
+    """
     key_id = certificate.key_id
     if revocation_list.has_revoked(certificate):
         raise CertificateError("certificate_revoked", "a CRL revokes it", key_id)
--- a/stepstream/identity/commands.py
+++ b/stepstream/identity/commands.py
@@ -11,8 +11,10 @@
 import ujson
 
 from stepstream.config.errors import ConfigurationError
+from stepstream.config.fields import parse_whole_number
 from stepstream.config.operator_file import IdentitySection
-from stepstream.identity.access_control import IdentityAccessControl, authenticate
+from stepstream.identity.active_rules import rules_at_start
+from stepstream.identity.authentication import authenticate
 from stepstream.identity.configuration import load_identity
 from stepstream.identity.errors import IdentityCommandError, TokenError
 from stepstream.identity.key_rotation import SigningKeyStore
@@ -59,7 +61,7 @@
 
 
 def token(arguments: dict[str, Any]) -> int:
-    """Issue a token, or print what one states; raise `IdentityCommandError` or OSError."""
+    """Issue a token or print the content of one; raise `IdentityCommandError` or OSError."""
     if arguments["inspect"]:
         return inspect(arguments["TOKEN"])
     now = int(time.time())
@@ -78,7 +80,10 @@
 
 
 def inspect(text: str) -> int:
-    """Print what a token states, unverified, without its signature."""
+    """Print the header and claims of a token, which are not verified.
+
+    Raise `IdentityCommandError` if it is no token.
+    """
     try:
         parts = text.encode().split(b".")
         header, claims = (parse_json_object(decode_base64url(part)) for part in parts[:2])
@@ -97,14 +102,14 @@
 def explain(
     section: IdentitySection | None, token: str, class_name: str, tenant: str | None
 ) -> int:
-    """Print the decision on a request and the rule behind it, as the access control decides now.
+    """Print the access control's decision on a request and the rule behind it.
 
-    Return 0 if the request is allowed, else 1; raise `ConfigurationError`.
+    Return 0 if the request is allowed and 1 if not; raise `ConfigurationError`.
     """
     if section is None:
         raise ConfigurationError("the operator's file has no [identity]")
     credential = Credential(token=token.encode())
-    rules = IdentityAccessControl(load_identity(section)).rules
+    rules = rules_at_start(load_identity(section))
     presented = authenticate(rules, credential, time.time())
     decision = presented.failure or rules.permissions.decide(
         presented.principal, class_name, tenant
@@ -123,9 +128,10 @@
 def seconds_argument(arguments: dict[str, Any], name: str) -> int:
     """Return an argument in whole seconds; raise `IdentityCommandError`."""
     text: str = arguments[name]
-    if not text.isascii() or not text.isdigit() or len(text) > MAX_SECONDS_DIGITS:
+    seconds = parse_whole_number(text, MAX_SECONDS_DIGITS)
+    if seconds is None:
         raise IdentityCommandError(f"{name}={text} is not a whole number of seconds")
-    return int(text)
+    return seconds
 
 
 def format_time(unix_seconds: float) -> str:
--- a/stepstream/identity/configuration.py
+++ b/stepstream/identity/configuration.py
@@ -18,13 +18,13 @@
 
 MAX_KEY_FILE_BYTES = 256 * 1024
 
-# A file's modification time in nanoseconds and inode: it differs once the file is replaced.
+# A file's modification time in nanoseconds and inode; both change when the file is replaced.
 FileVersion = tuple[int, int]
 
 
 @dataclass(frozen=True, slots=True)
 class LoadedIdentity:
-    """A section and its files, read and found good: putting it into force cannot fail."""
+    """A section and its files, read and checked: putting them into force cannot fail."""
 
     section: IdentitySection
     key_set: KeySet
@@ -55,17 +55,17 @@
 
 
 def key_file_version(section: IdentitySection) -> FileVersion:
-    """Return the present version of the key file; OSError if there is none."""
+    """Return the present version of the key file; raise OSError if there is none."""
     return version_of(os.stat(section.keys))
 
 
 def version_of(status: os.stat_result) -> FileVersion:
-    """Return the version of the file that this is the status of."""
+    """Return the version of the file with this status."""
     return status.st_mtime_ns, status.st_ino
 
 
 def token_rules_of(section: IdentitySection) -> TokenRules:
-    """Return what a section demands of tokens."""
+    """Return the demands of a section on tokens."""
     return TokenRules(
         issuer=section.issuer,
         audience=section.audience,
@@ -76,7 +76,7 @@
 
 
 def permissions_of(section: IdentitySection) -> Permissions:
-    """Return the callers and methods of a section, with nothing used of their limits."""
+    """Return the callers and methods of a section; no limit is used yet."""
     callers = tuple(
         Caller(
             name=table.name,
--- a/stepstream/identity/errors.py
+++ b/stepstream/identity/errors.py
@@ -2,15 +2,15 @@
 
 
 class IdentityError(Exception):
-    """Base of this package's errors; the text says what is wrong and what was expected."""
+    """Base of this package's errors; the text names the fault and the expected form."""
 
 
 class CredentialError(IdentityError):
     """A credential identifies nobody.
 
-    `reason` is one word for clients, audit lines and the command line, where the text is not told:
-    it would help forgers. `key_id` names the token's key or the certificate's serial number, as
-    far as it is known.
+    `reason` is one word for clients, audit lines and the command line. They do not get the text,
+    which would help forgers. `key_id` names the token's key or the certificate's serial number, if
+    the check came that far.
     """
 
     credential = "credential"
--- a/stepstream/identity/key_rotation.py
+++ b/stepstream/identity/key_rotation.py
@@ -1,10 +1,8 @@
 """The folder of signing keys and their rotation, for `stepstream keys` and `stepstream token`.
 
-The folder holds `keys.json`, the JWK set that every verifier reads, and a private PEM file a key,
-of mode 0600. A rotation has three steps, each safe by itself: the next key is known to all
-verifiers before it signs; it signs while tokens of the previous one are still good; the previous
-one goes once the last of them has expired. One command at a time may change a folder: there is no
-lock.
+The folder holds `keys.json`, the JWK set that every verifier reads, and for each key a private PEM
+file of mode 0600. `rotation_rules` decides the steps of a rotation. There is no lock: one command
+at a time may change a folder.
 """
 
 import os
@@ -21,6 +19,15 @@
 
 from stepstream.identity.errors import IdentityCommandError, KeySetError
 from stepstream.identity.key_set import ALGORITHMS, KEY_ID_PATTERN, KeyState, parse_key_set
+from stepstream.identity.rotation_rules import (
+    PROPAGATION_SECONDS,
+    JwkRow,
+    first_next_row,
+    has_propagated,
+    is_expired,
+    retire_active,
+    signing_row,
+)
 
 KEY_FILE_NAME = "keys.json"
 KEY_FILE_MODE = 0o644
@@ -29,10 +36,8 @@
 RSA_BITS = 3072
 RSA_PUBLIC_EXPONENT = 65537
 KEY_ID_RANDOM_BYTES = 4
-PROPAGATION_SECONDS = 60  # after which every verifier is taken to know a next key
 
 PrivateKey = ed25519.Ed25519PrivateKey | ec.EllipticCurvePrivateKey | rsa.RSAPrivateKey
-JwkRow = dict[str, Any]  # a key's row in the key file
 
 
 @dataclass
@@ -92,11 +97,11 @@
         """Activate the next key, retire the active one, drop what has ended, make a new next key.
 
         Tokens of the retired key are good for `overlap_seconds` more. `early` does not wait until
-        all verifiers know the next key. Return lines that tell the operator what was done.
+        all verifiers know the next key. Return lines for the operator.
         """
         rows = self.load_rows()
         next_row = self._next_row(rows)
-        if not early and now - next_row["not_before"] < PROPAGATION_SECONDS:
+        if not early and not has_propagated(next_row, now):
             raise IdentityCommandError(
                 f"the next key is younger than {PROPAGATION_SECONDS} s:"
                 " verifiers may not know it (--early)"
@@ -122,16 +127,7 @@
 
     def issue_token(self, claims: dict[str, Any], key_id: str | None = None) -> str:
         """Return a token signed by the newest active key, or by the one named."""
-        rows = self.load_rows()
-        if key_id:
-            matching = [row for row in rows if row["kid"] == key_id]
-        else:
-            matching = [row for row in rows if row["state"] == KeyState.ACTIVE.value]
-        if not matching:
-            raise IdentityCommandError(
-                f"there is no key {key_id}" if key_id else "there is no active key"
-            )
-        row = matching[-1]
+        row = signing_row(self.load_rows(), key_id)
         try:
             pem = self.private_key_file(row["kid"]).read_bytes()
         except OSError as error:
@@ -141,21 +137,17 @@
     # -- steps ------------------------------------------------------------------------------------
 
     def _next_row(self, rows: list[JwkRow]) -> JwkRow:
-        """Return the first next key."""
-        for row in rows:
-            if row["state"] == KeyState.NEXT.value:
-                return row
-        raise IdentityCommandError(
-            "there is no next key: 'keys new --state next' first, and let verifiers read it"
-        )
+        """Return the next key that a rotation activates."""
+        row = first_next_row(rows)
+        if row is None:
+            raise IdentityCommandError(
+                "there is no next key: 'keys new --state next' first, and let verifiers read it"
+            )
+        return row
 
     def _drop_ended(self, rows: list[JwkRow], now: int) -> list[str]:
-        """Remove retired keys whose last token has expired; return the lines that tell it."""
-        ended = [
-            row
-            for row in rows
-            if row["state"] == KeyState.RETIRING.value and row["not_after"] <= now
-        ]
+        """Remove the expired keys; return a line for the operator on each."""
+        ended = [row for row in rows if is_expired(row, now)]
         for row in ended:
             rows.remove(row)
             self.private_key_file(row["kid"]).unlink(missing_ok=True)
@@ -183,17 +175,6 @@
             raise
 
 
-def retire_active(rows: list[JwkRow], overlap_seconds: int, now: int) -> list[str]:
-    """Retire the active keys in the rows; return the lines that tell it."""
-    lines = []
-    for row in rows:
-        if row["state"] == KeyState.ACTIVE.value:
-            row["state"] = KeyState.RETIRING.value
-            row["not_after"] = now + overlap_seconds
-            lines.append(f"{row['kid']} retires, its tokens are good for {overlap_seconds} s more")
-    return lines
-
-
 def generate_private_key(algorithm: str) -> PrivateKey:
     """Generate a private key for one of `ALGORITHMS`."""
     match algorithm:
@@ -208,6 +189,6 @@
     """Return the public half as a JWK (RFC 7517) without an id."""
     library_algorithm = jwt.get_algorithm_by_name(algorithm)
     jwk = library_algorithm.to_jwk(private_key.public_key(), as_dict=True)
-    # `use` says it all: `key_ops` should not stand beside it (RFC 7517, 4.3).
+    # `key_ops` should not stand beside `use` (RFC 7517, 4.3).
     members = {name: value for name, value in jwk.items() if name != "key_ops"}
     return {**members, "alg": algorithm, "use": "sig"}
--- a/stepstream/identity/key_set.py
+++ b/stepstream/identity/key_set.py
@@ -2,7 +2,7 @@
 
 Beside RFC 7517's members each key has `state` (next, active, retiring, revoked) and, in Unix
 seconds, `not_before` and `not_after`. A key is used with one algorithm only, its `alg`: a token's
-header chooses nothing but the key's id (RFC 8725, 3.1). A key set never changes; any thread reads
+header chooses nothing but the key's id (RFC 8725, 3.1). A key set is immutable; any thread may read
 it.
 """
 
@@ -24,18 +24,18 @@
 }
 MIN_RSA_BITS = 2048  # RFC 7518, 3.3
 MAX_KEYS = 64
-MAX_UNIX_SECONDS = 2**53  # what every reader of JSON holds exactly (RFC 8259, 6)
+MAX_UNIX_SECONDS = 2**53  # every reader of JSON holds it exactly (RFC 8259, 6)
 # Members that hold private or symmetric keys (RFC 7518, 6.2.2, 6.3.2 and 6.4.1).
 PRIVATE_MEMBERS = frozenset(("d", "p", "q", "dp", "dq", "qi", "oth", "k"))
 
 
 class KeyState(Enum):
-    """A key's place in the rotation. The values are the key file's."""
+    """A key's step of the rotation. The values are the key file's."""
 
     NEXT = "next"  # known to all verifiers before it signs
     ACTIVE = "active"  # signs
     RETIRING = "retiring"  # signs no more; its tokens are good until `not_after`
-    REVOKED = "revoked"  # never again
+    REVOKED = "revoked"  # no token of it is good any more
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,10 @@
     public_key: Any = None  # in the form that the algorithm's verifier takes
 
     def check_usable(self, now: float) -> None:
-        """Raise `TokenError` if no token of this key is good at the Unix time `now`."""
+        """Raise `TokenError` if no token of this key is good at the Unix time `now`.
+
+        Checked at each use of a token, cached or not: a key may be revoked at any time.
+        """
         if self.state is KeyState.REVOKED:
             raise TokenError("key_revoked", "the key is revoked", self.key_id)
         if now < self.not_before:
@@ -114,7 +117,7 @@
 
 
 def parse_algorithm(path: str, row: dict[str, Any]) -> str:
-    """Return a JWK's `alg`, which its `kty` and `crv` must go with; raise `KeySetError`."""
+    """Return a JWK's `alg`, which its `kty` and `crv` must match; raise `KeySetError`."""
     algorithm = row.get("alg")
     if algorithm not in ALGORITHMS:
         raise KeySetError(f"{path}.alg: {algorithm} is none of {', '.join(ALGORITHMS)}")
--- a/stepstream/identity/permissions.py
+++ b/stepstream/identity/permissions.py
@@ -1,22 +1,21 @@
-"""Authorization of an authenticated principal: one decision that says why; free of I/O.
+"""Authorization of an authenticated principal: one decision with its reason; free of I/O.
 
-Denied means that the caller may not: nobody is identified (401) or somebody is, and may not (403).
-Over a rate or a number of open requests is no denial but a rejection for now, which says when to
-retry (503).
+A denied request is not to be repeated: nobody is identified (401), or the caller may not send it
+(403). A request over a limit is rejected for now, with the time until a retry (503).
 
-Owns the callers' rate limiters. `decide` only reads what never changes, and any thread may call it;
-`admit`, `release` and `adopt_usage` change the rate limiters, and need the access control's lock.
+Owns the callers' rate limiters. `decide` reads immutable tables, and any thread may call it.
+`admit`, `release` and `adopt_usage` change the rate limiters; the caller holds the access control's
+lock.
 """
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from enum import Enum
 
-from stepstream.identity.rate_limiter import RateLimiter, TokenBucket
+from stepstream.identity.rate_limiter import Limit, LimitExceeded, RateLimiter, TokenBucket
 
-ALL = "*"  # among a caller's tenants or classes
-# Until a caller without a rate limit, but with too many open requests, may try again.
-OPEN_REQUESTS_RETRY_SECONDS = 1.0
+ALL = "*"  # every tenant or class of a caller
+KEY_OF_LIMIT = {Limit.OPEN_REQUESTS: "most_open", Limit.RATE: "rate_per_s"}
 
 
 class AuthenticationMethod(Enum):
@@ -37,9 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Principal:
-    """Whom a credential identifies."""
+    """The subject that a credential identifies, and how."""
 
-    subject: str  # of the token, or the certificate's name
+    subject: str  # the token's subject, or the certificate's name
     method: AuthenticationMethod
     key_id: str = ""  # kid, or the certificate's serial number
     expires_at: float = 0.0  # Unix seconds
@@ -80,14 +79,14 @@
     rule: str
     caller: str = ""
     tenant: str = ""
-    retry_after_seconds: float = 0.0  # of LATER
+    retry_after_seconds: float = 0.0  # for LATER
 
 
 @dataclass
 class Permissions:
     """The callers' permissions and what they have used of their limits.
 
-    `required_methods`: by class, the methods of which one is required; the others take any.
+    `required_methods`: the authentication methods that a class accepts; other classes accept any.
     """
 
     callers: tuple[Caller, ...]
@@ -100,7 +99,10 @@
         }
 
     def adopt_usage(self, previous: "Permissions") -> None:
-        """Take over the rate limiters of the callers that stay, by name, at a reload."""
+        """Take over the rate limiters of the callers that remain, by name, at a reload.
+
+        Otherwise every reload would give each caller a new burst.
+        """
         names = {caller.name for caller in self.callers}
         self.rate_limiters = {
             name: limiter for name, limiter in previous.rate_limiters.items() if name in names
@@ -128,9 +130,9 @@
         if denial is not None:
             return denial
         if tenant is None:
-            if len(caller.tenants) != 1 or ALL in caller.tenants:
+            tenant = sole_tenant(caller)
+            if tenant is None:
                 return denied(caller, "tenant_missing", "tenants")
-            (tenant,) = caller.tenants
         elif not caller.tenants & {tenant, ALL}:
             return denied(caller, "tenant_contradicts", "tenants")
         return Decision(Verdict.ALLOWED, "allowed", rule_of(caller), caller.name, tenant)
@@ -138,7 +140,7 @@
     def _class_denial(
         self, caller: Caller, principal: Principal, class_name: str
     ) -> Decision | None:
-        """Return why the caller may not send jobs of this class, for whatever tenant."""
+        """Return why the caller may not send jobs of this class for any tenant; None if it may."""
         if caller.suspended:
             return denied(caller, "suspended", "state")
         if not caller.classes & {class_name, ALL}:
@@ -166,15 +168,10 @@
         if limiter is None:
             limiter = RateLimiter(TokenBucket(float(caller.burst), now))
             self.rate_limiters[caller.name] = limiter
-        rate = caller.rate_per_second
-        if caller.max_open_requests and limiter.open_requests >= caller.max_open_requests:
-            retry_after_seconds = 1 / rate if rate else OPEN_REQUESTS_RETRY_SECONDS
-            return rejected_for_now(caller, "too_many_open", "most_open", retry_after_seconds)
-        if rate and not limiter.bucket.try_take(now, rate, float(caller.burst)):
-            retry_after_seconds = limiter.bucket.seconds_until_token(rate)
-            return rejected_for_now(caller, "over_rate", "rate_per_s", retry_after_seconds)
-        limiter.open_requests += 1
-        return decision
+        exceeded = limiter.try_open(
+            now, caller.rate_per_second, caller.burst, caller.max_open_requests
+        )
+        return decision if exceeded is None else rejected_for_now(caller, exceeded)
 
     def release(self, caller_name: str) -> None:
         """End a request that `admit` counted."""
@@ -183,6 +180,14 @@
             limiter.close_request()
 
 
+def sole_tenant(caller: Caller) -> str | None:
+    """Return the tenant of a caller that belongs to exactly one; None for any other caller."""
+    if len(caller.tenants) != 1 or ALL in caller.tenants:
+        return None
+    (tenant,) = caller.tenants
+    return tenant
+
+
 def rule_of(caller: Caller) -> str:
     """Return the name of the caller's table in the operator's file."""
     return f"identity.caller {caller.name}"
@@ -193,9 +198,12 @@
     return Decision(Verdict.DENIED, reason, f"{rule_of(caller)}: {key}", caller.name)
 
 
-def rejected_for_now(caller: Caller, reason: str, key: str, retry_after_seconds: float) -> Decision:
+def rejected_for_now(caller: Caller, exceeded: LimitExceeded) -> Decision:
     """Return a rejection by a limit of the caller's table."""
-    rule = f"{rule_of(caller)}: {key}"
     return Decision(
-        Verdict.LATER, reason, rule, caller.name, retry_after_seconds=retry_after_seconds
+        Verdict.LATER,
+        exceeded.limit.value,
+        f"{rule_of(caller)}: {KEY_OF_LIMIT[exceeded.limit]}",
+        caller.name,
+        retry_after_seconds=exceeded.retry_after_seconds,
     )
--- a/stepstream/identity/subsystem.py
+++ b/stepstream/identity/subsystem.py
@@ -1,7 +1,7 @@
 """How `[identity]` plugs into the node.
 
-Makes and owns the access control, sets it for every front, and opens TLS listeners beside the plain
-ones. The node's main thread calls it.
+Creates and owns the access control, sets it for every front, and opens TLS listeners beside the
+plain ones. The node's main thread calls it.
 """
 
 import socket
@@ -26,7 +26,7 @@
     def listen_with_transport(
         self, address: tuple[str, int], create_transport: Callable[[socket.socket], Transport], /
     ) -> ListenerSpec:
-        """Listen at an address; OSError if it cannot be had."""
+        """Listen at an address; raise OSError if that fails."""
 
 
 class IdentitySubsystem(Subsystem):
@@ -61,7 +61,7 @@
     def _open_tls_listener(
         self, key: str, address: str, front: TransportFront, log_suffix: str
     ) -> BoundListener:
-        """Open a front's TLS listener; `ConfigurationError` names the key if it cannot be had."""
+        """Open a front's TLS listener; `ConfigurationError` names the key if that fails."""
         create_transport = self.access_control.create_tls_transport
         return open_listener(
             key,
@@ -84,12 +84,12 @@
 
 
 def section_of(operator: OperatorConfig | None) -> IdentitySection:
-    """Return `[identity]`, without which the node does not make this subsystem."""
+    """Return `[identity]`, without which the node does not create this subsystem."""
     assert operator is not None
     assert operator.identity is not None
     return operator.identity
 
 
 def create_subsystem(context: SubsystemContext) -> IdentitySubsystem:
-    """Make the subsystem; the node calls this for an operator's file with `[identity]`."""
+    """Create the subsystem; the node calls this for an operator's file with `[identity]`."""
     return IdentitySubsystem(context)
--- a/stepstream/identity/tls.py
+++ b/stepstream/identity/tls.py
@@ -1,8 +1,8 @@
 """TLS under an inbound connection: the library between two memory buffers, and the plain socket.
 
-The handshake runs in the connection's own thread, within the time of its first message.
-Receiving never sends: what the library wants to send meanwhile leaves with the next answer, so that
-one thread at a time sends. A `TlsTransport` owns the library's state, which its lock guards.
+The handshake runs in the connection's own thread, within the time of its first message. Receiving
+never sends: the library's own bytes leave with the next answer, so that one thread at a time sends.
+A `TlsTransport` owns the library's state, which its lock guards.
 """
 
 import contextlib
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsCredentials:
-    """What new connections are accepted with, of files that were read and found good."""
+    """The files of `[identity.tls]`, read and checked, as new connections use them."""
 
     context: ssl.SSLContext
     revocation_list: RevocationList
@@ -87,7 +87,7 @@
         self.decrypted = b""  # by `wait_readable`, for `receive_available`
 
     def handshake(self) -> None:
-        """Carry out the handshake; OSError (ssl.SSLError is one) if it fails.
+        """Carry out the handshake; raise OSError (ssl.SSLError is one) if it fails.
 
         The driver's timeout bounds it by shutting the socket down.
         """
@@ -100,13 +100,13 @@
         self.certificate = parse_certificate(der) if der else None
 
     def _advance_handshake(self) -> bool:
-        """Take a step with the bytes at hand; return whether the handshake is complete."""
+        """Advance with the received bytes; return whether the handshake is complete."""
         try:
             self.tls.do_handshake()
         except ssl.SSLWantReadError:
             return False
         finally:
-            # After an error too: the alert tells the peer what was wrong.
+            # After an error, too: the alert names the fault to the peer.
             with contextlib.suppress(OSError):
                 self.sock.sendall(self.outgoing.read())
         return True
@@ -133,13 +133,13 @@
         return bool(self.decrypted)
 
     def receive_available(self, max_bytes: int) -> bytes:  # noqa: ARG002  bounded by the wait
-        """Return what `wait_readable` waited for."""
+        """Return the bytes that `wait_readable` has decrypted."""
         data = self.decrypted
         self.decrypted = b""
         return data
 
     def enqueue(self, data: bytes) -> None:
-        """Encrypt bytes and put them behind what waits to be sent."""
+        """Encrypt bytes and append them to the unsent ones."""
         with self.lock:
             self.tls.write(data)
             self.unsent += self.outgoing.read()
@@ -150,7 +150,7 @@
         return self.flush_available()
 
     def has_unread(self) -> bool:
-        """Return whether bytes are here that nobody has read, decrypted or not."""
+        """Return whether received bytes are still unread, decrypted or not."""
         with self.lock:
             is_buffered = bool(self.decrypted or self.tls.pending() or self.incoming.pending)
         return is_buffered or super().has_unread()
@@ -158,7 +158,7 @@
     def half_close(self) -> None:
         """Send the closing alert and nothing more (RFC 8446, 6.1), and go on receiving."""
         with self.lock, contextlib.suppress(OSError):
-            # Without the peer's own alert the library wants to read on; it need not come.
+            # Without the peer's own alert the library wants to read more, but none need come.
             with contextlib.suppress(ssl.SSLWantReadError):
                 self.tls.unwrap()
             self.sock.send(self.outgoing.read(), socket.MSG_DONTWAIT)
--- a/stepstream/identity/token_cache.py
+++ b/stepstream/identity/token_cache.py
@@ -27,7 +27,7 @@
         self.cached_claims: OrderedDict[bytes, Claims] = OrderedDict()
         self.hit_count = 0
         self.miss_count = 0
-        self.latest_time = 0.0  # Unix seconds
+        self.latest_time = 0.0  # latest time seen, in Unix seconds
         self.lock = threading.Lock()  # guards the order and size of `cached_claims`
 
     def replaced(
--- a/stepstream/identity/tokens.py
+++ b/stepstream/identity/tokens.py
@@ -1,8 +1,8 @@
 """Verification of bearer tokens: JWT (RFC 7519) in JWS compact form (RFC 7515); free of I/O.
 
 A token is verified against a key set at a given time. The library verifies the signature only.
-What depends on the time is checked here against the caller's clock, so that a cached token is
-checked by the same functions as a new one. There is no state; any thread may call.
+Times are checked here against the caller's clock, so that a cached token is checked by the same
+functions as a new one. There is no state here; any thread may call the functions.
 """
 
 import base64
@@ -33,11 +33,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenRules:
-    """What a token must fulfil beside its signature."""
+    """The demands on a token beside its signature."""
 
     issuer: str
     audience: str
-    leeway_seconds: int = 5  # by which clocks may differ
+    leeway_seconds: int = 5  # tolerated difference between clocks
     max_bytes: int = 4096
     max_lifetime_seconds: int = 86_400  # from `iat` to `exp`
 
@@ -71,7 +71,7 @@
 
 
 def check_size(token: bytes, rules: TokenRules) -> None:
-    """Raise `TokenError` for a token over the rules' size, of which nothing is to be read."""
+    """Raise `TokenError` for a token over the rules' size; nothing of it is parsed."""
     if len(token) > rules.max_bytes:
         raise TokenError("too_long", f"over {rules.max_bytes} bytes")
 
@@ -96,7 +96,7 @@
     if header.get("typ", "JWT") not in ACCEPTED_TYPES:
         raise TokenError("wrong_typ", f"typ is none of {', '.join(ACCEPTED_TYPES)}", key_id)
     if "crit" in header or header.get("b64") is False:
-        # Extensions that are not understood must not be passed over (RFC 7515, 4.1.11; RFC 7797).
+        # Unknown extensions must not be ignored (RFC 7515, 4.1.11; RFC 7797).
         raise TokenError("crit", "the header demands extensions", key_id)
     return key
 
@@ -113,7 +113,7 @@
 def parse_json_object(data: bytes) -> dict[str, Any]:
     """Decode a JSON object; raise `TokenError`.
 
-    Names must be unique (RFC 7515, 4; RFC 7519, 4): two readers could each see another value.
+    Names must be unique (RFC 7515, 4; RFC 7519, 4): two readers could see different values.
     """
     try:
         value = json.loads(
@@ -189,7 +189,11 @@
 
 
 def check_times(claims: Claims, rules: TokenRules, now: float) -> None:
-    """Raise `TokenError` if the token is not good at the Unix time `now` (RFC 7519, 4.1.4 to 6)."""
+    """Raise `TokenError` if a token is not good at the Unix time `now` (RFC 7519, 4.1.4 to 6).
+
+    Each time is compared with the leeway, because clocks differ. The lifetime is bounded, so that a
+    stolen token does not stay good for ever.
+    """
     if claims.expires_at - claims.issued_at > rules.max_lifetime_seconds:
         explanation = f"exp is more than {rules.max_lifetime_seconds} s after iat"
         raise TokenError("too_long_lived", explanation, claims.key_id)
--- /dev/null
+++ b/tests/identity/test_rotation_rules.py
@@ -0,0 +1,41 @@
+"""The rules of a key rotation at their bounds in time."""
+
+import pytest
+
+from stepstream.identity.errors import IdentityCommandError
+from stepstream.identity.rotation_rules import (
+    has_propagated,
+    is_expired,
+    retire_active,
+    signing_row,
+)
+
+OLD = {"kid": "old", "state": "retiring", "not_after": 500}
+FIRST = {"kid": "first", "state": "active"}
+SECOND = {"kid": "second", "state": "active"}
+
+
+def test_a_next_key_signs_once_every_verifier_has_read_it():
+    row = {"kid": "next", "state": "next", "not_before": 1000}
+    assert [has_propagated(row, now) for now in (1059, 1060)] == [False, True]
+
+
+def test_a_key_is_removed_once_its_last_token_has_expired():
+    assert [is_expired(OLD, now) for now in (499, 500)] == [False, True]
+    assert not is_expired({**OLD, "state": "active"}, 500)
+
+
+def test_a_retired_keys_tokens_are_good_for_the_overlap():
+    row = dict(FIRST)
+    assert retire_active([row], 3600, 1000) == [
+        "first retires, its tokens are good for 3600 s more"
+    ]
+    assert row == {"kid": "first", "state": "retiring", "not_after": 4600}
+
+
+def test_the_newest_active_key_signs_unless_one_is_named():
+    rows = [OLD, FIRST, SECOND]
+    assert signing_row(rows, None) is SECOND
+    assert signing_row(rows, "first") is FIRST
+    with pytest.raises(IdentityCommandError, match="there is no active key"):
+        signing_row([OLD], None)
