--- a/stepstream/lab/fleet_search.py
+++ b/stepstream/lab/fleet_search.py
@@ -13,6 +13,7 @@
 from operator import methodcaller
 
 from stepstream.lab.fleet_world import BrokenError, Claim
+from stepstream.membership import record_precedence
 from stepstream.membership.messages import (
     MAX_DATAGRAM_BYTES,
     PRESENT,
@@ -198,7 +199,7 @@
         observer = view.members.local_name
         for name, member in view.members.by_name.items():
             key = (observer, name)
-            claim = member.record.precedence[:3]  # without the state
+            claim = record_precedence.member_precedence(member.record)[:3]  # without the state
             if member.record.state not in PRESENT:
                 self.ended_claims[key] = max(claim, self.ended_claims.get(key, claim))
             elif key in self.ended_claims and claim <= self.ended_claims[key]:
--- a/stepstream/lab/fleet_world.py
+++ b/stepstream/lab/fleet_world.py
@@ -16,6 +16,7 @@
 from stepstream.lab.fleet_faults import Play, Schedule
 from stepstream.lab.links import Links
 from stepstream.lab.timeline import Timeline
+from stepstream.membership import record_precedence
 from stepstream.membership.member_count import MemberCount, observe
 from stepstream.membership.messages import (
     MAX_CONFIRMED_DEATHS,
@@ -348,7 +349,7 @@
 def check_claim(world: World, sim: Sim, record: MemberRecord) -> None:
     """Check a changed record against the claims that its observer saw end; note a new end."""
     key = (f"{sim.name}@{sim.started}", record.name)
-    claim = record.precedence[:3]  # without the state
+    claim = record_precedence.member_precedence(record)[:3]  # without the state
     ended = world.ended_claims.get(key)
     if record.state in PRESENT:
         if ended is not None and claim <= ended:
--- /dev/null
+++ b/stepstream/membership/admin_api.py
@@ -0,0 +1,86 @@
+"""The admin listener's calls on the membership: `GET /fleet` and its sub-paths.
+
+Paths, query parameters and error texts are read by operators' tools and by `stepstream fleet`;
+their spelling is fixed. `report` has the answers' fields. Owns no state. The admin listener's
+thread calls it; the driver's lock guards what it reads.
+"""
+
+import signal
+import time
+from collections.abc import Callable, Sequence
+
+from stepstream.membership import report
+from stepstream.membership.driver import Driver
+from stepstream.ports.admin import (
+    READ_METHODS,
+    WRITE_METHODS,
+    AdminRequest,
+    AdminResponse,
+    AdminRoute,
+)
+from stepstream.subsystem_api.admin_json import (
+    json_error,
+    json_or_not_found,
+    json_response,
+    parse_whole_number,
+)
+from stepstream.subsystem_api.context import SubsystemContext
+
+MAX_EVENT_NUMBER_DIGITS = 15
+HTTP_OK = 200
+HTTP_BAD_REQUEST = 400
+
+
+class MembershipAdminApi:
+    """Answers the calls; `dispatcher_count` returns the number that share the capacity."""
+
+    def __init__(
+        self, host: SubsystemContext, driver: Driver, dispatcher_count: Callable[[], int]
+    ) -> None:
+        self.host = host
+        self.driver = driver
+        self.dispatcher_count = dispatcher_count
+
+    def routes(self) -> Sequence[AdminRoute]:
+        """Return the routes below `/fleet`."""
+        return (
+            AdminRoute(r"/fleet", READ_METHODS, self.on_membership),
+            AdminRoute(r"/fleet/changes", READ_METHODS, self.on_events),
+            AdminRoute(r"/fleet/members/([^/]{1,128})", READ_METHODS, self.on_explain),
+            AdminRoute(r"/fleet/leave", WRITE_METHODS, self.on_leave),
+        )
+
+    def on_membership(self, _request: AdminRequest) -> AdminResponse:
+        """Answer `GET /fleet`."""
+        driver = self.driver
+        with driver.lock:
+            driver_metrics: dict[str, object] = {
+                "dropped": driver.dropped_datagrams.count,
+                "unsent": driver.unsent_datagrams,
+                "cpu_s": round(driver.cpu_seconds, report.SECONDS_DIGITS),
+            }
+            answer = report.membership_answer(
+                driver.protocol, self.dispatcher_count(), driver_metrics, time.monotonic()
+            )
+        return json_response(HTTP_OK, answer)
+
+    def on_events(self, request: AdminRequest) -> AdminResponse:
+        """Answer `GET /fleet/changes?after=NUMBER`."""
+        after = parse_whole_number(request.query.get("after", "0"), MAX_EVENT_NUMBER_DIGITS)
+        if after is None:
+            return json_error(HTTP_BAD_REQUEST, "after is not a whole number")
+        with self.driver.lock:
+            answer = report.events_answer(self.driver.protocol, after, time.monotonic())
+        return json_response(HTTP_OK, answer)
+
+    def on_explain(self, request: AdminRequest) -> AdminResponse:
+        """Answer `GET /fleet/members/NAME`."""
+        name = request.parts[0]
+        with self.driver.lock:
+            answer = report.explanation_answer(self.driver.protocol, name, time.monotonic())
+        return json_or_not_found(answer, "no such member")
+
+    def on_leave(self, _request: AdminRequest) -> AdminResponse:
+        """Answer `PUT /fleet/leave`: begin the graceful shutdown, as SIGTERM does."""
+        self.host.signals.put(signal.SIGTERM)
+        return json_response(HTTP_OK, {"leaving": self.driver.protocol.members.local_name})
--- a/stepstream/membership/anti_entropy.py
+++ b/stepstream/membership/anti_entropy.py
@@ -1,9 +1,9 @@
 """Anti-entropy: exchanges of the whole state with random members, seeds and dead members; no I/O.
 
-Dissemination sends each update a limited number of times, so some members may miss one. Here a
-member sends the digest of all that it holds now and then, and whoever differs answers with pages of
-everything. Digests to seeds and to dead members let a healed partition find itself again. Touched
-only under the driver's lock.
+Dissemination sends each update a limited number of times, so that some members may miss one. At
+intervals a member sends the digest of all that it holds. A recipient that differs answers with
+pages of everything. Digests to seeds and to dead members rejoin the sides of a healed partition.
+Touched only under the driver's lock.
 """
 
 from collections.abc import Iterable
@@ -15,12 +15,22 @@
 from stepstream.membership.member_list import MemberList
 from stepstream.membership.member_status import MemberStatuses
 from stepstream.membership.messages import Digest, MemberRecord, MemberState, Page, Update
-from stepstream.membership.outbox import MAX_BURST, Outbox
-from stepstream.membership.protocol_settings import SUSPECT_NOTIFIERS
+from stepstream.membership.outbox import MAX_BURST_DATAGRAMS, Outbox
+from stepstream.membership.suspicion import suspect_contact_probability
 
-# Fractions of an interval between which the next one is drawn, so that members drift apart.
-INTERVAL_SPREAD = (0.75, 1.25)
-HASTENED_SPREAD = (0.5, 1.0)
+# Each interval is drawn between these fractions, so that members do not act in step.
+INTERVAL_FRACTIONS = (0.75, 1.25)
+HASTENED_INTERVAL_FRACTIONS = (0.5, 1.0)
+MIN_PAGE_PAUSE_FRACTION = 0.5  # of the probe interval
+
+
+def is_page_pause_over(now: float, sent_at: float, probe_interval_seconds: float) -> bool:
+    """Return whether pages may go to an address again; times are monotonic seconds.
+
+    `sent_at` is when pages went there last. Without a pause several digests that differ in one
+    moment would each bring a whole list.
+    """
+    return now - sent_at >= MIN_PAGE_PAUSE_FRACTION * probe_interval_seconds
 
 
 class AntiEntropy:
@@ -41,7 +51,7 @@
         self.maintenance = maintenance
         self.outbox = outbox
         self.seeds = tuple(seeds)  # HOST:PORT; the local address among them does no harm
-        # Drawn, so that members that start together do not act in step.
+        # Members that start together must not act in step.
         interval_seconds = context.settings.anti_entropy_interval_seconds
         self.round_at = context.now + context.rng.uniform(0, interval_seconds)
         self.reconnect_at = context.now
@@ -63,11 +73,12 @@
         settings = self.context.settings
         if now >= self.round_at:
             interval_seconds = settings.anti_entropy_interval_seconds
-            self.round_at = now + interval_seconds * self.context.rng.uniform(*INTERVAL_SPREAD)
+            self.round_at = now + interval_seconds * self.context.rng.uniform(*INTERVAL_FRACTIONS)
             self._exchange_with_random_member()
         if now >= self.reconnect_at:
             interval_seconds = settings.reconnect_interval_seconds
-            self.reconnect_at = now + interval_seconds * self.context.rng.uniform(*INTERVAL_SPREAD)
+            fraction = self.context.rng.uniform(*INTERVAL_FRACTIONS)
+            self.reconnect_at = now + interval_seconds * fraction
             self.reconnect()
 
     def handle(self, sender: MemberRecord, body: Digest | Page) -> None:
@@ -85,29 +96,32 @@
         self.outbox.send(address, Digest(self.digest), recipient, piggyback=piggyback)
 
     def notify_suspects(self) -> None:
-        """Have each suspect hear of its suspicion from a few members in each probe interval.
+        """Notify some suspects of their suspicion (Lifeguard, Buddy System).
 
-        Lifeguard, Buddy System. One whose links come and go has so many chances to refute before
-        its deadline, whatever the cluster's size.
+        A suspect whose links come and go gets several chances to refute before its deadline.
         """
-        probability = SUSPECT_NOTIFIERS / len(self.members.present)
-        for member in list(self.members.suspects.values())[:MAX_BURST]:
+        probability = suspect_contact_probability(len(self.members.present))
+        for member in list(self.members.suspects.values())[:MAX_BURST_DATAGRAMS]:
             if self.context.rng.random() < probability:
                 self.send_digest(member.record.address, member.record.name)
 
     def reconnect(self) -> None:
-        """Send digests to where the other side of a partition may be.
+        """Send digests to where the other side of a partition may be: a seed and a dead member."""
+        self._contact_seeds()
+        self._contact_dead_member()
 
-        That is a seed at which no present member is known (before joining, all of those), and a
-        dead member.
-        """
+    def _contact_seeds(self) -> None:
+        """Send the digest to a seed at which no present member is known; before joining, to all."""
         present = {self.members.by_name[name].record.address for name in self.members.present}
         seeds = [seed for seed in self.seeds if seed not in present]
         if self.members.joined_at is None:
-            for seed in seeds[:MAX_BURST]:
+            for seed in seeds[:MAX_BURST_DATAGRAMS]:
                 self.send_digest(seed, piggyback=False)
         elif seeds:
             self.send_digest(self.context.rng.choice(seeds), piggyback=False)
+
+    def _contact_dead_member(self) -> None:
+        """Send the digest to a random dead member, which may be alive behind a partition."""
         dead = [
             member.record
             for member in self.members.by_name.values()
@@ -133,10 +147,11 @@
             self.outbox.send_with(address, Page(wants_reply), page)
 
     def _may_send_pages(self, address: str) -> bool:
-        """Limit pages to one set an address in half a probe interval."""
+        """Return whether pages may go to an address now, and note that they do."""
         now = self.context.now
-        pause_seconds = self.context.settings.probe_interval_seconds / 2
-        if now - self._pages_sent_at.get(address, -inf) < pause_seconds:
+        sent_at = self._pages_sent_at.get(address, -inf)
+        interval_seconds = self.context.settings.probe_interval_seconds
+        if not is_page_pause_over(now, sent_at, interval_seconds):
             return False
         if len(self._pages_sent_at) > self.context.settings.max_members:
             self._pages_sent_at.clear()
@@ -157,5 +172,6 @@
             return
         self._is_round_hastened = True
         interval_seconds = self.context.settings.reconnect_interval_seconds
-        delay_seconds = interval_seconds * self.context.rng.uniform(*HASTENED_SPREAD)
+        fraction = self.context.rng.uniform(*HASTENED_INTERVAL_FRACTIONS)
+        delay_seconds = interval_seconds * fraction
         self.round_at = min(self.round_at, self.context.now + delay_seconds)
--- a/stepstream/membership/application_messages.py
+++ b/stepstream/membership/application_messages.py
@@ -10,7 +10,7 @@
 from stepstream.membership.messages import ApplicationMessage, MemberRecord
 from stepstream.membership.outbox import Outbox
 
-MAX_RECEIVED = 1_024  # that wait for the driver; the oldest go first
+MAX_RECEIVED_MESSAGES = 1_024  # more than the driver takes in one cycle; the oldest are dropped
 
 
 class ReceivedMessage(NamedTuple):
@@ -27,7 +27,7 @@
     def __init__(self, members: MemberList, outbox: Outbox) -> None:
         self.members = members
         self.outbox = outbox
-        self._received: deque[ReceivedMessage] = deque(maxlen=MAX_RECEIVED)
+        self._received: deque[ReceivedMessage] = deque(maxlen=MAX_RECEIVED_MESSAGES)
 
     def send(self, recipient: str, kind: str, data: bytes) -> None:
         """Queue a message to a known member; it may be lost, duplicated or late."""
--- a/stepstream/membership/commands.py
+++ b/stepstream/membership/commands.py
@@ -36,10 +36,10 @@
 from stepstream.subsystem_api.admin_client import AdminCallError, request_json
 
 EXIT_OK = 0
-EXIT_NEGATIVE = 1  # unsettled, or no such member
+EXIT_NEGATIVE = 1
 EXIT_BAD_CALL = 2
 
-WIDTH_WITHOUT_TERMINAL = 160  # characters
+COLUMNS_WITHOUT_TERMINAL = 160
 WATCH_INTERVAL_SECONDS = 0.5
 STATUS_KEYS = ("phase", "list_version", "settings", "open_requests", "program")
 COLUMNS = ("name", "state", "since", "phase", "list", "settings", "open", "program", "address")
@@ -56,7 +56,7 @@
 
 
 class CommandError(MembershipError):
-    """The dispatcher refused, or could not be asked; `exit_code` is the command's."""
+    """The dispatcher rejected a call or did not answer; `exit_code` is the command's."""
 
     def __init__(self, text: str, exit_code: int) -> None:
         super().__init__(text)
@@ -64,7 +64,7 @@
 
 
 def call(at: str, path: str, method: str = "GET") -> Answer:
-    """Call the admin listener; CommandError unless the answer is a success."""
+    """Call the admin listener; raise `CommandError` unless the answer is a success."""
     try:
         return cast(Answer, request_json(at, path, method))
     except AdminCallError as error:
@@ -79,7 +79,7 @@
 def run(argv: list[str], console: Console | None = None) -> int:
     """Run a command line; return its exit code."""
     arguments = docopt(__doc__, argv)
-    console = console or Console(width=None if sys.stdout.isatty() else WIDTH_WITHOUT_TERMINAL)
+    console = console or Console(width=None if sys.stdout.isatty() else COLUMNS_WITHOUT_TERMINAL)
     try:
         return run_command(arguments, console)
     except CommandError as error:
@@ -115,7 +115,7 @@
 
 
 def members_table(answer: Answer) -> Table:
-    """Return a table with a row a member."""
+    """Return a table with one row for each member."""
     state = "settled" if answer["settled"] else "unsettled"
     table = Table(
         title=f"{answer['cluster']} as {answer['self']} sees it: {state}, "
@@ -189,7 +189,7 @@
 
 
 def print_events(events: list[Answer], console: Console) -> None:
-    """Print a line an event."""
+    """Print one line for each event."""
     for event in events:
         console.print(event_line(event), highlight=False)
 
--- a/stepstream/membership/context.py
+++ b/stepstream/membership/context.py
@@ -6,6 +6,7 @@
 import random
 from dataclasses import dataclass, field
 
+from stepstream.membership.local_health import LocalHealth
 from stepstream.membership.protocol_settings import ProtocolSettings
 
 
@@ -22,30 +23,6 @@
     misdirected_pings: int = 0  # meant for another name at this address
 
 
-@dataclass(slots=True)
-class LocalHealth:
-    """Lifeguard's local health multiplier (LHA-Probe): 0 is healthy.
-
-    A member that misses answers which it should have had doubts itself before others: it stretches
-    its probe interval and timeout.
-    """
-
-    score: int = 0
-
-    @property
-    def multiplier(self) -> int:
-        """The factor by which probe interval and timeout are stretched."""
-        return 1 + self.score
-
-    def worsen(self, points: int, max_score: int) -> None:
-        """Add points, up to `max_score`."""
-        self.score = min(self.score + points, max_score)
-
-    def improve(self) -> None:
-        """Take off one point after a probe that succeeded."""
-        self.score = max(self.score - 1, 0)
-
-
 @dataclass(slots=True)
 class ProtocolContext:
     """`now` is the caller's monotonic time in seconds at the current datagram or tick."""
--- a/stepstream/membership/dissemination.py
+++ b/stepstream/membership/dissemination.py
@@ -1,7 +1,7 @@
-"""Updates that wait to be piggybacked, each sent a limited number of times; free of I/O.
+"""Updates that wait to be piggybacked, and the rules of which go out; free of I/O.
 
-SWIM, section 4.1: the least often sent go first, and each goes out at most lambda log(n) times.
-Owned by the outbox.
+SWIM, section 4.1: the least often sent go first, and each goes out at most lambda log(n) times. The
+queue is owned by the outbox.
 """
 
 from collections.abc import Iterable, Iterator
@@ -14,20 +14,20 @@
     MAX_UPDATES_OF_A_KIND,
     MaintenanceRecord,
     MemberRecord,
+    MemberState,
     MemberStatus,
     Update,
     encoded_bytes,
 )
 
-MAX_QUEUED_UPDATES = 4_096  # beyond it the most often sent one is dropped
-# In one datagram beside a body: statuses inform people, and must not crowd out member records.
-MAX_PIGGYBACKED_STATUSES = 4
-# A datagram less the frame round its parts at most: for the sender, the body and the updates.
-PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - 64
+MAX_QUEUED_UPDATES = 4_096
+MAX_PIGGYBACKED_STATUSES = 4  # statuses inform people and must not crowd out member records
+DATAGRAM_FRAME_BYTES = 64
+PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - DATAGRAM_FRAME_BYTES
 
 # Member records go first: they decide who is present.
-_RANK: dict[type, int] = {MemberRecord: 0, MaintenanceRecord: 1, MemberStatus: 2}
-_MAX_PIGGYBACKED: dict[type, int] = {
+SEND_RANKS: dict[type, int] = {MemberRecord: 0, MaintenanceRecord: 1, MemberStatus: 2}
+MAX_PIGGYBACKED: dict[type, int] = {
     MemberRecord: MAX_UPDATES_OF_A_KIND,
     MaintenanceRecord: MAX_UPDATES_OF_A_KIND,
     MemberStatus: MAX_PIGGYBACKED_STATUSES,
@@ -65,10 +65,52 @@
 
 
 def retransmit_limit(multiplier: float, members: int) -> int:
-    """Return how often each update is sent (SWIM, section 4.1: lambda log n)."""
+    """Return how often each update is sent at most (SWIM, section 4.1: lambda log n).
+
+    `members` counts all known names. Fewer transmissions leave more members to anti-entropy.
+    """
     return ceil(multiplier * log10(members + 1))
 
 
+def select_updates(queued: Iterable[QueuedUpdate], payload_bytes: int) -> list[QueuedUpdate]:
+    """Return the updates to piggyback on one datagram, in the order in which they go.
+
+    Member records go first, then the least often sent of each kind (SWIM, section 4.1). One that
+    does not fit into the rest of `payload_bytes`, or is beyond its kind's limit, waits.
+    """
+    selected: list[QueuedUpdate] = []
+    counts = dict.fromkeys(SEND_RANKS, 0)
+    for candidate in sorted(queued, key=send_order):
+        kind = type(candidate.update)
+        if candidate.size_bytes > payload_bytes or counts[kind] >= MAX_PIGGYBACKED[kind]:
+            continue
+        payload_bytes -= candidate.size_bytes
+        counts[kind] += 1
+        selected.append(candidate)
+    return selected
+
+
+def send_order(queued: QueuedUpdate) -> tuple[int, int]:
+    """Return the sort key by which queued updates go out."""
+    return SEND_RANKS[type(queued.update)], queued.transmissions
+
+
+def notifies_recipient(recipient: MemberRecord | None) -> bool:
+    """Return whether a datagram carries the record of its recipient, if that is known.
+
+    A suspect or dead member gets its own record and can refute it (Lifeguard, Buddy System).
+    """
+    return recipient is not None and recipient.state in (MemberState.SUSPECT, MemberState.DEAD)
+
+
+def may_piggyback(recipient: MemberRecord | None) -> bool:
+    """Return whether queued updates ride on a datagram to this recipient, if that is known.
+
+    Each update is sent a limited number of times, and must not be spent on a dead member.
+    """
+    return recipient is None or recipient.state is not MemberState.DEAD
+
+
 class BroadcastQueue:
     """Queued updates, the latest of each key."""
 
@@ -79,7 +121,7 @@
         """Queue an update in place of an older one with the same key."""
         key = key_of(update)
         if len(self.queued) >= MAX_QUEUED_UPDATES and key not in self.queued:
-            del self.queued[max(self.queued, key=lambda key: self.queued[key].transmissions)]
+            self._drop_most_transmitted()
         self.queued[key] = QueuedUpdate(update, encoded_bytes(update))
 
     def has_member_records(self) -> bool:
@@ -91,28 +133,20 @@
 
         An update that was sent `limit` times is dropped from the queue.
         """
-        taken: list[Update] = []
-        counts = dict.fromkeys(_RANK, 0)
-        for key, queued in self._by_priority():
-            kind = key[0]
-            if queued.size_bytes > payload_bytes or counts[kind] >= _MAX_PIGGYBACKED[kind]:
-                continue
-            payload_bytes -= queued.size_bytes
-            counts[kind] += 1
-            taken.append(queued.update)
+        selected = select_updates(self.queued.values(), payload_bytes)
+        for queued in selected:
             queued.transmissions += 1
             if queued.transmissions >= limit:
-                del self.queued[key]
-        return taken
+                del self.queued[key_of(queued.update)]
+        return [queued.update for queued in selected]
 
-    def _by_priority(self) -> list[tuple[UpdateKey, QueuedUpdate]]:
-        return sorted(
-            self.queued.items(), key=lambda item: (_RANK[item[0][0]], item[1].transmissions)
-        )
+    def _drop_most_transmitted(self) -> None:
+        key = max(self.queued, key=lambda key: self.queued[key].transmissions)
+        del self.queued[key]
 
 
 def paginate(updates: Iterable[Update], payload_bytes: int) -> Iterator[list[Update]]:
-    """Yield all updates in as many pages as it takes."""
+    """Yield all updates, in their order, in pages of at most `payload_bytes`."""
     page: list[Update] = []
     free_bytes = payload_bytes
     for update in updates:
--- a/stepstream/membership/driver.py
+++ b/stepstream/membership/driver.py
@@ -30,13 +30,13 @@
 from stepstream.runtime.structured_log import log_changes
 from stepstream.runtime.threads import run_until_closed
 
-MAX_READS_A_CYCLE = 64  # datagrams before the timers are run again
-PERIODIC_TASK_SECONDS = 0.2  # between two runs of the periodic task; the longest wait of the thread
-LEAVE_TRANSMISSIONS = 3  # in case of loss
+MAX_READS_PER_CYCLE = 64  # so that a flood of datagrams does not delay the timers
+PERIODIC_TASK_INTERVAL_SECONDS = 0.2
+LEAVE_TRANSMISSIONS = 3  # some may be lost
 LEAVE_PAUSE_SECONDS = 0.02
 
 # A generation is the start's Unix time in milliseconds, times this, plus a random number below it.
-STARTS_A_MILLISECOND = 1024
+GENERATIONS_PER_MILLISECOND = 1_024
 NANOSECONDS_A_MILLISECOND = 1_000_000
 MILLISECONDS_A_SECOND = 1_000
 
@@ -46,7 +46,8 @@
 def new_generation(rng: random.Random) -> int:
     """Return a generation for this start, greater than those of earlier milliseconds."""
     started_at_ms = time.time_ns() // NANOSECONDS_A_MILLISECOND
-    return started_at_ms * STARTS_A_MILLISECOND + rng.randrange(STARTS_A_MILLISECOND)
+    chance = rng.randrange(GENERATIONS_PER_MILLISECOND)
+    return started_at_ms * GENERATIONS_PER_MILLISECOND + chance
 
 
 def log_fields(event: MembershipEvent) -> dict[str, object]:
@@ -102,19 +103,22 @@
         poll.register(self.socket, select.POLLIN)
         # One datagram must not end the membership.
         run_until_closed(
-            "fleet", lambda: self.run_cycle(poll), lambda: self.is_closed, PERIODIC_TASK_SECONDS
+            "fleet",
+            lambda: self.run_cycle(poll),
+            lambda: self.is_closed,
+            PERIODIC_TASK_INTERVAL_SECONDS,
         )
         self.socket.close()
 
     def run_cycle(self, poll: "select.poll") -> None:
-        """Wait for a datagram or a timer, let the protocol handle it, and act on what it says."""
+        """Wait for a datagram or a timer, let the protocol handle it, and send its answers."""
         with self.lock:
             deadline = self.protocol.next_tick_at()
-        wait_seconds = min(max(deadline - time.monotonic(), 0.0), PERIODIC_TASK_SECONDS)
+        until_deadline = max(deadline - time.monotonic(), 0.0)
+        wait_seconds = min(until_deadline, PERIODIC_TASK_INTERVAL_SECONDS)
         poll.poll(wait_seconds * MILLISECONDS_A_SECOND)
         with self.lock:
-            # Timers before datagrams: the protocol must see a stall of this process before it
-            # handles what waited meanwhile.
+            # The protocol must see a stall of this process before the datagrams that waited.
             outgoing = self.protocol.tick(time.monotonic())
             outgoing += self.receive()
             self._run_periodic_task_if_due()
@@ -137,7 +141,7 @@
     def receive(self) -> list[OutgoingDatagram]:
         """Let the protocol handle waiting datagrams, with the lock held; return its answers."""
         outgoing: list[OutgoingDatagram] = []
-        for _ in range(MAX_READS_A_CYCLE):
+        for _ in range(MAX_READS_PER_CYCLE):
             try:
                 data, source = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:
@@ -151,7 +155,7 @@
         return outgoing
 
     def transmit(self, outgoing: list[OutgoingDatagram]) -> None:
-        """Send datagrams; one that cannot be sent is counted, and as good as lost on the way."""
+        """Send datagrams; one that cannot be sent is counted, and counts as lost."""
         for item in outgoing:
             try:
                 self.socket.sendto(encode(item.datagram), split_address(item.address))
@@ -170,7 +174,7 @@
 
     def _run_periodic_task_if_due(self) -> None:
         now = time.monotonic()
-        if now - self._periodic_task_ran_at >= PERIODIC_TASK_SECONDS:
+        if now - self._periodic_task_ran_at >= PERIODIC_TASK_INTERVAL_SECONDS:
             self._periodic_task_ran_at = now
             self.cpu_seconds = time.thread_time()
             self.run_periodic_task(now)
--- a/stepstream/membership/event_history.py
+++ b/stepstream/membership/event_history.py
@@ -23,7 +23,7 @@
 
 
 class EventHistory:
-    """The latest events; the oldest go first."""
+    """The latest events; beyond MAX_EVENTS the oldest are dropped."""
 
     def __init__(self) -> None:
         self.recent: deque[MembershipEvent] = deque(maxlen=MAX_EVENTS)
--- a/stepstream/membership/failure_detector.py
+++ b/stepstream/membership/failure_detector.py
@@ -14,6 +14,7 @@
 import msgspec
 
 from stepstream.membership.context import ProtocolContext
+from stepstream.membership.local_health import failed_probe_penalty, stall_penalty
 from stepstream.membership.member_list import MemberList
 from stepstream.membership.messages import (
     PRESENT,
@@ -27,25 +28,30 @@
 from stepstream.membership.outbox import Outbox
 from stepstream.membership.probe_order import ProbeOrder
 from stepstream.membership.record_merge import RecordMerger
+from stepstream.membership.suspicion import is_suspect_dead
 
-MAX_RELAYED_PROBES = 64  # under way at once
-NACK_TIMEOUT_FRACTION = 0.8  # of the probe timeout: before the prober gives up on its helper
-SEQUENCE_RANGE = 2**32  # from which the first sequence number is drawn
+MAX_RELAYED_PROBES = 64
+NACK_TIMEOUT_FRACTION = 0.8  # of the probe timeout, so that a nack still reaches the prober in time
+FIRST_SEQUENCE_RANGE = 2**32
 
 
 @dataclass(slots=True)
 class Probe:
-    """The probe of the current interval. `indirect_at`: when helpers are asked."""
+    """The probe of the current interval.
+
+    `indirect_at` is when indirect probes are requested, `helpers` the number of members that got
+    such a request, None before that.
+    """
 
     sequence: int
     target: str
     indirect_at: float
     is_acked: bool = False
-    helpers: int | None = None  # asked so far; None before they are asked
+    helpers: int | None = None
     nacks: int = 0
 
-    def awaits_helpers(self) -> bool:
-        """Return whether helpers will be asked unless an ack arrives before."""
+    def awaits_indirect_probes(self) -> bool:
+        """Return whether indirect probes are requested unless an ack arrives before."""
         return not self.is_acked and self.helpers is None
 
 
@@ -77,15 +83,15 @@
         self.outbox = outbox
         self.probe: Probe | None = None
         self._relayed: dict[int, RelayedProbe] = {}  # by this member's sequence number
-        self._last_sequence = context.rng.randrange(SEQUENCE_RANGE)
-        # Drawn, so that members that start together do not probe in step.
+        self._last_sequence = context.rng.randrange(FIRST_SEQUENCE_RANGE)
+        # Members that start together must not probe in step.
         interval_seconds = context.settings.probe_interval_seconds
         self.next_probe_at = context.now + context.rng.uniform(0, interval_seconds)
 
     def next_deadline(self) -> float:
         """Return when one of the timers is due."""
         deadline = self.next_probe_at
-        if self.probe is not None and self.probe.awaits_helpers():
+        if self.probe is not None and self.probe.awaits_indirect_probes():
             deadline = min(deadline, self.probe.indirect_at)
         for suspicion in self.members.suspicions():
             deadline = min(deadline, suspicion.deadline)
@@ -105,8 +111,7 @@
             case PingRequest():
                 self._on_ping_request(sender, body)
             case Nack():
-                if self.probe is not None and self.probe.sequence == body.sequence:
-                    self.probe.nacks += 1
+                self._on_nack(body)
 
     def _on_ping(self, sender: MemberRecord, ping: Ping) -> None:
         if ping.target == self.members.local_name:
@@ -122,6 +127,10 @@
         elif (relayed := self._relayed.pop(ack.sequence, None)) is not None:
             self.outbox.send(relayed.address, Ack(relayed.sequence))
 
+    def _on_nack(self, nack: Nack) -> None:
+        if self.probe is not None and self.probe.sequence == nack.sequence:
+            self.probe.nacks += 1
+
     def _on_ping_request(self, sender: MemberRecord, request: PingRequest) -> None:
         if len(self._relayed) >= MAX_RELAYED_PROBES:
             return
@@ -155,7 +164,7 @@
         """
         now = self.context.now
         probe = self.probe
-        if probe is not None and probe.awaits_helpers() and now >= probe.indirect_at:
+        if probe is not None and probe.awaits_indirect_probes() and now >= probe.indirect_at:
             self._request_indirect_probes(probe)
         if now < self.next_probe_at:
             return False
@@ -171,7 +180,8 @@
         """Declare dead each suspect that has not refuted its suspicion in time."""
         local_name = self.members.local_name
         for member in list(self.members.suspects.values()):
-            if member.suspicion is not None and self.context.now >= member.suspicion.deadline:
+            suspicion = member.suspicion
+            if suspicion is not None and is_suspect_dead(self.context.now, suspicion.deadline):
                 dead = msgspec.structs.replace(
                     member.record, state=MemberState.DEAD, reported_by=local_name
                 )
@@ -180,8 +190,8 @@
     def recover_from_stall(self, seconds: float) -> None:
         """Drop or postpone all that ran out while this process itself stood still."""
         self.context.metrics.stalls += 1
-        is_long = seconds > self.context.settings.probe_interval_seconds
-        self.context.worsen_local_health(2 if is_long else 1)
+        interval_seconds = self.context.settings.probe_interval_seconds
+        self.context.worsen_local_health(stall_penalty(seconds, interval_seconds))
         self.probe = None
         self.next_probe_at = self.context.now
         self._relayed.clear()
@@ -215,9 +225,9 @@
             self.outbox.send(self.members.by_name[name].record.address, request, name)
 
     def _fail_probe(self, probe: Probe) -> None:
-        """Suspect the target; each helper that did not even send a nack worsens local health."""
+        """Worsen local health and suspect the target (SWIM, section 4.2)."""
         self.context.metrics.failed_probes += 1
-        self.context.worsen_local_health(probe.helpers - probe.nacks if probe.helpers else 1)
+        self.context.worsen_local_health(failed_probe_penalty(probe.helpers, probe.nacks))
         member = self.members.by_name.get(probe.target)
         if member is not None and member.record.state in PRESENT:
             local_name = self.members.local_name
--- a/stepstream/membership/maintenance_records.py
+++ b/stepstream/membership/maintenance_records.py
@@ -1,14 +1,14 @@
 """Operators' calls on workers, replicated to all members; free of I/O.
 
-A last-writer-wins register a worker, ordered by Lamport time (Lamport 1978, "Time, Clocks, and the
-Ordering of Events"), so that the merge is commutative, associative and idempotent. Owned by the
-protocol and touched only under the driver's lock.
+A last-writer-wins register a worker, in the order of `record_precedence.maintenance_precedence`.
+Owned by the protocol and touched only under the driver's lock.
 """
 
 from stepstream.membership.context import ProtocolContext
 from stepstream.membership.member_list import MemberList
 from stepstream.membership.messages import MaintenanceRecord
 from stepstream.membership.outbox import Outbox
+from stepstream.membership.record_precedence import maintenance_precedence
 
 
 class MaintenanceRecords:
@@ -43,7 +43,7 @@
             self.context.metrics.rejected_names += 1
             return
         old = self.by_worker.get(record.worker)
-        if old is None or record.precedence > old.precedence:
+        if old is None or maintenance_precedence(record) > maintenance_precedence(old):
             self.digest ^= record.fingerprint ^ (old.fingerprint if old is not None else 0)
             self.by_worker[record.worker] = record
             self.outbox.broadcast(record)
--- a/stepstream/membership/member_list.py
+++ b/stepstream/membership/member_list.py
@@ -1,34 +1,20 @@
 """The membership list: one record a name, with indexes and an order-independent digest; no I/O.
 
-Owned by the protocol and touched only under the driver's lock. Which of two records holds is
-decided in `record_merge`; this module keeps what was decided consistent.
+Owned by the protocol and touched only under the driver's lock. `record_precedence` decides which of
+two records holds; this module keeps what was decided consistent.
 """
 
-from collections import deque
 from collections.abc import Iterator
-from dataclasses import dataclass, field
 
 import msgspec
 
 from stepstream.membership.context import ProtocolContext
-from stepstream.membership.event_history import EventHistory, MembershipEvent
+from stepstream.membership.event_history import EventHistory
+from stepstream.membership.member import Member
 from stepstream.membership.messages import PRESENT, MemberRecord, MemberState
+from stepstream.membership.record_precedence import restarts_state_time
 from stepstream.membership.suspicion import Suspicion
-
-MAX_EVENTS_OF_A_MEMBER = 8
-
-
-@dataclass(slots=True)
-class Member:
-    """A member as this one holds it. `state_since` is in monotonic seconds."""
-
-    record: MemberRecord
-    state_since: float
-    reported_by: str  # the member from which the record was received
-    suspicion: Suspicion | None = None
-    history: "deque[MembershipEvent]" = field(
-        default_factory=lambda: deque(maxlen=MAX_EVENTS_OF_A_MEMBER)
-    )
+from stepstream.membership.tombstones import oldest_expired_tombstone
 
 
 class MemberList:
@@ -42,11 +28,11 @@
         self.suspects: dict[str, Member] = {}
         self.digest = local.fingerprint  # XOR of all records' fingerprints
         self.events = EventHistory()
-        # When another member was first heard from directly; None before that.
+        # Monotonic seconds of the first datagram from another member; None before it.
         self.joined_at: float | None = None
         # The address of a later start under the local name; this process is passive from then on.
         self.superseded_by: str | None = None
-        self._rejected_names: set[str] = set()  # each is reported once
+        self._rejected_names: set[str] = set()  # with an event already
 
     @property
     def local(self) -> MemberRecord:
@@ -81,11 +67,7 @@
         member.record = record
         member.reported_by = reported_by
         self.digest ^= old.fingerprint ^ record.fingerprint
-        # The time for which an earlier death claim was held does not confirm a renewed one.
-        is_renewed_death = (
-            record.state is MemberState.DEAD and old.incarnation != record.incarnation
-        )
-        if old.state != record.state or old.generation != record.generation or is_renewed_death:
+        if restarts_state_time(old, record):
             member.state_since = self.context.now
 
     def replace_local(self, record: MemberRecord) -> None:
@@ -131,26 +113,20 @@
         return len(self.by_name) >= self.context.settings.max_members
 
     def forget_oldest_tombstone(self) -> str | None:
-        """Drop the dead or left member that was so for longest, and return its name.
-
-        None if no tombstone is older than `tombstone_timeout_seconds`.
-        """
-        timeout = self.context.settings.tombstone_timeout_seconds
-        expired = [
-            member
-            for member in self.by_name.values()
-            if member.record.state not in PRESENT
-            and self.context.now - member.state_since >= timeout
-        ]
-        if not expired:
+        """Drop the oldest expired tombstone and return its name; None if there is none."""
+        oldest = oldest_expired_tombstone(
+            self.by_name.values(),
+            self.context.now,
+            self.context.settings.tombstone_timeout_seconds,
+        )
+        if oldest is None:
             return None
-        oldest = min(expired, key=lambda member: member.state_since).record
-        del self.by_name[oldest.name]
-        self.digest ^= oldest.fingerprint
-        return oldest.name
+        del self.by_name[oldest.record.name]
+        self.digest ^= oldest.record.fingerprint
+        return oldest.record.name
 
     def reject_name(self, name: str) -> None:
-        """Count a name beyond the bound, and report each once."""
+        """Count a name beyond the bound, and record one event for each such name."""
         max_members = self.context.settings.max_members
         self.context.metrics.rejected_names += 1
         if name in self._rejected_names or len(self._rejected_names) >= max_members:
--- a/stepstream/membership/member_status.py
+++ b/stepstream/membership/member_status.py
@@ -7,8 +7,16 @@
 
 from stepstream.membership.context import ProtocolContext
 from stepstream.membership.member_list import MemberList
-from stepstream.membership.messages import MemberStatus, fingerprint
+from stepstream.membership.messages import MemberStatus, Phase, fingerprint
 from stepstream.membership.outbox import Outbox
+from stepstream.membership.record_precedence import status_precedence
+
+
+def reported_phase(phase: Phase, *, is_draining: bool) -> Phase:
+    """Return the phase that a member reports: a drain shows only while it serves."""
+    if is_draining and phase is Phase.SERVING:
+        return Phase.DRAINING
+    return phase
 
 
 def confirmed_deaths_fingerprint(status: MemberStatus | None) -> int:
@@ -52,7 +60,7 @@
         if status.owner == self.members.local_name or status.owner not in self.members.by_name:
             return  # statuses are bounded by the member list
         old = self.by_owner.get(status.owner)
-        if old is None or status.precedence > old.precedence:
+        if old is None or status_precedence(status) > status_precedence(old):
             self._store(status)
 
     def renew_local_generation(self) -> None:
--- a/stepstream/membership/messages.py
+++ b/stepstream/membership/messages.py
@@ -17,9 +17,9 @@
 PROTOCOL_VERSION = 1
 # Fits an Ethernet frame with space for tunnels, so that no datagram is fragmented.
 MAX_DATAGRAM_BYTES = 1_400
-MAX_APPLICATION_BYTES = 1_080  # data of one application message
-MAX_UPDATES_OF_A_KIND = 64  # in one datagram
-MAX_CONFIRMED_DEATHS = 40  # that one member confirms at once; the others follow after these
+MAX_APPLICATION_BYTES = 1_080  # leaves space for the sender's record in one datagram
+MAX_UPDATES_OF_A_KIND = 64
+MAX_CONFIRMED_DEATHS = 40  # more than these are confirmed one after another
 FINGERPRINT_BYTES = 6
 MAX_ERROR_CHARACTERS = 160
 
@@ -79,17 +79,9 @@
     state: MemberState
     reported_by: Annotated[str, msgspec.Meta(max_length=64)] = ""
 
-    @property
-    def precedence(self) -> tuple[int, str, int, int]:
-        """Of two claims about a name the greater one holds.
-
-        Two starts in one instant are ordered by address.
-        """
-        return self.generation, self.address, self.incarnation, self.state
-
     @property
     def fingerprint(self) -> int:
-        """Identifies just this claim, in 48 bits."""
+        """Identifies exactly this claim, in 48 bits."""
         return fingerprint(
             f"{self.name} {self.address} {self.generation} {self.incarnation} {int(self.state)}"
         )
@@ -98,8 +90,8 @@
 class MemberStatus(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """What a member reports of itself; `revision` grows with each change in one generation.
 
-    `confirmed_deaths` holds the fingerprints of the death claims that this member has held for
-    long enough to confirm them (see `member_count`).
+    `confirmed_deaths` holds the fingerprints of the death claims that this member confirms
+    (`member_count.deaths_to_confirm`).
     """
 
     owner: MemberName
@@ -115,11 +107,6 @@
         tuple[Unsigned, ...], msgspec.Meta(max_length=MAX_CONFIRMED_DEATHS)
     ] = ()
 
-    @property
-    def precedence(self) -> tuple[int, int]:
-        """Of two statuses of a member the greater one holds."""
-        return self.generation, self.revision
-
 
 class MaintenanceRecord(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """An operator's call on a worker, as a last-writer-wins register."""
@@ -130,15 +117,12 @@
     recorded_by: MemberName  # the dispatcher that took the operator's call
     recorded_at_us: Unsigned  # Unix time
 
-    @property
-    def precedence(self) -> tuple[int, bool, str]:
-        """Of two concurrent calls 'in maintenance' holds, the safe one, then the greater name's."""
-        return self.lamport_time, self.in_maintenance, self.recorded_by
-
     @property
     def fingerprint(self) -> int:
-        """Identifies just this record, in 48 bits."""
-        return fingerprint(f"{self.precedence!r}{self.worker}")
+        """Identifies exactly this record, in 48 bits."""
+        # Members compare digests of this text, so its form is fixed.
+        call = (self.lamport_time, self.in_maintenance, self.recorded_by)
+        return fingerprint(f"{call!r}{self.worker}")
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
@@ -155,7 +139,7 @@
 
 
 class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Ask a helper to probe `target` and to relay its answer: ping-req (SWIM, section 3.1)."""
+    """Request that a helper probes `target` and relays its answer: ping-req (SWIM, section 3.1)."""
 
     sequence: Unsigned
     target: MemberName
@@ -175,7 +159,7 @@
 
 
 class Page(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Part of the sender's whole state, safe to lose; `wants_reply` asks for the recipient's."""
+    """Part of the sender's whole state, safe to lose; `wants_reply` requests the recipient's."""
 
     wants_reply: bool
 
--- a/stepstream/membership/outbox.py
+++ b/stepstream/membership/outbox.py
@@ -10,6 +10,8 @@
     PAYLOAD_BYTES,
     BroadcastQueue,
     datagram_fields,
+    may_piggyback,
+    notifies_recipient,
     retransmit_limit,
 )
 from stepstream.membership.member_list import MemberList
@@ -17,12 +19,12 @@
     PROTOCOL_VERSION,
     Body,
     Datagram,
-    MemberState,
+    MemberRecord,
     Update,
     encoded_bytes,
 )
 
-MAX_BURST = 16  # datagrams of one sort that are sent at once
+MAX_BURST_DATAGRAMS = 16  # of one purpose at one time
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,19 +54,17 @@
     ) -> None:
         """Queue a datagram.
 
-        `recipient` is the member it is for, if known: a suspect or dead one gets its own record,
-        so that it can refute it (Lifeguard, Buddy System). `piggyback` says whether queued updates
-        ride along: each is sent a limited number of times, and must not be spent on an address that
-        nobody is known to be at.
+        `recipient` names the member it is for, "" if unknown. Without `piggyback` no queued updates
+        ride along: nobody is known to be at the address, and each is sent a limited number of
+        times.
         """
         payload_bytes = self.payload_bytes - encoded_bytes(body)
         updates: list[Update] = []
-        member = self.members.by_name.get(recipient)
-        if member is not None and member.record.state in (MemberState.SUSPECT, MemberState.DEAD):
-            updates.append(member.record)
-            payload_bytes -= encoded_bytes(member.record)
-            piggyback = piggyback and member.record.state is MemberState.SUSPECT
-        if piggyback:
+        record = self._record_of(recipient)
+        if record is not None and notifies_recipient(record):
+            updates.append(record)
+            payload_bytes -= encoded_bytes(record)
+        if piggyback and may_piggyback(record):
             limit = retransmit_limit(
                 self.context.settings.retransmit_multiplier, len(self.members.by_name)
             )
@@ -72,7 +72,7 @@
         self.send_with(address, body, updates)
 
     def send_with(self, address: str, body: Body, updates: list[Update]) -> None:
-        """Queue a datagram with just these updates."""
+        """Queue a datagram with exactly these updates."""
         datagram = Datagram(
             PROTOCOL_VERSION,
             self.cluster,
@@ -92,3 +92,7 @@
         taken = self.waiting
         self.waiting = []
         return taken
+
+    def _record_of(self, recipient: str) -> MemberRecord | None:
+        member = self.members.by_name.get(recipient)
+        return None if member is None else member.record
--- a/stepstream/membership/protocol.py
+++ b/stepstream/membership/protocol.py
@@ -18,6 +18,7 @@
 from stepstream.membership.application_messages import ApplicationMessages
 from stepstream.membership.context import ProtocolContext
 from stepstream.membership.failure_detector import FailureDetector
+from stepstream.membership.local_health import is_stall
 from stepstream.membership.maintenance_records import MaintenanceRecords
 from stepstream.membership.member_list import MemberList
 from stepstream.membership.member_status import MemberStatuses
@@ -29,13 +30,11 @@
     MemberRecord,
     Page,
 )
-from stepstream.membership.outbox import MAX_BURST, Outbox, OutgoingDatagram
+from stepstream.membership.outbox import MAX_BURST_DATAGRAMS, Outbox, OutgoingDatagram
 from stepstream.membership.probe_order import ProbeOrder
 from stepstream.membership.protocol_settings import ProtocolSettings
 from stepstream.membership.record_merge import RecordMerger
 
-MIN_STALL_SECONDS = 0.1  # a tick that is less late than this is no stall
-
 
 class MembershipProtocol:
     """The state machine of one member; each call returns the datagrams to send."""
@@ -85,13 +84,13 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether no suspicion or record is under way, as far as this member knows."""
+        """Whether this member has joined and knows of no suspicion or record under way."""
         local_address = self.members.local.address
         is_alone = all(seed == local_address for seed in self.anti_entropy.seeds)
         is_quiet = not self.members.suspects and not self.outbox.broadcasts.has_member_records()
-        has_joined = self.members.joined_at is not None
+        is_joined_or_alone = self.members.joined_at is not None or is_alone
         is_superseded = self.members.superseded_by is not None
-        return (has_joined or is_alone) and is_quiet and not is_superseded
+        return is_joined_or_alone and is_quiet and not is_superseded
 
     def reconfigure(self, settings: ProtocolSettings, seeds: Iterable[str]) -> None:
         """Apply new settings and seeds; timers under way keep their deadlines."""
@@ -111,7 +110,7 @@
         self.ticked_at = now
         if self.is_passive:
             return self.outbox.take()
-        if late_seconds > max(self.context.settings.probe_timeout_seconds, MIN_STALL_SECONDS):
+        if is_stall(late_seconds, self.context.settings.probe_timeout_seconds):
             self.detector.recover_from_stall(late_seconds)
         self.detector.tick_relayed_probes()
         if self.detector.tick_probe():
@@ -130,13 +129,12 @@
     def _take_in(self, datagram: Datagram) -> None:
         sender = datagram.sender
         is_admitted = self.merger.merge(sender, sender.name)
-        if sender.name == self.members.local_name or not is_admitted:
-            # A later start under this name, this member's own datagram by way of a seed, or a name
-            # beyond the bound: the rest of the datagram is not for this member.
+        # From another start under this name, or from this member's own address among the seeds.
+        has_local_name = sender.name == self.members.local_name
+        if has_local_name or not is_admitted:
             return
         if self.members.joined_at is None:
-            self.members.joined_at = self.context.now
-            self.anti_entropy.send_digest(sender.address)
+            self._join(sender)
         for record in datagram.member_records:
             self.merger.merge(record, record.reported_by or sender.name)
         for status in datagram.member_statuses:
@@ -145,6 +143,10 @@
             self.maintenance.merge(maintenance)
         self._route_body(sender, datagram.body)
 
+    def _join(self, sender: MemberRecord) -> None:
+        self.members.joined_at = self.context.now
+        self.anti_entropy.send_digest(sender.address)
+
     def _route_body(self, sender: MemberRecord, body: Body) -> None:
         match body:
             case Digest() | Page():
@@ -171,7 +173,8 @@
             return []
         others = self.members.others()
         left = self.members.leave()
-        for name in self.context.rng.sample(others, min(MAX_BURST, len(others))):
+        count = min(MAX_BURST_DATAGRAMS, len(others))
+        for name in self.context.rng.sample(others, count):
             address = self.members.by_name[name].record.address
             self.outbox.send_with(address, Digest(self.digest), [left])
         self.has_left = True
--- a/stepstream/membership/record_merge.py
+++ b/stepstream/membership/record_merge.py
@@ -1,25 +1,29 @@
-"""Merging of received member records: which claim holds, and what follows from it; free of I/O.
+"""Merging of received member records, and what follows from it; free of I/O.
 
-Claims about a name are ordered by (generation, address, incarnation, state) and the greatest holds:
-the merge of two lists is commutative, associative and idempotent. SWIM, section 4.2 orders by
-incarnation and state; generation and address distinguish the starts of a process. Touched only
-under the driver's lock.
+`record_precedence` decides which claim holds, `suspicion` how long a suspect has to refute. Touched
+only under the driver's lock.
 """
 
 import msgspec
 
 from stepstream.membership.context import ProtocolContext
-from stepstream.membership.member_list import Member, MemberList
+from stepstream.membership.local_health import REFUTATION_PENALTY
+from stepstream.membership.member import Member
+from stepstream.membership.member_list import MemberList
 from stepstream.membership.member_status import MemberStatuses
 from stepstream.membership.messages import PRESENT, MemberRecord, MemberState, Ping
-from stepstream.membership.outbox import MAX_BURST, Outbox
+from stepstream.membership.outbox import MAX_BURST_DATAGRAMS, Outbox
 from stepstream.membership.probe_order import ProbeOrder
-from stepstream.membership.protocol_settings import SUSPECT_NOTIFIERS
-from stepstream.membership.suspicion import start_suspicion
-
-# Seconds after joining in which the record of an earlier start may still arrive.
-NAME_TAKEOVER_SECONDS = 3.0
-# Of a ping that is sent for the record piggybacked on it: no probe waits for its ack.
+from stepstream.membership.record_precedence import (
+    LocalClaim,
+    classify_local_claim,
+    is_new_start,
+    overrides,
+    repeats,
+)
+from stepstream.membership.suspicion import start_suspicion, suspect_contact_probability
+
+# No probe has this number: nothing waits for the ack of a ping that only carries a record.
 NOTIFICATION_SEQUENCE = 2**53
 
 # Operators' pages explain these texts: they stand in logs and answers.
@@ -31,11 +35,6 @@
 }
 
 
-def is_new_start(old: MemberRecord, new: MemberRecord) -> bool:
-    """Return whether the records are of two processes."""
-    return new.generation != old.generation or new.address != old.address
-
-
 def override_reason(old: MemberRecord, new: MemberRecord) -> str:
     """Return why the later record overrides the earlier one."""
     if new.generation != old.generation:
@@ -72,16 +71,10 @@
         member = self.members.by_name.get(record.name)
         if member is None:
             return self._add(record, reported_by)
-        current = member.record
-        if record.precedence > current.precedence:
+        if overrides(record, member.record):
             self._override(member, record, reported_by)
-        elif (
-            record.precedence == current.precedence
-            and member.suspicion is not None
-            and member.suspicion.confirm(reported_by)
-        ):
-            # Others' suspicions shrink by the confirmation as well (Lifeguard, LHA-Suspicion).
-            self.outbox.broadcast(record)
+        elif repeats(record, member.record):
+            self._confirm_suspicion(member, record, reported_by)
         return True
 
     def _add(self, record: MemberRecord, reported_by: str) -> bool:
@@ -97,14 +90,22 @@
     def _override(self, member: Member, record: MemberRecord, reported_by: str) -> None:
         old = member.record
         self.members.replace(member, record, reported_by)
-        if record.state in PRESENT and old.state not in PRESENT:
+        has_returned = record.state in PRESENT and old.state not in PRESENT
+        is_event = old.state != record.state or is_new_start(old, record)
+        is_reported = reported_by != self.members.local_name
+        if has_returned:
             self.probe_order.insert(record.name)
         self._apply(member)
-        if old.state != record.state or is_new_start(old, record):
+        if is_event:
             self._record_event(member, old.state.label, override_reason(old, record))
-        if record.state is MemberState.DEAD and reported_by != self.members.local_name:
+        if record.state is MemberState.DEAD and is_reported:
             self.notify_dead(member)
 
+    def _confirm_suspicion(self, member: Member, record: MemberRecord, accuser: str) -> None:
+        """Count an accuser; one that counts shortens the others' suspicions as well."""
+        if member.suspicion is not None and member.suspicion.confirm(accuser):
+            self.outbox.broadcast(record)
+
     def _apply(self, member: Member) -> None:
         """Update suspicion, presence and dissemination after a change of a member's record."""
         if member.record.state is MemberState.SUSPECT:
@@ -119,9 +120,15 @@
         suspicion = start_suspicion(self.context.now, present, self.context.settings)
         self.members.set_suspicion(member, suspicion)
         suspicion.confirm(member.reported_by)
-        # Some members probe the suspect next themselves: they confirm the suspicion, or refute it.
+        self._consider_probing_suspect(member, present)
+
+    def _consider_probing_suspect(self, member: Member, present: int) -> None:
+        """Let some members probe a suspect next: they confirm the suspicion, or let it be refuted.
+
+        The member that raised the suspicion has probed it already.
+        """
         is_reported = member.reported_by != self.members.local_name
-        if is_reported and self.context.rng.random() < SUSPECT_NOTIFIERS / present:
+        if is_reported and self.context.rng.random() < suspect_contact_probability(present):
             self.probe_order.prioritize(member.record.name)
 
     def _record_event(self, member: Member, before: str, reason: str) -> None:
@@ -133,11 +140,10 @@
     def notify_dead(self, member: Member) -> None:
         """Send a member that others declared dead its record, so that it can refute it at once.
 
-        The record rides on a ping, the refutation on the ack. A digest would not do: after a
-        healed partition each member notifies half the cluster, and where lists differ each digest
-        is answered with the whole list.
+        The record rides on a ping, the refutation on the ack. A digest in place of the ping would
+        cost far more after a healed partition: each one that differs brings a whole list.
         """
-        if len(self.outbox.waiting) < MAX_BURST:
+        if len(self.outbox.waiting) < MAX_BURST_DATAGRAMS:
             record = member.record
             ping = Ping(NOTIFICATION_SEQUENCE, record.name)
             self.outbox.send(record.address, ping, record.name)
@@ -155,28 +161,20 @@
     # -- records of the local name --------------------------------------------------------------
 
     def merge_local(self, record: MemberRecord, reported_by: str) -> None:
-        """Answer a claim about the local name that overrides the local record.
-
-        A claim about this process is refuted by a greater incarnation (SWIM, section 4.2). One of
-        another start either comes from before this start, and is overridden by a greater
-        generation, or from a later start, to which this process yields the name.
-        """
-        if record.precedence <= self.members.local.precedence:
-            return
-        if not is_new_start(self.members.local, record):
-            self._refute(record, reported_by)
-        elif self._is_joining():
-            self._take_over_name(record, reported_by)
-        else:
-            self._yield_name(record, reported_by)
-
-    def _is_joining(self) -> bool:
+        """Answer a claim about the local name by its kind; an outdated one needs no answer."""
         joined_at = self.members.joined_at
-        return joined_at is None or self.context.now - joined_at < NAME_TAKEOVER_SECONDS
+        seconds_since_joining = None if joined_at is None else self.context.now - joined_at
+        match classify_local_claim(self.members.local, record, seconds_since_joining):
+            case LocalClaim.FALSE:
+                self._refute(record, reported_by)
+            case LocalClaim.EARLIER_START:
+                self._take_over_name(record, reported_by)
+            case LocalClaim.LATER_START:
+                self._yield_name(record, reported_by)
 
     def _refute(self, record: MemberRecord, reported_by: str) -> None:
         self.context.metrics.refutations += 1
-        self.context.worsen_local_health(1)
+        self.context.worsen_local_health(REFUTATION_PENALTY)
         local = self.members.local
         self._replace_local(msgspec.structs.replace(local, incarnation=record.incarnation + 1))
         reason = f"refuted what {reported_by} said"
--- /dev/null
+++ b/stepstream/membership/record_precedence.py
@@ -0,0 +1,96 @@
+"""Which of two records holds, and what a claim about the local name calls for; free of I/O.
+
+Records of one name, owner or worker are totally ordered and the greatest holds. So the merge of two
+lists is commutative, associative and idempotent. SWIM, section 4.2 orders claims by incarnation and
+state; generation and address distinguish the starts of a process. Owns no state.
+"""
+
+from enum import Enum, auto
+
+from stepstream.membership.messages import (
+    MaintenanceRecord,
+    MemberRecord,
+    MemberState,
+    MemberStatus,
+)
+
+# After joining, the record of an earlier start of this process may still arrive.
+NAME_TAKEOVER_SECONDS = 3.0
+
+
+def member_precedence(record: MemberRecord) -> tuple[int, str, int, int]:
+    """Return the rank of a claim: of two claims about a name the greater one holds.
+
+    A later start (generation) overrides all claims about earlier ones. Two starts in one instant
+    are ordered by address. Within one start a refutation (incarnation) overrides a suspicion, and
+    within one incarnation the greater state does (SWIM, section 4.2).
+    """
+    return record.generation, record.address, record.incarnation, record.state
+
+
+def overrides(received: MemberRecord, held: MemberRecord) -> bool:
+    """Return whether a received claim replaces the one held."""
+    return member_precedence(received) > member_precedence(held)
+
+
+def repeats(received: MemberRecord, held: MemberRecord) -> bool:
+    """Return whether a received claim is the one held: its sender may confirm a suspicion."""
+    return member_precedence(received) == member_precedence(held)
+
+
+def status_precedence(status: MemberStatus) -> tuple[int, int]:
+    """Return the rank of a status: of two statuses of a member the greater one holds."""
+    return status.generation, status.revision
+
+
+def maintenance_precedence(record: MaintenanceRecord) -> tuple[int, bool, str]:
+    """Return the rank of an operator's call: of two calls on a worker the greater one holds.
+
+    Calls are ordered by Lamport time (Lamport 1978, "Time, Clocks, and the Ordering of Events").
+    Of two concurrent calls 'in maintenance' holds, the safe one, then the greater name's.
+    """
+    return record.lamport_time, record.in_maintenance, record.recorded_by
+
+
+def is_new_start(old: MemberRecord, new: MemberRecord) -> bool:
+    """Return whether two records of a name are of two process starts."""
+    return new.generation != old.generation or new.address != old.address
+
+
+def restarts_state_time(old: MemberRecord, new: MemberRecord) -> bool:
+    """Return whether the time in a member's state begins anew with a record that overrides `old`.
+
+    The time for which an earlier death claim was held must not confirm a renewed one.
+    """
+    is_other_state = old.state != new.state
+    is_other_generation = old.generation != new.generation
+    is_renewed_death = new.state is MemberState.DEAD and old.incarnation != new.incarnation
+    return is_other_state or is_other_generation or is_renewed_death
+
+
+class LocalClaim(Enum):
+    """What a received claim about the local name is."""
+
+    OUTDATED = auto()  # overridden by the local record
+    FALSE = auto()  # about this process; refuted by a greater incarnation
+    EARLIER_START = auto()  # overridden by a greater generation
+    LATER_START = auto()  # this process yields the name
+
+
+def classify_local_claim(
+    local: MemberRecord, claim: MemberRecord, seconds_since_joining: float | None
+) -> LocalClaim:
+    """Return what a claim about the local name is.
+
+    `seconds_since_joining` is None before the first datagram of another member. A claim about this
+    process is refuted (SWIM, section 4.2). A claim about another start that arrives shortly after
+    joining is of an earlier start, before the clock was set back. One that arrives later is of a
+    later start. This guards against two live processes under one name.
+    """
+    if not overrides(claim, local):
+        return LocalClaim.OUTDATED
+    if not is_new_start(local, claim):
+        return LocalClaim.FALSE
+    if seconds_since_joining is None or seconds_since_joining < NAME_TAKEOVER_SECONDS:
+        return LocalClaim.EARLIER_START
+    return LocalClaim.LATER_START
--- a/stepstream/membership/report.py
+++ b/stepstream/membership/report.py
@@ -6,7 +6,7 @@
 
 from stepstream.membership.context import ProtocolMetrics
 from stepstream.membership.event_history import MembershipEvent
-from stepstream.membership.member_list import Member
+from stepstream.membership.member import Member
 from stepstream.membership.messages import MaintenanceRecord
 from stepstream.membership.protocol import MembershipProtocol
 
--- a/stepstream/membership/section.py
+++ b/stepstream/membership/section.py
@@ -23,7 +23,7 @@
 
 
 def section_of(operator: OperatorConfig | None) -> MembershipSection:
-    """Return the `[fleet]` section; ConfigurationError without one."""
+    """Return the `[fleet]` section; raise `ConfigurationError` without one."""
     if operator is None or operator.fleet is None:
         raise ConfigurationError("fleet: the operator's file has no [fleet]")
     return operator.fleet
@@ -49,7 +49,7 @@
 
 
 def validate_section(section: MembershipSection, config: NodeConfig) -> None:
-    """Check what the section's types cannot; ConfigurationError names the key."""
+    """Check what the section's types cannot; raise `ConfigurationError`, which names the key."""
     try:
         msgspec.convert(config.name, MemberName)
     except msgspec.ValidationError as error:
--- a/stepstream/membership/subsystem.py
+++ b/stepstream/membership/subsystem.py
@@ -1,12 +1,11 @@
-"""How `[fleet]` plugs into the node: the protocol, its effects on the node, and operators' calls.
+"""How `[fleet]` plugs into the node: the protocol and its effects on the node.
 
 The subsystem owns the protocol, the driver and the count of dispatchers. The node's main thread
-calls its lifecycle methods, the membership thread `run_periodic_task` and the admin listener's
-thread the answers; the latter two only under the driver's lock.
+calls its lifecycle methods. The membership thread calls `run_periodic_task` under the driver's
+lock. The admin listener's thread calls `record_maintenance`, which takes that lock.
 """
 
 import random
-import signal
 import time
 from collections.abc import Callable, Sequence
 
@@ -19,10 +18,21 @@
     require_all_unchanged,
     split_address,
 )
-from stepstream.membership import report
-from stepstream.membership.driver import Driver, MessageHandler, new_generation
+from stepstream.membership.admin_api import MembershipAdminApi
+from stepstream.membership.driver import (
+    NANOSECONDS_A_MILLISECOND,
+    Driver,
+    MessageHandler,
+    new_generation,
+)
 from stepstream.membership.errors import MembershipError
-from stepstream.membership.member_count import MemberCount, ObservedMember, observe
+from stepstream.membership.member_count import (
+    MemberCount,
+    ObservedMember,
+    counted_dispatchers,
+    observe,
+)
+from stepstream.membership.member_status import reported_phase
 from stepstream.membership.messages import (
     MAX_CONFIRMED_DEATHS,
     MaintenanceRecord,
@@ -40,37 +50,24 @@
 )
 from stepstream.membership.settings_digest import settings_digest
 from stepstream.ports.admin import (
-    READ_METHODS,
-    WRITE_METHODS,
-    AdminRequest,
-    AdminResponse,
     AdminRoute,
     WorkerMaintenance,
 )
 from stepstream.runtime.log import log
 from stepstream.runtime.structured_log import structured_logger
 from stepstream.runtime.threads import spawn_thread
-from stepstream.subsystem_api.admin_json import (
-    json_error,
-    json_or_not_found,
-    json_response,
-    parse_whole_number,
-)
 from stepstream.subsystem_api.context import SubsystemContext, worker_maintenance
 from stepstream.subsystem_api.subsystem import Subsystem
 
-STATUS_INTERVAL_SECONDS = 0.5  # between two looks at what this member reports of itself
-MAX_LIST_VERSION = 2**53
-MAX_NUMBER_DIGITS = 15  # of an event's number in a call
-NANOSECONDS_A_MILLISECOND = 1_000_000
-HTTP_OK = 200
-HTTP_BAD_REQUEST = 400
+STATUS_INTERVAL_SECONDS = 0.5
+MAX_LIST_VERSION = 2**53  # the bound of numbers on the wire
 
 
 class MembershipSubsystem(Subsystem):
     """The dispatchers' membership; a MessageTransport (ports.messaging) for other subsystems.
 
-    ConfigurationError names a key of the section, or of the configuration, that does not fit.
+    Raise `ConfigurationError`, which names a key of the section or the configuration that does not
+    fit.
     """
 
     def __init__(self, host: SubsystemContext) -> None:
@@ -96,7 +93,7 @@
         self.process = f"{config.name}@{local.generation:x}"
         self._driver: Driver | None = None  # before the start
         self._message_handlers: dict[str, MessageHandler] = {}
-        # By worker, the records that worker maintenance here knows of.
+        # By worker, the records that worker maintenance here has applied.
         self._applied_maintenance: dict[str, MaintenanceRecord] = {}
         self._status_published_at = 0.0
 
@@ -154,9 +151,9 @@
             raise ConfigurationError(f"fleet.listen={section.listen}: {error}") from error
         self._driver.message_handlers = self._message_handlers
         if section.share_maintenance and self.maintenance is not None:
-            # Before the admin listener takes its first call: its record would not be shared.
+            # Set before the admin listener takes its first call, which would not be shared.
             self.maintenance.on_change = self.record_maintenance
-        # The driver owns the thread: it ends once the driver is closed.
+        # The thread ends once the driver is closed.
         spawn_thread("fleet", self._driver.run)
         address = self.protocol.members.local.address
         log(f"{self.host.config.name} is a member of {section.cluster} at {address}")
@@ -182,19 +179,16 @@
         with self.driver.lock:
             self.protocol.reconfigure(protocol_settings(section), section.seeds)
             self.member_count.confirmation_delay_seconds = section.hold_s
-            # The node's settings are new: the periodic task must set their dispatcher count again.
+            # The periodic task must set the dispatcher count of the node's new settings.
             self.dispatcher_count = 0
 
-    def run_periodic_tasks(self) -> None:
-        """Do nothing: the membership thread has timers of its own."""
-
     def begin_shutdown(self) -> bool:
-        """Report the leaving phase; no process beside this one is known of here."""
+        """Report the leaving phase; return False: no sibling process is known here."""
         self.phase = Phase.LEAVING
         return False
 
     def stop(self) -> None:
-        """Leave the cluster; in a hot restart the name goes on with the process beside this one."""
+        """Leave the cluster; in a hot restart the sibling process goes on under this name."""
         if self.host.hot_restarting:
             self.driver.is_closed = True
         else:
@@ -245,22 +239,22 @@
         }
         count = self.member_count.update(observed, confirmations)
         uptime_seconds = now - protocol.started_at
-        is_starting = uptime_seconds < protocol.context.settings.startup_hold_seconds
-        if is_starting or protocol.members.joined_at is None:
-            # Until it has heard of the others for a while, the configured count is the safer one.
-            return max(count, self.host.config.settings.dispatcher_count)
-        return count
+        return counted_dispatchers(
+            count,
+            self.host.config.settings.dispatcher_count,
+            is_starting=uptime_seconds < protocol.context.settings.startup_hold_seconds,
+            has_joined=protocol.members.joined_at is not None,
+        )
 
     def local_status(self, confirmed_deaths: list[int]) -> MemberStatus:
         """Return what this member reports of itself."""
         host = self.host
         is_draining = self.maintenance is not None and self.maintenance.draining()
-        is_serving = self.phase is Phase.SERVING
         return MemberStatus(
             owner=self.protocol.members.local_name,
             generation=0,  # this and the revision are filled in when it is published
             revision=0,
-            phase=Phase.DRAINING if is_draining and is_serving else self.phase,
+            phase=reported_phase(self.phase, is_draining=is_draining),
             endpoint_list_version=min(max(host.destinations.version or 0, 0), MAX_LIST_VERSION),
             settings_digest=settings_digest(host.config.settings),
             open_requests=host.core.open_count,
@@ -293,46 +287,7 @@
 
     def admin_routes(self) -> Sequence[AdminRoute]:
         """Return the routes below `/fleet`."""
-        return (
-            AdminRoute(r"/fleet", READ_METHODS, self.on_membership),
-            AdminRoute(r"/fleet/changes", READ_METHODS, self.on_events),
-            AdminRoute(r"/fleet/members/([^/]{1,128})", READ_METHODS, self.on_explain),
-            AdminRoute(r"/fleet/leave", WRITE_METHODS, self.on_leave),
-        )
-
-    def on_membership(self, _request: AdminRequest) -> AdminResponse:
-        """Answer `GET /fleet`."""
-        driver = self.driver
-        with driver.lock:
-            driver_metrics: dict[str, object] = {
-                "dropped": driver.dropped_datagrams.count,
-                "unsent": driver.unsent_datagrams,
-                "cpu_s": round(driver.cpu_seconds, report.SECONDS_DIGITS),
-            }
-            answer = report.membership_answer(
-                self.protocol, self.dispatcher_count, driver_metrics, time.monotonic()
-            )
-        return json_response(HTTP_OK, answer)
-
-    def on_events(self, request: AdminRequest) -> AdminResponse:
-        """Answer `GET /fleet/changes?after=NUMBER`."""
-        after = parse_whole_number(request.query.get("after", "0"), MAX_NUMBER_DIGITS)
-        if after is None:
-            return json_error(HTTP_BAD_REQUEST, "after is not a whole number")
-        with self.driver.lock:
-            answer = report.events_answer(self.protocol, after, time.monotonic())
-        return json_response(HTTP_OK, answer)
-
-    def on_explain(self, request: AdminRequest) -> AdminResponse:
-        """Answer `GET /fleet/members/NAME`."""
-        with self.driver.lock:
-            answer = report.explanation_answer(self.protocol, request.parts[0], time.monotonic())
-        return json_or_not_found(answer, "no such member")
-
-    def on_leave(self, _request: AdminRequest) -> AdminResponse:
-        """Answer `PUT /fleet/leave`: begin the graceful shutdown, as SIGTERM does."""
-        self.host.signals.put(signal.SIGTERM)
-        return json_response(HTTP_OK, {"leaving": self.protocol.members.local_name})
+        return MembershipAdminApi(self.host, self.driver, lambda: self.dispatcher_count).routes()
 
 
 def create_subsystem(host: SubsystemContext) -> MembershipSubsystem:
--- a/stepstream/membership/suspicion.py
+++ b/stepstream/membership/suspicion.py
@@ -1,26 +1,93 @@
-"""Suspicion of one member by one observer: it shrinks with independent confirmations; free of I/O.
+"""Suspicion of one member by one observer, and the rules of its deadline; free of I/O.
 
-Lifeguard, LHA-Suspicion, on top of SWIM, section 4.2. Owned by the member list.
+A suspect has some time to refute before it is declared dead (SWIM, section 4.2). Independent
+confirmations shorten that time (Lifeguard, LHA-Suspicion): one observer with bad links alone must
+not declare others dead. A suspicion is owned by the member list.
 """
 
+from collections.abc import Collection
 from dataclasses import dataclass, field
 from math import log, log10
 
-from stepstream.membership.protocol_settings import ProtocolSettings
+from stepstream.membership.protocol_settings import SUSPECT_NOTIFIERS, ProtocolSettings
 
 
-@dataclass(slots=True)
-class Suspicion:
-    """How long a suspect may take to refute. Times and durations in seconds.
+@dataclass(frozen=True, slots=True)
+class SuspicionLimits:
+    """The shortest and longest suspicion in seconds.
 
-    `confirmations_needed` is the number of confirmations, by members other than the first
-    accuser, that make it shortest.
+    `confirmations_needed` counts the confirmations that make it shortest, by members other than the
+    first accuser.
     """
 
-    started_at: float
     min_seconds: float
     max_seconds: float
     confirmations_needed: int
+
+
+def suspicion_limits(present: int, settings: ProtocolSettings) -> SuspicionLimits:
+    """Return the limits of a suspicion that begins now.
+
+    `present` counts alive and suspect members, the observer included. The time grows with the
+    logarithm of the cluster's size, as dissemination does (SWIM, section 4.2). The observer and the
+    suspect cannot confirm, so that a small cluster needs fewer confirmations (Lifeguard,
+    LHA-Suspicion).
+    """
+    scale = max(log10(max(present, 1)), 1.0)
+    min_seconds = settings.suspicion_multiplier * scale * settings.probe_interval_seconds
+    max_seconds = min_seconds * settings.suspicion_max_multiplier
+    confirmations_needed = max(min(settings.suspicion_confirmations, present - 2), 0)
+    return SuspicionLimits(min_seconds, max_seconds, confirmations_needed)
+
+
+def suspicion_deadline(started_at: float, limits: SuspicionLimits, confirmations: int) -> float:
+    """Return when the suspect is declared dead, in the monotonic seconds of `started_at`.
+
+    Each confirmation takes off less than the one before, on a logarithmic scale (Lifeguard,
+    LHA-Suspicion): the first ones are the strongest evidence.
+    """
+    if limits.confirmations_needed > 0:
+        fraction = min(log(confirmations + 1) / log(limits.confirmations_needed + 1), 1.0)
+    else:
+        fraction = 1.0
+    span_seconds = limits.max_seconds - limits.min_seconds
+    return started_at + limits.max_seconds - span_seconds * fraction
+
+
+def is_suspect_dead(now: float, deadline: float) -> bool:
+    """Return whether a suspect is declared dead; times are monotonic seconds.
+
+    It is once its deadline has passed without a refutation (SWIM, section 4.2).
+    """
+    return now >= deadline
+
+
+def is_counted_accuser(accuser: str, accusers: Collection[str], limits: SuspicionLimits) -> bool:
+    """Return whether an accuser changes a suspicion and is passed on to the others.
+
+    Each accuser counts once, and none after the first and the needed confirmations (Lifeguard,
+    LHA-Suspicion): this bounds the datagrams about one suspect.
+    """
+    is_known = accuser in accusers
+    is_shortest = len(accusers) > limits.confirmations_needed
+    return not is_known and not is_shortest
+
+
+def suspect_contact_probability(present: int) -> float:
+    """Return the probability with which one member contacts a suspect out of turn.
+
+    `present` counts alive and suspect members. About SUSPECT_NOTIFIERS members do so at any size of
+    the cluster (Lifeguard, Buddy System): a suspect with bad links gets several chances to refute.
+    """
+    return SUSPECT_NOTIFIERS / present
+
+
+@dataclass(slots=True)
+class Suspicion:
+    """A suspicion under way. Times are monotonic seconds."""
+
+    started_at: float
+    limits: SuspicionLimits
     accusers: set[str] = field(default_factory=set)
     deadline: float = 0.0
 
@@ -28,8 +95,8 @@
         self._update_deadline()
 
     def confirm(self, accuser: str) -> bool:
-        """Return whether this accuser is a new one that still counts."""
-        if accuser in self.accusers or len(self.accusers) > self.confirmations_needed:
+        """Record an accuser that counts; return whether it does."""
+        if not is_counted_accuser(accuser, self.accusers, self.limits):
             return False
         self.accusers.add(accuser)
         self._update_deadline()
@@ -41,23 +108,10 @@
         self._update_deadline()
 
     def _update_deadline(self) -> None:
-        """Let each confirmation take off less than the last, on a logarithmic scale."""
         confirmations = max(len(self.accusers) - 1, 0)
-        if self.confirmations_needed > 0:
-            fraction = min(log(confirmations + 1) / log(self.confirmations_needed + 1), 1.0)
-        else:
-            fraction = 1.0
-        span = self.max_seconds - self.min_seconds
-        self.deadline = self.started_at + self.max_seconds - span * fraction
+        self.deadline = suspicion_deadline(self.started_at, self.limits, confirmations)
 
 
 def start_suspicion(now: float, present: int, settings: ProtocolSettings) -> Suspicion:
-    """Begin a suspicion; `present` counts alive and suspect members, the observer included.
-
-    Few members cannot confirm each other often, so they need fewer confirmations.
-    """
-    scale = max(log10(max(present, 1)), 1.0)
-    min_seconds = settings.suspicion_multiplier * scale * settings.probe_interval_seconds
-    max_seconds = min_seconds * settings.suspicion_max_multiplier
-    confirmations_needed = max(min(settings.suspicion_confirmations, present - 2), 0)
-    return Suspicion(now, min_seconds, max_seconds, confirmations_needed)
+    """Return a new suspicion; `present` is as for `suspicion_limits`."""
+    return Suspicion(now, suspicion_limits(present, settings))
--- /dev/null
+++ b/stepstream/membership/tombstones.py
@@ -0,0 +1,23 @@
+"""When a tombstone, the record of a dead or left member, may be dropped; free of I/O and state."""
+
+from collections.abc import Iterable
+
+from stepstream.membership.member import Member
+from stepstream.membership.messages import PRESENT
+
+
+def oldest_expired_tombstone(
+    members: Iterable[Member], now: float, timeout_seconds: float
+) -> Member | None:
+    """Return the dead or left member to forget when a new name needs its place; None if none may.
+
+    `now` is in the monotonic seconds of `Member.state_since`; `timeout_seconds` is the least time
+    for which a tombstone is kept. A tombstone that goes too early lets an old claim bring a dead
+    member back to life.
+    """
+    expired = [
+        member
+        for member in members
+        if member.record.state not in PRESENT and now - member.state_since >= timeout_seconds
+    ]
+    return min(expired, key=lambda member: member.state_since, default=None)
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -3,7 +3,7 @@
 import pytest
 from membership_helpers import SETTINGS, protocol, record
 
-from stepstream.membership.context import LocalHealth
+from stepstream.membership.local_health import LocalHealth
 from stepstream.membership.messages import (
     PROTOCOL_VERSION,
     Ack,
--- a/tests/membership/test_membership_simulation.py
+++ b/tests/membership/test_membership_simulation.py
@@ -8,6 +8,7 @@
 from stepstream.lab.fleet_faults import Fault, Schedule, draw
 from stepstream.lab.fleet_search import Search
 from stepstream.lab.fleet_world import CLUSTER, BrokenError, World
+from stepstream.membership import record_precedence
 from stepstream.membership.anti_entropy import AntiEntropy
 from stepstream.membership.messages import MemberRecord, MemberState
 from stepstream.membership.protocol import MembershipProtocol
@@ -34,7 +35,7 @@
 
 
 def old_records_win(monkeypatch):
-    monkeypatch.setattr(MemberRecord, "precedence", property(lambda r: (r.incarnation, r.state)))
+    monkeypatch.setattr(record_precedence, "member_precedence", lambda r: (r.incarnation, r.state))
 
 
 def nobody_refutes(monkeypatch):
--- a/tests/membership/test_record_merge.py
+++ b/tests/membership/test_record_merge.py
@@ -13,6 +13,7 @@
     Phase,
 )
 from stepstream.membership.protocol_settings import ProtocolSettings
+from stepstream.membership.record_precedence import member_precedence
 
 RECORDS = st.builds(
     MemberRecord,
@@ -81,7 +82,8 @@
     assert merged(records_again, maintenance_again, statuses_again) == once
     for name, merged_record in once[1].items():
         if name != "me":
-            assert merged_record.precedence == max(r.precedence for r in records if r.name == name)
+            ranks = [member_precedence(one) for one in records if one.name == name]
+            assert member_precedence(merged_record) == max(ranks)
 
 
 def test_names_beyond_the_bound_are_rejected_until_an_expired_tombstone_makes_room():
--- /dev/null
+++ b/tests/membership/test_record_precedence.py
@@ -0,0 +1,64 @@
+"""The order of records and of claims about the local name."""
+
+import pytest
+from membership_helpers import record
+
+from stepstream.membership.messages import MaintenanceRecord, MemberState, MemberStatus, Phase
+from stepstream.membership.record_precedence import (
+    NAME_TAKEOVER_SECONDS,
+    LocalClaim,
+    classify_local_claim,
+    maintenance_precedence,
+    member_precedence,
+    status_precedence,
+)
+
+ALIVE, SUSPECT, DEAD, LEFT = MemberState
+
+
+def test_claims_are_ordered_by_generation_address_incarnation_and_state():
+    lowest_first = [
+        record("a", LEFT, port=9, generation=1, incarnation=9),
+        record("a", LEFT, port=2, generation=2, incarnation=9),
+        record("a", LEFT, port=3, generation=2, incarnation=0),
+        record("a", ALIVE, port=3, generation=2, incarnation=1),
+        record("a", SUSPECT, port=3, generation=2, incarnation=1),
+        record("a", DEAD, port=3, generation=2, incarnation=1),
+        record("a", LEFT, port=3, generation=2, incarnation=1),
+    ]
+    assert sorted(reversed(lowest_first), key=member_precedence) == lowest_first
+
+
+def test_statuses_are_ordered_by_generation_and_revision():
+    lowest_first = [
+        MemberStatus("a", generation, revision, Phase.SERVING, 0, "", 0, 0, "")
+        for generation, revision in ((1, 9), (2, 0), (2, 1))
+    ]
+    assert sorted(reversed(lowest_first), key=status_precedence) == lowest_first
+
+
+def test_of_concurrent_calls_on_a_worker_the_one_for_maintenance_holds():
+    lowest_first = [
+        MaintenanceRecord("s-1", 1, True, "z", 7),
+        MaintenanceRecord("s-1", 2, False, "z", 7),
+        MaintenanceRecord("s-1", 2, True, "a", 7),
+        MaintenanceRecord("s-1", 2, True, "b", 7),
+    ]
+    assert sorted(reversed(lowest_first), key=maintenance_precedence) == lowest_first
+
+
+@pytest.mark.parametrize(
+    ("claim", "seconds_since_joining", "kind"),
+    [
+        (record("me", port=1, generation=5, incarnation=1), None, LocalClaim.OUTDATED),
+        (record("me", LEFT, port=9, generation=4), None, LocalClaim.OUTDATED),
+        (record("me", SUSPECT, port=1, generation=5, incarnation=1), 99.0, LocalClaim.FALSE),
+        (record("me", port=1, generation=6), None, LocalClaim.EARLIER_START),
+        (record("me", port=1, generation=6), 2.9, LocalClaim.EARLIER_START),
+        (record("me", port=1, generation=6), NAME_TAKEOVER_SECONDS, LocalClaim.LATER_START),
+        (record("me", port=2, generation=5), 99.0, LocalClaim.LATER_START),
+    ],
+)
+def test_a_claim_about_the_local_name_is_classified(claim, seconds_since_joining, kind):
+    local = record("me", port=1, generation=5, incarnation=1)
+    assert classify_local_claim(local, claim, seconds_since_joining) is kind
