--- a/stepstream/lab/lease_search.py
+++ b/stepstream/lab/lease_search.py
@@ -23,6 +23,7 @@
     copy_proposer,
 )
 from stepstream.leases.acceptor import Acceptor
+from stepstream.leases.ballots import BallotSequence
 from stepstream.leases.configuration import LeaseConfiguration
 from stepstream.leases.messages import (
     PROPOSER_MESSAGES,
@@ -32,7 +33,7 @@
     Promise,
     ProposerMessage,
 )
-from stepstream.leases.proposer import BallotSequence, Proposer
+from stepstream.leases.proposer import Proposer
 
 TTL_SECONDS = 2.0
 OPERATION_SECONDS = TTL_SECONDS / 4
--- a/stepstream/lab/lease_situation.py
+++ b/stepstream/lab/lease_situation.py
@@ -7,8 +7,10 @@
 
 from dataclasses import dataclass
 
-from stepstream.leases.acceptor import Acceptor, LeaseRecord
-from stepstream.leases.proposer import BallotSequence, ProposalRound, Proposer
+from stepstream.leases.acceptor import Acceptor
+from stepstream.leases.ballots import BallotSequence, ProposalRound
+from stepstream.leases.lease_record import LeaseRecord
+from stepstream.leases.proposer import Proposer
 from stepstream.leases.wait_queue import WaitQueue
 
 LEASE = "x"
--- a/stepstream/lab/lease_world.py
+++ b/stepstream/lab/lease_world.py
@@ -26,9 +26,10 @@
 from stepstream.lab.links import Links
 from stepstream.lab.timeline import Timeline
 from stepstream.leases.configuration import LeaseConfiguration
+from stepstream.leases.envelopes import OutgoingEnvelope
 from stepstream.leases.fencing import FencedError
 from stepstream.leases.messages import decode, encode
-from stepstream.leases.participant import OutgoingEnvelope, Participant
+from stepstream.leases.participant import Participant
 from stepstream.leases.proposer import Proposer
 
 STALL_FOREVER_SECONDS = 1e9
--- a/stepstream/leases/__init__.py
+++ b/stepstream/leases/__init__.py
@@ -3,14 +3,20 @@
 The algorithm is PaxosLease (Trencseni, Gazso, Reinhardt 2012); sessions, heartbeats and sequencers
 (here: fencing tokens) follow Chubby (Burrows 2006). docs/leases.md has the messages and the proof.
 
-    messages, configuration    what members exchange and what they must agree on
-    proposer, acceptor, wait_queue, participant
+    messages, wire, configuration
+                               what members exchange and what they must agree on
+    acceptor_rules, proposer_rules, lease_state
+                               the protocol's decisions, as pure functions
+    lease_record, ballots      the records that they read
+    acceptor, proposer, wait_queue, participant, envelopes, release_repeats
                                the state machines, without I/O
     fencing                    the check at a guarded resource
     driver, client             the thread that runs the state machines, and its interface for tasks
-    sessions, admin_api        leases held for programs outside, by calls to the admin listener
+    session_table, sessions, admin_api
+                               leases held for programs outside, by calls to the admin listener
     health_reports, health_check_leader
                                one dispatcher's health checks serve all
     subsystem                  plugs all of it into the node
-    commands, command_runner   `stepstream lease`
+    commands, command_runner, command_deadlines
+                               `stepstream lease`
 """
--- a/stepstream/leases/acceptor.py
+++ b/stepstream/leases/acceptor.py
@@ -1,29 +1,34 @@
-"""The acceptor: what one voter has promised and accepted, in memory only. Free of I/O.
+"""The acceptor: what one member has promised and accepted, in memory only. Free of I/O.
 
-PaxosLease's acceptor (Trencseni, Gazso, Reinhardt 2012), one record a lease ("Leases for many
-resources"). Of all ballots for a lease at most one at a time has a quorum's unexpired acceptance,
-because an acceptor
+PaxosLease's acceptor (Trencseni, Gazso, Reinhardt 2012), with one record for each lease ("Leases
+for many resources"). By the rules in `acceptor_rules` at most one ballot at a time has a quorum's
+unexpired acceptance. Two rules of time stand in `configuration`: an acceptor keeps a grant longer
+than the holder does, and answers nothing after its start until every earlier grant has expired.
 
-- promises a ballot only if its number is above every other's that it has promised, and never while
-  it keeps another proposer's grant;
-- accepts a proposal only under the very ballot that it promised last and that was not released;
-- keeps a grant longer than its holder does (`LeaseConfiguration.acceptor_ttl_seconds`);
-- answers nothing after its start until whatever it had accepted before has expired.
+    free     -> granted   a proposal is accepted
+    granted  -> granted   its holder's renewal is accepted
+    granted  -> free      the grant expires, or its proposer releases it
 
-A record's states: free (no grant), granted, and free again when the grant expires or is released.
-Who waits meanwhile is kept in order (`wait_queue`).
+The waiters of a lease are kept in order (`wait_queue`).
 
 The participant owns the acceptor; whoever calls holds the driver's lock. All times are seconds of
 the caller's monotonic clock.
 """
 
-from dataclasses import dataclass
 from math import inf
 
+from stepstream.leases.acceptor_rules import (
+    blocking_grant,
+    is_covered_by_release,
+    is_expired,
+    may_accept,
+    may_forget,
+    may_promise,
+)
 from stepstream.leases.configuration import LeaseConfiguration
+from stepstream.leases.lease_record import Grant, LeaseRecord
 from stepstream.leases.messages import (
     Accepted,
-    Ballot,
     Busy,
     LeaseAvailable,
     Message,
@@ -38,31 +43,7 @@
 )
 from stepstream.leases.wait_queue import WaitQueue
 
-AddressedMessage = tuple[str, Message]  # the member that it is for
-
-
-@dataclass(slots=True)
-class Grant:
-    """An accepted proposal, for this acceptor's part."""
-
-    ballot: Ballot
-    token: int
-    expires_at: float
-
-
-@dataclass(slots=True)
-class LeaseRecord:
-    """What an acceptor knows of one lease."""
-
-    waiters: WaitQueue
-    promised: Ballot | None = None
-    promise_released: bool = False  # nothing of the promised ballot is accepted any more
-    grant: Grant | None = None
-    free_since: float = -inf
-
-    def promised_number(self) -> int:
-        """Return the number of the ballot promised last; 0 if none."""
-        return self.promised.number if self.promised is not None else 0
+AddressedMessage = tuple[str, Message]  # the recipient's name and the message
 
 
 class Acceptor:
@@ -73,10 +54,10 @@
         self.recovering_until = now + configuration.recovery_seconds
         self.records: dict[str, LeaseRecord] = {}  # by lease
         self.highest_forgotten_number = 0  # of the ballots of records that were dropped
-        self.next_tick_at = inf  # when a grant expires or a waiter's turn comes
+        self.next_tick_at = inf  # when a grant expires or a waiter becomes eligible
 
     def remaining_recovery_seconds(self, now: float) -> float:
-        """Return the seconds for which it answers nothing yet."""
+        """Return the seconds until it answers; 0 if it does."""
         return max(self.recovering_until - now, 0.0)
 
     def handle(self, now: float, member: str, message: ProposerMessage) -> list[AddressedMessage]:
@@ -98,45 +79,56 @@
 
     def on_prepare(self, now: float, member: str, prepare: Prepare) -> Message:
         """Promise the ballot, or say why not."""
-        lease, ballot = prepare.lease, prepare.ballot
-        record = self.records.get(lease)
+        lease = prepare.lease
+        ballot = prepare.ballot
+        record = self.record_for(now, lease)
         if record is None:
-            if not self.has_capacity():
-                wait_ms = to_milliseconds(self.configuration.max_ttl_seconds)
-                return Busy(lease, ballot, "", 0, wait_ms)
-            record = LeaseRecord(WaitQueue(self.configuration), free_since=now)
-            self.records[lease] = record
-        if (busy := self.busy_reply(now, record, prepare)) is not None:
+            wait_ms = to_milliseconds(self.configuration.max_ttl_seconds)
+            return Busy(lease, ballot, "", 0, wait_ms)
+        busy = self.busy_reply(now, record, prepare)
+        if busy is not None:
             self.enlist(now, member, record, prepare)
             return busy
-        if ballot == record.promised and not record.promise_released:
-            return Promise(lease, ballot)  # its first answer may have been lost
         highest_number = max(record.promised_number(), self.highest_forgotten_number)
-        if ballot.number <= highest_number:
+        if not may_promise(record, ballot, highest_number):
             return StaleBallot(lease, ballot, highest_number)
         record.promised = ballot
         record.promise_released = False
         return Promise(lease, ballot)
 
+    def record_for(self, now: float, lease: str) -> LeaseRecord | None:
+        """Return a lease's record, made if there is none; None without capacity for one more."""
+        record = self.records.get(lease)
+        if record is None and self.has_capacity():
+            record = LeaseRecord(WaitQueue(self.configuration), free_since=now)
+            self.records[lease] = record
+        return record
+
     def busy_reply(self, now: float, record: LeaseRecord, prepare: Prepare) -> Busy | None:
-        """Return why the proposer has to wait: another's grant, or another waiter's turn."""
-        lease, ballot = prepare.lease, prepare.ballot
-        grant = record.grant
+        """Return why the proposer has to wait: another's grant, or the turn of another waiter."""
+        lease = prepare.lease
+        ballot = prepare.ballot
+        if record.grant is None:
+            wait_seconds = record.waiters.seconds_until_eligible(
+                now, record.free_since, ballot.proposer
+            )
+            if wait_seconds <= 0:
+                return None
+            return Busy(lease, ballot, "", 0, to_milliseconds(wait_seconds))
+        grant = blocking_grant(record.grant, ballot.proposer)
         if grant is None:
-            wait = record.waiters.seconds_until_eligible(now, record.free_since, ballot.proposer)
-            return Busy(lease, ballot, "", 0, to_milliseconds(wait)) if wait > 0 else None
-        if grant.ballot.proposer == ballot.proposer:
             return None
         remaining_ms = to_milliseconds(grant.expires_at - now)
         return Busy(lease, ballot, grant.ballot.proposer, grant.token, remaining_ms)
 
     def on_propose(self, now: float, proposal: Propose) -> Message:
         """Accept the proposal if its ballot is the one promised last."""
-        lease, ballot = proposal.lease, proposal.ballot
+        lease = proposal.lease
+        ballot = proposal.ballot
         record = self.records.get(lease)
         if record is None or record.promised is None:
             return StaleBallot(lease, ballot, self.highest_forgotten_number)
-        if record.promised != ballot or record.promise_released:
+        if not may_accept(record, ballot):
             return StaleBallot(lease, ballot, record.promised.number)
         expires_at = now + self.configuration.acceptor_ttl_seconds(proposal.ttl_ms / 1000)
         record.grant = Grant(ballot, proposal.token, expires_at)
@@ -151,9 +143,9 @@
         if record is None:
             return []
         record.waiters.remove(ballot.proposer)
-        if is_covered(record.promised, ballot):
+        if is_covered_by_release(record.promised, ballot):
             record.promise_released = True
-        if record.grant is None or not is_covered(record.grant.ballot, ballot):
+        if record.grant is None or not is_covered_by_release(record.grant.ballot, ballot):
             return []
         record.grant = None
         record.free_since = now
@@ -162,13 +154,13 @@
     # -- waiters ----------------------------------------------------------------------------------
 
     def enlist(self, now: float, member: str, record: LeaseRecord, prepare: Prepare) -> None:
-        """Put a proposer into the queue; while the lease is free its turn comes by a timer."""
+        """Put a proposer into the queue; while the lease is free a timer notifies it."""
         if record.waiters.enlist(now, member, prepare) and record.grant is None:
             eligible_at = now + self.configuration.head_start_seconds
             self.next_tick_at = min(self.next_tick_at, eligible_at)
 
     def call_waiters(self, now: float, lease: str, record: LeaseRecord) -> list[AddressedMessage]:
-        """Tell those waiters of a free lease whose turn has come."""
+        """Return the notifications of a free lease's waiters that have become eligible."""
         called, next_eligible_at = record.waiters.take_eligible(now, record.free_since)
         if next_eligible_at is not None:
             self.next_tick_at = min(self.next_tick_at, next_eligible_at)
@@ -177,13 +169,13 @@
     # -- timers -----------------------------------------------------------------------------------
 
     def tick(self, now: float) -> list[AddressedMessage]:
-        """End the grants that have expired and call the waiters whose turn has come."""
+        """End the grants that have expired and notify the waiters that have become eligible."""
         if now < self.next_tick_at:
             return []
         self.next_tick_at = inf
         calls: list[AddressedMessage] = []
         for lease, record in self.records.items():
-            if record.grant is not None and now >= record.grant.expires_at:
+            if record.grant is not None and is_expired(record.grant, now):
                 record.free_since = record.grant.expires_at
                 record.grant = None
             if record.grant is not None:
@@ -193,27 +185,18 @@
         return calls
 
     def has_capacity(self) -> bool:
-        """Tell whether one more lease fits, after dropping a record that nobody needs.
+        """Return whether one more lease fits, after a record that may go was dropped.
 
-        The dropped record's ballot number is remembered for all leases, so that no number is
-        promised twice.
+        The dropped record's ballot number is kept for all leases, so that no number is promised
+        twice.
         """
         if len(self.records) < self.configuration.max_leases:
             return True
         for lease, record in self.records.items():
-            if record.grant is None and not record.waiters:
+            if may_forget(record):
                 self.highest_forgotten_number = max(
                     self.highest_forgotten_number, record.promised_number()
                 )
                 del self.records[lease]
                 return True
         return False
-
-
-def is_covered(ballot: Ballot | None, released: Ballot) -> bool:
-    """Tell whether a release ends this ballot: one that arrives late must not end a later grant."""
-    return (
-        ballot is not None
-        and ballot.proposer == released.proposer
-        and ballot.number <= released.number
-    )
--- a/stepstream/leases/admin_api.py
+++ b/stepstream/leases/admin_api.py
@@ -11,7 +11,6 @@
 import re
 from collections.abc import Mapping, Sequence
 
-from stepstream.leases.acceptor import LeaseRecord
 from stepstream.leases.client import LeaseClient
 from stepstream.leases.configuration import (
     LeaseConfiguration,
@@ -20,9 +19,12 @@
 )
 from stepstream.leases.driver import LeaseDriver, boot_time_seconds
 from stepstream.leases.errors import LeaseError
+from stepstream.leases.lease_record import LeaseRecord
+from stepstream.leases.lease_state import LeaseState
 from stepstream.leases.messages import LEASE_NAME_PATTERN
-from stepstream.leases.proposer import LeaseState, Proposer
-from stepstream.leases.sessions import Session, SessionService
+from stepstream.leases.proposer import Proposer
+from stepstream.leases.session_table import Session
+from stepstream.leases.sessions import SessionService
 from stepstream.ports.admin import (
     READ_METHODS,
     WRITE_METHODS,
@@ -40,8 +42,10 @@
 LEASE_NAME = re.compile(LEASE_NAME_PATTERN)
 SESSION_NAME = re.compile(r"[A-Za-z0-9-]{8,64}")
 MAX_MILLISECONDS_DIGITS = 8
-MAX_QUOTED_CHARS = 80  # of a bad name
+MAX_QUOTED_CHARACTERS = 80
 FREE = "free"  # the `state` of a lease that nobody holds
+RECENT_ANSWER_REFRESHES = 2  # an answer is recent within as many refresh intervals of waiters
+FIRST_ROUNDS = 2
 
 Row = dict[str, object]  # one lease in `GET /leases`
 
@@ -139,8 +143,8 @@
     def on_release(self, request: AdminRequest) -> AdminResponse:
         """Answer `PUT /leases/NAME/release`.
 
-        With a session's name, its program gives the lease back at once. Without, an operator takes
-        it back: whoever holds it through this dispatcher is told to end.
+        With a session's name, its program gives the lease back at once. Without one, an operator
+        takes it back: its holders through this dispatcher are notified to end.
         """
         try:
             lease = lease_name(request)
@@ -198,7 +202,7 @@
 
 
 def proposer_row(proposer: Proposer) -> Row:
-    """Return a lease of which the acceptor here, if any, knows nothing."""
+    """Return a lease that no acceptor here has a record of."""
     return {
         "name": proposer.lease,
         "holder": proposer.last_known_holder,
@@ -220,15 +224,12 @@
 
 
 def missing_quorum(configuration: LeaseConfiguration, proposer: Proposer, now: float) -> str:
-    """Return why a lease cannot be had just now, "" if it can: too few acceptors have answered."""
-    recent_seconds = 2 * configuration.waiter_refresh_seconds()
+    """Return which acceptors a quorum misses; "" if the lease is held or may be granted."""
+    recent_seconds = RECENT_ANSWER_REFRESHES * configuration.waiter_refresh_seconds()
     answered = {name for name, at in proposer.answered_at.items() if now - at <= recent_seconds}
-    first_rounds = 2 * configuration.round_timeout_seconds
-    if (
-        proposer.is_held(now)
-        or configuration.is_quorum(answered)
-        or now - proposer.requested_at < first_rounds
-    ):
+    first_rounds_seconds = FIRST_ROUNDS * configuration.round_timeout_seconds
+    is_early = now - proposer.requested_at < first_rounds_seconds
+    if proposer.is_held(now) or configuration.is_quorum(answered) or is_early:
         return ""
     acceptors = configuration.all_acceptors
     missing = ", ".join(sorted(acceptors - answered))
@@ -242,7 +243,7 @@
     """Return the lease that the path names."""
     name = request.parts[0]
     if not LEASE_NAME.fullmatch(name):
-        quoted = repr(name[:MAX_QUOTED_CHARS])
+        quoted = repr(name[:MAX_QUOTED_CHARACTERS])
         raise BadRequestError(f"{quoted} is no lease's name: [a-z0-9._-], 1 to 64 of them")
     return name
 
--- /dev/null
+++ b/stepstream/leases/ballots.py
@@ -0,0 +1,36 @@
+"""The ballots of one process's proposers, as records without rules; owned by the participant."""
+
+from dataclasses import dataclass, field
+from enum import Enum
+
+
+class Phase(Enum):
+    """Where a proposer's current ballot stands."""
+
+    IDLE = 0
+    PREPARING = 1
+    PROPOSING = 2
+
+
+@dataclass
+class BallotSequence:
+    """The highest ballot number that one process knows of; all its proposers share it."""
+
+    highest: int
+
+    def next_number(self) -> int:
+        """Return a number above all that are known."""
+        self.highest += 1
+        return self.highest
+
+    def advance_past(self, number: int) -> None:
+        """Have later ballots above a number that was seen elsewhere."""
+        self.highest = max(self.highest, number)
+
+
+@dataclass(slots=True)
+class ProposalRound:
+    """One sending of a ballot's proposal, and the acceptors that accepted it."""
+
+    sent_at: float
+    accepted_by: set[str] = field(default_factory=set)
--- a/stepstream/leases/client.py
+++ b/stepstream/leases/client.py
@@ -7,8 +7,8 @@
     lease.release()
 
 While one holder's operation is under way for at most `operation_seconds`, in a process that does
-not stand still, no other holder's is. For a process that stalls inside an operation only the
-fencing guard of the resource can tell (`fencing`).
+not stand still, no other holder's is. A process may stall inside an operation; then only the
+fencing guard of the resource stops it (`fencing`).
 
 Any thread may call; all state is the driver's. Durations are seconds.
 """
@@ -19,9 +19,9 @@
 from stepstream.leases.configuration import LeaseConfiguration, check_lease_times
 from stepstream.leases.driver import LeaseDriver, boot_time_seconds
 from stepstream.leases.errors import LeaseError
-from stepstream.leases.proposer import LeaseState
+from stepstream.leases.lease_state import LeaseState
 
-MAX_WAIT_SLICE_SECONDS = 0.5  # between two looks at the clock while nothing is notified
+MAX_WAIT_SLICE_SECONDS = 0.5  # a lease may also expire without a notification
 
 
 class LeaseLostError(LeaseError):
@@ -73,12 +73,12 @@
         return self.may_begin_operation()
 
     def may_begin_operation(self) -> bool:
-        """Tell whether an operation begun now ends while nobody else can hold the lease."""
+        """Return whether an operation begun now ends while nobody else can hold the lease."""
         return self.proposer.may_begin_operation(boot_time_seconds())
 
     @contextmanager
     def operation(self) -> Iterator[int]:
-        """Run one bounded operation under the lease; gives the fencing token.
+        """Run one bounded operation under the lease; yield the fencing token.
 
         Raise `LeaseLostError` before an operation that may not begin, `OperationOverranError` after
         one that ended too late.
@@ -96,7 +96,7 @@
         self.release()
 
     def release(self) -> None:
-        """Give the lease back, for the next waiter to have it at once.
+        """Give the lease back, so that the next waiter gets it at once.
 
         No operation may be under way. May be called any number of times.
         """
@@ -104,12 +104,12 @@
 
 
 class LeaseClient:
-    """What a subsystem asks for leases; the leases' subsystem has it as `client`."""
+    """Gives leases to other subsystems; the leases' subsystem has it as `client`."""
 
     def __init__(self, driver: LeaseDriver, configuration: LeaseConfiguration) -> None:
         self.driver = driver
         self.configuration = configuration
-        self.closed = False  # this dispatcher is drained or stops
+        self.closed = False  # True while this dispatcher is drained or stops
 
     def acquire(self, name: str, ttl_seconds: float, operation_seconds: float) -> Lease:
         """Begin an attempt at a lease; waiters get it in the order in which they began.
--- a/stepstream/leases/command_runner.py
+++ b/stepstream/leases/command_runner.py
@@ -1,14 +1,12 @@
 """`stepstream lease run`: one command under one lease, ended before the lease can be another's.
 
-    acquiring -> running    the dispatcher answers that the lease is held for long enough
+    acquiring -> running    the dispatcher answers that the lease lasts until SIGTERM would be due
     acquiring -> ended      the call is bad, `--wait` is over, or a signal came
     running   -> ending     the lease ends soon, is lost or is taken back, or a signal came: SIGTERM
     ending    -> ended      the command has ended, or SIGKILL shortly before the lease's end
 
-Each call is a heartbeat of the program's session (`sessions`). What the dispatcher answers counts
-from before the call, on this program's own clock and less the bound on clock drift, so that a
-dispatcher that dies, stalls or cannot be reached leaves the command no time that is another
-holder's.
+Each call is a heartbeat of the program's session (`session_table`). The time that the dispatcher
+answers counts from before the call. `command_deadlines` has the times of calls and signals.
 
 One thread; a signal handler only sets `stop_signal`. All times are seconds of the machine's
 boot-time clock.
@@ -27,26 +25,30 @@
 from typing import Any
 
 from stepstream.config.errors import ConfigurationError
+from stepstream.leases.command_deadlines import (
+    HEARTBEATS_PER_TTL,
+    acquire_interval_seconds,
+    call_timeout_seconds,
+    has_time_to_run,
+    held_seconds,
+    is_kill_due,
+    is_term_due,
+    term_margin_seconds,
+)
 from stepstream.leases.driver import boot_time_seconds
-from stepstream.leases.proposer import LeaseState
+from stepstream.leases.lease_state import LeaseState
 from stepstream.subsystem_api.admin_client import call_admin
 
 EXIT_LOST = os.EX_UNAVAILABLE
 EXIT_NOT_ACQUIRED = os.EX_TEMPFAIL
 EXIT_BAD_CALL = os.EX_USAGE
-EXIT_NOT_EXECUTABLE = 126  # as a shell says it, as the two below
+# These three are a shell's exit codes.
+EXIT_NOT_EXECUTABLE = 126
 EXIT_NOT_FOUND = 127
-EXIT_SIGNAL_BASE = 128  # and the signal's number
-
-KILL_MARGIN_SECONDS = 0.3  # from SIGKILL to the lease's end: the process is surely gone by then
-TERM_MARGIN_SECONDS = 0.2  # from SIGTERM to SIGKILL, at least
-TERM_SHARE = 1 / 4  # of the time to live, from SIGTERM to the lease's end
-POLL_SECONDS = 0.05  # between two looks at the command
-MIN_TTL_SECONDS = 1.0  # with which a command can be ended in time
-HEARTBEATS_PER_TTL = 6  # while the command runs
-MAX_ACQUIRE_INTERVAL_SECONDS = 0.25
-ACQUIRE_CALLS_PER_TTL = 20
-MAX_CALL_SECONDS = 2.0
+EXIT_SIGNAL_BASE = 128  # the signal's number is added
+
+POLL_INTERVAL_SECONDS = 0.05
+MIN_TTL_SECONDS = 1.0  # in less a command could not be ended in time
 RELEASE_CALL_SECONDS = 1.0
 PR_SET_PDEATHSIG = 1  # prctl(2)
 
@@ -108,14 +110,13 @@
         self.ttl_seconds = ttl_seconds
         self.wait_seconds = wait_seconds
         self.command = command
-        self.term_seconds = max(
-            ttl_seconds * TERM_SHARE, KILL_MARGIN_SECONDS + TERM_MARGIN_SECONDS
-        )  # from SIGTERM to the lease's end
+        self.term_seconds = term_margin_seconds(ttl_seconds)
         self.session_name = uuid.uuid4().hex
-        self.token = 0  # that the command was given
+        self.token = 0  # the command's; 0 before it is started
         self.expires_at = 0.0  # nobody else can hold the lease before
         self.answer = SessionAnswer()
-        self.stop_signal = 0  # the number of the signal that came
+        self.printed_error = ""
+        self.stop_signal = 0  # the number of the signal that arrived
 
     def stop(self, signal_number: int) -> None:
         """End the command, or the wait for the lease; a signal handler may call this."""
@@ -124,31 +125,36 @@
     def run(self) -> int:
         """Wait for the lease and run the command; return the exit code."""
         begun_at = boot_time_seconds()
-        last_error = ""
         while True:
             self.heartbeat()
             if self.answer.status in BAD_CALL_STATUSES:
                 error = self.answer.error or self.answer.status
                 print(f"stepstream: {self.address}: {error}", file=sys.stderr)
                 return EXIT_BAD_CALL
-            if self.has_time_to_run() and self.answer.token:
+            if self.may_start_command():
                 return self.run_command()
             if self.answer.state in OVER_STATES:
                 # The lease was held and lost between two calls: make another attempt.
                 self.session_name = uuid.uuid4().hex
-            if self.answer.error and self.answer.error != last_error:
-                last_error = self.answer.error
-                print(f"stepstream: waiting for {self.name}: {last_error}", file=sys.stderr)
+            self.print_new_error()
             if self.stop_signal or self.is_wait_over(begun_at):
                 return self.give_up()
-            time.sleep(min(self.ttl_seconds / ACQUIRE_CALLS_PER_TTL, MAX_ACQUIRE_INTERVAL_SECONDS))
+            time.sleep(acquire_interval_seconds(self.ttl_seconds))
 
-    def has_time_to_run(self) -> bool:
-        """Tell whether the lease lasts until the command would have to be ended."""
-        return self.expires_at - boot_time_seconds() > self.term_seconds
+    def may_start_command(self) -> bool:
+        """Return whether the lease is held for long enough to start the command."""
+        has_time = has_time_to_run(boot_time_seconds(), self.expires_at, self.term_seconds)
+        return has_time and self.answer.token != 0
+
+    def print_new_error(self) -> None:
+        """Print why the lease is not granted, if that has changed since the last call."""
+        error = self.answer.error
+        if error and error != self.printed_error:
+            self.printed_error = error
+            print(f"stepstream: waiting for {self.name}: {error}", file=sys.stderr)
 
     def is_wait_over(self, begun_at: float) -> bool:
-        """Tell whether `--wait` has passed."""
+        """Return whether `--wait` has passed."""
         if self.wait_seconds is None:
             return False
         return boot_time_seconds() - begun_at >= self.wait_seconds
@@ -170,29 +176,26 @@
             f"/leases/{self.name}/want?session={self.session_name}"
             f"&ttl_ms={self.ttl_seconds * 1000:.0f}&act_ms={self.term_seconds * 1000:.0f}"
         )
-        call_timeout_seconds = self.call_timeout_seconds(called_at)
+        until_term_seconds = None
+        if self.token:
+            until_term_seconds = self.expires_at - self.term_seconds - called_at
+        timeout_seconds = call_timeout_seconds(self.ttl_seconds, until_term_seconds)
         try:
-            status, fields = call_admin(
-                self.address, path, "PUT", timeout_seconds=call_timeout_seconds
-            )
+            status, fields = call_admin(self.address, path, "PUT", timeout_seconds=timeout_seconds)
         except ConnectionError as error:
             self.answer = SessionAnswer(error=str(error))
             return
-        self.answer = answer = SessionAnswer.from_json(status, fields)
-        if status == HTTPStatus.OK and answer.remaining_seconds and self.token in (0, answer.token):
-            drift = answer.max_clock_drift
-            surely_seconds = answer.remaining_seconds * (1 - drift) / (1 + drift)
-            self.expires_at = max(self.expires_at, called_at + surely_seconds)
-
-    def call_timeout_seconds(self, now: float) -> float:
-        """Return the bound on a call.
-
-        While the command runs, nothing may keep this program past the time to end it.
-        """
-        available_seconds = self.ttl_seconds
-        if self.token:
-            available_seconds = max(self.expires_at - self.term_seconds - now, POLL_SECONDS)
-        return min(self.ttl_seconds / 4, MAX_CALL_SECONDS, available_seconds)
+        self.answer = SessionAnswer.from_json(status, fields)
+        self.extend(called_at)
+
+    def extend(self, called_at: float) -> None:
+        """Take the time from the answer to a call, unless it is of a later grant."""
+        answer = self.answer
+        is_held = answer.status == HTTPStatus.OK and answer.remaining_seconds > 0
+        is_same_grant = self.token in (0, answer.token)
+        if is_held and is_same_grant:
+            seconds = held_seconds(answer.remaining_seconds, answer.max_clock_drift)
+            self.expires_at = max(self.expires_at, called_at + seconds)
 
     def release(self) -> None:
         """Give the lease back; if the dispatcher cannot be reached, it expires."""
@@ -242,7 +245,7 @@
         lost_reason = ""
         while process.poll() is None:
             now = boot_time_seconds()
-            if now >= self.expires_at - KILL_MARGIN_SECONDS:
+            if is_kill_due(now, self.expires_at):
                 lost_reason = lost_reason or self.not_renewed_reason()
                 signal_group(process, signal.SIGKILL)
                 process.wait()
@@ -251,16 +254,20 @@
                 self.heartbeat()
                 next_heartbeat_at = now + self.ttl_seconds / HEARTBEATS_PER_TTL
                 lost_reason = self.answered_loss()
-            if not lost_reason and boot_time_seconds() >= self.expires_at - self.term_seconds:
+            if not lost_reason and self.is_term_due():
                 lost_reason = self.not_renewed_reason()
             if (lost_reason or self.stop_signal) and not is_terminated:
                 is_terminated = True
                 signal_group(process, signal.SIGTERM)
             with contextlib.suppress(subprocess.TimeoutExpired):
-                process.wait(POLL_SECONDS)
+                process.wait(POLL_INTERVAL_SECONDS)
         signal_group(process, signal.SIGKILL)  # whatever it has left behind in its group
         return lost_reason
 
+    def is_term_due(self) -> bool:
+        """Return whether the command gets SIGTERM, since the lease was not renewed in time."""
+        return is_term_due(boot_time_seconds(), self.expires_at, self.term_seconds)
+
     def answered_loss(self) -> str:
         """Return why the lease is lost by the dispatcher's last answer, or ""."""
         if self.answer.ending:
@@ -273,13 +280,13 @@
 
 
 def signal_group(process: "subprocess.Popen[bytes]", signal_number: int) -> None:
-    """Signal the command's process group; one that is gone is none the worse."""
+    """Send a signal to the command's process group, unless that is gone."""
     with contextlib.suppress(ProcessLookupError, PermissionError):
         os.killpg(process.pid, signal_number)
 
 
 def die_with_parent() -> None:
-    """Have the command killed if this program dies, which then cannot end it in time.
+    """Request SIGKILL for the command if this program dies and so cannot end it in time.
 
     Called in the command's process before it is executed.
     """
--- a/stepstream/leases/commands.py
+++ b/stepstream/leases/commands.py
@@ -47,8 +47,9 @@
 EXIT_NO_SUCH_LEASE = 1
 EXIT_BAD_CALL = 2
 
-UNKNOWN_PATH = "no such call"  # how the admin listener's 404 begins where it has no leases at all
-PIPE_WIDTH = 160  # columns where standard output is no terminal
+# The beginning of the admin listener's error at a dispatcher without `[leases]`.
+UNKNOWN_PATH = "no such call"
+COLUMNS_WITHOUT_TERMINAL = 160
 MAX_LISTED_WAITERS = 4
 MAX_SECONDS = 86_400
 
@@ -65,7 +66,7 @@
         return os.EX_USAGE if argv[1:2] == ["run"] else EXIT_BAD_CALL
     if arguments["run"]:
         return run_command(arguments)
-    console = console or Console(width=None if sys.stdout.isatty() else PIPE_WIDTH)
+    console = console or Console(width=None if sys.stdout.isatty() else COLUMNS_WITHOUT_TERMINAL)
     at = arguments["--at"]
     try:
         answer = request_json(at, *path_and_method(arguments))
@@ -91,7 +92,7 @@
 
 
 def print_answer(arguments: Arguments, answer: Any, console: Console) -> None:  # noqa: ANN401  parsed JSON
-    """Print the dispatcher's answer as the options say."""
+    """Print the dispatcher's answer in the form that the options select."""
     name = arguments["NAME"]
     if arguments["release"]:
         ending = answer["ending"]
--- a/stepstream/leases/configuration.py
+++ b/stepstream/leases/configuration.py
@@ -10,8 +10,9 @@
 
 from stepstream.leases.errors import LeaseError
 
-ROUNDS_PER_TTL = 4  # that fit the shortest time to live, so that one lost renewal loses no lease
+MIN_ROUNDS_PER_TTL = 4  # with fewer, one lost renewal could lose the lease
 ROUNDS_PER_REFRESH = 10
+MAX_OPERATION_FRACTION = 0.5  # of the time to live
 DIGEST_BYTES = 6
 
 
@@ -24,10 +25,10 @@
     """The acceptors and the time bounds of one deployment.
 
     `previous_acceptors` is set while the acceptors are changed: quorums of both sets are needed.
-    `max_clock_drift` is the share by which a clock may run fast or slow. `max_ttl_seconds` is the
-    paper's M, the longest time to live. `round_timeout_seconds` is one round trip to the acceptors.
-    For `head_start_seconds` the one that has waited longest goes first when a lease becomes free.
-    `max_leases` is kept by one acceptor, `max_waiters` for one lease.
+    `max_clock_drift` is the fraction by which a clock may run fast or slow. `max_ttl_seconds` is
+    the paper's M, the longest time to live. `round_timeout_seconds` is one round trip to the
+    acceptors. `head_start_seconds` is the time that each waiter has before the next one when a
+    lease becomes free. One acceptor keeps at most `max_leases`, one lease `max_waiters`.
     """
 
     acceptors: tuple[str, ...]
@@ -60,32 +61,32 @@
         return frozenset().union(*self.acceptor_sets)
 
     def is_quorum(self, names: Collection[str]) -> bool:
-        """Tell whether these are more than half of each set: any two quorums of a set intersect."""
+        """Return whether these are more than half of each set: any two such quorums intersect."""
         return all(2 * len(one & frozenset(names)) > len(one) for one in self.acceptor_sets)
 
     def acceptor_ttl_seconds(self, ttl_seconds: float) -> float:
-        """Return for how long an acceptor keeps a grant, on its own clock.
+        """Return the time for which an acceptor keeps a grant, on its own clock.
 
-        Never shorter than the holder's own time, though one clock runs fast and the other slow by
-        all of the drift bound.
+        It is never shorter than the holder's own time, even if the acceptor's clock is as fast and
+        the holder's as slow as the drift bound allows. Two holders could overlap otherwise.
         """
         return ttl_seconds * (1 + self.max_clock_drift) / (1 - self.max_clock_drift)
 
     @property
     def recovery_seconds(self) -> float:
-        """For how long an acceptor answers nothing after its start, as in PaxosLease.
+        """The time after its start for which an acceptor answers nothing, as in PaxosLease.
 
-        Whatever it had accepted before has expired by then, so that it needs no disk.
+        All that it had accepted before has expired by then, so that it needs no disk.
         """
         return self.acceptor_ttl_seconds(self.max_ttl_seconds)
 
     @property
     def min_ttl_seconds(self) -> float:
         """The shortest time to live."""
-        return ROUNDS_PER_TTL * self.round_timeout_seconds
+        return MIN_ROUNDS_PER_TTL * self.round_timeout_seconds
 
     def waiter_refresh_seconds(self) -> float:
-        """Return how often a waiting proposer asks again, at least."""
+        """Return the longest time between two prepares of a waiting proposer."""
         return ROUNDS_PER_REFRESH * self.round_timeout_seconds
 
 
@@ -98,7 +99,7 @@
 def check_lease_times(
     configuration: LeaseConfiguration, ttl_seconds: float, operation_seconds: float
 ) -> None:
-    """Raise `LeaseTimesError` if a lease cannot be had for these times.
+    """Raise `LeaseTimesError` if no lease can be granted for these times.
 
     The texts name the parameters of the HTTP call and the keys of the operator's file.
     """
@@ -112,7 +113,7 @@
         raise LeaseTimesError(
             f"{ttl_text} is over leases.longest_s={configuration.max_ttl_seconds:g}"
         )
-    if not 0 < operation_seconds <= ttl_seconds / 2:
+    if not 0 < operation_seconds <= ttl_seconds * MAX_OPERATION_FRACTION:
         raise LeaseTimesError(
             f"act_ms={operation_seconds * 1000:.0f} is not between 1 and half of {ttl_text}"
         )
--- a/stepstream/leases/driver.py
+++ b/stepstream/leases/driver.py
@@ -1,4 +1,4 @@
-"""The driver of the leases: timers, and envelopes by way of the membership layer.
+"""The driver of the leases: timers, and envelopes through the membership layer.
 
 Owns the `leases` thread and the lock of the participant and of the sessions. The subsystem starts
 the thread and stops it; every other call may come from any thread.
@@ -13,21 +13,22 @@
 
 import structlog
 
+from stepstream.leases.envelopes import OutgoingEnvelope
 from stepstream.leases.messages import EnvelopeError, decode, encode
-from stepstream.leases.participant import OutgoingEnvelope, Participant, StateChange
+from stepstream.leases.participant import Participant, StateChange
 from stepstream.leases.proposer import Proposer
 from stepstream.ports.messaging import MessageTransport
 from stepstream.runtime.log import RateLimitedLogger
 from stepstream.runtime.structured_log import log_changes
 from stepstream.runtime.threads import run_until_closed
 
-MESSAGE_KIND = "lease"  # of the envelopes, among the membership layer's application messages
+MESSAGE_KIND = "lease"  # the kind of the membership layer's application messages
 MAX_WAIT_SECONDS = 0.5
-PERIODIC_SECONDS = 0.5
+PERIODIC_TASK_INTERVAL_SECONDS = 0.5
 
 
 def boot_time_seconds() -> float:
-    """Return the clock of all leases; only differences mean anything."""
+    """Return the time of the clock of all leases; only differences have a meaning."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
@@ -117,7 +118,7 @@
         with self.state_changed:
             self.wait_for_work()
             if self.transport.superseded():
-                self.participant.acceptor = None  # a later process votes under this name
+                self.participant.acceptor = None  # a later process has this acceptor's name
             outgoing = self.participant.tick(boot_time_seconds())
             changes = list(self.participant.state_changes)
             self.participant.state_changes.clear()
@@ -129,12 +130,12 @@
         log_changes(self.logger, "lease", "leases", fields)
         self.log_mismatches(mismatches)
         now = time.monotonic()
-        if now - self.last_periodic_at >= PERIODIC_SECONDS:
+        if now - self.last_periodic_at >= PERIODIC_TASK_INTERVAL_SECONDS:
             self.last_periodic_at = now
             self.run_periodic(boot_time_seconds())
 
     def wait_for_work(self) -> None:
-        """Wait until the next timer is due, a change is notified, or for half a second."""
+        """Wait until the next timer is due or a change is notified; at most MAX_WAIT_SECONDS."""
         until_tick = self.participant.next_tick_at() - boot_time_seconds()
         wait_seconds = min(max(until_tick, 0.0), MAX_WAIT_SECONDS)
         if wait_seconds > 0:
--- a/stepstream/leases/errors.py
+++ b/stepstream/leases/errors.py
@@ -1,4 +1,4 @@
-"""The base of this package's errors."""
+"""The base class of this package's errors; each is defined where it is raised."""
 
 
 class LeaseError(Exception):
--- a/stepstream/leases/fencing.py
+++ b/stepstream/leases/fencing.py
@@ -1,7 +1,7 @@
 """The check that a guarded resource makes of every operation: its fencing token. Free of I/O.
 
 A lease alone cannot stop a holder that stalls between its check and its write. The resource can: it
-keeps the highest token seen, also of operations under way, and takes each one whole or not at all.
+keeps the highest token seen and admits an operation as a whole or not at all.
 Chubby calls the token a sequencer (Burrows 2006, section 2.4); "fencing token" is Kleppmann's term
 ("How to do distributed locking", 2016).
 
@@ -17,7 +17,7 @@
 class FencedError(LeaseError):
     """An operation was rejected by its token.
 
-    `highest_token` is for the proposer, whose next grant must exceed it.
+    The token of the proposer's next grant must exceed `highest_token`.
     """
 
     def __init__(self, token: int, highest_token: int) -> None:
@@ -30,7 +30,7 @@
 class FencingGuard:
     """The guard of one resource.
 
-    `highest_token` has to last as long as the resource: keep it where the resource's data is.
+    `highest_token` must last as long as the resource: keep it with the resource's data.
     """
 
     highest_token: int = 0
@@ -39,7 +39,8 @@
     def admit(self, token: int) -> None:
         """Check a token before the effect, in the same transaction.
 
-        Raise `FencedError` and change nothing if the token is behind the highest one.
+        Raise `FencedError` and change nothing if the token is behind the highest one: a later
+        holder has used the resource.
         """
         if token < self.highest_token:
             self.rejected += 1
--- a/stepstream/leases/health_check_leader.py
+++ b/stepstream/leases/health_check_leader.py
@@ -5,14 +5,15 @@
     either -> stopped    this dispatcher stops
 
 Owns the `sweep` thread's state; the subsystem starts the thread and stops it by `stopped`. Results
-of health checks come from other threads, which the lock below serves; pages come on the thread of
-the membership layer. All times are seconds of time.monotonic().
+of health checks come from other threads, under the lock below; pages come on the thread of the
+membership layer. All times are seconds of time.monotonic().
 """
 
 import threading
 import time
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from stepstream.leases.client import Lease, LeaseClient, LeaseLostError
 from stepstream.leases.health_reports import (
@@ -30,8 +31,8 @@
 from stepstream.runtime.log import RateLimitedLogger
 from stepstream.runtime.threads import run_until_closed
 
-MESSAGE_KIND = "sweep"  # of the pages, among the membership layer's application messages
-PUBLISH_SECONDS = 0.05  # between two publications of what the checks have brought
+MESSAGE_KIND = "sweep"  # the kind of the membership layer's application messages
+PUBLISH_INTERVAL_SECONDS = 0.05
 PAUSE_SECONDS = 0.5  # after a fault, or while there is no worker
 
 
@@ -45,6 +46,13 @@
     post: Callable[[HealthChecked], None]  # to the core
 
 
+class AnsweredCheck(NamedTuple):
+    """A check's result and when it came, in seconds of time.monotonic()."""
+
+    answered_at: float
+    checked: HealthChecked
+
+
 class HealthCheckLeader:
     """Campaigns for the lease, leads while it holds it, and learns from the leader otherwise."""
 
@@ -61,7 +69,7 @@
         self.port = port
         self.learner = HealthReportLearner()
         self.lock = threading.Lock()  # guards unsent_reports
-        self.unsent_reports: list[tuple[float, HealthChecked]] = []  # and when each was answered
+        self.unsent_reports: list[AnsweredCheck] = []
         self.probe_count = 0
         self.stopped = False
         transport.subscribe(MESSAGE_KIND, self.on_page)
@@ -86,7 +94,7 @@
             self.port.post(checked)
 
     def is_delegated(self, worker_id: str) -> bool:
-        """Tell whether this dispatcher leaves out its own check of a worker."""
+        """Return whether this dispatcher leaves out its own check of a worker."""
         return self.learner.is_delegated(worker_id, time.monotonic())
 
     # -- the leader: the `sweep` thread -----------------------------------------------------------
@@ -97,7 +105,7 @@
         run_until_closed("the probe sweep", self.campaign, lambda: self.stopped, PAUSE_SECONDS)
 
     def campaign(self) -> None:
-        """Lead if the lease can be had; pause while this dispatcher is drained or stops."""
+        """Lead once the lease is granted; pause while this dispatcher is drained or stops."""
         try:
             self.lead()
         except LeaseLostError:
@@ -115,7 +123,7 @@
             lease.release()
 
     def probe_all(self, lease: Lease) -> None:
-        """Check all workers once, evenly over the period, each right after a look at the lease."""
+        """Check all workers once, evenly over the period, each only while the lease covers it."""
         workers = list(self.port.list_workers())
         period_seconds = probe_period_seconds(len(self.transport.present()) + 1)
         begun_at = time.monotonic()
@@ -134,14 +142,14 @@
         self.publish(lease)
 
     def publish_until(self, due_at: float, published_at: float, lease: Lease) -> float:
-        """Wait, publishing regularly meanwhile; return when it was published last."""
+        """Wait and publish at intervals; return when reports were published last."""
         while True:
             now = time.monotonic()
-            if now - published_at >= PUBLISH_SECONDS:
+            if now - published_at >= PUBLISH_INTERVAL_SECONDS:
                 published_at = now
                 self.publish(lease)
             elif now < due_at:
-                time.sleep(min(due_at - now, PUBLISH_SECONDS))
+                time.sleep(min(due_at - now, PUBLISH_INTERVAL_SECONDS))
             else:
                 return published_at
 
@@ -152,7 +160,7 @@
             answered_at = time.monotonic()
             self.learner.record(checked.worker_id, answered_at)
             with self.lock:
-                self.unsent_reports.append((answered_at, checked))
+                self.unsent_reports.append(AnsweredCheck(answered_at, checked))
 
     def publish(self, lease: Lease) -> None:
         """Send the reports that have come since the last call to all members."""
@@ -160,18 +168,19 @@
             unsent = self.unsent_reports
             self.unsent_reports = []
         now = time.monotonic()
-        reports = [health_report(now, answered_at, checked) for answered_at, checked in unsent]
+        reports = [health_report(now, answered) for answered in unsent]
         for page in encode_pages(lease.token, reports):
             for member in self.transport.present():
                 self.transport.send(member, MESSAGE_KIND, page)
 
 
-def health_report(now: float, answered_at: float, checked: HealthChecked) -> HealthReport:
+def health_report(now: float, answered: AnsweredCheck) -> HealthReport:
     """Return a check's result for a page."""
+    checked = answered.checked
     assert checked.load_report is not None
     return HealthReport(
         checked.worker_id,
-        int((now - answered_at) * 1000),
+        int((now - answered.answered_at) * 1000),
         max(checked.elapsed_us, 0),
         checked.load_report,
     )
--- a/stepstream/leases/health_reports.py
+++ b/stepstream/leases/health_reports.py
@@ -1,8 +1,8 @@
 """Health reports that one dispatcher shares with all: pages, and what a member learns of them.
 
 The holder of the lease `probe-sweep` checks each worker's health for all dispatchers and publishes
-the load reports it got. A dispatcher that has learned of a worker lately sends it no check of its
-own. If nothing comes, or only what is outdated or of an overtaken leader, each checks for itself.
+the load reports it got. A dispatcher that received a worker's report a short time ago sends it no
+check of its own. Without reports that count, each dispatcher checks for itself.
 
 Wire format: one MessagePack array a page, by position, in a datagram of the membership layer. Free
 of I/O. A learner is owned by its dispatcher's health-check leader; all times are seconds of its
@@ -18,29 +18,44 @@
 from stepstream.config.operator_file import PROBE_SWEEP_LEASE_SECONDS
 from stepstream.leases.errors import LeaseError
 from stepstream.leases.fencing import FencedError, FencingGuard
+from stepstream.leases.wire import decode_with, pack
 
 LEASE_NAME = "probe-sweep"
 TTL_SECONDS = PROBE_SWEEP_LEASE_SECONDS
 OPERATION_SECONDS = 1.0  # a health check takes a second at most (config/limits.py)
-PERIOD_SECONDS = 1.0  # a dispatcher alone checks a worker once in about so long
-DELEGATION_SECONDS = 1.6  # after a report, for which a worker is not checked by others
-MAX_REPORT_AGE_SECONDS = 0.4  # when its page is sent
+SINGLE_DISPATCHER_PERIOD_SECONDS = 1.0
+DELEGATION_SECONDS = 1.6  # over one period, so that one lost page starts no checks
+MAX_REPORT_AGE_SECONDS = 0.4
 MAX_TRACKED_WORKERS = 16_384
 PROTOCOL_VERSION = 1
 MAX_PAGE_BYTES = 1_000
-PAGE_FRAME_BYTES = 24  # of a page around its reports, at most
+PAGE_FRAME_BYTES = 24
+PAGE_PAYLOAD_BYTES = MAX_PAGE_BYTES - PAGE_FRAME_BYTES
 MAX_REPORTS_PER_PAGE = 64
-MAX_REASON_CHARS = 160  # of a decoder's error that is logged
 
 
 def probe_period_seconds(dispatchers: int) -> float:
     """Return the time between the leader's two checks of one worker.
 
-    Shorter than for one dispatcher alone by the root of their count: all learn a report in the same
-    instant, and until the next one nobody sees what the others send; alone, each looks at a time of
+    It shrinks with the root of the number of dispatchers. All learn a report in one instant, and
+    until the next one none sees the load that the others send; each alone would check at a time of
     its own.
     """
-    return PERIOD_SECONDS / sqrt(max(dispatchers, 1))
+    return SINGLE_DISPATCHER_PERIOD_SECONDS / sqrt(max(dispatchers, 1))
+
+
+def is_check_delegated(now: float, reported_at: float | None) -> bool:
+    """Return whether the leader's reports stand in for this dispatcher's check of a worker.
+
+    `reported_at` is when the worker's last report was received, None if never. A leader that is
+    killed or cut off must not leave workers unchecked.
+    """
+    return reported_at is not None and now - reported_at < DELEGATION_SECONDS
+
+
+def is_outdated(age_ms: int) -> bool:
+    """Return whether a report was too old when its page was sent: a late one shows a past load."""
+    return age_ms > MAX_REPORT_AGE_SECONDS * 1000
 
 
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
@@ -73,21 +88,13 @@
 
 def encode_pages(token: int, reports: Sequence[HealthReport]) -> list[bytes]:
     """Return the reports in as few pages as hold them, in their order."""
-    pages: list[bytes] = []
-    part: list[HealthReport] = []
-    capacity_bytes = MAX_PAGE_BYTES - PAGE_FRAME_BYTES
-    free_bytes = capacity_bytes
-    for report in reports:
-        size_bytes = len(ENCODER.encode(report))
-        if part and (size_bytes > free_bytes or len(part) == MAX_REPORTS_PER_PAGE):
-            pages.append(encode_page(token, part))
-            part = []
-            free_bytes = capacity_bytes
-        part.append(report)
-        free_bytes -= size_bytes
-    if part:
-        pages.append(encode_page(token, part))
-    return pages
+    parts = pack(reports, encoded_size_bytes, PAGE_PAYLOAD_BYTES, MAX_REPORTS_PER_PAGE)
+    return [encode_page(token, part) for part in parts]
+
+
+def encoded_size_bytes(report: HealthReport) -> int:
+    """Return the bytes that a report takes in a page."""
+    return len(ENCODER.encode(report))
 
 
 def encode_page(token: int, reports: Sequence[HealthReport]) -> bytes:
@@ -97,32 +104,28 @@
 
 def decode_page(data: bytes) -> ReportPage:
     """Return a page; raise `ReportPageError` if it is unreadable or of another version."""
-    try:
-        page = DECODER.decode(data)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise ReportPageError(f"unreadable: {error}"[:MAX_REASON_CHARS]) from error
+    page = decode_with(DECODER, data, ReportPageError)
     if page.version != PROTOCOL_VERSION:
         raise ReportPageError(f"version {page.version}, not {PROTOCOL_VERSION}")
     return page
 
 
 class HealthReportLearner:
-    """What one dispatcher has learned of the leader's health checks.
+    """What one dispatcher has learned of the leader's health checks; the counts are of reports.
 
     A leader that stalled and was overtaken is fenced off by its token.
     """
 
     def __init__(self) -> None:
         self.guard = FencingGuard()
-        self.learned_count = 0  # of reports, as the two below
+        self.learned_count = 0
         self.outdated_count = 0
         self.fenced_count = 0
         self.reported_at: dict[str, float] = {}  # by worker
 
     def is_delegated(self, worker_id: str, now: float) -> bool:
-        """Tell whether a worker was reported so lately that it needs no check from here."""
-        reported_at = self.reported_at.get(worker_id, -DELEGATION_SECONDS)
-        return now - reported_at < DELEGATION_SECONDS
+        """Return whether the leader's reports stand in for a check from here."""
+        return is_check_delegated(now, self.reported_at.get(worker_id))
 
     def record(self, worker_id: str, now: float) -> None:
         """Note that a worker was reported."""
@@ -144,7 +147,7 @@
             return []
         learned = []
         for report in page.reports:
-            if report.age_ms > MAX_REPORT_AGE_SECONDS * 1000:
+            if is_outdated(report.age_ms):
                 self.outdated_count += 1
                 continue
             known_part = with_columns(report, columns)
--- a/stepstream/leases/messages.py
+++ b/stepstream/leases/messages.py
@@ -3,8 +3,8 @@
 PaxosLease (Trencseni, Gazso, Reinhardt 2012): a proposer sends `Prepare` with a new ballot to all
 acceptors; a quorum of `Promise` lets it send `Propose`; a quorum of `Accepted` makes it the lease
 holder. The paper's empty or non-empty prepare response is `Promise` or `Busy` here; the other
-messages tell a proposer why there is no promise, release a lease early (the paper's "Releasing
-leases") or call the next waiter. docs/leases.md has the table of messages and the proof.
+messages give a proposer the reason for no promise, release a lease early (the paper's "Releasing
+leases") or notify the next waiter. docs/leases.md has the table of messages and the proof.
 
 Wire format: one MessagePack array an envelope, inside a datagram of the membership layer. Structs
 are encoded by position, a message's type as an integer tag, so that names here are not on the wire.
@@ -17,12 +17,13 @@
 import msgspec
 
 from stepstream.leases.errors import LeaseError
+from stepstream.leases.wire import decode_with
 
 PROTOCOL_VERSION = 1
 MAX_ENVELOPE_BYTES = 1_000  # fits one datagram of the membership layer beside its frame
-READ_TOLERANCE_BYTES = 64  # by which an envelope that arrives may be longer
+READ_TOLERANCE_BYTES = 64
+MAX_RECEIVED_BYTES = MAX_ENVELOPE_BYTES + READ_TOLERANCE_BYTES
 MAX_MESSAGES_PER_ENVELOPE = 64
-MAX_REASON_CHARS = 160  # of a decoder's error that is logged
 MAX_DURATION_MS = 86_400_000  # a day
 
 LEASE_NAME_PATTERN = r"^[a-z0-9._-]{1,64}$"
@@ -50,7 +51,7 @@
 
 
 class Prepare(LeaseMessage, frozen=True, tag=1):
-    """Ask for a promise of this ballot; `waited_ms`: since the proposer began to want the lease."""
+    """Request a promise of this ballot; `waited_ms`: since the proposer began to want the lease."""
 
     ttl_ms: Milliseconds
     waited_ms: Milliseconds
@@ -75,13 +76,13 @@
 
 
 class Recovering(LeaseMessage, frozen=True, tag=5):
-    """Answer nothing yet: the acceptor restarted too lately to know what it had accepted."""
+    """Answer nothing yet: what the acceptor accepted before its restart may not have expired."""
 
     remaining_ms: Milliseconds
 
 
 class Propose(LeaseMessage, frozen=True, tag=6):
-    """Ask for the lease for `ttl_ms`; `round` tells a ballot's renewals apart."""
+    """Request the lease for `ttl_ms`; `round` distinguishes a ballot's renewals."""
 
     round: SafeInteger
     token: SafeInteger
@@ -99,7 +100,7 @@
 
 
 class LeaseAvailable(LeaseMessage, frozen=True, tag=9):
-    """Tell a waiter that its turn has come; the ballot is the one that had to wait."""
+    """Notify a waiter that it is eligible; the ballot is the one that had to wait."""
 
 
 class ConfigurationMismatch(LeaseMessage, frozen=True, tag=10):
@@ -155,12 +156,9 @@
 
 def decode(data: bytes) -> Envelope:
     """Return the envelope; raise `EnvelopeError` if too long, unreadable or of another version."""
-    if len(data) > MAX_ENVELOPE_BYTES + READ_TOLERANCE_BYTES:
-        raise EnvelopeError(f"{len(data)} bytes, over {MAX_ENVELOPE_BYTES + READ_TOLERANCE_BYTES}")
-    try:
-        envelope = DECODER.decode(data)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise EnvelopeError(f"unreadable: {error}"[:MAX_REASON_CHARS]) from error
+    if len(data) > MAX_RECEIVED_BYTES:
+        raise EnvelopeError(f"{len(data)} bytes, over {MAX_RECEIVED_BYTES}")
+    envelope = decode_with(DECODER, data, EnvelopeError)
     if envelope.version != PROTOCOL_VERSION:
         raise EnvelopeError(f"version {envelope.version}, not {PROTOCOL_VERSION}")
     return envelope
--- a/stepstream/leases/participant.py
+++ b/stepstream/leases/participant.py
@@ -1,27 +1,26 @@
 """One member's part in all leases: its acceptor, if it is one, and its proposers. Free of I/O.
 
 Routes messages: from other members' envelopes to the acceptor and the proposers, and theirs into
-envelopes. What a member says to itself takes no envelope. Who is an acceptor stands in the
-configuration; the membership list has no say in it.
+envelopes. The configuration alone says who is an acceptor, not the membership list.
 
 Owns the acceptor, the proposers and their schedule. The driver's lock guards it; whoever calls
 holds that lock. All times are seconds of the caller's monotonic clock.
 """
 
 import random
-from collections import defaultdict, deque
-from collections.abc import Iterable, Iterator, Sequence
+from collections import deque
+from collections.abc import Sequence
 from dataclasses import dataclass
 from heapq import heappop, heappush
 from math import inf
 
 from stepstream.leases.acceptor import Acceptor, AddressedMessage
+from stepstream.leases.ballots import BallotSequence
 from stepstream.leases.configuration import LeaseConfiguration
+from stepstream.leases.envelopes import Outbox, OutgoingEnvelope
+from stepstream.leases.lease_state import LeaseState
 from stepstream.leases.messages import (
-    MAX_ENVELOPE_BYTES,
-    MAX_MESSAGES_PER_ENVELOPE,
     PROPOSER_MESSAGES,
-    PROTOCOL_VERSION,
     ConfigurationMismatch,
     Envelope,
     Message,
@@ -29,22 +28,11 @@
     Propose,
     ProposerMessage,
     Release,
-    encoded_size_bytes,
 )
-from stepstream.leases.proposer import BallotSequence, LeaseState, Proposer
+from stepstream.leases.proposer import Proposer
+from stepstream.leases.release_repeats import ReleaseRepeats
 
 MAX_UNREAD_STATE_CHANGES = 512
-RELEASE_REPEATS = 2  # a release that is lost costs the next holder a time to live
-MAX_PENDING_REPEATS = 4_096
-ENVELOPE_FRAME_BYTES = 40  # of an envelope around its messages, at most
-
-
-@dataclass(frozen=True, slots=True)
-class OutgoingEnvelope:
-    """An envelope and the member that it is for."""
-
-    member: str
-    envelope: Envelope
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,21 +47,12 @@
     token: int
 
 
-@dataclass(frozen=True, slots=True)
-class ReleaseRepeat:
-    """A release that is to be sent again."""
-
-    due_at: float
-    release: Release
-    remaining: int
-
-
 class Participant:
     """One process's part in the leases.
 
     `process_id` names this start of the process and no other ever. Ballot numbers begin above
-    `first_number`, best the time of day in milliseconds: a clock that was set back costs rejections
-    by the fencing guard, never safety.
+    `first_number`, which should be the time of day in milliseconds: a clock that was set back then
+    costs rejections by the fencing guard, never safety.
     """
 
     def __init__(
@@ -95,13 +74,12 @@
         self.proposers: dict[str, Proposer] = {}  # by proposer id
         self.schedule: list[tuple[float, str]] = []  # a heap of ticks; outdated entries linger
         self.last_serial = 0  # of the proposer ids
-        self.release_repeats: deque[ReleaseRepeat] = deque(maxlen=MAX_PENDING_REPEATS)
-        self.mismatched_members: dict[str, tuple[int, ...]] = {}  # and their digests
+        self.release_repeats = ReleaseRepeats(configuration.round_timeout_seconds)
+        self.mismatched_members: dict[str, tuple[int, ...]] = {}  # their digests, by member
         self.last_states: dict[str, LeaseState] = {}  # by proposer id
         self.state_changes: deque[StateChange] = deque(maxlen=MAX_UNREAD_STATE_CHANGES)
         self.last_tick_at = -inf
-        self.loopback: deque[Message] = deque()  # to this member itself
-        self.outbox: defaultdict[str, list[Message]] = defaultdict(list)  # by member
+        self.outbox = Outbox(name, configuration)
 
     # -- leases -----------------------------------------------------------------------------------
 
@@ -134,7 +112,7 @@
         return self.drain_outbox(now)
 
     def wind_down(self, now: float, lease: str | None = None) -> list[OutgoingEnvelope]:
-        """Have one lease or all end: no operation begins, nothing is renewed.
+        """Wind down one lease, or all: no operation begins, nothing is renewed.
 
         Held leases end when their tasks release them or when they expire; attempts that are not
         granted yet are withdrawn at once.
@@ -152,18 +130,17 @@
         self.ballots.advance_past(number)
 
     def release_and_retire(self, now: float, proposer: Proposer) -> None:
-        """End an attempt and tell the acceptors."""
+        """End an attempt, release it at the acceptors and forget it."""
         releases = proposer.release()
-        self.broadcast(releases)
+        self.outbox.broadcast(releases)
         self.retire(now, proposer, releases)
 
     def retire(self, now: float, proposer: Proposer, messages: Sequence[ProposerMessage]) -> None:
         """Forget an attempt that is over; its release is repeated."""
         self.record_state(now, proposer)
-        repeat_at = now + self.configuration.round_timeout_seconds
         for message in messages:
             if isinstance(message, Release):
-                self.release_repeats.append(ReleaseRepeat(repeat_at, message, RELEASE_REPEATS))
+                self.release_repeats.add(now, message)
         self.proposers.pop(proposer.proposer_id, None)
         self.last_states.pop(proposer.proposer_id, None)
 
@@ -180,14 +157,14 @@
         return self.drain_outbox(now)
 
     def on_mismatch(self, now: float, member: str, envelope: Envelope) -> None:
-        """Reject what a member with another configuration asks for."""
+        """Reject the requests of a member with another configuration."""
         self.mismatched_members[member] = envelope.configuration_digests
         if len(self.mismatched_members) > self.configuration.max_leases:
             self.mismatched_members.pop(next(iter(self.mismatched_members)))
         for message in envelope.messages:
             if isinstance(message, Prepare | Propose):
                 rejection = ConfigurationMismatch(message.lease, message.ballot)
-                self.outbox[member].append(rejection)
+                self.outbox.send(member, rejection)
             elif isinstance(message, ConfigurationMismatch):
                 self.dispatch(now, member, message)
 
@@ -195,15 +172,15 @@
         """Give a message to the acceptor, or an answer to its proposer."""
         if isinstance(message, PROPOSER_MESSAGES):
             if self.acceptor is not None:
-                self.enqueue(self.acceptor.handle(now, member, message))
+                self.send_all(self.acceptor.handle(now, member, message))
             return
         proposer = self.proposers.get(message.ballot.proposer)
         if proposer is not None:
             self.apply(now, proposer, proposer.handle(now, member, message))
 
     def apply(self, now: float, proposer: Proposer, messages: Sequence[ProposerMessage]) -> None:
-        """Send what a proposer's step has brought, and schedule or end the proposer."""
-        self.broadcast(messages)
+        """Send the messages of a proposer's step, and schedule or end the proposer."""
+        self.outbox.broadcast(messages)
         if proposer.is_over:
             self.retire(now, proposer, messages)
         else:
@@ -229,13 +206,13 @@
         """Take every step that is due."""
         self.last_tick_at = now
         if self.acceptor is not None:
-            self.enqueue(self.acceptor.tick(now))
+            self.send_all(self.acceptor.tick(now))
         self.tick_proposers(now)
-        self.repeat_releases(now)
+        self.outbox.broadcast(self.release_repeats.take_due(now))
         return self.drain_outbox(now)
 
     def tick_proposers(self, now: float) -> None:
-        """Tick the proposers whose time has come."""
+        """Tick the proposers whose step is due."""
         while self.schedule and self.schedule[0][0] <= now:
             _, proposer_id = heappop(self.schedule)
             proposer = self.proposers.get(proposer_id)
@@ -246,25 +223,14 @@
             else:
                 self.reschedule(proposer)
 
-    def repeat_releases(self, now: float) -> None:
-        """Send again the releases that are due."""
-        while self.release_repeats and now >= self.release_repeats[0].due_at:
-            repeat = self.release_repeats.popleft()
-            self.broadcast([repeat.release])
-            if repeat.remaining > 1:
-                due_at = now + self.configuration.round_timeout_seconds
-                again = ReleaseRepeat(due_at, repeat.release, repeat.remaining - 1)
-                self.release_repeats.append(again)
-
     def next_tick_at(self) -> float:
         """Return when `tick` has something to do; infinity if never."""
-        due_at = self.schedule[0][0] if self.schedule else inf
-        if self.release_repeats:
-            due_at = min(due_at, self.release_repeats[0].due_at)
-        return min(due_at, self.acceptor.next_tick_at) if self.acceptor is not None else due_at
+        step_at = self.schedule[0][0] if self.schedule else inf
+        acceptor_at = self.acceptor.next_tick_at if self.acceptor is not None else inf
+        return min(step_at, self.release_repeats.next_due_at(), acceptor_at)
 
     def reschedule(self, proposer: Proposer) -> None:
-        """Put a proposer's next tick into the schedule, unless an entry stands there no later."""
+        """Put a proposer's next tick into the schedule, unless an entry is due no later."""
         at = proposer.next_tick_at()
         if at < proposer.scheduled_at or proposer.scheduled_at <= self.last_tick_at:
             proposer.scheduled_at = at
@@ -272,49 +238,13 @@
 
     # -- sending ----------------------------------------------------------------------------------
 
-    def broadcast(self, messages: Sequence[ProposerMessage]) -> None:
-        """Queue messages to all acceptors."""
-        if not messages:
-            return
-        acceptors = sorted(self.configuration.all_acceptors)
-        self.enqueue((member, message) for message in messages for member in acceptors)
-
-    def enqueue(self, addressed: Iterable[AddressedMessage]) -> None:
+    def send_all(self, addressed: Sequence[AddressedMessage]) -> None:
         """Queue messages, each to its member."""
         for member, message in addressed:
-            if member == self.name:
-                self.loopback.append(message)
-            else:
-                self.outbox[member].append(message)
+            self.outbox.send(member, message)
 
     def drain_outbox(self, now: float) -> list[OutgoingEnvelope]:
-        """Deliver what this member says to itself; return all else in envelopes."""
-        while self.loopback:
-            self.dispatch(now, self.name, self.loopback.popleft())
-        if not self.outbox:
-            return []
-        digests = self.configuration.digests
-        outgoing = [
-            OutgoingEnvelope(member, Envelope(PROTOCOL_VERSION, digests, tuple(part)))
-            for member, messages in self.outbox.items()
-            for part in split_into_envelopes(messages)
-        ]
-        self.outbox.clear()
-        return outgoing
-
-
-def split_into_envelopes(messages: Sequence[Message]) -> Iterator[list[Message]]:
-    """Yield the messages in parts that fit one envelope each."""
-    part: list[Message] = []
-    capacity_bytes = MAX_ENVELOPE_BYTES - ENVELOPE_FRAME_BYTES
-    free_bytes = capacity_bytes
-    for message in messages:
-        size_bytes = encoded_size_bytes(message)
-        if part and (size_bytes > free_bytes or len(part) >= MAX_MESSAGES_PER_ENVELOPE):
-            yield part
-            part = []
-            free_bytes = capacity_bytes
-        part.append(message)
-        free_bytes -= size_bytes
-    if part:
-        yield part
+        """Deliver this member's messages to itself; return all others in envelopes."""
+        while self.outbox.loopback:
+            self.dispatch(now, self.name, self.outbox.loopback.popleft())
+        return self.outbox.take_envelopes()
--- a/stepstream/leases/proposer.py
+++ b/stepstream/leases/proposer.py
@@ -1,11 +1,14 @@
-"""The proposer: one attempt to hold one lease, from asking for it to its end. Free of I/O.
+"""The proposer: one attempt to hold one lease, from its first prepare to its end. Free of I/O.
 
 Its role is PaxosLease's proposer (Trencseni, Gazso, Reinhardt 2012), which is also the learner of
-its own lease: it counts the acceptances itself. The phases of a ballot:
+its own lease: it counts the acceptances itself. Events are answers and ticks; each returns the
+messages to send. `proposer_rules` has the conditions. The phases of a ballot:
 
     IDLE       -> PREPARING  when `next_step_at` comes: a new ballot, `Prepare` to all acceptors
     PREPARING  -> PROPOSING  on promises of a quorum: `Propose` to all acceptors
     PREPARING  -> PREPARING  on the round's timeout, at most twice: the same ballot again
+    PROPOSING  -> PROPOSING  on the round's timeout: the next round of the same ballot
+    PROPOSING  -> PREPARING  on the round's timeout, after a rejection: a new ballot
     PROPOSING  -> IDLE       on acceptances of a quorum: the lease is held
     IDLE       -> PROPOSING  at a third of the time to live ("Extending leases"), if nobody has
                              rejected the ballot: a renewal in one round trip
@@ -21,11 +24,16 @@
 """
 
 import random
-from dataclasses import dataclass, field
-from enum import Enum
 from math import inf
 
+from stepstream.leases.ballots import BallotSequence, Phase, ProposalRound
 from stepstream.leases.configuration import LeaseConfiguration
+from stepstream.leases.lease_state import (
+    LeaseState,
+    covers_operation,
+    has_expired,
+    held_state,
+)
 from stepstream.leases.messages import (
     MAX_DURATION_MS,
     Accepted,
@@ -42,58 +50,21 @@
     Release,
     StaleBallot,
 )
-
-RENEWAL_SHARE = 1 / 3  # of the time to live, after the sending of the last accepted proposal
-RENEWAL_SLOTS_PER_TTL = 30  # renewals of many leases fall into common slots
-MAX_OPEN_ROUNDS = 4  # of one ballot, whose answers still count
-MAX_PREPARE_ATTEMPTS = 3  # of one ballot
-MAX_BACKOFF_DOUBLINGS = 5
-BACKOFF_SHARE = (0.1, 1.0)  # of the longest backoff, drawn evenly
-WAIT_SHARE = (0.6, 1.0)  # of the waiters' refresh interval, drawn evenly
-WAIT_JITTER_SHARE = (0.0, 0.1)  # of a round's timeout, added to an announced wait
-
-
-class LeaseState(Enum):
-    """What a task sees of its lease. The values are on the wire: JSON answers and log lines."""
-
-    ACQUIRING = "wanted"
-    HELD = "held"
-    RENEWING = "renewing"  # held, a renewal is on its way
-    EXPIRING = "doubtful"  # too late for a new operation; the one under way can still end
-    LOST = "lost"
-    RELEASED = "released"
-
-
-class Phase(Enum):
-    """Where the current ballot stands."""
-
-    IDLE = 0
-    PREPARING = 1
-    PROPOSING = 2
-
-
-@dataclass
-class BallotSequence:
-    """The highest ballot number that one process knows of; all its proposers share it."""
-
-    highest: int
-
-    def next_number(self) -> int:
-        """Return a number above all that are known."""
-        self.highest += 1
-        return self.highest
-
-    def advance_past(self, number: int) -> None:
-        """Have later ballots above a number that was seen elsewhere."""
-        self.highest = max(self.highest, number)
-
-
-@dataclass(slots=True)
-class ProposalRound:
-    """One sending of a ballot's proposal, and the acceptors that accepted it."""
-
-    sent_at: float
-    accepted_by: set[str] = field(default_factory=set)
+from stepstream.leases.proposer_rules import (
+    BACKOFF_FRACTIONS,
+    MAX_BACKOFF_DOUBLINGS,
+    MAX_OPEN_ROUNDS,
+    WAIT_FRACTIONS,
+    WAIT_JITTER_FRACTIONS,
+    extends_lease,
+    gives_up_proposal,
+    is_quorum_possible,
+    longest_backoff_seconds,
+    may_renew_with_ballot,
+    may_repeat_prepare,
+    renewal_due_at,
+    wait_seconds,
+)
 
 
 class Proposer:
@@ -140,13 +111,13 @@
         self.lost = False
         self.released = False
         self.winding_down = False  # not renewed any more, and no operation begins
-        self.last_known_holder = ""  # as an acceptor said last
-        self.answered_at: dict[str, float] = {}  # by acceptor, but for recovering ones
+        self.last_known_holder = ""  # by an acceptor's latest answer
+        self.answered_at: dict[str, float] = {}  # by acceptor; recovering ones are left out
 
     # -- queries ----------------------------------------------------------------------------------
 
     def is_held(self, now: float) -> bool:
-        """Tell whether nobody else can hold the lease now."""
+        """Return whether nobody else can hold the lease now."""
         return not self.is_over and now < self.expires_at
 
     @property
@@ -155,9 +126,9 @@
         return self.lost or self.released
 
     def may_begin_operation(self, now: float) -> bool:
-        """Tell whether an operation begun now ends while nobody else can hold the lease."""
-        enough_time = self.expires_at - now > self.operation_seconds
-        return self.is_held(now) and enough_time and not self.winding_down
+        """Return whether an operation begun now ends while nobody else can hold the lease."""
+        has_time = covers_operation(now, self.expires_at, self.operation_seconds)
+        return self.is_held(now) and has_time and not self.winding_down
 
     def remaining_seconds(self, now: float) -> float:
         """Return the seconds for which the lease is held at least."""
@@ -167,13 +138,18 @@
         """Return what a task sees of the lease."""
         if self.released:
             return LeaseState.RELEASED
-        if self.lost or (self.token and now >= self.expires_at):
+        if self.lost or self.has_expired(now):
             return LeaseState.LOST
         if not self.token:
             return LeaseState.ACQUIRING
-        if not self.may_begin_operation(now):
-            return LeaseState.EXPIRING
-        return LeaseState.HELD if self.phase is Phase.IDLE else LeaseState.RENEWING
+        return held_state(
+            may_begin_operation=self.may_begin_operation(now),
+            renewing=self.phase is not Phase.IDLE,
+        )
+
+    def has_expired(self, now: float) -> bool:
+        """Return whether the lease was granted and is lost by now."""
+        return has_expired(now, self.expires_at, self.token)
 
     def next_tick_at(self) -> float:
         """Return when `tick` has something to do; infinity if never."""
@@ -187,7 +163,7 @@
         """Take the step that is due; return the messages for all acceptors."""
         if self.is_over:
             return []
-        if self.token and now >= self.expires_at:
+        if self.has_expired(now):
             return self.expire()
         if self.token and self.winding_down:
             self.next_step_at = inf
@@ -198,23 +174,29 @@
                 return self.on_prepare_timeout(now)
             case Phase.PROPOSING:
                 return self.on_propose_timeout(now)
-        renews = self.token and self.can_renew
-        return self.propose(now) if renews else self.begin_ballot(now)
+            case Phase.IDLE:
+                return self.on_idle_timeout(now)
+
+    def on_idle_timeout(self, now: float) -> list[ProposerMessage]:
+        """Renew the lease, or begin a new ballot."""
+        if may_renew_with_ballot(self.token, can_renew=self.can_renew):
+            return self.propose(now)
+        return self.begin_ballot(now)
 
     def expire(self) -> list[ProposerMessage]:
-        """End the attempt; tell the acceptors, to spare the waiters the margin for clock drift."""
+        """End the attempt; the release spares the waiters the margin for clock drift."""
         self.lost = True
         return self.release_messages()
 
     def on_prepare_timeout(self, now: float) -> list[ProposerMessage]:
         """Repeat the ballot's prepare, some of which may have been lost, or back off."""
-        if self.prepare_attempts < MAX_PREPARE_ATTEMPTS and not self.rejections:
+        if may_repeat_prepare(self.prepare_attempts, self.rejections):
             return self.send_prepare(now)
         return self.back_off(now)
 
     def on_propose_timeout(self, now: float) -> list[ProposerMessage]:
         """Repeat the proposal, with a new ballot if this one was rejected, or back off."""
-        if not self.is_held(now) and self.round_number >= MAX_OPEN_ROUNDS:
+        if gives_up_proposal(self.round_number, is_held=self.is_held(now)):
             return self.back_off(now)
         return self.propose(now) if self.can_renew else self.begin_ballot(now)
 
@@ -230,7 +212,7 @@
         return self.send_prepare(now)
 
     def send_prepare(self, now: float) -> list[ProposerMessage]:
-        """Ask for promises of the current ballot."""
+        """Request promises of the current ballot."""
         self.phase = Phase.PREPARING
         self.next_step_at = now + self.configuration.round_timeout_seconds
         self.prepare_attempts += 1
@@ -252,11 +234,13 @@
     def back_off(self, now: float) -> list[ProposerMessage]:
         """Rest for a randomized time, so that two proposers in step get out of it."""
         self.consecutive_failures = min(self.consecutive_failures + 1, MAX_BACKOFF_DOUBLINGS)
-        longest = self.configuration.round_timeout_seconds
-        if not self.token:
-            longest *= 2**self.consecutive_failures / 2
+        longest_seconds = longest_backoff_seconds(
+            self.configuration.round_timeout_seconds,
+            self.consecutive_failures,
+            has_lease=self.token != 0,
+        )
         self.phase = Phase.IDLE
-        self.next_step_at = now + self.rng.uniform(*BACKOFF_SHARE) * longest
+        self.next_step_at = now + self.rng.uniform(*BACKOFF_FRACTIONS) * longest_seconds
         self.can_renew = False
         return []
 
@@ -275,8 +259,8 @@
         """Take an acceptor's answer; return the messages for all acceptors that follow from it."""
         if self.is_over:
             return []
-        if self.token and now >= self.expires_at:
-            return self.tick(now)
+        if self.has_expired(now):
+            return self.expire()
         match message:
             case Busy(token=seen) | StaleBallot(highest_number=seen):
                 self.ballots.advance_past(seen)
@@ -321,23 +305,21 @@
             return
         proposal.accepted_by.add(member)
         expires_at = proposal.sent_at + self.ttl_seconds
-        accepted = self.configuration.is_quorum(proposal.accepted_by)
-        if not accepted or now >= expires_at or expires_at <= self.expires_at:
+        if not extends_lease(
+            now, proposal.accepted_by, expires_at, self.expires_at, self.configuration
+        ):
             return
         self.token = self.token or self.current_ballot().number
         self.expires_at = expires_at
         self.consecutive_failures = 0
-        # Renewals of many leases fall into the same slot and go together, in few envelopes.
-        slot_seconds = self.ttl_seconds / RENEWAL_SLOTS_PER_TTL
-        renew_at = proposal.sent_at + self.ttl_seconds * RENEWAL_SHARE
         self.phase = Phase.IDLE
-        self.next_step_at = max(renew_at // slot_seconds * slot_seconds, now)
+        self.next_step_at = max(renewal_due_at(proposal.sent_at, self.ttl_seconds), now)
 
     def on_stale_ballot(self, now: float, member: str) -> list[ProposerMessage]:
         """Take a stale ballot's rejection.
 
-        An acceptor that had promised has restarted or promised another ballot since. A lease that
-        is held stays so, but its next renewal begins with a new ballot.
+        An acceptor that had promised has restarted, or has promised another ballot since. A lease
+        that is held stays held, but its next renewal begins with a new ballot.
         """
         if self.phase is Phase.PROPOSING or self.token:
             self.can_renew = False
@@ -350,27 +332,24 @@
     ) -> list[ProposerMessage]:
         """Count an acceptor that did not promise or accept; give up once no quorum remains."""
         self.rejections[member] = retry_after_seconds
-        possible = self.configuration.all_acceptors - self.rejections.keys()
-        if self.phase is Phase.IDLE or self.configuration.is_quorum(possible):
+        if self.phase is Phase.IDLE or is_quorum_possible(self.rejections, self.configuration):
             return []
         self.back_off(now)
-        wait = min(self.rejections.values())
-        if not self.token and wait > 0:
-            self.wait_until_available(now, wait)
+        announced_seconds = min(self.rejections.values())
+        if not self.token and announced_seconds > 0:
+            self.wait_until_available(now, announced_seconds)
         return []
 
     def wait_until_available(self, now: float, announced_seconds: float) -> None:
-        """Rest until the lease may be free.
-
-        Bounds the messages: a waiter asks again only then, or to keep its place in the queue.
-        """
-        refresh = self.configuration.waiter_refresh_seconds()
-        longest = refresh * self.rng.uniform(*WAIT_SHARE)
-        jitter = self.rng.uniform(*WAIT_JITTER_SHARE) * self.configuration.round_timeout_seconds
-        self.next_step_at = now + min(announced_seconds + jitter, longest)
+        """Rest until the lease may be free, or until the place in the queue needs a refresh."""
+        refresh_fraction = self.rng.uniform(*WAIT_FRACTIONS)
+        jitter_fraction = self.rng.uniform(*WAIT_JITTER_FRACTIONS)
+        self.next_step_at = now + wait_seconds(
+            announced_seconds, jitter_fraction, refresh_fraction, self.configuration
+        )
 
     def on_lease_available(self, now: float) -> list[ProposerMessage]:
-        """Begin a ballot at once, since an acceptor says that it is this proposer's turn."""
+        """Begin a ballot at once: an acceptor has notified this proposer as the next waiter."""
         if self.token or self.phase is not Phase.IDLE:
             return []
         self.consecutive_failures = 0
@@ -389,5 +368,5 @@
         return self.release_messages()
 
     def release_messages(self) -> list[ProposerMessage]:
-        """Return the release of all that was granted, if anything was ever asked for."""
+        """Return the release of all that was granted; none if no ballot was begun."""
         return [Release(self.lease, self.ballot)] if self.ballot is not None else []
--- a/stepstream/leases/subsystem.py
+++ b/stepstream/leases/subsystem.py
@@ -18,7 +18,8 @@
 from stepstream.leases.driver import LeaseDriver, boot_time_seconds
 from stepstream.leases.health_check_leader import HealthCheckLeader, HealthCheckPort
 from stepstream.leases.participant import Participant
-from stepstream.leases.sessions import SessionService, SessionTable
+from stepstream.leases.session_table import SessionTable
+from stepstream.leases.sessions import SessionService
 from stepstream.ports.admin import AdminRoute
 from stepstream.ports.messaging import MessageTransport
 from stepstream.runtime.log import RateLimitedLogger, log
@@ -83,7 +84,7 @@
     # -- the node's calls -------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Warn of acceptor sets that bear few failures, and start the driver's thread."""
+        """Warn of acceptor sets that tolerate few failures, and start the driver's thread."""
         acceptor_sets = (
             ("voters", self.configuration.acceptors),
             ("old_voters", self.configuration.previous_acceptors),
@@ -104,12 +105,12 @@
     def prepare_reload(
         self, _config: NodeConfig, operator: OperatorConfig | None
     ) -> Callable[[], None]:
-        """Refuse a reload that changes what members have to agree on."""
+        """Reject a reload that changes what members have to agree on."""
         require_all_unchanged(RESTART_ONLY_KEYS, self.context.operator, operator)
         return lambda: None
 
     def run_periodic_tasks(self) -> None:
-        """Hold no leases while this dispatcher is drained; tasks may want them again afterwards."""
+        """Hold no leases while this dispatcher is drained; tasks may acquire new ones after it."""
         maintenance = worker_maintenance(self.context)
         draining = maintenance is not None and maintenance.draining()
         if draining and not self.client.closed:
@@ -118,7 +119,7 @@
             self.client.closed = False
 
     def begin_shutdown(self) -> bool:
-        """Begin and renew nothing from now on; whoever holds a lease here is told to end."""
+        """Begin and renew nothing from now on; every holder here is notified to end."""
         self.shutting_down = True
         self.end_all()
         if self.health_check_leader is not None:
@@ -155,7 +156,7 @@
     # -- leases -----------------------------------------------------------------------------------
 
     def end_all(self) -> None:
-        """Have every holder here end after its operation under way, and begin nothing new."""
+        """End every holder here after its operation under way, and begin nothing new."""
         self.client.closed = True
         self.sessions.end()
 
@@ -203,7 +204,7 @@
 
 
 def warn_of_small_quorum(key: str, names: Sequence[str]) -> None:
-    """Log an acceptor set that bears fewer failures than its size suggests."""
+    """Log an acceptor set that tolerates fewer failures than its size suggests."""
     if names and len(names) % 2 == 0:
         log(f"leases.{key}: {len(names)} voters bear no more failures than {len(names) - 1}")
     elif len(names) == 1:
--- a/tests/lease_helpers.py
+++ b/tests/lease_helpers.py
@@ -4,9 +4,10 @@
 
 from stepstream.lab.fleet_faults import draw
 from stepstream.lab.lease_world import LeaseWorld, drawn
-from stepstream.leases.acceptor import Acceptor, Grant, LeaseRecord
+from stepstream.leases.acceptor import Acceptor
 from stepstream.leases.configuration import LeaseConfiguration
 from stepstream.leases.fencing import FencedError, FencingGuard
+from stepstream.leases.lease_record import Grant, LeaseRecord
 from stepstream.leases.messages import Accepted
 from stepstream.leases.participant import Participant
 from stepstream.leases.wait_queue import WaitQueue
--- a/tests/leases/test_lease_proposer.py
+++ b/tests/leases/test_lease_proposer.py
@@ -4,8 +4,10 @@
 
 from lease_helpers import CONFIGURATION
 
+from stepstream.leases.ballots import BallotSequence
+from stepstream.leases.lease_state import LeaseState
 from stepstream.leases.messages import Accepted, Promise
-from stepstream.leases.proposer import BallotSequence, LeaseState, Proposer
+from stepstream.leases.proposer import Proposer
 
 
 def promised_proposer():
