--- a/stepstream/leases/acceptor.py
+++ b/stepstream/leases/acceptor.py
@@ -16,6 +16,7 @@
 """
 
 from math import inf
+from typing import NamedTuple
 
 from stepstream.leases.acceptor_rules import (
     blocking_grant,
@@ -43,7 +44,12 @@
 )
 from stepstream.leases.wait_queue import WaitQueue
 
-AddressedMessage = tuple[str, Message]  # the recipient's name and the message
+
+class AddressedMessage(NamedTuple):
+    """A message and the member that it is for."""
+
+    member: str
+    message: Message
 
 
 class Acceptor:
@@ -62,20 +68,22 @@
 
     def handle(self, now: float, member: str, message: ProposerMessage) -> list[AddressedMessage]:
         """Take a proposer's message; return the answer, and messages to waiters."""
-        replies = self.tick(now)
-        if (wait_seconds := self.remaining_recovery_seconds(now)) > 0:
-            if not isinstance(message, Release):
-                wait_ms = to_milliseconds(wait_seconds)
-                replies.append((member, Recovering(message.lease, message.ballot, wait_ms)))
-            return replies
-        match message:
-            case Prepare():
-                replies.append((member, self.on_prepare(now, member, message)))
-            case Propose():
-                replies.append((member, self.on_propose(now, message)))
-            case Release():
-                replies.extend(self.on_release(now, message))
-        return replies
+        notifications = self.tick(now)
+        return notifications + self.replies(now, member, message)
+
+    def replies(self, now: float, member: str, message: ProposerMessage) -> list[AddressedMessage]:
+        """Return the answer to a message, or what follows from a release."""
+        wait_seconds = self.remaining_recovery_seconds(now)
+        if isinstance(message, Release):
+            return [] if wait_seconds > 0 else self.on_release(now, message)
+        if wait_seconds > 0:
+            wait_ms = to_milliseconds(wait_seconds)
+            answer: Message = Recovering(message.lease, message.ballot, wait_ms)
+        elif isinstance(message, Prepare):
+            answer = self.on_prepare(now, member, message)
+        else:
+            answer = self.on_propose(now, message)
+        return [AddressedMessage(member, answer)]
 
     def on_prepare(self, now: float, member: str, prepare: Prepare) -> Message:
         """Promise the ballot, or say why not."""
@@ -149,7 +157,7 @@
             return []
         record.grant = None
         record.free_since = now
-        return self.call_waiters(now, release.lease, record)
+        return self.notify_waiters(now, release.lease, record)
 
     # -- waiters ----------------------------------------------------------------------------------
 
@@ -159,12 +167,14 @@
             eligible_at = now + self.configuration.head_start_seconds
             self.next_tick_at = min(self.next_tick_at, eligible_at)
 
-    def call_waiters(self, now: float, lease: str, record: LeaseRecord) -> list[AddressedMessage]:
+    def notify_waiters(self, now: float, lease: str, record: LeaseRecord) -> list[AddressedMessage]:
         """Return the notifications of a free lease's waiters that have become eligible."""
-        called, next_eligible_at = record.waiters.take_eligible(now, record.free_since)
-        if next_eligible_at is not None:
-            self.next_tick_at = min(self.next_tick_at, next_eligible_at)
-        return [(waiter.member, LeaseAvailable(lease, waiter.ballot)) for waiter in called]
+        eligible = record.waiters.take_eligible(now, record.free_since)
+        self.next_tick_at = min(self.next_tick_at, eligible.next_at)
+        return [
+            AddressedMessage(waiter.member, LeaseAvailable(lease, waiter.ballot))
+            for waiter in eligible.waiters
+        ]
 
     # -- timers -----------------------------------------------------------------------------------
 
@@ -173,7 +183,7 @@
         if now < self.next_tick_at:
             return []
         self.next_tick_at = inf
-        calls: list[AddressedMessage] = []
+        notifications: list[AddressedMessage] = []
         for lease, record in self.records.items():
             if record.grant is not None and is_expired(record.grant, now):
                 record.free_since = record.grant.expires_at
@@ -181,8 +191,8 @@
             if record.grant is not None:
                 self.next_tick_at = min(self.next_tick_at, record.grant.expires_at)
             elif record.waiters:
-                calls.extend(self.call_waiters(now, lease, record))
-        return calls
+                notifications.extend(self.notify_waiters(now, lease, record))
+        return notifications
 
     def has_capacity(self) -> bool:
         """Return whether one more lease fits, after a record that may go was dropped.
--- a/stepstream/leases/health_check_leader.py
+++ b/stepstream/leases/health_check_leader.py
@@ -115,13 +115,19 @@
         """Make one attempt at the lease, to its end."""
         lease = self.client.acquire(LEASE_NAME, TTL_SECONDS, OPERATION_SECONDS)
         try:
-            while not lease.wait(PAUSE_SECONDS) and not lease.is_over and not self.stopped:
-                pass
+            self.wait_for(lease)
             while lease.may_begin_operation() and not self.stopped:
                 self.probe_all(lease)
         finally:
             lease.release()
 
+    def wait_for(self, lease: Lease) -> None:
+        """Wait until the lease is granted or over, or this dispatcher stops."""
+        while True:
+            is_granted = lease.wait(PAUSE_SECONDS)
+            if is_granted or lease.is_over or self.stopped:
+                return
+
     def probe_all(self, lease: Lease) -> None:
         """Check all workers once, evenly over the period, each only while the lease covers it."""
         workers = list(self.port.list_workers())
--- a/stepstream/leases/participant.py
+++ b/stepstream/leases/participant.py
@@ -162,11 +162,12 @@
         if len(self.mismatched_members) > self.configuration.max_leases:
             self.mismatched_members.pop(next(iter(self.mismatched_members)))
         for message in envelope.messages:
-            if isinstance(message, Prepare | Propose):
-                rejection = ConfigurationMismatch(message.lease, message.ballot)
-                self.outbox.send(member, rejection)
-            elif isinstance(message, ConfigurationMismatch):
-                self.dispatch(now, member, message)
+            match message:
+                case Prepare() | Propose():
+                    rejection = ConfigurationMismatch(message.lease, message.ballot)
+                    self.outbox.send(member, rejection)
+                case ConfigurationMismatch():
+                    self.dispatch(now, member, message)
 
     def dispatch(self, now: float, member: str, message: Message) -> None:
         """Give a message to the acceptor, or an answer to its proposer."""
@@ -231,10 +232,12 @@
 
     def reschedule(self, proposer: Proposer) -> None:
         """Put a proposer's next tick into the schedule, unless an entry is due no later."""
-        at = proposer.next_tick_at()
-        if at < proposer.scheduled_at or proposer.scheduled_at <= self.last_tick_at:
-            proposer.scheduled_at = at
-            heappush(self.schedule, (at, proposer.proposer_id))
+        due_at = proposer.next_tick_at()
+        is_earlier = due_at < proposer.scheduled_at
+        was_taken = proposer.scheduled_at <= self.last_tick_at
+        if is_earlier or was_taken:
+            proposer.scheduled_at = due_at
+            heappush(self.schedule, (due_at, proposer.proposer_id))
 
     # -- sending ----------------------------------------------------------------------------------
 
--- a/stepstream/leases/wait_queue.py
+++ b/stepstream/leases/wait_queue.py
@@ -8,6 +8,8 @@
 """
 
 from dataclasses import dataclass
+from math import inf
+from typing import NamedTuple
 
 from stepstream.leases.configuration import LeaseConfiguration
 from stepstream.leases.messages import Ballot, Prepare
@@ -30,6 +32,13 @@
     notified: bool = False
 
 
+class EligibleWaiters(NamedTuple):
+    """The waiters that have become eligible, and when the next one does; infinity if none waits."""
+
+    waiters: list[Waiter]
+    next_at: float
+
+
 def wait_order(waiter: Waiter) -> tuple[float, str]:
     """Return the sort key of the queue: who has waited longest goes first."""
     return waiter.waiting_since, waiter.ballot.proposer
@@ -115,14 +124,14 @@
             ahead += 1
         return eligible_at(free_since, ahead, self.configuration.head_start_seconds) - now
 
-    def take_eligible(self, now: float, free_since: float) -> tuple[list[Waiter], float | None]:
-        """Return the waiters that have become eligible, and when the next one does."""
+    def take_eligible(self, now: float, free_since: float) -> EligibleWaiters:
+        """Return the waiters that have become eligible, and note that they are notified."""
         called: list[Waiter] = []
         for place, waiter in enumerate(self.in_order(now)):
             due_at = eligible_at(free_since, place, self.configuration.head_start_seconds)
             if due_at > now:
-                return called, due_at
+                return EligibleWaiters(called, due_at)
             if not waiter.notified:
                 waiter.notified = True
                 called.append(waiter)
-        return called, None
+        return EligibleWaiters(called, inf)
--- a/stepstream/membership/admin_api.py
+++ b/stepstream/membership/admin_api.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable, Sequence
 
 from stepstream.membership import report
+from stepstream.membership.context import DriverMetrics
 from stepstream.membership.driver import Driver
 from stepstream.ports.admin import (
     READ_METHODS,
@@ -54,11 +55,9 @@
         """Answer `GET /fleet`."""
         driver = self.driver
         with driver.lock:
-            driver_metrics: dict[str, object] = {
-                "dropped": driver.dropped_datagrams.count,
-                "unsent": driver.unsent_datagrams,
-                "cpu_s": round(driver.cpu_seconds, report.SECONDS_DIGITS),
-            }
+            driver_metrics = DriverMetrics(
+                driver.dropped_datagrams.count, driver.unsent_datagrams, driver.cpu_seconds
+            )
             answer = report.membership_answer(
                 driver.protocol, self.dispatcher_count(), driver_metrics, time.monotonic()
             )
--- a/stepstream/membership/context.py
+++ b/stepstream/membership/context.py
@@ -23,6 +23,15 @@
     misdirected_pings: int = 0  # meant for another name at this address
 
 
+@dataclass(frozen=True, slots=True)
+class DriverMetrics:
+    """The driver's counters since the start; `cpu_seconds` is the time that its thread has used."""
+
+    dropped_datagrams: int
+    unsent_datagrams: int
+    cpu_seconds: float
+
+
 @dataclass(slots=True)
 class ProtocolContext:
     """`now` is the caller's monotonic time in seconds at the current datagram or tick."""
--- a/stepstream/membership/failure_detector.py
+++ b/stepstream/membership/failure_detector.py
@@ -124,7 +124,9 @@
         if probe is not None and probe.sequence == ack.sequence and not probe.is_acked:
             probe.is_acked = True
             self.context.local_health.improve()
-        elif (relayed := self._relayed.pop(ack.sequence, None)) is not None:
+            return
+        relayed = self._relayed.pop(ack.sequence, None)
+        if relayed is not None:
             self.outbox.send(relayed.address, Ack(relayed.sequence))
 
     def _on_nack(self, nack: Nack) -> None:
--- a/stepstream/membership/report.py
+++ b/stepstream/membership/report.py
@@ -4,7 +4,7 @@
 module is the one place that translates the program's names into them.
 """
 
-from stepstream.membership.context import ProtocolMetrics
+from stepstream.membership.context import DriverMetrics, ProtocolMetrics
 from stepstream.membership.event_history import MembershipEvent
 from stepstream.membership.member import Member
 from stepstream.membership.messages import MaintenanceRecord
@@ -73,16 +73,24 @@
     }
 
 
+def driver_metrics_answer(metrics: DriverMetrics) -> Answer:
+    """Return the driver's counters since the start."""
+    return {
+        "dropped": metrics.dropped_datagrams,
+        "unsent": metrics.unsent_datagrams,
+        "cpu_s": round(metrics.cpu_seconds, SECONDS_DIGITS),
+    }
+
+
 def membership_answer(
     protocol: MembershipProtocol,
     dispatcher_count: int,
-    driver_metrics: dict[str, object],
+    driver_metrics: DriverMetrics,
     now: float,
 ) -> Answer:
     """Return the answer of `GET /fleet`.
 
-    `dispatcher_count` is the number that share the cluster's capacity, by `member_count`;
-    `driver_metrics` are further counters under their answers' keys.
+    `dispatcher_count` is the number that share the cluster's capacity, by `member_count`.
     """
     members = protocol.members
     return {
@@ -103,7 +111,7 @@
         "counts": {
             **metrics_answer(protocol.context.metrics),
             "awareness": protocol.context.local_health.score,
-            **driver_metrics,
+            **driver_metrics_answer(driver_metrics),
         },
     }
 
