--- a/stepstream/leases/configuration.py
+++ b/stepstream/leases/configuration.py
@@ -60,6 +60,13 @@
         """The members of all acceptor sets."""
         return frozenset().union(*self.acceptor_sets)
 
+    def is_compatible(self, digests: Collection[int]) -> bool:
+        """Return whether a member with these digests shares an acceptor set and the time bounds.
+
+        Members that share none could each have a quorum of their own for one lease.
+        """
+        return not set(digests).isdisjoint(self.digests)
+
     def is_quorum(self, names: Collection[str]) -> bool:
         """Return whether these are more than half of each set: any two such quorums intersect."""
         return all(2 * len(one & frozenset(names)) > len(one) for one in self.acceptor_sets)
--- a/stepstream/leases/participant.py
+++ b/stepstream/leases/participant.py
@@ -148,7 +148,7 @@
 
     def handle(self, now: float, member: str, envelope: Envelope) -> list[OutgoingEnvelope]:
         """Take an envelope of another member, by the name that the membership list has for it."""
-        if set(envelope.configuration_digests).isdisjoint(self.configuration.digests):
+        if not self.configuration.is_compatible(envelope.configuration_digests):
             self.on_mismatch(now, member, envelope)
             return self.drain_outbox(now)
         self.mismatched_members.pop(member, None)
--- a/stepstream/leases/subsystem.py
+++ b/stepstream/leases/subsystem.py
@@ -204,7 +204,7 @@
 
 
 def warn_of_small_quorum(key: str, names: Sequence[str]) -> None:
-    """Log an acceptor set that tolerates fewer failures than its size suggests."""
+    """Log an acceptor set that bears fewer failures than its size suggests."""
     if names and len(names) % 2 == 0:
         log(f"leases.{key}: {len(names)} voters bear no more failures than {len(names) - 1}")
     elif len(names) == 1:
--- a/stepstream/membership/failure_detector.py
+++ b/stepstream/membership/failure_detector.py
@@ -31,7 +31,7 @@
 from stepstream.membership.suspicion import is_suspect_dead
 
 MAX_RELAYED_PROBES = 64
-NACK_TIMEOUT_FRACTION = 0.8  # of the probe timeout, so that a nack still reaches the prober in time
+NACK_TIMEOUT_FRACTION = 0.8  # of the probe timeout
 FIRST_SEQUENCE_RANGE = 2**32
 
 
@@ -65,6 +65,15 @@
     ends_at: float
 
 
+def nack_due_at(now: float, probe_timeout_seconds: float) -> float:
+    """Return when a helper sends a nack for a probe relayed at `now`, in monotonic seconds.
+
+    A nack must reach the prober before its own timeout (Lifeguard, LHA-Probe): a late one counts as
+    missing and makes a healthy prober doubt itself.
+    """
+    return now + NACK_TIMEOUT_FRACTION * probe_timeout_seconds
+
+
 class FailureDetector:
     """Probes the others in turn, helps with their probes, and lets suspicions run out."""
 
@@ -142,7 +151,7 @@
         self._relayed[sequence] = RelayedProbe(
             request.sequence,
             sender.address,
-            nack_at=now + NACK_TIMEOUT_FRACTION * settings.probe_timeout_seconds,
+            nack_at=nack_due_at(now, settings.probe_timeout_seconds),
             ends_at=now + settings.probe_interval_seconds,
         )
         self.outbox.send(request.address, Ping(sequence, request.target), request.target)
