--- /dev/null
+++ b/tests/gearman/test_assignment_rules.py
@@ -0,0 +1,81 @@
+"""Which calls wait for a Gearman worker and which are assigned to it, decided on records."""
+
+from dataclasses import replace
+from types import SimpleNamespace
+
+import pytest
+
+from stepstream.gearman.assignment_rules import (
+    function_to_assign,
+    has_free_slot,
+    is_wakeup_due,
+    reason_not_to_queue,
+)
+from stepstream.gearman.names import WorkerIdentity, registered_name
+from stepstream.gearman.peers import AssignedCall, QueuedCall, Worker
+from stepstream.gearman.worker_registry import is_same_identity
+from stepstream.model.events import AttemptResult
+
+IDENTITY = WorkerIdentity("w", zone=0, kind=0, cell=0, slots=1, weight=1.0, started_us=1_000)
+REQUEST = object()
+
+
+def call(request=REQUEST, *, still_open=True, deadline_us=100):
+    return SimpleNamespace(request=request, open=still_open, deadline_us=deadline_us)
+
+
+def worker(*assigned, asleep=False, queue=()):
+    calls = {str(index): AssignedCall(each, str(index), "f") for index, each in enumerate(assigned)}
+    made = Worker(None, "gearman:w", IDENTITY, {"f": 0}, assigned=calls, asleep=asleep)
+    made.queue.extend(queue)
+    return made
+
+
+@pytest.mark.parametrize(
+    ("assigned", "class_name", "queue_length", "reason"),
+    [
+        ((), "f", 0, None),
+        ((), "g", 0, AttemptResult.NOT_SENT),
+        ((call(object()),), "f", 0, AttemptResult.FULL),
+        ((call(object()),), "f", 1, None),
+        ((call(REQUEST),), "f", 1, AttemptResult.NOT_SENT),
+    ],
+)
+def test_a_call_waits_unless_its_worker_is_full_or_holds_its_request(
+    assigned, class_name, queue_length, reason
+):
+    found = reason_not_to_queue(worker(*assigned), call(), class_name, "", queue_length)
+    assert found is reason
+
+
+def test_a_worker_is_woken_once_it_sleeps_and_has_work_and_a_slot():
+    queued = QueuedCall(call(), "f", "", 0)
+    assert [has_free_slot(worker()), has_free_slot(worker(call()))] == [True, False]
+    assert is_wakeup_due(worker(asleep=True, queue=[queued]))
+    assert not is_wakeup_due(worker(asleep=True))
+    assert not is_wakeup_due(worker(queue=[queued]))
+    assert not is_wakeup_due(worker(call(), asleep=True, queue=[queued]))
+
+
+@pytest.mark.parametrize(
+    ("queued_call", "functions", "now_us", "function"),
+    [
+        (call(), {"f"}, 99, "f"),
+        (call(), {"f"}, 100, None),
+        (call(still_open=False), {"f"}, 99, None),
+        (call(), {"g"}, 99, None),
+    ],
+)
+def test_only_a_call_that_is_still_needed_is_assigned(queued_call, functions, now_us, function):
+    queued = QueuedCall(queued_call, "f", "t", 0)
+    assert function_to_assign(queued, functions, now_us) == function
+
+
+def test_the_narrower_registered_name_goes_first():
+    assert registered_name({"f", "t/f"}, "f", "t") == "t/f"
+    assert registered_name({"f", "t/f"}, "f", "u") == "f"
+
+
+def test_another_start_alone_is_no_other_worker():
+    assert is_same_identity(IDENTITY, replace(IDENTITY, started_us=2_000))
+    assert not is_same_identity(IDENTITY, replace(IDENTITY, slots=2))
--- a/tests/gearman/test_connection_rules.py
+++ b/tests/gearman/test_connection_rules.py
@@ -5,15 +5,19 @@
 import pytest
 from net_helpers import LIMITS
 
+from stepstream.gearman.codec import Kind, Line, Packet
 from stepstream.gearman.connection_rules import (
     ConnectionView,
     RegistrationCredit,
     TimeoutAction,
     closes_when_idle,
+    costs_registration_credit,
     delays_shutdown,
     eviction_rank,
     timeout_action,
+    waits_for_core,
 )
+from stepstream.gearman.session import Reply
 from stepstream.http.eviction import EvictionRank
 
 NOW = 1000.0
@@ -83,3 +87,20 @@
     assert credit.spend(NOW + 0.75, limits) == 0.5
     assert credit.spend(NOW + 1.75, limits) == 0.0
     assert [credit.spend(NOW + 100.0, limits) for _ in range(3)] == [0.0, 0.0, 0.5]
+
+
+@pytest.mark.parametrize(
+    ("step", "costs_credit", "waits"),
+    [
+        (Packet(Kind.CAN_DO, (b"f",)), True, False),
+        (Packet(Kind.RESET_ABILITIES), True, False),
+        (Line(("status",)), True, False),
+        (Packet(Kind.SUBMIT_JOB, (b"f", b"", b"")), False, True),
+        (Packet(Kind.SUBMIT_JOB_LOW_BG, (b"f", b"", b"")), False, True),
+        (Packet(Kind.GRAB_JOB), False, False),
+        (Reply(b""), False, False),
+    ],
+)
+def test_registrations_cost_credit_and_submissions_wait_for_the_core(step, costs_credit, waits):
+    assert costs_registration_credit(step) is costs_credit
+    assert waits_for_core(step) is waits
