--- a/stepstream/core/dispatcher.py
+++ b/stepstream/core/dispatcher.py
@@ -7,7 +7,7 @@
 """
 
 from collections.abc import Callable
-from typing import TypeVar, TypeVarTuple
+from typing import TYPE_CHECKING, TypeVar, TypeVarTuple
 
 from stepstream.core.action_handler import ActionHandler
 from stepstream.core.call_handler import CallHandler
@@ -37,6 +37,9 @@
 from stepstream.model.settings import Settings
 from stepstream.policy.load_balancer import LoadBalancer
 
+if TYPE_CHECKING:
+    from stepstream.core.log import CoreLog
+
 Arguments = TypeVarTuple("Arguments")
 Result = TypeVar("Result")
 
@@ -51,17 +54,17 @@
         now_us: int,
         tick_us: int,
         answer_margin_us: int,
-        log_fault: Callable[[str], None],
+        log: "CoreLog",
     ) -> None:
         """Create a dispatcher without requests.
 
         `seed` starts the policy's random numbers. `tick_us` is the timers' resolution.
         `answer_margin_us` is the time that is reserved before a deadline for writing the answer.
-        `log_fault` takes one line for each fault.
+        `log` gets one event for each fault.
         """
         self.load_balancer = LoadBalancer(settings, seed, now_us)
-        self.endpoints = EndpointSet(log_fault)
-        self._log_fault = log_fault
+        self.endpoints = EndpointSet(log)
+        self._log = log
         self._output = RoundOutput()
         self._timers = TimerWheel(now_us, tick_us)
         self._state = DispatchState(
@@ -120,7 +123,7 @@
         try:
             return step(*arguments)
         except Exception as error:  # noqa: BLE001  the decision thread must outlive any fault
-            self._log_fault(f"fault in {step_name}: {type(error).__name__}: {error}")
+            self._log.internal_fault(where=step_name, error=error)
             return None
 
     def _fail_new_requests(self, policy_events: list[PolicyEvent]) -> None:
--- a/stepstream/identity/subsystem.py
+++ b/stepstream/identity/subsystem.py
@@ -1,7 +1,7 @@
 """How `[identity]` plugs into the node.
 
-Makes and owns the access control, sets it for every front, and opens TLS listeners beside the plain
-ones. The node's main thread calls it.
+Creates and owns the access control, sets it for every front, and opens TLS listeners beside the
+plain ones. The node's main thread calls it.
 """
 
 import socket
@@ -26,7 +26,7 @@
     def listen_with_transport(
         self, address: tuple[str, int], create_transport: Callable[[socket.socket], Transport], /
     ) -> ListenerSpec:
-        """Listen at an address; OSError if it cannot be had."""
+        """Listen at an address; raise OSError if that fails."""
 
 
 class IdentitySubsystem(Subsystem):
@@ -46,28 +46,26 @@
         if tls is None:
             return ()
         listeners = [
-            self._open_tls_listener(
-                "identity.tls.listen", tls.listen, self.context.server, " for TLS"
-            )
+            self._open_tls_listener("identity.tls.listen", tls.listen, self.context.server, "https")
         ]
         if tls.gearman_listen:
             # The node creates `[gearman]`, which this key needs, before it opens listeners.
             gearman = cast("TransportFront", self.context.subsystems["gearman"])
             key = "identity.tls.gearman_listen"
-            suffix = " for Gearman over TLS"
-            listeners.append(self._open_tls_listener(key, tls.gearman_listen, gearman, suffix))
+            protocol = "gearman+tls"
+            listeners.append(self._open_tls_listener(key, tls.gearman_listen, gearman, protocol))
         return listeners
 
     def _open_tls_listener(
-        self, key: str, address: str, front: TransportFront, log_suffix: str
+        self, key: str, address: str, front: TransportFront, protocol: str
     ) -> BoundListener:
-        """Open a front's TLS listener; `ConfigurationError` names the key if it cannot be had."""
+        """Open a front's TLS listener; `ConfigurationError` names the key if that fails."""
         create_transport = self.access_control.create_tls_transport
         return open_listener(
             key,
             address,
             lambda parsed: front.listen_with_transport(parsed, create_transport),
-            log_suffix,
+            protocol,
         )
 
     def prepare_reload(
@@ -84,12 +82,12 @@
 
 
 def section_of(operator: OperatorConfig | None) -> IdentitySection:
-    """Return `[identity]`, without which the node does not make this subsystem."""
+    """Return `[identity]`, without which the node does not create this subsystem."""
     assert operator is not None
     assert operator.identity is not None
     return operator.identity
 
 
 def create_subsystem(context: SubsystemContext) -> IdentitySubsystem:
-    """Make the subsystem; the node calls this for an operator's file with `[identity]`."""
+    """Create the subsystem; the node calls this for an operator's file with `[identity]`."""
     return IdentitySubsystem(context)
--- a/stepstream/node/decision_thread.py
+++ b/stepstream/node/decision_thread.py
@@ -22,7 +22,7 @@
 from stepstream.http.destination_set import SOURCE
 from stepstream.node.context import NodeContext
 from stepstream.ports.carriers import Carrier
-from stepstream.runtime.log import log
+from stepstream.runtime import log_events
 from stepstream.runtime.threads import run_guarded
 
 MICROSECONDS_PER_SECOND = 1e6
@@ -53,7 +53,7 @@
         Returns at most `event_batch` events, and none if a timer is due first.
         """
         loop = self.context.limits.loop
-        wait_seconds = loop.longest_wait_seconds
+        wait_seconds = loop.max_wait_seconds
         timer_us = self.context.core.next_timer_us()
         if timer_us is not None:
             wait_seconds = (timer_us - self.context.clock.now_us()) / MICROSECONDS_PER_SECOND
@@ -61,7 +61,7 @@
         events: list[Event] = []
         try:
             if wait_seconds > 0:
-                events.append(queue.get(timeout=min(wait_seconds, loop.longest_wait_seconds)))
+                events.append(queue.get(timeout=min(wait_seconds, loop.max_wait_seconds)))
             while len(events) < loop.event_batch:
                 events.append(queue.get_nowait())
         except Empty:
@@ -90,7 +90,7 @@
             case PollEndpoints():
                 context.discovery.poll()
             case LogMessage(text):
-                log(f"note: {text}")
+                log_events.policy_message(text=text)
             case _:
                 handler = context.command_handlers.get(type(command))
                 if handler is not None:
--- a/stepstream/node/node.py
+++ b/stepstream/node/node.py
@@ -1,6 +1,6 @@
 """One dispatcher as a process: the main thread that starts it, handles its signals and ends it.
 
-The main thread runs start, reload, periodic tasks, status line and shutdown, one at a time. The
+The main thread runs start, reload, periodic tasks, status event and shutdown, one at a time. The
 decisions have a thread of their own, `decision_thread`.
 """
 
@@ -19,8 +19,8 @@
 from stepstream.node.reload import reload_configuration
 from stepstream.node.shutdown import shut_down_node
 from stepstream.node.startup import start_node
-from stepstream.node.status import status_line
-from stepstream.runtime.log import log
+from stepstream.node.status import status_counts
+from stepstream.runtime import log_events
 from stepstream.runtime.threads import run_guarded
 
 if TYPE_CHECKING:
@@ -65,7 +65,7 @@
                 run_guarded("reload", reload_configuration, self)
             loop = self.limits.loop  # a reload replaces the limits
             now = time.monotonic()
-            if now - tasks_at >= loop.sweep_seconds:
+            if now - tasks_at >= loop.periodic_tasks_seconds:
                 tasks_at = now
                 self.run_periodic_tasks()
             if now - status_at >= loop.status_period_seconds:
@@ -80,15 +80,15 @@
         """Answer every request and close everything; see `shutdown`."""
         shut_down_node(self)
         self.log_status()
-        log("stopped")
+        log_events.shutdown_finished()
 
     def run_periodic_tasks(self) -> None:
         """Run the periodic tasks once; see `periodic_tasks`."""
         run_periodic_tasks(self)
 
     def log_status(self) -> None:
-        """Log the status line."""
-        log(status_line(self, self.decision_thread.outcome_counts))
+        """Log the status event."""
+        log_events.status(counts=status_counts(self, self.decision_thread.outcome_counts))
 
     def on_signal(self, number: int, frame: FrameType | None) -> None:  # noqa: ARG002  Python's form
         """Queue a signal for the main thread's loop; runs in that thread, between any two steps."""
--- a/stepstream/node/shutdown.py
+++ b/stepstream/node/shutdown.py
@@ -13,7 +13,7 @@
 from stepstream.core.events import ShutdownStarted
 from stepstream.node.context import NodeContext
 from stepstream.node.periodic_tasks import enforce_timeouts
-from stepstream.runtime.log import log
+from stepstream.runtime import log_events
 from stepstream.runtime.threads import run_guarded
 
 MICROSECONDS_PER_SECOND = 1e6
@@ -40,8 +40,9 @@
     context.hot_restarting = any(
         [subsystem.begin_shutdown() for subsystem in context.subsystems.values()]
     )
-    beside = " for the process beside this one" if context.hot_restarting else ""
-    log(f"stopping{beside}, {context.core.open_count} requests open")
+    log_events.shutdown_started(
+        open_requests=context.core.open_count, hot_restart=context.hot_restarting
+    )
     if context.hot_restarting:
         context.server.close_listener(context.server.listeners[0])
     else:
@@ -57,7 +58,7 @@
         now = time.monotonic()
         elapsed_seconds = now - started_at
         timeouts = context.limits.shutdown
-        if elapsed_seconds >= timeouts.longest_seconds:
+        if elapsed_seconds >= timeouts.max_seconds:
             return
         hot_restarting = context.hot_restarting
         if must_close_connections(elapsed_seconds, timeouts, hot_restarting=hot_restarting):
@@ -87,7 +88,7 @@
 
     `elapsed_seconds` count from SIGTERM. For `quiet_seconds` no request has been open and no
     connection has been busy. The load balancer may still send clients until it has noticed the
-    shutdown, so the shutdown takes `least_seconds` at least.
+    shutdown, so the shutdown takes `min_seconds` at least.
     """
     has_been_quiet = quiet_seconds >= timeouts.quiet_seconds
-    return has_been_quiet and elapsed_seconds >= timeouts.least_seconds
+    return has_been_quiet and elapsed_seconds >= timeouts.min_seconds
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -5,7 +5,7 @@
 from stepstream.config.limits import ShutdownTimeouts
 from stepstream.node.shutdown import may_end, must_close_connections
 
-TIMEOUTS = ShutdownTimeouts(serving_seconds=2.0, quiet_seconds=0.3, least_seconds=0.8)
+TIMEOUTS = ShutdownTimeouts(serving_seconds=2.0, quiet_seconds=0.3, min_seconds=0.8)
 
 
 @pytest.mark.parametrize(
