--- a/tests/policy/test_cold.py
+++ b/tests/policy/test_cold.py
@@ -13,7 +13,7 @@
 from math import sqrt
 
 import pytest
-from policy_world import World
+from policy_cluster import SimulatedCluster
 
 from stepstream.model.endpoints import Endpoint, EndpointList, EndpointListKind
 from stepstream.model.settings import Effect, JobClass
@@ -26,53 +26,55 @@
 BEGIN_US, END_US = 3_000_000, 9_000_000
 
 
-class ColdWorld(World):
-    """Uneven traffic; from BEGIN_US on some nodes are back cold, and one dispatcher has lost its memory."""
+class ColdCluster(SimulatedCluster):
+    """Uneven traffic; from BEGIN_US on some workers are back cold, and one dispatcher has no memory."""
 
-    def __init__(self, dispatchers, nodes, seed):
-        more = {
+    def __init__(self, dispatchers, workers, seed):
+        slow_start = {
             "cold_capacity_fraction": COLD_SHARE,
             "slow_start_us": WARM_US,
             "overload_multiple": MULTIPLE,
+            "overload_window_us": SPAN_US,
         }
-        super().__init__((JOBS,), dispatchers, nodes, seed=seed, overload_window_us=SPAN_US, **more)
+        super().__init__((JOBS,), dispatchers, workers, seed=seed, **slow_start)
         # Some get several times the mean, as the platform's front does it.
-        self.shares = [self.random.choice((0.5, 0.5, 1.0, 1.0, 4.0)) for _ in range(dispatchers)]
-        self.reached = {}  # by cold node: when requests came
+        self.traffic = [self.random.choice((0.5, 0.5, 1.0, 1.0, 4.0)) for _ in range(dispatchers)]
+        self.received_us = {}  # by cold worker: when requests came
 
-    def arrive(self, k, job_class, run_us):
-        (k,) = self.random.choices(range(len(self.balancers)), self.shares)
-        super().arrive(k, job_class, run_us)
+    def submit(self, dispatcher, job_class, run_us):
+        (dispatcher,) = self.random.choices(range(len(self.balancers)), self.traffic)
+        super().submit(dispatcher, job_class, run_us)
 
-    def reach(self, k, name, number, worker):
-        if worker in self.reached:
-            self.reached[worker].append(self.now)
-        super().reach(k, name, number, worker)
+    def deliver(self, attempt):
+        if attempt.worker_id in self.received_us:
+            self.received_us[attempt.worker_id].append(self.now_us)
+        super().deliver(attempt)
 
     def restart(self, count):
-        cold = sorted(self.nodes)[:count]
-        entries = tuple(Endpoint(name, started_us=self.now) for name in cold)
-        for name in cold:
-            self.nodes[name].speed, self.reached[name] = COLD_SHARE, []
+        cold = sorted(self.workers)[:count]
+        restarted = {worker_id: Endpoint(worker_id, started_us=self.now_us) for worker_id in cold}
+        for worker_id in cold:
+            self.workers[worker_id].speed = COLD_SHARE
+            self.received_us[worker_id] = []
         forgetful = self.random.randrange(len(self.balancers))
-        fresh = LoadBalancer(
-            self.balancers[forgetful].state.settings, self.random.randrange(2**32), self.now
+        self.balancers[forgetful] = LoadBalancer(
+            self.balancers[forgetful].state.settings, self.random.randrange(2**32), self.now_us
         )
-        self.balancers[forgetful] = fresh
-        all_entries = {n.entry.worker_id: n.entry for n in self.nodes.values()} | {
-            e.worker_id: e for e in entries
-        }
-        self.tell(forgetful, EndpointList(EndpointListKind.PERSISTED, tuple(all_entries.values())))
-        for k in range(len(self.balancers)):
-            if k != forgetful:
-                self.tell(k, EndpointList(EndpointListKind.CHANGES, entries))
-
-    def excess(self, worker):
+        endpoints = {worker_id: worker.endpoint for worker_id, worker in self.workers.items()}
+        endpoints |= restarted
+        complete = EndpointList(EndpointListKind.PERSISTED, tuple(endpoints.values()))
+        self.notify(forgetful, complete)
+        changes = EndpointList(EndpointListKind.CHANGES, tuple(restarted.values()))
+        for dispatcher in range(len(self.balancers)):
+            if dispatcher != forgetful:
+                self.notify(dispatcher, changes)
+
+    def most_over_budget(self, worker_id):
         """The most by which a window's count was over what is allowed."""
-        times, worst = self.reached[worker], -1e9
-        for k, last in enumerate(times):
-            count = sum(t > last - SPAN_US for t in times[: k + 1])
-            warmth = COLD_SHARE + (1 - COLD_SHARE) * min((last - BEGIN_US) / WARM_US, 1.0)
+        times_us, worst = self.received_us[worker_id], -1e9
+        for index, last_us in enumerate(times_us):
+            count = sum(time_us > last_us - SPAN_US for time_us in times_us[: index + 1])
+            warmth = COLD_SHARE + (1 - COLD_SHARE) * min((last_us - BEGIN_US) / WARM_US, 1.0)
             allowed = MULTIPLE * warmth * SLOTS * SPAN_US / RUN_US
             worst = max(worst, count - allowed - 2 * sqrt(allowed) - 2)
         return worst
@@ -86,15 +88,15 @@
 def test_all_dispatchers_together_keep_a_cold_worker_under_its_budget(
     dispatchers, nodes, cold, seed
 ):
-    world = ColdWorld(dispatchers, nodes, seed)
+    cluster = ColdCluster(dispatchers, nodes, seed)
     rate = 0.8 * nodes * SLOTS / (RUN_US / 1e6)
-    world.load([rate], [RUN_US], END_US)
-    world.run(BEGIN_US)
-    world.restart(cold)
-    world.run(END_US)
-    assert max(world.excess(name) for name in world.reached) <= 0
+    cluster.submit_jobs([rate], [RUN_US], END_US)
+    cluster.run(BEGIN_US)
+    cluster.restart(cold)
+    cluster.run(END_US)
+    assert max(cluster.most_over_budget(worker_id) for worker_id in cluster.received_us) <= 0
     # And it is warmed up: none is left without work.
-    assert all(len(times) >= 5 for times in world.reached.values())
+    assert all(len(times_us) >= 5 for times_us in cluster.received_us.values())
 
 
 def test_the_allowance_for_chance_is_several_standard_deviations():
--- a/tests/policy/test_many_dispatchers.py
+++ b/tests/policy/test_many_dispatchers.py
@@ -2,7 +2,7 @@
 
 import heapq
 
-from policy_world import World
+from policy_cluster import SimulatedCluster
 
 from stepstream.model.actions import SetTimer, StartAttempt, WatchEndpoints
 from stepstream.model.endpoints import EndpointList, EndpointListKind
@@ -101,42 +101,45 @@
 GOALS_US = (200_000, 120_000, 120_000)
 
 
-def loaded(load, until_us=8_000_000, **more):
-    """Forty dispatchers and 30 workers of four slots that run so much of what they could."""
-    world = World((LONG, SHORT, DEAR), nodes=30, **more)
-    slots = sum(node.slots for node in world.nodes.values())
+def loaded(load, until_us=8_000_000, **settings):
+    """Forty dispatchers and 30 workers of four slots that run this part of what they could."""
+    cluster = SimulatedCluster((LONG, SHORT, DEAR), workers=30, **settings)
+    slots = sum(worker.slots for worker in cluster.workers.values())
     rate = load * slots / sum(part * run / 1e6 for part, run in zip(MIX, RUNS_US, strict=True))
-    world.load([part * rate for part in MIX], RUNS_US, until_us)
-    world.run(until_us + 2_000_000)
-    return world
+    cluster.submit_jobs([part * rate for part in MIX], RUNS_US, until_us)
+    cluster.run(until_us + 2_000_000)
+    return cluster
 
 
-def in_time(world, since_us, until_us):
-    return [world.in_time(c, since_us, until_us, goal) for c, goal in enumerate(GOALS_US)]
+def in_time(cluster, since_us, until_us):
+    return [
+        cluster.fraction_in_time(job_class, since_us, until_us, objective_us)
+        for job_class, objective_us in enumerate(GOALS_US)
+    ]
 
 
 def test_an_overloaded_fleet_refuses_the_cheapest_and_serves_the_rest_in_time():
     """One slot a dispatcher would be forty a worker: nothing refused, and nothing in time for anybody."""
-    world = loaded(1.4)
-    long, short, dear = in_time(world, 4_000_000, 8_000_000)
+    cluster = loaded(1.4)
+    long, short, dear = in_time(cluster, 4_000_000, 8_000_000)
     assert long > 0.3
     assert short > 0.5
     assert dear > 0.9
-    refused = [world.refused(c, 4_000_000, 8_000_000) for c in range(3)]
+    refused = [cluster.fraction_rejected(c, 4_000_000, 8_000_000) for c in range(3)]
     assert refused[0] > 0.25
     assert refused[0] > 2 * refused[1]
     assert refused[2] < 0.01
 
 
 def test_a_fleet_with_room_refuses_next_to_nothing():
-    world = loaded(0.6)
-    assert all(part > 0.97 for part in in_time(world, 2_000_000, 8_000_000))
-    assert all(world.refused(c, 2_000_000, 8_000_000) < 0.02 for c in range(3))
+    cluster = loaded(0.6)
+    assert all(part > 0.97 for part in in_time(cluster, 2_000_000, 8_000_000))
+    assert all(cluster.fraction_rejected(c, 2_000_000, 8_000_000) < 0.02 for c in range(3))
 
 
 def test_high_sets_of_dispatchers_that_share_nothing_hold_the_same_ids():
-    world = loaded(1.0)
-    for balancer in world.balancers:
+    cluster = loaded(1.0)
+    for balancer in cluster.balancers:
         state = balancer.state
         high = [worker.pool is state.high_set for worker in state.eligible_workers]
         size = sum(high)
@@ -146,8 +149,8 @@
 
 def test_a_wide_ordinary_job_goes_to_a_worker_with_none_of_ours():
     """A cap of one slot, which one late start brings, would hold it back until it is refused."""
-    world = World((LONG, SHORT, DEAR), nodes=4)
-    one = world.balancers[0]
+    cluster = SimulatedCluster((LONG, SHORT, DEAR), workers=4)
+    one = cluster.balancers[0]
     one.state.late_start_slots.append(1)
     one.state.job_mix.mean_weight = 5.0  # or the first job would be a priority one
     one.state.pool_load.cap = 0.5
