--- a/stepstream/model/actions.py
+++ b/stepstream/model/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the policy asks the dispatcher to do."""
+"""Actions: what the policy instructs the dispatcher to do."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -9,7 +9,7 @@
 
     PERIODIC_TASKS = 0
     POLL_ENDPOINTS = 1
-    WAIT_EXPIRED = 2  # a job has waited for headroom as long as it may
+    WAIT_EXPIRED = 2  # the wait of a job for headroom has ended
     START_DUE = 3  # an attempt should have started by now
 
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Reject:
-    """A final answer that promises the job never ran (or may be repeated without harm)."""
+    """A final answer that promises: the job never ran, or a repeat is harmless."""
 
     job_id: str
     retry_after_us: int = 0
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class CancelAttempt:
-    """Call off an attempt, wherever it is; its end is reported all the same."""
+    """Cancel an attempt, whether it waits or runs; its end is reported in any case."""
 
     job_id: str
     attempt_number: int
@@ -62,19 +62,19 @@
 
 @dataclass(frozen=True)
 class WatchEndpoints:
-    """Poll for the endpoint list's changes from here on."""
+    """Poll for changes of the endpoint list."""
 
     active: bool = True
 
 
 @dataclass(frozen=True)
 class FetchEndpoints:
-    """Call for the complete endpoint list once."""
+    """Call for the complete endpoint list once. The wire has it; no rule uses it yet."""
 
 
 @dataclass(frozen=True)
 class WriteLog:
-    """Write a line to the log."""
+    """Write a line to the log. The wire has it; no rule uses it yet."""
 
     text: str
 
--- a/stepstream/model/estimators.py
+++ b/stepstream/model/estimators.py
@@ -6,12 +6,13 @@
 from collections.abc import Sequence
 from math import log
 
-NEWEST_JOB_WEIGHT = 0.02  # of the newest job in running means
-SHORTEST_RUN_US = 1_000  # shorter runs tell nothing of their worker
+NEWEST_JOB_WEIGHT = 0.02
+# The length of shorter runs says nothing about their worker.
+MIN_RUN_US = 1_000
 
 
 def running_mean(mean: float, newest: float, weight: float) -> float:
-    """Return a running mean with the newest value included; 0 stands for none so far."""
+    """Return a running mean with the newest value included; 0 stands for no value yet."""
     return mean + weight * (newest - mean) if mean else max(newest, 1.0)
 
 
@@ -30,11 +31,12 @@
     """How long jobs have taken, in running means by class."""
 
     def __init__(self, class_count: int, start_us: int) -> None:
-        # From the attempt to its end, of served jobs, by class; the last one is of all classes.
+        # Served jobs' times from the attempt to its end, by class; the last one is of all classes.
         self.mean_us = [0.0] * (class_count + 1)
-        # Logarithms of the time from start to end: few long jobs must not set what is usual.
+        # Mean logarithms of the times from start to end, by class. A few long jobs must not decide
+        # what is usual.
         self.usual_log_us = [0.0] * class_count
-        self.served_interval_us = 0.0  # between two served jobs
+        self.served_interval_us = 0.0  # mean time between two served jobs
         self.last_served_us = start_us
 
     def record_served(self, now_us: int, job_class: int, elapsed_us: int) -> None:
@@ -50,12 +52,12 @@
         """Return how much longer than usual a run is, as a logarithm; 0 while that is unknown."""
         known = 0 <= job_class < len(self.usual_log_us)
         usual = self.usual_log_us[job_class] if known else 0.0
-        return log(max(run_us, SHORTEST_RUN_US)) - usual if usual else 0.0
+        return log(max(run_us, MIN_RUN_US)) - usual if usual else 0.0
 
     def record_run(self, job_class: int, run_us: int) -> float:
         """Count a run and return how much longer than usual it was, as a logarithm."""
         if 0 <= job_class < len(self.usual_log_us):
-            run_log_us = log(max(run_us, SHORTEST_RUN_US))
+            run_log_us = log(max(run_us, MIN_RUN_US))
             usual = self.usual_log_us[job_class]
             self.usual_log_us[job_class] = running_mean(usual, run_log_us, NEWEST_JOB_WEIGHT)
         return self.slowness(job_class, run_us)
--- a/stepstream/model/events.py
+++ b/stepstream/model/events.py
@@ -26,7 +26,7 @@
 
     @property
     def reflects_health(self) -> bool:
-        """Return whether it speaks for or against the worker's health."""
+        """Return whether it says anything about the worker's health."""
         neutral = (AttemptResult.FULL, AttemptResult.NOT_SENT, AttemptResult.CANCELLED)
         return self not in neutral
 
@@ -54,7 +54,7 @@
     worker_id: str
     result: AttemptResult
     elapsed_us: int = 0
-    job_answered: bool = False  # the client has its answer, by this attempt or before it
+    job_answered: bool = False  # the client has its answer, from this attempt or an earlier one
     load_report: dict[str, float] | None = None
 
 
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True)
 class HealthChecked:
-    """A worker has answered a health check, or has not."""
+    """A health check of a worker has ended, with or without an answer."""
 
     worker_id: str
     healthy: bool
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True)
 class JobAbandoned:
-    """The job's client has gone: no answer is owed any more."""
+    """The job's client has disconnected: no answer is owed any more."""
 
     job_id: str
 
--- a/tests/model/test_estimators.py
+++ b/tests/model/test_estimators.py
@@ -5,8 +5,8 @@
 import pytest
 
 from stepstream.model.estimators import (
+    MIN_RUN_US,
     NEWEST_JOB_WEIGHT,
-    SHORTEST_RUN_US,
     RunTimeEstimator,
     carry_over,
     running_mean,
@@ -37,7 +37,7 @@
     for _ in range(10):
         assert runs.record_run(0, 100_000) == pytest.approx(0.0)
     assert runs.slowness(0, 300_000) == pytest.approx(log(3))
-    assert runs.slowness(0, 1) == pytest.approx(log(SHORTEST_RUN_US / 100_000))
+    assert runs.slowness(0, 1) == pytest.approx(log(MIN_RUN_US / 100_000))
     assert runs.slowness(-1, 300_000) == 0.0  # of a class that is gone
     assert exp(runs.usual_log_us[0]) == pytest.approx(100_000)
 
