--- a/stepstream/model/__init__.py
+++ b/stepstream/model/__init__.py
@@ -1,4 +1,5 @@
-"""What the policy is notified of and answers, its records and estimators.
+"""The policy's events and actions, the settings, and the records that the policy decides by.
 
-It remembers and measures; it decides nothing. Only the decision thread touches its mutable objects.
+Records and running statistics only: no rule stands here. Only the decision thread touches the
+mutable objects.
 """
--- a/stepstream/model/endpoints.py
+++ b/stepstream/model/endpoints.py
@@ -3,8 +3,6 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from stepstream.model.settings import JobClass
-
 
 class EndpointState(Enum):
     """Whether a worker may get new jobs."""
@@ -15,12 +13,12 @@
 
 
 class EndpointListKind(Enum):
-    """What an endpoint list says of workers that it does not name."""
+    """What an endpoint list says about workers that it does not name."""
 
-    CHANGES = "changes"  # only the entries that changed
-    COMPLETE = "complete"  # whoever is missing is gone
-    PERSISTED = "persisted"  # the list kept from before a restart; may be old
-    FAILED = "failed"  # a call for the list failed, or the watch broke; no entries
+    CHANGES = "changes"  # they stay as they are
+    COMPLETE = "complete"  # they are removed
+    PERSISTED = "persisted"  # they are removed; the list is from before a restart, maybe old
+    FAILED = "failed"  # they stay; a call for the list has failed, and it has no endpoints
 
 
 @dataclass(frozen=True)
@@ -33,20 +31,10 @@
     cell: int = 0
     state: EndpointState = EndpointState.ACTIVE
     weight: float = 1.0
-    started_us: int = 0  # 0: long ago
-    # CLASS or TENANT/CLASS by name; None: whatever its kind allows.
+    started_us: int = 0  # 0: unknown or long ago
+    # Names, as CLASS or TENANT/CLASS; None: every class of its kind.
     supported_jobs: frozenset[str] | None = None
 
-    def can_run(self, kind: JobClass, tenant: str) -> bool:
-        """Return whether it runs a tenant's job of the class, by its kind and what it has named."""
-        if kind.worker_kind not in (-1, self.worker_kind):
-            return False
-        return (
-            self.supported_jobs is None
-            or kind.name in self.supported_jobs
-            or f"{tenant}/{kind.name}" in self.supported_jobs
-        )
-
 
 @dataclass(frozen=True)
 class EndpointList:
--- a/stepstream/model/job_mix.py
+++ b/stepstream/model/job_mix.py
@@ -1,50 +1,51 @@
-"""Estimator of the mix of jobs that arrive: their priority weights and keys.
+"""Running statistics of the jobs that arrive: their priority weights and keys.
 
 State: counts and running means of the jobs seen. Only the decision thread touches it.
 """
 
 from stepstream.model.estimators import NEWEST_JOB_WEIGHT
 
-START_PRIORITY_FRACTION = 0.2  # expected fraction of priority jobs before any is seen
-COUNTING_HORIZON = 1000  # jobs by which the fractions of keys are told
-WEIGHT_TOLERANCE = 1e-6  # with equal weights rounding must not decide
+# Stands for the fraction of priority jobs before any job is seen.
+INITIAL_PRIORITY_FRACTION = 0.2
+# Past this count the counts are halved, so that old jobs weigh less.
+MAX_JOBS_COUNTED = 1000
 
 
 class JobMix:
-    """Which jobs arrive: how many of each key, of what weight, and how many are priority jobs."""
+    """Counts of the jobs by key, and means of their weights and of the priority fraction."""
 
     def __init__(self) -> None:
         self.jobs_seen = 0
         self.jobs_by_key: dict[str | None, int] = {}
         self.mean_weight = 0.0
         self.mean_ordinary_weight = 0.0
-        self.priority_fraction = START_PRIORITY_FRACTION
+        self.priority_fraction = INITIAL_PRIORITY_FRACTION
 
     def record_arrival(self, key: str | None) -> None:
         """Count a job with this key, or without one."""
         self.jobs_seen += 1
         self.jobs_by_key[key] = self.jobs_by_key.get(key, 0) + 1
 
-    def record_weight(self, weight: float) -> bool:
-        """Count a job's weight; return whether it is a priority job: at least of mean weight."""
+    def record_weight(self, weight: float) -> None:
+        """Count a job's weight."""
         self.mean_weight = _mean(self.mean_weight, weight)
-        priority = weight >= self.mean_weight * (1 - WEIGHT_TOLERANCE)
-        self.priority_fraction += NEWEST_JOB_WEIGHT * (priority - self.priority_fraction)
-        return priority
 
-    def record_ordinary_weight(self, weight: float) -> bool:
-        """Count an ordinary job's weight; return whether it is above their mean."""
+    def record_ordinary_weight(self, weight: float) -> None:
+        """Count an ordinary job's weight."""
         self.mean_ordinary_weight = _mean(self.mean_ordinary_weight, weight)
-        return weight > self.mean_ordinary_weight
+
+    def record_priority(self, *, priority: bool) -> None:
+        """Count a job as a priority job or as an ordinary one."""
+        self.priority_fraction += NEWEST_JOB_WEIGHT * (priority - self.priority_fraction)
 
     def key_fraction(self, key: str | None) -> float:
-        """Return the fraction of recent jobs with this key, the present one left out."""
+        """Return the fraction of recent jobs with this key, without the present job."""
         others = self.jobs_by_key.get(key, 1) - 1
         return others / (self.jobs_seen + 1 / NEWEST_JOB_WEIGHT)
 
     def forget_old_jobs(self) -> None:
-        """Halve the counts once they reach past the horizon."""
-        if self.jobs_seen > COUNTING_HORIZON:
+        """Halve the counts once there are too many."""
+        if self.jobs_seen > MAX_JOBS_COUNTED:
             self.jobs_seen //= 2
             self.jobs_by_key = {
                 key: count // 2 for key, count in self.jobs_by_key.items() if count > 1
@@ -52,5 +53,5 @@
 
 
 def _mean(mean: float, newest: float) -> float:
-    """Return a running mean whose first value counts in full; 0 stands for none so far."""
+    """Return a running mean whose first value counts in full; 0 stands for no value yet."""
     return mean + NEWEST_JOB_WEIGHT * (newest - mean) if mean else mean + newest
--- a/stepstream/model/job_records.py
+++ b/stepstream/model/job_records.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field, replace
 
 from stepstream.model.events import JobSubmitted
-from stepstream.model.settings import Effect, JobClass, KeyScope
+from stepstream.model.settings import JobClass
 from stepstream.model.worker_records import Worker
 
 
@@ -17,21 +17,16 @@
     worker: Worker
     sent_us: int
     open: bool = True
-    started_us: int = 0  # 0: not yet, as far as we were notified
-    late: bool = False  # it had not started when it should have
-    lost: bool = False  # it never will, by its worker's load report
-    never_ran: bool = False  # proven
+    started_us: int = 0  # 0: no start was reported
+    start_overdue: bool = False  # it had not started when its start was due
+    presumed_lost: bool = False  # by a load report of its worker
+    never_ran: bool = False  # its result proves that the job did not run
 
     @property
     def started(self) -> bool:
         """Return whether the worker is known to have started it."""
         return self.started_us > 0
 
-    @property
-    def start_missing(self) -> bool:
-        """Return whether it is late, still open and not yet known to be lost."""
-        return self.late and self.open and not self.started and not self.lost
-
 
 @dataclass(eq=False, slots=True)
 class InFlightJob:
@@ -39,12 +34,12 @@
 
     request: JobSubmitted
     class_settings: JobClass  # as they were when the job arrived
-    wait_until_us: int  # so long it may wait for headroom
+    wait_until_us: int  # the end of its wait for headroom
     deadline_us: int  # when its client gives up
     priority: bool  # served by the High Set
     priority_weight: float
-    excess: bool = False  # past its tenant's quota, or a stale retry: one attempt, last in line
-    stale_retry: bool = False
+    over_quota: bool = False  # its tenant is over its quota
+    stale_retry: bool = False  # a client's retry that has already missed its latency objective
     attempts: list[Attempt] = field(default_factory=list)
     wait_timer_set: bool = False
     ended: bool = False  # the final answer was given, or is no longer owed
@@ -59,59 +54,20 @@
         """Return the workers of its attempts, in their order."""
         return [attempt.worker for attempt in self.attempts]
 
+    def attempt_at(self, number: int) -> Attempt | None:
+        """Return the attempt of this number, or None if there was none."""
+        return self.attempts[number] if 0 <= number < len(self.attempts) else None
+
     def reclassify(self, class_names: tuple[str, ...]) -> None:
         """Find its class among replaced settings by name; -1 stands for a class that is gone."""
         name = self.class_settings.name
         index = class_names.index(name) if name in class_names else -1
         self.request = replace(self.request, job_class=index)
 
-    @property
-    def repeats_are_harmless(self) -> bool:
-        """Return whether its client may submit it again without a second effect."""
-        terms = self.class_settings
-        keyed = terms.effect is Effect.IDEMPOTENT_WITH_KEY and terms.key_scope == KeyScope.ALL
-        return terms.effect is Effect.IDEMPOTENT or keyed or self.first_possible_run() is None
-
-    def attempt_at(self, number: int) -> Attempt | None:
-        """Return the attempt of this number, or None if there was none."""
-        return self.attempts[number] if 0 <= number < len(self.attempts) else None
-
-    def may_attempt(self, attempt_limit: int, now_us: int) -> bool:
-        """Return whether its answer is owed and the rules allow another attempt."""
-        if self.ended or len(self.attempts) >= attempt_limit:
-            return False
-        return not self.attempts or self.may_repeat(now_us)
-
-    def may_repeat(self, now_us: int) -> bool:
-        """Return whether its effect allows another attempt, within its key scope."""
-        first = self.first_possible_run()
-        if first is None or self.class_settings.effect is Effect.IDEMPOTENT:
-            return True
-        return (
-            self.class_settings.effect is Effect.IDEMPOTENT_WITH_KEY
-            and now_us <= first.sent_us + self.class_settings.idempotency_window_us
-        )
-
-    def workers_in_key_scope(self, workers: list[Worker]) -> list[Worker]:
-        """Return those of the workers where a repeat would be dropped, if it may have run."""
-        first = self.first_possible_run()
-        scope = self.class_settings.key_scope
-        unbound = self.class_settings.effect is Effect.IDEMPOTENT or scope == KeyScope.ALL
-        if first is None or unbound:
-            return workers
-        place = first.worker.endpoint
-        if scope == KeyScope.ZONE:
-            return [worker for worker in workers if worker.endpoint.zone == place.zone]
-        return [worker for worker in workers if worker.endpoint.cell == place.cell]
-
-    def first_possible_run(self) -> Attempt | None:
-        """Return the first attempt that may have had its effect: repeats are bound to it."""
-        return next((attempt for attempt in self.attempts if not attempt.never_ran), None)
-
 
 @dataclass(eq=False, slots=True)
 class AwaitedStart:
-    """An attempt that should have started by a certain time."""
+    """An attempt and the time by which it should have started."""
 
     due_us: int
     job: InFlightJob
--- a/stepstream/model/load_report_lag.py
+++ b/stepstream/model/load_report_lag.py
@@ -1,4 +1,4 @@
-"""Estimator of how old the news in a load report is when it arrives.
+"""Estimator of the lag of load reports: how old a report is when it arrives.
 
 State: an error for each candidate lag. Only the decision thread touches it.
 """
@@ -6,20 +6,20 @@
 from itertools import takewhile
 
 from stepstream.model.worker_records import (
-    LONGEST_REPORT_INTERVAL_US,
-    LONGEST_REPORT_LAG_US,
+    MAX_REPORT_INTERVAL_US,
+    MAX_REPORT_LAG_US,
     Worker,
 )
 
-CANDIDATE_LAGS_US = (20_000, 60_000, 150_000, LONGEST_REPORT_LAG_US)
-NEWEST_ERROR_WEIGHT = 0.02  # in the running means
+CANDIDATE_LAGS_US = (20_000, 60_000, 150_000, MAX_REPORT_LAG_US)
+NEWEST_ERROR_WEIGHT = 0.02
 
 
 class LoadReportLag:
     """The candidate lag by which reports agree best with our own attempts.
 
     Between two reports of a worker its free slots change by the attempts that we started and that
-    ended a lag earlier. What other dispatchers do there makes all candidates err alike.
+    ended a lag earlier. What other dispatchers do there adds the same error to all candidates.
     """
 
     def __init__(self) -> None:
@@ -42,11 +42,12 @@
         previous = worker.last_report_headroom
         worker.last_report_us = now_us
         worker.last_report_headroom = headroom
-        if now_us - previous_us > LONGEST_REPORT_INTERVAL_US:
+        if now_us - previous_us > MAX_REPORT_INTERVAL_US:
             return
         own_changes = [0.0] * len(CANDIDATE_LAGS_US)
-        for at_us, slots in reversed(worker.busy_history):  # newest first: reports come often
-            if at_us + LONGEST_REPORT_LAG_US < previous_us:
+        # Newest first: reports come often, so few changes are looked at.
+        for at_us, slots in reversed(worker.busy_history):
+            if at_us + MAX_REPORT_LAG_US < previous_us:
                 break
             for index, lag_us in enumerate(CANDIDATE_LAGS_US):
                 if previous_us <= at_us + lag_us < now_us:
--- a/stepstream/model/settings.py
+++ b/stepstream/model/settings.py
@@ -1,6 +1,11 @@
 """Settings of one deployment, as the policy and the dispatcher read them.
 
 Times are whole microseconds on the caller's clock, which only moves forward.
+
+Four fields have no effect: `JobClass.objective_stretch`, `Settings.health_check_price`,
+`Settings.drain_grace_us` and `Settings.answer_grace_us`. Their keys are valid and checked, and
+members compare their values by the settings digest, but no decision reads them. The order of the
+fields is part of the digest too.
 """
 
 from dataclasses import dataclass
@@ -11,7 +16,7 @@
     """What a repeat of a job of this class may do."""
 
     IDEMPOTENT = "safe"  # may be repeated freely
-    IDEMPOTENT_WITH_KEY = "keyed"  # repeats are dropped inside the key scope, for a while
+    IDEMPOTENT_WITH_KEY = "keyed"  # repeats are dropped inside the key's scope and window
     NOT_IDEMPOTENT = "unsafe"  # must never run twice
 
 
@@ -35,16 +40,15 @@
 class JobClass:
     """The terms of one class of jobs."""
 
-    # An answer within this, plus `objective_stretch` times its own run, earns the full weight.
-    latency_objective_us: int
+    latency_objective_us: int  # an answer within it earns the full weight
     deadline_us: int
     effect: Effect = Effect.NOT_IDEMPOTENT
     priority_weight: float = 1.0
     late_weight_fraction: float = 0.0  # fraction earned after the objective and before the deadline
-    objective_stretch: float = 0.0
+    objective_stretch: float = 0.0  # no effect
     key_scope: KeyScope = KeyScope.CELL  # only where idempotent with a key
-    idempotency_window_us: int = 0  # only there too: how long repeats are dropped
-    worker_kind: int = -1  # the one worker kind that runs it, -1 for any
+    idempotency_window_us: int = 0  # from the first attempt; only where idempotent with a key
+    worker_kind: int = -1  # the only worker kind that runs it; -1: any kind
     name: str = ""
 
 
@@ -57,9 +61,9 @@
     over_quota_weight_fraction: float = 1.0
     dispatcher_count: int = 1  # dispatchers that share the workers, this one included
     zone: int = 0
-    polls_endpoints: bool = False  # the worker list comes only when asked for
+    polls_endpoints: bool = False  # False: the endpoint list is pushed
     endpoint_poll_interval_us: int = 10_000_000
-    attempt_limit: int = 1
+    attempt_limit: int = 1  # attempts of one job, the first one included
     may_check_health: bool = False
     may_cancel: bool = False
     may_hedge: bool = False
@@ -69,32 +73,28 @@
     load_report_columns: tuple[str, ...] = ()  # by meaning: "queue", "free_slots"
     reports_start: bool = False
     cross_zone_price: float = 0.0
-    health_check_price: float = 0.0
+    health_check_price: float = 0.0  # no effect
     handshake_price: float = 0.0
-    drain_grace_us: int = 0
-    cold_capacity_fraction: float = 1.0
+    drain_grace_us: int = 0  # no effect
+    cold_capacity_fraction: float = 1.0  # of a worker that has just started
     slow_start_us: int = 0
     overload_multiple: float = 1.0
     overload_window_us: int = 1_000_000
     scheduling_quantum_us: int = 1_000
-    # What only a running dispatcher needs; the policy decides nothing by it.
-    load_report_names: tuple[str, ...] = ()  # of the columns, as load reports spell them
+    # The policy does not read the fields from here on.
+    load_report_names: tuple[str, ...] = ()  # the columns' names in load reports
     tenants: tuple[str, ...] = ()
     zones: tuple[str, ...] = ()
     worker_kinds: tuple[str, ...] = ()
-    answer_grace_us: int = 0  # how long after a deadline a final answer still counts
-    worker_idle_timeout_us: int = 10_000_000  # a worker closes a connection idle for so long
+    answer_grace_us: int = 0  # no effect
+    worker_idle_timeout_us: int = 10_000_000  # after it a worker closes an idle connection
     connect_timeout_us: int = 250_000
-    max_open_requests: int = 20_000  # requests
+    max_open_requests: int = 20_000
 
     def tenant_name(self, tenant: int) -> str:
         """Return the tenant's name, or "" for one that the settings do not name."""
         return self.tenants[tenant] if 0 <= tenant < len(self.tenants) else ""
 
-    def advises_beyond_objective(self, job_class: JobClass) -> bool:
-        """Return whether a rejected job of the class is advised to wait past its objective."""
-        return self.may_advise_retry and self.max_retry_after_us > job_class.latency_objective_us
-
     @property
     def class_names(self) -> tuple[str, ...]:
         """Return the names of the classes in their order."""
--- a/stepstream/policy/admission.py
+++ b/stepstream/policy/admission.py
@@ -1,20 +1,20 @@
-"""Admission: which jobs are priority jobs, and which ordinary ones are rejected on arrival."""
+"""Admission: what kind of job arrives, and whether it is rejected at once."""
 
 from stepstream.model.events import JobSubmitted
 from stepstream.model.job_records import InFlightJob
+from stepstream.model.settings import JobClass, Settings
 from stepstream.model.state import PolicyState
-from stepstream.policy import pools, retries
+from stepstream.policy import load_reports, pool_capacity, pools, priority, quotas, retries, waiting
 
-HEALTH_CHECKS_PER_JOB = 1.0
-LONGEST_WAIT_FRACTION = 0.8  # of the latency objective that a job may wait for headroom
-HEAVY_EXCESS_FRACTION = 0.5  # of its caps by which jobs above mean weight may exceed the Low Set's
+# With many dispatchers; heavy jobs are worth a little overload, light ones are not.
+MAX_HEAVY_OVERLOAD_FRACTION_OF_CAPS = 0.5
 
 
 def on_job(state: PolicyState, request: JobSubmitted) -> None:
     """Reject the job or start its first attempt."""
-    state.health_check_credit += HEALTH_CHECKS_PER_JOB
+    load_reports.credit_health_checks(state)
     job = _classify(state, request)
-    state.jobs[request.job_id] = job
+    state.jobs.in_flight[request.job_id] = job
     if _is_rejected(state, job):
         retries.give_up(state, job)
     else:
@@ -22,48 +22,112 @@
 
 
 def _classify(state: PolicyState, request: JobSubmitted) -> InFlightJob:
-    settings = state.settings
-    kind = settings.classes[request.job_class]
-    within_quota = state.record_arrival(request)
-    excess = not within_quota and settings.over_quota_weight_fraction < 1.0
-    weight = kind.priority_weight * (settings.over_quota_weight_fraction if excess else 1.0)
-    priority = state.job_mix.record_weight(weight)
-    # A retry that has waited as advised is past its latency objective, a first try is not.
-    waited = request.client_retry and settings.advises_beyond_objective(kind)
-    stale = waited and not priority and not kind.late_weight_fraction
+    """Count a job that has arrived and return its record, with its priority and its quota."""
+    job_class = state.settings.classes[request.job_class]
+    over_quota = _is_over_quota(state, request)
+    weight = job_class.priority_weight
+    if over_quota:
+        weight *= state.settings.over_quota_weight_fraction
+    is_priority = _count_weight(state, weight)
+    is_late_retry = _has_missed_objective(state.settings, request, job_class)
     return InFlightJob(
         request,
-        kind,
-        wait_until_us=state.now_us + int(LONGEST_WAIT_FRACTION * kind.latency_objective_us),
+        job_class,
+        wait_until_us=waiting.wait_until_us(state, job_class),
         deadline_us=state.now_us + request.budget_us,
-        priority=priority,
+        priority=is_priority,
         priority_weight=weight,
-        excess=excess or stale,
-        stale_retry=stale,
+        over_quota=over_quota,
+        stale_retry=is_late_retry and not is_priority,
     )
 
 
+def _is_over_quota(state: PolicyState, request: JobSubmitted) -> bool:
+    """Count a job for its tenant, and return whether it loses weight by the tenant's quota."""
+    measurements = state.measurements
+    measurements.job_mix.record_arrival(request.key)
+    within_quota = quotas.charge_quota(
+        measurements.tenant_usage,
+        request.tenant,
+        state.settings.quotas_per_s,
+        measurements.job_mix.jobs_seen,
+    )
+    return not within_quota and state.settings.over_quota_weight_fraction < 1.0
+
+
+def _count_weight(state: PolicyState, weight: float) -> bool:
+    """Count a job's weight, and return whether it is a priority job."""
+    job_mix = state.measurements.job_mix
+    job_mix.record_weight(weight)
+    is_priority = priority.is_priority_weight(job_mix, weight)
+    job_mix.record_priority(priority=is_priority)
+    if not is_priority:
+        job_mix.record_ordinary_weight(weight)
+    return is_priority
+
+
+def _has_missed_objective(settings: Settings, request: JobSubmitted, job_class: JobClass) -> bool:
+    """Return whether a client's retry has already missed its objective and earns nothing.
+
+    The client has waited as the earlier rejection advised. Where that is longer than the objective,
+    and the class earns nothing after it, its first attempt can still be in time, a retry cannot.
+    """
+    if not request.client_retry or job_class.late_weight_fraction:
+        return False
+    advised_wait_us = settings.max_retry_after_us if settings.may_advise_retry else 0
+    return advised_wait_us > job_class.latency_objective_us
+
+
 def _is_rejected(state: PolicyState, job: InFlightJob) -> bool:
-    full = not job.priority and _low_set_is_full(state, job) and not pools.lends(state)
-    if full and (job.excess or not _is_soon_served(state, job)):
+    """Return whether a job is rejected on arrival."""
+    if _finds_pools_full(state, job) and not _may_wait(state, job):
         return True
-    # A stale retry needs a whole worker's headroom: first tries would wait in vain behind it.
-    return job.stale_retry and pools.pool_headroom(state, state.low_set) < state.worker_cap
+    return _yields_to_first_attempts(state, job)
+
 
+def _finds_pools_full(state: PolicyState, job: InFlightJob) -> bool:
+    """Return whether an ordinary job finds the Low Set over its caps and the High Set not lending.
 
-def _low_set_is_full(state: PolicyState, job: InFlightJob) -> bool:
-    """Return whether the Low Set is over its caps for an ordinary job of this weight."""
-    heavy = state.job_mix.record_ordinary_weight(job.priority_weight)
-    headroom = pools.pool_headroom(state, state.low_set)
-    if not state.pool_load.has_many_dispatchers:
+    Priority jobs find no pool full.
+    """
+    return not job.priority and _is_low_set_full(state, job) and not pools.lends(state)
+
+
+def _is_low_set_full(state: PolicyState, job: InFlightJob) -> bool:
+    """Return whether the Low Set is over its caps for an ordinary job of this size and weight."""
+    low_set = state.pools.low_set
+    headroom = pool_capacity.pool_headroom(state, low_set)
+    if not pool_capacity.has_many_dispatchers(state.settings):
         return headroom < job.request.slots
-    allowed_slots = HEAVY_EXCESS_FRACTION * state.pool_load.summed_caps(state.low_set)
-    return headroom < (-allowed_slots if heavy else 0.0)
+    allowed_overload = 0.0
+    if priority.is_heavy_ordinary_weight(state.measurements.job_mix, job.priority_weight):
+        summed_caps = pool_capacity.summed_caps(state.pools, low_set)
+        allowed_overload = MAX_HEAVY_OVERLOAD_FRACTION_OF_CAPS * summed_caps
+    return headroom < -allowed_overload
+
+
+def _may_wait(state: PolicyState, job: InFlightJob) -> bool:
+    """Return whether a job that finds the pools full may wait for headroom."""
+    return not priority.is_best_effort(job) and _is_soon_served(state, job)
 
 
 def _is_soon_served(state: PolicyState, job: InFlightJob) -> bool:
-    """Return whether the job's turn is likely to come in time, at the rate our jobs end."""
-    # Without load reports a pool over its caps has a queue already: late starts, which set the
-    # caps, count it.
-    longest_us = retries.latest_start_us(state, job) - state.now_us
-    return state.has_load_reports and 0 < state.expected_wait_us() <= longest_us
+    """Return whether the job's turn is likely to come in time, at the rate at which our jobs end.
+
+    Only load reports tell. Without them the caps come from overdue starts, which count a queue.
+    """
+    if not state.has_load_reports:
+        return False
+    max_wait_us = waiting.latest_start_us(state, job) - state.now_us
+    return 0 < waiting.expected_wait_us(state) <= max_wait_us
+
+
+def _yields_to_first_attempts(state: PolicyState, job: InFlightJob) -> bool:
+    """Return whether a stale retry is rejected: the Low Set has less than a worker's headroom.
+
+    First attempts would wait behind a retry that earns nothing.
+    """
+    if not job.stale_retry:
+        return False
+    low_set_headroom = pool_capacity.pool_headroom(state, state.pools.low_set)
+    return low_set_headroom < pool_capacity.typical_cap(state)
--- a/stepstream/policy/endpoint_polling.py
+++ b/stepstream/policy/endpoint_polling.py
@@ -1,23 +1,34 @@
 """Endpoint polling: when to call for the endpoint list, with backoff after a failed call."""
 
 from stepstream.model.actions import TimerToken, WatchEndpoints
-from stepstream.model.pool_load import MANY_DISPATCHERS
 from stepstream.model.state import PolicyState
+from stepstream.policy.pool_capacity import has_many_dispatchers
+from stepstream.policy.timers import set_timer
 
-LEAST_BACKOFF_US = 500_000  # first wait after a failed call, doubled each time
-CALL_INTERVAL_US = 100_000  # between two calls of dispatchers that started, or failed, together
+# Of the first backoff; each failed call doubles it.
+MIN_FIRST_BACKOFF_US = 500_000
+# Dispatchers that started, or failed, together share this rate of calls.
+CALL_INTERVAL_US = 100_000
+# A call after a failure is not made earlier than this part of the backoff.
+MIN_BACKOFF_FRACTION = 0.5
+MAX_TO_FIRST_BACKOFF_RATIO = 3
 
 
 class EndpointPoller:
-    """Calls for the endpoint list; one call at a time."""
+    """Calls for the endpoint list, one call at a time."""
 
     def __init__(self, state: PolicyState) -> None:
         self.state = state
-        self.call_open = not state.settings.polls_endpoints  # else the list comes by itself
+        # Where the list is pushed no call is made: one counts as open for ever.
+        self.call_open = not state.settings.polls_endpoints
         self.backoff_us = self._first_backoff_us()
-        dispatcher_count = state.settings.dispatcher_count
-        if dispatcher_count > MANY_DISPATCHERS:
-            self._poll_later(0.0, CALL_INTERVAL_US * dispatcher_count)
+        self.poll_first()
+
+    def poll_first(self) -> None:
+        """Call at once, or at random where many dispatchers may have started together."""
+        settings = self.state.settings
+        if has_many_dispatchers(settings):
+            self._poll_later(0.0, CALL_INTERVAL_US * settings.dispatcher_count)
         else:
             self.poll()
 
@@ -28,24 +39,32 @@
         self.call_open = True
 
     def on_failure(self) -> None:
-        """Call again later, as a call has failed."""
+        """Call again after the backoff, as a call has failed, and double the backoff.
+
+        A call that was given up is work for the source too. If many dispatchers did not back off,
+        it would serve none of them.
+        """
         self.call_open = False
-        self._poll_later(0.5, self.backoff_us)
-        # Calls given up are work for discovery too: a fleet that does not back off never gets in.
-        half_interval_us = self.state.settings.endpoint_poll_interval_us // 2
-        longest_us = max(half_interval_us, 3 * self._first_backoff_us())
-        self.backoff_us = min(2 * self.backoff_us, longest_us)
+        self._poll_later(MIN_BACKOFF_FRACTION, self.backoff_us)
+        self.backoff_us = min(2 * self.backoff_us, self._max_backoff_us())
 
     def on_success(self) -> None:
         """Begin with the first backoff again."""
         self.backoff_us = self._first_backoff_us()
 
     def _first_backoff_us(self) -> int:
+        """Return the first backoff: longer with more dispatchers, within half a poll interval."""
         settings = self.state.settings
-        least_us = max(LEAST_BACKOFF_US, CALL_INTERVAL_US * settings.dispatcher_count)
-        return min(least_us, settings.endpoint_poll_interval_us // 2)
+        shared_us = CALL_INTERVAL_US * settings.dispatcher_count
+        backoff_us = max(MIN_FIRST_BACKOFF_US, shared_us)
+        return min(backoff_us, settings.endpoint_poll_interval_us // 2)
+
+    def _max_backoff_us(self) -> int:
+        """Return the longest backoff."""
+        half_interval_us = self.state.settings.endpoint_poll_interval_us // 2
+        return max(half_interval_us, MAX_TO_FIRST_BACKOFF_RATIO * self._first_backoff_us())
 
-    def _poll_later(self, least_fraction: float, wait_us: int) -> None:
-        # By chance within the wait: of a whole fleet at once discovery serves only the first few.
-        delay_us = int(wait_us * self.state.rng.uniform(least_fraction, 1.0))
-        self.state.set_timer(TimerToken.POLL_ENDPOINTS, self.state.now_us + delay_us)
+    def _poll_later(self, min_fraction: float, max_wait_us: int) -> None:
+        """Call at a random time: of many calls at once the source serves only the first few."""
+        delay_us = int(max_wait_us * self.state.rng.uniform(min_fraction, 1.0))
+        set_timer(self.state, TimerToken.POLL_ENDPOINTS, self.state.now_us + delay_us)
--- /dev/null
+++ b/stepstream/policy/endpoint_updates.py
@@ -0,0 +1,57 @@
+"""Endpoint updates: which workers there are, and which of them may get new jobs."""
+
+from stepstream.model.endpoints import Endpoint, EndpointList, EndpointListKind, EndpointState
+from stepstream.model.pools import Pool
+from stepstream.model.state import PolicyState
+from stepstream.model.worker_records import Worker
+from stepstream.policy import slow_start
+
+
+def apply_endpoint_list(state: PolicyState, listed: EndpointList) -> None:
+    """Add, change and remove workers as an endpoint list says."""
+    for endpoint in listed.endpoints:
+        _apply_endpoint(state, endpoint)
+    workers = state.workers
+    if listed.kind is not EndpointListKind.CHANGES:
+        listed_ids = {endpoint.worker_id for endpoint in listed.endpoints}
+        workers.by_id = {
+            worker_id: worker
+            for worker_id, worker in workers.by_id.items()
+            if worker_id in listed_ids
+        }
+    workers.eligible = [
+        worker
+        for _, worker in sorted(workers.by_id.items())
+        if worker.endpoint.state is EndpointState.ACTIVE
+    ]
+    workers.by_key = {}
+    workers.headroom_changed = True
+    slow_start.count_warm_workers(state)
+
+
+def _apply_endpoint(state: PolicyState, endpoint: Endpoint) -> None:
+    """Add, change or remove one worker."""
+    workers = state.workers.by_id
+    if endpoint.state is EndpointState.REMOVED:
+        workers.pop(endpoint.worker_id, None)
+        return
+    known = workers.get(endpoint.worker_id)
+    if known is None or endpoint.started_us > known.endpoint.started_us:
+        pool = known.pool if known is not None else state.pools.low_set
+        workers[endpoint.worker_id] = _new_worker(state, endpoint, pool)
+    else:
+        known.endpoint = endpoint
+
+
+def _new_worker(state: PolicyState, endpoint: Endpoint, pool: Pool) -> Worker:
+    """Return the record of a process that has just appeared or was restarted.
+
+    A restarted process is cold and healthy, and its old cap says nothing. Its turns begin at
+    random, or all dispatchers would begin with the same worker.
+    """
+    # Without a start time a process has surely warmed up.
+    has_start = endpoint.started_us != 0
+    slow_start_ends_us = endpoint.started_us + state.settings.slow_start_us if has_start else 0
+    worker = Worker(endpoint, slow_start_ends_us, state.now_us, pool)
+    worker.current_weight = -state.rng.random() * endpoint.weight
+    return worker
--- /dev/null
+++ b/stepstream/policy/hedging.py
@@ -0,0 +1,34 @@
+"""Hedged requests: a second attempt beside one whose start is overdue.
+
+The first of them to start cancels the other, see `policy.retries`.
+"""
+
+from stepstream.model.job_records import InFlightJob
+from stepstream.model.settings import Effect
+from stepstream.model.state import PolicyState
+from stepstream.policy import attempts, capacity, retries, timers
+from stepstream.policy.selection import choose_worker
+
+
+def on_starts_due(state: PolicyState) -> None:
+    """Hedge the attempts that should have started by now: their workers have no headroom."""
+    for start in timers.take_overdue_starts(state):
+        attempts.record_overdue_start(state, start.attempt)
+        if _may_hedge(state, start.job):
+            _hedge(state, start.job)
+
+
+def _may_hedge(state: PolicyState, job: InFlightJob) -> bool:
+    """Return whether the platform and the job's effect and attempts allow a hedged request."""
+    if not state.settings.may_hedge or job.class_settings.effect is Effect.NOT_IDEMPOTENT:
+        return False
+    return retries.may_attempt(job, state.settings.attempt_limit, state.now_us)
+
+
+def _hedge(state: PolicyState, job: InFlightJob) -> None:
+    """Send the job to a worker that it was not sent to and that has the slots for it."""
+    worker = choose_worker(state, job)
+    if worker is None or worker in job.tried_workers:
+        return
+    if capacity.headroom(state, worker) >= job.request.slots:
+        attempts.start_attempt(state, job, worker)
--- a/stepstream/policy/load_balancer.py
+++ b/stepstream/policy/load_balancer.py
@@ -1,4 +1,4 @@
-"""The load balancer: owns the state of one dispatcher's policy and routes events to its modules.
+"""The load balancer: owns the state of one dispatcher's policy and routes events to its rules.
 
 Only the decision thread touches it.
 """
@@ -17,72 +17,104 @@
 )
 from stepstream.model.settings import Settings
 from stepstream.model.state import PolicyState
-from stepstream.policy import admission, outliers, pools, retries
+from stepstream.policy import (
+    admission,
+    attempts,
+    capacity,
+    endpoint_updates,
+    hedging,
+    load_reports,
+    outliers,
+    pools,
+    retries,
+    slow_start,
+    timers,
+)
 from stepstream.policy.endpoint_polling import EndpointPoller
 
-PERIOD_US = 500_000  # between two runs of the periodic tasks
-
 
 class LoadBalancer:
     """The decisions of one dispatcher: events in, actions out."""
 
     def __init__(self, settings: Settings, seed: int, start_us: int) -> None:
         self.state = PolicyState(settings, seed, start_us)
-        # Periods begin at random: dispatchers that start together must not act in step.
-        first_us = start_us + self.state.rng.randrange(PERIOD_US)
-        self.state.set_timer(TimerToken.PERIODIC_TASKS, first_us)
+        timers.set_first_period(self.state)
         self.endpoint_poller = EndpointPoller(self.state)
 
     def handle(self, now_us: int, events: list[PolicyEvent]) -> list[PolicyAction]:
         """Take the events of one round and return the actions that they call for, in order."""
         self.state.begin_round(now_us)
+        capacity.measure_missing_common_cap(self.state)
         for event in events:
             self._on_event(event)
         retries.retry_waiting_jobs(self.state)
         return self.state.take_actions()
 
     def _on_event(self, event: PolicyEvent) -> None:
-        state = self.state
         match event:
             case JobSubmitted():
-                if not state.workers:
-                    self.endpoint_poller.poll()  # nothing to gain by waiting for a turn
-                admission.on_job(state, event)
+                self._on_job_submitted(event)
             case AttemptEnded():
-                retries.on_attempt_ended(state, event)
-            case AttemptStarted() if event.job_id in state.jobs:
-                retries.on_attempt_started(state, state.jobs[event.job_id], event.attempt_number)
+                retries.on_attempt_ended(self.state, event)
+            case AttemptStarted():
+                self._on_attempt_started(event)
             case EndpointList():
                 self._on_endpoint_list(event)
             case TimerFired():
-                self._on_timer(event.token)
-            case HealthChecked() if event.worker_id in state.workers:
-                outliers.on_load_report(state, state.workers[event.worker_id], event.load_report)
-            case JobAbandoned() if event.job_id in state.jobs:
-                state.end_job(state.jobs[event.job_id])
+                self._on_timer_fired(event)
+            case HealthChecked():
+                self._on_health_checked(event)
+            case JobAbandoned():
+                self._on_job_abandoned(event)
             case SettingsChanged():
-                state.replace_settings(event.settings)
+                self.state.replace_settings(event.settings)
+
+    def _on_job_submitted(self, event: JobSubmitted) -> None:
+        if not self.state.workers.by_id:
+            # Nothing can be served without the list, so the poll does not wait for its time.
+            self.endpoint_poller.poll()
+        admission.on_job(self.state, event)
+
+    def _on_attempt_started(self, event: AttemptStarted) -> None:
+        job = self.state.jobs.in_flight.get(event.job_id)
+        if job is not None:
+            retries.on_attempt_started(self.state, job, event.attempt_number)
 
     def _on_endpoint_list(self, listed: EndpointList) -> None:
         if listed.kind is EndpointListKind.FAILED:
             self.endpoint_poller.on_failure()
             return
         self.endpoint_poller.on_success()
-        self.state.apply_endpoints(listed)
+        endpoint_updates.apply_endpoint_list(self.state, listed)
         pools.fill_empty_pool(self.state)
 
-    def _on_timer(self, token: int) -> None:
-        if token == TimerToken.POLL_ENDPOINTS:
+    def _on_timer_fired(self, event: TimerFired) -> None:
+        # WAIT_EXPIRED has no task of its own: each round gives up jobs that have waited too long.
+        if event.token == TimerToken.POLL_ENDPOINTS:
             self.endpoint_poller.poll()
-        elif token == TimerToken.START_DUE:
-            retries.on_starts_due(self.state)
-        elif token == TimerToken.PERIODIC_TASKS:
+        elif event.token == TimerToken.START_DUE:
+            hedging.on_starts_due(self.state)
+        elif event.token == TimerToken.PERIODIC_TASKS:
             self._run_periodic_tasks()
 
+    def _on_health_checked(self, event: HealthChecked) -> None:
+        worker = self.state.workers.by_id.get(event.worker_id)
+        if worker is not None:
+            load_reports.on_load_report(self.state, worker, event.load_report)
+
+    def _on_job_abandoned(self, event: JobAbandoned) -> None:
+        job = self.state.jobs.in_flight.get(event.job_id)
+        if job is not None:
+            attempts.end_job(self.state, job)
+
     def _run_periodic_tasks(self) -> None:
+        """Measure anew what changes slowly, and decide what is decided once a period."""
         state = self.state
         outliers.update_slow_ejections(state, spare_capacity=pools.has_spare_capacity(state))
-        state.begin_period()
+        capacity.measure_common_cap(state)
+        state.workers.headroom_changed = True  # time has passed
+        state.measurements.job_mix.forget_old_jobs()
+        slow_start.count_warm_workers(state)
         pools.resize(state)
-        outliers.check_silent_workers(state, PERIOD_US)
-        state.set_timer(TimerToken.PERIODIC_TASKS, state.now_us + PERIOD_US)
+        load_reports.check_silent_workers(state, timers.PERIOD_US)
+        timers.set_next_period(state)
--- /dev/null
+++ b/stepstream/policy/lost_attempts.py
@@ -0,0 +1,36 @@
+"""Lost attempts: those that a worker has accepted but will never start."""
+
+from stepstream.model.job_records import Attempt
+from stepstream.model.settings import Effect
+from stepstream.model.state import PolicyState
+from stepstream.model.worker_records import MAX_REPORT_LAG_US, Worker
+from stepstream.policy import attempts, outliers
+
+
+def presume_lost(state: PolicyState, worker: Worker) -> None:
+    """Presume the overdue attempts on a worker lost, as it reports free slots and no queue.
+
+    The job's class is ejected from the worker. An attempt of an idempotent job is cancelled, and
+    its end brings the next attempt.
+    """
+    # The report may be older than later attempts.
+    sent_before_us = state.now_us - MAX_REPORT_LAG_US
+    lost = [
+        (job, attempt)
+        for job in state.jobs.in_flight.values()
+        for attempt in job.attempts
+        if attempt.worker is worker
+        and attempt.sent_us < sent_before_us
+        and _is_start_missing(attempt)
+    ]
+    for job, attempt in lost:
+        attempt.presumed_lost = True
+        outliers.eject_class(worker, job.request.job_class, attempt.sent_us, state.now_us)
+        if job.class_settings.effect is Effect.IDEMPOTENT and not job.ended:
+            attempts.cancel_attempts(state, job, [attempt])
+
+
+def _is_start_missing(attempt: Attempt) -> bool:
+    """Return whether an open attempt is overdue to start and not yet presumed lost."""
+    is_waited_for = attempt.open and not attempt.started
+    return is_waited_for and attempt.start_overdue and not attempt.presumed_lost
--- a/stepstream/policy/outliers.py
+++ b/stepstream/policy/outliers.py
@@ -1,63 +1,156 @@
-"""Outlier ejection: workers that fail, run slowly or lose jobs leave their pools for a while."""
+"""Outlier ejection: workers that fail or run slowly get no work until a probation attempt succeeds.
 
-from math import ceil
+Envoy's terms: outlier detection, ejection time, panic threshold. A single job class can be ejected
+from a worker too; other classes go on there.
+"""
 
-from stepstream.model.actions import CheckHealth
-from stepstream.model.ejections import next_ejection_time_us
-from stepstream.model.settings import Effect
 from stepstream.model.state import PolicyState
-from stepstream.model.worker_records import Worker, accepting_workers
+from stepstream.model.worker_records import ClassEjection, Worker
 
-FAILURE_RATE_LIMIT = 0.6  # of recent outcomes; three failures in a row pass it
-SLOWNESS_LIMIT = 1.1  # logarithm of how much longer than usual a worker's runs take
-SLOW_EJECTION_US = 3_000_000  # before each probation attempt of a slow worker
+BASE_EJECTION_TIME_US = 1_000_000
+MAX_EJECTION_TIME_US = 8_000_000
+# If fewer workers are available the fault is not theirs, and none is ejected.
+PANIC_THRESHOLD_FRACTION = 0.5
+# Three failures in a row exceed it.
+MAX_FAILURE_RATE = 0.6
+NEWEST_OUTCOME_WEIGHT = 0.3
+# Runs that take three times as long as usual.
+MAX_SLOWNESS_LOGARITHM = 1.1
+NEWEST_RUN_WEIGHT = 0.15
+SLOW_EJECTION_TIME_US = 3_000_000
+# Stands for a job class where a question is about the worker as a whole.
+ANY_CLASS = -1
 
 
 def available_workers(state: PolicyState, workers: list[Worker], job_class: int) -> list[Worker]:
-    """Return the workers that are not ejected; all of them if most are: it is not the workers."""
+    """Return the workers that are not ejected for the class, or all of them in a panic."""
     available = accepting_workers(workers, job_class, state.now_us)
-    return available if 2 * len(available) >= len(workers) else workers
+    return workers if _is_panic(len(available), len(workers)) else available
+
+
+def accepting_workers(workers: list[Worker], job_class: int, now_us: int) -> list[Worker]:
+    """Return the workers that accept the class; most have no ejection and need no closer look."""
+    return [
+        worker
+        for worker in workers
+        if not (worker.ejection_time_us or worker.class_ejections)
+        or accepts(worker, job_class, now_us)
+    ]
+
+
+def _is_panic(available_count: int, worker_count: int) -> bool:
+    """Return whether too many workers are ejected for the fault to be theirs."""
+    return available_count < PANIC_THRESHOLD_FRACTION * worker_count
+
+
+def accepts(worker: Worker, job_class: int, now_us: int) -> bool:
+    """Return whether a worker may get a job of the class: not ejected, or due for probation."""
+    return _accepts_jobs(worker, now_us) and _accepts_class(worker, job_class, now_us)
+
+
+def _accepts_jobs(worker: Worker, now_us: int) -> bool:
+    """Return whether the worker itself is not ejected, or due for probation."""
+    return not worker.ejection_time_us or now_us >= worker.next_probation_us
+
+
+def _accepts_class(worker: Worker, job_class: int, now_us: int) -> bool:
+    """Return whether the class is not ejected from the worker, or due for probation."""
+    ejection = worker.class_ejections.get(job_class)
+    return ejection is None or now_us >= ejection.next_probation_us
+
+
+def next_ejection_time_us(previous_us: int) -> int:
+    """Return the length of an ejection that follows one of `previous_us`: doubled, bounded."""
+    return min(max(2 * previous_us, BASE_EJECTION_TIME_US), MAX_EJECTION_TIME_US)
+
+
+def eject(worker: Worker, ejection_time_us: int, now_us: int) -> None:
+    """Eject a worker until a probation attempt, sent after this time, succeeds."""
+    worker.ejection_time_us = ejection_time_us
+    worker.next_probation_us = now_us + ejection_time_us
+
+
+def eject_class(worker: Worker, job_class: int, attempt_sent_us: int, now_us: int) -> None:
+    """Eject a class from a worker that lost an attempt of it, sent at `attempt_sent_us`.
+
+    Attempts from before the latest ejection do not extend it: they led to it.
+    """
+    ejection = worker.class_ejections.setdefault(job_class, ClassEjection())
+    if attempt_sent_us >= ejection.ejected_at_us:
+        ejection.ejection_time_us = next_ejection_time_us(ejection.ejection_time_us)
+        ejection.next_probation_us = now_us + ejection.ejection_time_us
+        ejection.ejected_at_us = now_us
+
+
+def begin_probation(worker: Worker, job_class: int, now_us: int) -> None:
+    """Note an attempt on a worker: one at a time while it, or the class, is on probation."""
+    if worker.ejection_time_us:
+        worker.next_probation_us = now_us + worker.ejection_time_us
+    if job_class in worker.class_ejections:
+        ejection = worker.class_ejections[job_class]
+        ejection.next_probation_us = now_us + ejection.ejection_time_us
+
+
+def shorten_class_ejection(worker: Worker, job_class: int) -> None:
+    """Halve the ejection of a class of which the worker has started a job, and end a short one."""
+    ejection = worker.class_ejections.get(job_class)
+    if ejection is not None:
+        ejection.ejection_time_us //= 2
+        ejection.next_probation_us = 0
+        if ejection.ejection_time_us < BASE_EJECTION_TIME_US:
+            del worker.class_ejections[job_class]
 
 
 def on_outcome(state: PolicyState, worker: Worker, *, failed: bool) -> None:
     """Eject a worker that fails steadily, and return it once a probation attempt succeeds."""
-    state.record_outcome(worker, failed=failed)
-    if not failed and worker.slowness_with_open_runs <= SLOWNESS_LIMIT:
+    worker.failure_rate += NEWEST_OUTCOME_WEIGHT * (failed - worker.failure_rate)
+    if not failed and not _is_slow(worker):
         worker.ejection_time_us = 0
-    elif worker.failure_rate > FAILURE_RATE_LIMIT and state.now_us >= worker.next_probation_us:
-        worker.eject(next_ejection_time_us(worker.ejection_time_us), state.now_us)
+    elif _fails_steadily(worker) and state.now_us >= worker.next_probation_us:
+        eject(worker, next_ejection_time_us(worker.ejection_time_us), state.now_us)
+
+
+def record_run(state: PolicyState, worker: Worker, job_class: int, run_us: int) -> None:
+    """Count the time of an ended run in its worker's slowness."""
+    slowness = state.measurements.run_times.record_run(job_class, run_us)
+    worker.slowness += NEWEST_RUN_WEIGHT * (slowness - worker.slowness)
 
 
 def update_slow_ejections(state: PolicyState, *, spare_capacity: bool) -> None:
-    """Eject slow workers while the others have spare capacity; else take them back in."""
-    state.measure_open_runs()
-    for worker in state.eligible_workers:
-        slow = worker.slowness_with_open_runs > SLOWNESS_LIMIT
+    """Eject slow workers while the others have spare capacity, and return them when they have none.
+
+    A crowded fleet needs its slow workers.
+    """
+    _measure_open_runs(state)
+    for worker in state.workers.eligible:
         ejected = worker.ejection_time_us > 0
-        if slow and worker.failure_rate <= FAILURE_RATE_LIMIT and ejected != spare_capacity:
-            worker.eject(SLOW_EJECTION_US, state.now_us)
+        if _is_slow(worker) and not _fails_steadily(worker) and ejected != spare_capacity:
+            eject(worker, SLOW_EJECTION_TIME_US, state.now_us)
             if not spare_capacity:
-                worker.ejection_time_us = 0  # its failures eject it again only after that time
-
-
-def on_load_report(state: PolicyState, worker: Worker, report: dict[str, float] | None) -> None:
-    """Take a load report; one of headroom and no queue shows which of our jobs are lost."""
-    if not state.record_load_report(worker, report):
-        return
-    for job, attempt in state.find_lost_attempts(worker):
-        attempt.lost = True
-        worker.eject_class(job.request.job_class, attempt.sent_us, state.now_us)
-        if job.class_settings.effect is Effect.IDEMPOTENT and not job.ended:
-            state.cancel_attempts(job, [attempt])  # its end brings the next attempt
-
-
-def check_silent_workers(state: PolicyState, silent_us: int) -> None:
-    """Check the health of some workers without a report for so long: they may be jammed."""
-    if not state.has_load_reports or not state.settings.may_check_health:
-        return
-    silent = state.silent_workers(silent_us)
-    # Bounded by the dispatcher's own jobs, whatever the number of workers.
-    count = min(ceil(state.health_check_credit), len(silent))
-    for worker in state.rng.sample(silent, count):
-        state.actions.append(CheckHealth(worker.endpoint.worker_id))
-    state.health_check_credit = 0.0
+                # It is back, but its failures can eject it again only after this time.
+                worker.ejection_time_us = 0
+
+
+def _is_slow(worker: Worker) -> bool:
+    """Return whether a worker's runs take much longer than usual for their class."""
+    return worker.slowness_with_open_runs > MAX_SLOWNESS_LOGARITHM
+
+
+def _fails_steadily(worker: Worker) -> bool:
+    """Return whether most of a worker's recent attempts have failed."""
+    return worker.failure_rate > MAX_FAILURE_RATE
+
+
+def _measure_open_runs(state: PolicyState) -> None:
+    """Measure workers' slowness with the open runs, as on a slow worker few runs end."""
+    run_times = state.measurements.run_times
+    for worker in state.workers.eligible:
+        worker.slowness_with_open_runs = worker.slowness
+    for job in state.jobs.in_flight.values():
+        for attempt in job.attempts:
+            if attempt.open and attempt.started:
+                worker = attempt.worker
+                run_us = state.now_us - attempt.started_us
+                slowness = run_times.slowness(job.request.job_class, run_us)
+                increase = max(slowness - worker.slowness, 0.0)
+                worker.slowness_with_open_runs += NEWEST_RUN_WEIGHT * increase
--- /dev/null
+++ b/stepstream/policy/pool_capacity.py
@@ -0,0 +1,100 @@
+"""Capacity of whole pools: their headroom, and the cap that one of many dispatchers goes by.
+
+With many dispatchers each seldom has a job of its own on a given worker, so its jobs there say
+nothing of the worker's cap. Its jobs on a whole pool do: the cap of one worker is the mean number
+of its slots there, often below one, at which starts begin to be overdue.
+"""
+
+from math import inf
+
+from stepstream.model.pool_load import PoolLoad
+from stepstream.model.pools import Pool
+from stepstream.model.settings import Settings
+from stepstream.model.state import PolicyState
+from stepstream.policy import capacity, outliers
+
+# More dispatchers than this are many.
+MANY_DISPATCHERS = 8
+# The averages of a dispatcher that has just started are too low.
+AVERAGES_SETTLE_US = 2_000_000
+# With less a pool would never be tried again.
+MIN_POOL_CAP_SLOTS = 1.5
+OVERDUE_START_FRACTION_AT_CAP = 0.4
+CAP_DECREASE_FRACTION = 0.1
+# Decreases and increases cancel out while OVERDUE_START_FRACTION_AT_CAP of the starts are overdue.
+CAP_INCREASE_FRACTION = (
+    CAP_DECREASE_FRACTION * OVERDUE_START_FRACTION_AT_CAP / (1 - OVERDUE_START_FRACTION_AT_CAP)
+)
+MAX_CAP_TO_RUNNING_SLOTS_RATIO = 2
+# A cap far above the load is not put to the test by starts in time.
+MAX_CAP_TO_BUSY_SLOTS_RATIO = 3
+
+
+def has_many_dispatchers(settings: Settings) -> bool:
+    """Return whether caps are learned for whole pools instead of single workers."""
+    return settings.dispatcher_count > MANY_DISPATCHERS
+
+
+def pool_headroom(state: PolicyState, pool: Pool) -> float:
+    """Return the pool's summed caps less its summed busy slots, measured once a round."""
+    if has_many_dispatchers(state.settings):
+        return mean_pool_headroom(state.pools, pool)
+    headrooms = state.pools.headrooms
+    if pool not in headrooms:
+        members = [worker for worker in state.workers.eligible if worker.pool is pool]
+        members = outliers.available_workers(state, members, outliers.ANY_CLASS)
+        headrooms[pool] = sum(capacity.headrooms(state, members))
+    return headrooms[pool]
+
+
+def mean_pool_headroom(pools: PoolLoad, pool: Pool) -> float:
+    """Return the pool's summed caps less its mean busy slots, for one of many dispatchers."""
+    if pools.worker_cap == inf:
+        return inf
+    return summed_caps(pools, pool) - pool.mean_busy_slots
+
+
+def summed_caps(pools: PoolLoad, pool: Pool) -> float:
+    """Return the slots that a pool may be loaded with, for one of many dispatchers.
+
+    Priority jobs have to meet their latency objectives, so the High Set is loaded less.
+    """
+    safety_factor = capacity.SAFETY_FACTOR if pool is pools.high_set else 1.0
+    return pools.worker_cap * safety_factor * pool.worker_count
+
+
+def typical_cap(state: PolicyState) -> float:
+    """Return the cap in slots of a worker whose own cap is not known; inf while none is known."""
+    if has_many_dispatchers(state.settings):
+        return state.pools.worker_cap
+    common_cap = state.measurements.common_cap
+    return inf if common_cap is None else max(common_cap, capacity.MIN_CAP_SLOTS)
+
+
+def learn_from_low_set_start(pools: PoolLoad, *, overdue: bool) -> None:
+    """Adjust the cap by one start in the Low Set, which was overdue or in time.
+
+    The cap settles where OVERDUE_START_FRACTION_AT_CAP of the starts are overdue.
+    """
+    if pools.averaged_at_us < pools.started_us + AVERAGES_SETTLE_US:
+        return
+    worker_count = max(pools.low_set.worker_count, 1)
+    busy_slots = pools.low_set.mean_busy_slots / worker_count
+    running_slots = pools.low_set.mean_running_slots / worker_count
+    if overdue and running_slots:
+        _lower_cap(pools, busy_slots, running_slots)
+    elif not overdue and pools.worker_cap < MAX_CAP_TO_BUSY_SLOTS_RATIO * busy_slots:
+        pools.worker_cap *= 1 + CAP_INCREASE_FRACTION
+    pools.worker_cap = max(pools.worker_cap, MIN_POOL_CAP_SLOTS / worker_count)
+
+
+def _lower_cap(pools: PoolLoad, busy_slots: float, running_slots: float) -> None:
+    """Lower the cap after an overdue start, by our mean busy and running slots of a worker.
+
+    Where jobs wait, all slots of the workers run something, so our running slots show our part of
+    them. Over the cap overdue starts are expected and lower it no further: it would sink with the
+    load that the rejections take away.
+    """
+    pools.worker_cap = min(pools.worker_cap, MAX_CAP_TO_RUNNING_SLOTS_RATIO * running_slots)
+    if busy_slots <= pools.worker_cap:
+        pools.worker_cap *= 1 - CAP_DECREASE_FRACTION
--- a/stepstream/policy/pools.py
+++ b/stepstream/policy/pools.py
@@ -1,84 +1,107 @@
-"""The High Set and the Low Set: their headroom, and which workers are in which.
+"""The High Set and the Low Set of DynamicPart: which workers are in which, and what one lends.
 
-DynamicPart of Andreolini et al.; caps are learned, as no dispatcher knows them beforehand.
+The High Set serves priority jobs, the Low Set ordinary ones. After Andreolini et al.
 """
 
 from math import ceil
 
-from stepstream.model.pools import SAFETY_FACTOR, Pool
+from stepstream.model.job_records import InFlightJob
+from stepstream.model.pools import Pool
 from stepstream.model.state import PolicyState
-from stepstream.model.worker_records import ANY_CLASS, Worker
-from stepstream.policy import outliers
+from stepstream.model.worker_records import Worker
+from stepstream.policy import capacity, outliers, waiting
+from stepstream.policy.capacity import SAFETY_FACTOR
+from stepstream.policy.pool_capacity import has_many_dispatchers, pool_headroom, typical_cap
 
-LENDING_CAP_FRACTION = 0.25  # of a worker's cap; the High Set keeps it free where load is reported
-WORKERS_PER_MOVE = 16  # one resizing moves one worker of so many
+# Without load reports caps are estimates, so a whole cap stays free before the High Set lends.
+LENDING_HEADROOM_CAPS = 1.0
+LENDING_HEADROOM_CAPS_WITH_REPORTS = 0.25
+SPARE_CAPACITY_CAPS = 2
+# One resizing moves one worker for each of these, and at least one.
+WORKERS_PER_MOVE = 16
 
 
-def pool_headroom(state: PolicyState, pool: Pool) -> float:
-    """Return the pool's summed caps less its summed busy slots, measured once a round."""
-    if state.pool_load.has_many_dispatchers:
-        return state.pool_load.headroom(pool)
-    if pool not in state.pool_headrooms:
-        members = [worker for worker in state.eligible_workers if worker.pool is pool]
-        members = outliers.available_workers(state, members, ANY_CLASS)
-        state.pool_headrooms[pool] = sum(map(state.headroom, members))
-    return state.pool_headrooms[pool]
+def own_pool(state: PolicyState, job: InFlightJob) -> Pool:
+    """Return the pool that serves jobs of this kind."""
+    return state.pools.high_set if job.priority else state.pools.low_set
 
 
 def lends(state: PolicyState) -> bool:
-    """Return whether the High Set has so much headroom that an ordinary job may go to it."""
-    fraction = LENDING_CAP_FRACTION if state.has_load_reports else 1.0
-    return pool_headroom(state, state.high_set) > state.worker_cap * fraction
+    """Return whether the High Set has enough headroom for an ordinary job to go to it."""
+    caps = LENDING_HEADROOM_CAPS_WITH_REPORTS if state.has_load_reports else LENDING_HEADROOM_CAPS
+    return pool_headroom(state, state.pools.high_set) > typical_cap(state) * caps
 
 
 def has_spare_capacity(state: PolicyState) -> bool:
     """Return whether both pools together have headroom for more than two workers' caps."""
-    headroom = pool_headroom(state, state.high_set) + pool_headroom(state, state.low_set)
-    return headroom > 2 * state.worker_cap
+    high_set_headroom = pool_headroom(state, state.pools.high_set)
+    low_set_headroom = pool_headroom(state, state.pools.low_set)
+    return high_set_headroom + low_set_headroom > SPARE_CAPACITY_CAPS * typical_cap(state)
 
 
 def fill_empty_pool(state: PolicyState) -> None:
-    """Give a pool without workers its first ones; both keep the same ids at all dispatchers."""
-    workers = state.eligible_workers
-    if not any(worker.pool is state.high_set for worker in workers):
-        priority = state.job_mix.priority_fraction
-        fraction = priority + (1 - priority) * (1 - SAFETY_FACTOR)
+    """Give a pool without workers its first ones.
+
+    The High Set begins with the expected fraction of priority jobs and a safety margin. It takes
+    the first ids, so that dispatchers that share nothing agree.
+    """
+    workers = state.workers.eligible
+    high_set = state.pools.high_set
+    if not any(worker.pool is high_set for worker in workers):
+        priority_fraction = state.measurements.job_mix.priority_fraction
+        fraction = priority_fraction + (1 - priority_fraction) * (1 - SAFETY_FACTOR)
         for worker in workers[: ceil(fraction * len(workers))]:
-            worker.pool = state.high_set
-    if workers and all(worker.pool is state.high_set for worker in workers):
-        workers[-1].pool = state.low_set
+            worker.pool = high_set
+    if workers and all(worker.pool is high_set for worker in workers):
+        workers[-1].pool = state.pools.low_set
 
 
 def resize(state: PolicyState) -> None:
-    """Move workers to the High Set while it is over its caps, and back while it has spare ones."""
-    # Waiting jobs are load too: without them a full High Set would never look over its caps.
-    headroom = pool_headroom(state, state.high_set) - state.waiting_priority_slots()
-    workers = state.eligible_workers
-    least_high = 1.0
-    if state.has_load_reports and 2 * state.known_headroom_count() < len(workers):
-        # Else dispatchers that know few headrooms all give back workers, down to the same one.
-        least_high = max(state.job_mix.priority_fraction * len(workers), 1)
+    """Move workers to the High Set while it is over its caps, and back while it has spare ones.
+
+    Waiting priority jobs are load too: without them a full High Set would never be over its caps.
+    """
+    waiting_slots = waiting.waiting_priority_slots(state)
+    headroom = pool_headroom(state, state.pools.high_set) - waiting_slots
+    workers = state.workers.eligible
+    min_high_set_size = 1.0
+    if _knows_few_headrooms(state):
+        # All dispatchers would give back all workers but one, the same at each of them.
+        min_high_set_size = max(state.measurements.job_mix.priority_fraction * len(workers), 1)
         workers = state.rng.sample(workers, len(workers))
-    workers = outliers.available_workers(state, workers, ANY_CLASS)
-    state.pool_load.recount(workers)
+    workers = outliers.available_workers(state, workers, outliers.ANY_CLASS)
+    state.pools.recount(workers)
     for _ in range(max(len(workers) // WORKERS_PER_MOVE, 1)):
-        headroom += _move_one_worker(state, workers, headroom, least_high)
-    state.pool_load.recount(workers)
+        headroom += _move_one_worker(state, workers, headroom, min_high_set_size)
+    state.pools.recount(workers)
+
+
+def _knows_few_headrooms(state: PolicyState) -> bool:
+    """Return whether load is reported, but fewer than half of the workers' headrooms are valid."""
+    if not state.has_load_reports:
+        return False
+    return 2 * capacity.valid_headroom_count(state) < len(state.workers.eligible)
 
 
 def _move_one_worker(
-    state: PolicyState, workers: list[Worker], headroom: float, least_high: float
+    state: PolicyState, workers: list[Worker], headroom: float, min_high_set_size: float
 ) -> float:
-    """Move a worker between the pools if need be; return what that adds to the High Set."""
-    high = [worker for worker in workers if worker.pool is state.high_set]
-    low = [worker for worker in workers if worker.pool is state.low_set]
-    cap = state.worker_cap
-    if headroom < 0 and len(low) > 1:
-        max(low, key=state.headroom).pool = state.high_set
+    """Move a worker between the pools if necessary; return the slots that the High Set gains."""
+    high_set = [worker for worker in workers if worker.pool is state.pools.high_set]
+    low_set = [worker for worker in workers if worker.pool is state.pools.low_set]
+    cap = typical_cap(state)
+    if headroom < 0 and len(low_set) > 1:
+        _least_loaded(state, low_set).pool = state.pools.high_set
         return cap
-    if headroom > cap and len(high) > least_high:
-        # Of equal headrooms the last id, so that the High Sets of many dispatchers stay the same.
-        candidates = reversed(high) if state.pool_load.has_many_dispatchers else high
-        max(candidates, key=state.headroom).pool = state.low_set
+    if headroom > cap and len(high_set) > min_high_set_size:
+        if has_many_dispatchers(state.settings):
+            # The last id of equal headrooms goes, so that their High Sets stay the same.
+            high_set.reverse()
+        _least_loaded(state, high_set).pool = state.pools.low_set
         return -cap
     return 0.0
+
+
+def _least_loaded(state: PolicyState, workers: list[Worker]) -> Worker:
+    """Return the first worker of those with the largest headroom."""
+    return max(workers, key=lambda worker: capacity.headroom(state, worker))
--- /dev/null
+++ b/stepstream/policy/priority.py
@@ -0,0 +1,26 @@
+"""Priority: which jobs the High Set serves, and which ordinary jobs come first or last."""
+
+from stepstream.model.job_mix import JobMix
+from stepstream.model.job_records import InFlightJob
+
+# With equal weights rounding must not decide.
+WEIGHT_TOLERANCE = 1e-6
+
+
+def is_priority_weight(job_mix: JobMix, weight: float) -> bool:
+    """Return whether a job of this weight is a priority job: at least of the mean weight."""
+    return weight >= job_mix.mean_weight * (1 - WEIGHT_TOLERANCE)
+
+
+def is_heavy_ordinary_weight(job_mix: JobMix, weight: float) -> bool:
+    """Return whether an ordinary job's weight is above the mean of such jobs."""
+    return weight > job_mix.mean_ordinary_weight
+
+
+def is_best_effort(job: InFlightJob) -> bool:
+    """Return whether a job comes last: one attempt, no wait on arrival, and a slot stays free.
+
+    A job over its tenant's quota must not take workers from those inside theirs. A stale retry can
+    hardly be in time any more.
+    """
+    return job.over_quota or job.stale_retry
--- a/stepstream/policy/retries.py
+++ b/stepstream/policy/retries.py
@@ -1,105 +1,123 @@
-"""Retries and hedged requests: a job's next attempt, or its answer where no attempt is good.
-
-A retry follows an attempt that has ended, a hedged request stands beside one that does not start.
-"""
+"""Retries: a job's next attempt, its wait for one, or its answer where no attempt is good."""
 
 from stepstream.model.actions import Fail, Reject
 from stepstream.model.events import AttemptEnded, AttemptResult
-from stepstream.model.job_records import InFlightJob
-from stepstream.model.settings import Effect
+from stepstream.model.job_records import Attempt, InFlightJob
 from stepstream.model.state import PolicyState
-from stepstream.policy import outliers
+from stepstream.policy import (
+    attempts,
+    capacity,
+    idempotency,
+    load_reports,
+    outliers,
+    priority,
+    waiting,
+)
 from stepstream.policy.selection import choose_worker
 
+BEST_EFFORT_ATTEMPT_LIMIT = 1
+# The rest of the attempts waits until headroom has changed, or a crowded fleet uses all at once.
+IMMEDIATE_RETRY_FRACTION = 0.5
+
 
 def attempt_or_wait(state: PolicyState, job: InFlightJob, *, defer: bool = False) -> bool:
-    """Start the job's next attempt or give it up; return False if it waits, as `defer` demands."""
-    limit = 1 if job.excess else state.settings.attempt_limit
-    too_late = state.now_us >= latest_start_us(state, job)
-    if too_late or not job.may_attempt(limit, state.now_us):
+    """Start the job's next attempt, give the job up, or let it wait; return False if it waits.
+
+    With `defer` the job waits until headroom has changed.
+    """
+    too_late = state.now_us >= waiting.latest_start_us(state, job)
+    if too_late or not may_attempt(job, attempt_limit(state, job), state.now_us):
         give_up(state, job)
         return True
     worker = None if defer else choose_worker(state, job)
     if worker is not None:
-        state.start_attempt(job, worker)
+        attempts.start_attempt(state, job, worker)
         return True
-    state.add_waiting_job(job, latest_start_us(state, job))
+    waiting.add_waiting_job(state, job)
     return False
 
 
-def latest_start_us(state: PolicyState, job: InFlightJob) -> int:
-    """Return until when an attempt is worth starting: later it would hardly be in time."""
-    return min(job.wait_until_us, job.deadline_us - state.settings.scheduling_quantum_us)
+def attempt_limit(state: PolicyState, job: InFlightJob) -> int:
+    """Return the number of attempts that a job may have, the first one included."""
+    if priority.is_best_effort(job):
+        return BEST_EFFORT_ATTEMPT_LIMIT
+    return state.settings.attempt_limit
+
+
+def may_attempt(job: InFlightJob, limit: int, now_us: int) -> bool:
+    """Return whether the job's answer is owed and its limit and effect allow another attempt."""
+    if job.ended or len(job.attempts) >= limit:
+        return False
+    return not job.attempts or idempotency.may_repeat(job, now_us)
 
 
 def give_up(state: PolicyState, job: InFlightJob) -> None:
     """Answer a job that has no good attempt left; a rejection says that a retry is harmless."""
-    if job.repeats_are_harmless:
-        advises = state.settings.may_advise_retry and not job.priority
-        retry_after_us = state.settings.max_retry_after_us if advises else 0
+    if idempotency.is_client_retry_harmless(job):
+        retry_after_us = _retry_after_us(state, job)
         state.actions.append(Reject(job.request.job_id, retry_after_us))
     else:
         state.actions.append(Fail(job.request.job_id))
-    state.end_job(job)
+    attempts.end_job(state, job)
+
+
+def _retry_after_us(state: PolicyState, job: InFlightJob) -> int:
+    """Return how long the client should wait before its retry: longest for ordinary jobs."""
+    advises_wait = state.settings.may_advise_retry and not job.priority
+    return state.settings.max_retry_after_us if advises_wait else 0
 
 
 def retry_waiting_jobs(state: PolicyState) -> None:
     """Give new headroom to waiting jobs, priority jobs first; give up those that are too late."""
-    headroom_changed = state.take_headroom_change()
-    stuck = set()  # sorts of jobs for which no worker has headroom
-    for job in state.take_waiting_jobs():
-        sort = (job.priority, job.request.job_class)
-        may_start = headroom_changed and sort not in stuck
-        if not may_start and state.now_us < latest_start_us(state, job):
-            state.waiting.append(job)
+    headroom_changed = waiting.take_headroom_change(state)
+    # Priority and class of jobs for which no worker has headroom.
+    stuck_categories = set()
+    for job in waiting.take_waiting_jobs(state):
+        category = (job.priority, job.request.job_class)
+        may_start = headroom_changed and category not in stuck_categories
+        if not may_start and state.now_us < waiting.latest_start_us(state, job):
+            state.jobs.waiting_for_headroom.append(job)
         elif not attempt_or_wait(state, job):
-            stuck.add(sort)
+            stuck_categories.add(category)
 
 
 def on_attempt_started(state: PolicyState, job: InFlightJob, number: int) -> None:
-    """Keep the attempt that has started and cancel those that have not."""
+    """Let the attempt that has started run on, and cancel those that have not started."""
     attempt = job.attempt_at(number)
     if attempt is not None:
-        state.record_start(job, attempt)
-        state.cancel_attempts(job, [other for other in job.attempts if not other.started])
+        attempts.record_start(state, job, attempt)
+        not_started = [other for other in job.attempts if not other.started]
+        attempts.cancel_attempts(state, job, not_started)
 
 
 def on_attempt_ended(state: PolicyState, event: AttemptEnded) -> None:
     """Learn from an attempt's end and retry the job if its answer is still owed."""
-    job = state.jobs.get(event.job_id)
+    job = state.jobs.in_flight.get(event.job_id)
     attempt = job.attempt_at(event.attempt_number) if job is not None else None
     if job is None or attempt is None or not attempt.open:
         return
-    busy_slots = attempt.worker.busy_slots
-    full = event.result is AttemptResult.FULL
-    state.record_end(job, attempt, event)
-    outliers.on_load_report(state, attempt.worker, event.load_report)
-    if full:
-        state.record_full(attempt.worker, busy_slots)
-    elif event.result.reflects_health:
-        failed = event.result is not AttemptResult.OK
-        outliers.on_outcome(state, attempt.worker, failed=failed)
+    _learn_from_end(state, job, attempt, event)
     if event.job_answered or job.ended:
-        state.end_job(job)
+        attempts.end_job(state, job)
     elif not job.has_open_attempt:
-        # Half of the attempts are kept for when headroom has changed: else they are soon gone.
-        half_used = 2 * len(job.attempts) >= state.settings.attempt_limit
-        attempt_or_wait(state, job, defer=full and half_used)
-
-
-def on_starts_due(state: PolicyState) -> None:
-    """Hedge attempts that should have started by now: their workers have no headroom."""
-    for start in state.take_due_starts():
-        state.record_late_start(start.attempt)
-        _hedge(state, start.job)
+        full = event.result is AttemptResult.FULL
+        attempt_or_wait(state, job, defer=full and _has_used_immediate_retries(state, job))
+
+
+def _learn_from_end(
+    state: PolicyState, job: InFlightJob, attempt: Attempt, event: AttemptEnded
+) -> None:
+    """Take an attempt's end as evidence of its worker's load, cap and health."""
+    worker = attempt.worker
+    busy_slots = worker.busy_slots  # with this attempt
+    attempts.record_end(state, job, attempt, event)
+    load_reports.on_load_report(state, worker, event.load_report)
+    if event.result is AttemptResult.FULL:
+        capacity.learn_from_full(state, worker, busy_slots)
+    elif event.result.reflects_health:
+        outliers.on_outcome(state, worker, failed=event.result is not AttemptResult.OK)
 
 
-def _hedge(state: PolicyState, job: InFlightJob) -> None:
-    allowed = state.settings.may_hedge and job.class_settings.effect is not Effect.NOT_IDEMPOTENT
-    if not allowed or not job.may_attempt(state.settings.attempt_limit, state.now_us):
-        return
-    worker = choose_worker(state, job)
-    if worker is None or worker in job.tried_workers:
-        return
-    if state.headroom(worker) >= job.request.slots:
-        state.start_attempt(job, worker)
+def _has_used_immediate_retries(state: PolicyState, job: InFlightJob) -> bool:
+    """Return whether further attempts should wait for a change of headroom."""
+    return len(job.attempts) >= IMMEDIATE_RETRY_FRACTION * state.settings.attempt_limit
--- a/stepstream/policy/selection.py
+++ b/stepstream/policy/selection.py
@@ -1,106 +1,185 @@
 """Selection of the worker for an attempt."""
 
 from stepstream.model.job_records import InFlightJob
-from stepstream.model.rotation import take_next
+from stepstream.model.settings import JobClass
 from stepstream.model.state import PolicyState
-from stepstream.model.worker_records import HEADROOM_VALID_US, Worker
-from stepstream.policy import outliers, pools, slow_start
-
-MOST_CANDIDATES = 64  # workers that a choice looks at; more would only cost more on large fleets
-WORKERS_PER_KEY = 2  # that a key's jobs keep to; a hot key's, so many more for each it could fill
-EXCESS_HEADROOM = 1.0  # slots of a worker that an excess job leaves free
-HEADROOM_FRACTION = 0.5  # rotation keeps to workers with at least this fraction of the best one's
-LEAST_WEIGHT = 1e-6  # of a worker in rotation
-Headrooms = dict[Worker, float]  # free slots by worker, in the order of the candidates
+from stepstream.model.worker_records import Worker
+from stepstream.policy import (
+    capacity,
+    idempotency,
+    key_affinity,
+    outliers,
+    pool_capacity,
+    pools,
+    priority,
+    slow_start,
+    weighted_round_robin,
+)
+
+# More candidates would only cost time on large fleets.
+MAX_CANDIDATES = 64
+SLOTS_LEFT_FREE_BY_BEST_EFFORT = 1.0
+MIN_FRACTION_OF_BEST_HEADROOM = 0.5
+MIN_ENDPOINT_WEIGHT = 1e-6
+ANY_WORKER_KIND = -1
+# Free slots by worker, in the order of the candidates.
+Headrooms = dict[Worker, float]
 
 
 def choose_worker(state: PolicyState, job: InFlightJob) -> Worker | None:
-    """Return the worker for the job's next attempt, or None if the job has to wait."""
+    """Return the worker for the job's next attempt, or None if the job has to wait.
+
+    The choice is among the workers with headroom: of the own pool first, then those with the larger
+    headrooms, then those of the own zone, then by turns.
+    """
     candidates = _candidates(state, job)
-    headrooms = {worker: state.headroom(worker) for worker in candidates}
+    headrooms = dict(zip(candidates, capacity.headrooms(state, candidates), strict=True))
     workers = _own_or_borrowed(state, job, headrooms)
     if not workers:
         return None
-    if job.request.key is not None and len(candidates) <= WORKERS_PER_KEY:
+    if job.request.key is not None and len(candidates) <= key_affinity.MIN_WORKERS_PER_KEY:
         return workers[0]
-    # Of stale and noisy counts the larger half is worth more than the rest: rotate there.
-    best = max(headrooms[worker] for worker in workers)
-    if best > 0:
-        workers = [w for w in workers if headrooms[w] >= HEADROOM_FRACTION * best]
-    return _next_in_rotation(state, _in_own_zone(state, workers))
+    workers = _in_own_zone(state, _with_large_headroom(workers, headrooms))
+    return _next_in_turn(state, workers)
 
 
 def _candidates(state: PolicyState, job: InFlightJob) -> list[Worker]:
     """Return the workers that may run the job, by ejections, slow start, key and past attempts."""
-    key = job.request.key
-    kind = job.class_settings
-    tenant = state.settings.tenant_name(job.request.tenant)
-    workers = state.eligible_workers if key is None else state.workers_for_key(key)
-    workers = [worker for worker in workers if worker.endpoint.can_run(kind, tenant)]
-    if key is None and len(workers) > MOST_CANDIDATES:
-        workers = state.rng.sample(workers, MOST_CANDIDATES)
+    now_us = state.now_us
+    workers = _sample_of_capable_workers(state, job)
     workers = [
         worker
-        for worker in workers[:MOST_CANDIDATES]
-        if state.now_us >= worker.slow_start_ends_us or slow_start.is_admitted(state, job, worker)
+        for worker in workers
+        if now_us >= worker.slow_start_ends_us or slow_start.is_admitted(state, job, worker)
     ]
     workers = outliers.available_workers(state, workers, job.request.job_class)
     if job.attempts:
-        workers = job.workers_in_key_scope(workers)
-        tried = job.tried_workers
-        workers = [worker for worker in workers if worker not in tried] or workers
-    return workers if key is None else _nearest_for_key(state, job, workers)
+        workers = _workers_for_repeat(job, workers)
+    if job.request.key is None:
+        return workers
+    return key_affinity.workers_with_affinity(state, job, workers)
+
+
+def _sample_of_capable_workers(state: PolicyState, job: InFlightJob) -> list[Worker]:
+    """Return a bounded number of workers that can run the job; for a key the first in its order."""
+    key = job.request.key
+    job_class = job.class_settings
+    tenant = state.settings.tenant_name(job.request.tenant)
+    workers = (
+        state.workers.eligible if key is None else key_affinity.workers_in_key_order(state, key)
+    )
+    workers = able_workers(workers, job_class, tenant)
+    if key is None and len(workers) > MAX_CANDIDATES:
+        workers = state.rng.sample(workers, MAX_CANDIDATES)
+    return workers[:MAX_CANDIDATES]
+
+
+def able_workers(workers: list[Worker], job_class: JobClass, tenant: str) -> list[Worker]:
+    """Return the workers that run a tenant's jobs of the class.
+
+    The worker's kind has to fit. Where its endpoint names the jobs that it supports, they have to
+    include the class, or the class for this tenant.
+    """
+    if job_class.worker_kind != ANY_WORKER_KIND:
+        workers = [
+            worker for worker in workers if worker.endpoint.worker_kind == job_class.worker_kind
+        ]
+    names = {job_class.name, f"{tenant}/{job_class.name}"}
+    return [
+        worker
+        for worker in workers
+        if worker.endpoint.supported_jobs is None
+        or not names.isdisjoint(worker.endpoint.supported_jobs)
+    ]
 
 
-def _nearest_for_key(state: PolicyState, job: InFlightJob, workers: list[Worker]) -> list[Worker]:
-    """Keep to the first workers in the key's order, of the job's own pool if it has any."""
-    pool = state.high_set if job.priority else state.low_set
-    workers = [worker for worker in workers if worker.pool is pool] or workers
-    # A hot key's share of the work is more than two workers of a large fleet can do.
-    fraction = state.job_mix.key_fraction(job.request.key)
-    return workers[: WORKERS_PER_KEY + int(WORKERS_PER_KEY * fraction * len(workers))]
+def _workers_for_repeat(job: InFlightJob, workers: list[Worker]) -> list[Worker]:
+    """Return the workers that may repeat the job, without those that were tried if others exist."""
+    workers = idempotency.workers_in_key_scope(job, workers)
+    tried = job.tried_workers
+    return [worker for worker in workers if worker not in tried] or workers
 
 
 def _own_or_borrowed(state: PolicyState, job: InFlightJob, headrooms: Headrooms) -> list[Worker]:
     """Return workers with headroom of the job's own pool, else of the other one if it lends."""
-    free = _with_headroom(state, job, headrooms)
-    pool = state.high_set if job.priority else state.low_set
-    own = [worker for worker in free if worker.pool is pool]
+    workers = _with_headroom(state, job, headrooms)
+    own_pool = pools.own_pool(state, job)
+    own = [worker for worker in workers if worker.pool is own_pool]
     if own:
         return own
-    only_high = all(worker.pool is state.high_set for worker in headrooms)
-    return free if job.priority or pools.lends(state) or only_high else []
+    return workers if _may_borrow(state, job, headrooms) else []
+
+
+def _may_borrow(state: PolicyState, job: InFlightJob, headrooms: Headrooms) -> bool:
+    """Return whether a job may go to the pool that is not its own.
+
+    Priority jobs always may. Ordinary jobs may where the High Set lends, or has all candidates.
+    """
+    if job.priority or pools.lends(state):
+        return True
+    high_set = state.pools.high_set
+    return all(worker.pool is high_set for worker in headrooms)
 
 
 def _with_headroom(state: PolicyState, job: InFlightJob, headrooms: Headrooms) -> list[Worker]:
-    """Return the workers with headroom for the job, of both pools."""
-    needed = job.request.slots + (EXCESS_HEADROOM if job.excess else 0.0)
-    valid_since_us = state.now_us - HEADROOM_VALID_US
-    priority = job.priority  # a cap alone never holds up a priority job
-    # Many dispatchers keep a pool's caps at admission: none of our jobs on a worker is headroom.
-    is_many = state.pool_load.has_many_dispatchers
-    return [
-        worker
-        for worker, headroom in headrooms.items()
-        if headroom >= needed
-        or (
-            worker.headroom_at_us < valid_since_us
-            and (priority or (is_many and not worker.busy_slots))
-        )
-    ]
+    """Return the workers that have the slots for the job, of both pools.
+
+    A cap is an estimate. Without a valid measurement it holds up no priority job, and with many
+    dispatchers no job for a worker that has none of ours: the pool's caps were kept at admission.
+    """
+    needed = job.request.slots
+    if priority.is_best_effort(job):
+        needed += SLOTS_LEFT_FREE_BY_BEST_EFFORT
+    valid_since_us = state.now_us - capacity.HEADROOM_VALID_US
+    if job.priority:
+        return [
+            worker
+            for worker, headroom in headrooms.items()
+            if headroom >= needed or worker.headroom_at_us < valid_since_us
+        ]
+    if pool_capacity.has_many_dispatchers(state.settings):
+        return [
+            worker
+            for worker, headroom in headrooms.items()
+            if headroom >= needed
+            or (worker.headroom_at_us < valid_since_us and not worker.busy_slots)
+        ]
+    return [worker for worker, headroom in headrooms.items() if headroom >= needed]
+
+
+def _with_large_headroom(workers: list[Worker], headrooms: Headrooms) -> list[Worker]:
+    """Return the workers with at least half of the best headroom.
+
+    Headrooms are old and inexact when they are used, so more than the best worker takes turns.
+    """
+    best = max([headrooms[worker] for worker in workers])
+    if best <= 0:
+        return workers
+    least = MIN_FRACTION_OF_BEST_HEADROOM * best
+    return [worker for worker in workers if headrooms[worker] >= least]
 
 
 def _in_own_zone(state: PolicyState, workers: list[Worker]) -> list[Worker]:
-    """Keep to the own zone if it has headroom and crossing has a price, but for slow starts."""
+    """Return the workers of the own zone, if it has any and crossing zones has a price.
+
+    A worker that is warming up counts as near: it must be warm before it is needed.
+    """
     if not state.settings.cross_zone_price:
         return workers
     zone = state.settings.zone
-    # One back from a restart or maintenance must warm up before it is needed.
-    near = [w for w in workers if w.endpoint.zone == zone or state.now_us < w.slow_start_ends_us]
+    near = [
+        worker
+        for worker in workers
+        if worker.endpoint.zone == zone or state.now_us < worker.slow_start_ends_us
+    ]
     return near or workers
 
 
-def _next_in_rotation(state: PolicyState, workers: list[Worker]) -> Worker:
-    """Return the worker whose turn it is; slow start scales the weight."""
-    weights = [max(w.endpoint.weight, LEAST_WEIGHT) * state.slow_start_factor(w) for w in workers]
-    return take_next(workers, weights)
+def _next_in_turn(state: PolicyState, workers: list[Worker]) -> Worker:
+    """Return the worker whose turn it is, by the endpoints' weights and slow start."""
+    weights = [
+        max(worker.endpoint.weight, MIN_ENDPOINT_WEIGHT)
+        * slow_start.slow_start_factor(state, worker)
+        for worker in workers
+    ]
+    return weighted_round_robin.take_next(workers, weights)
--- a/stepstream/policy/slow_start.py
+++ b/stepstream/policy/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start: how much work a worker gets that is still warming up.
 
-Dispatchers share nothing, so each gives such a worker what a warm one did for it of late, times the
-overload multiple and the slow-start factor; tests/policy/test_cold.py has the arithmetic.
+Dispatchers share nothing. So each gives such a worker what a warm worker did for it recently, times
+the overload multiple and the slow-start factor; tests/policy/test_cold.py has the arithmetic.
 """
 
 from math import inf
@@ -10,21 +10,71 @@
 from stepstream.model.state import PolicyState
 from stepstream.model.worker_records import Worker
 
-USED_OVERLOAD_FRACTION = 0.6  # of the overload multiple; the rest is for chance
+# The rest of the overload multiple is a margin for chance.
+USED_OVERLOAD_MULTIPLE_FRACTION = 0.6
+
+
+def slow_start_factor(state: PolicyState, worker: Worker) -> float:
+    """Return the least fraction of its capacity that a worker has by now, from 0 to 1.
+
+    It grows linearly from the cold fraction to 1 within the slow-start time.
+    """
+    if state.now_us >= worker.slow_start_ends_us:
+        return 1.0
+    age_us = max(state.now_us - worker.endpoint.started_us, 0)
+    progress = age_us / max(state.settings.slow_start_us, 1)
+    cold_fraction = state.settings.cold_capacity_fraction
+    return cold_fraction + (1 - cold_fraction) * progress
+
+
+def count_warm_workers(state: PolicyState) -> None:
+    """Measure the capacity of all eligible workers, in warm workers."""
+    workers = state.workers
+    workers.warm_count = sum([slow_start_factor(state, worker) for worker in workers.eligible])
+
+
+def record_attempt(worker: Worker, now_us: int) -> None:
+    """Note an attempt on a worker: it uses up the admission of the window."""
+    worker.last_attempt_us = now_us
+    worker.admitted_in_window = False
 
 
 def is_admitted(state: PolicyState, job: InFlightJob, worker: Worker) -> bool:
-    """Return whether a worker that is warming up may get this job."""
+    """Return whether a worker that is warming up may get this job.
+
+    Frequent attempts are spaced. Attempts rarer than one in an overload window go by chance, drawn
+    once for each window: dispatchers that saved up unused attempts would send them in one burst.
+    """
     window_us = state.settings.overload_window_us
-    multiple = state.settings.overload_multiple * USED_OVERLOAD_FRACTION
-    share = multiple * state.slow_start_factor(worker)  # of what a warm worker gets
-    warm_interval_us = state.warm_worker_interval_us(job.request.job_class)
-    interval_us = warm_interval_us / share if share else inf
+    interval_us = _attempt_interval_us(state, job, worker)
     if interval_us <= window_us:
         return state.now_us - worker.last_attempt_us >= interval_us
-    # Rarer attempts go by chance, drawn for each window: saved up, those of all dispatchers would
-    # meet in a burst.
     if state.now_us >= worker.slow_start_window_ends_us:
         worker.slow_start_window_ends_us = state.now_us + window_us
         worker.admitted_in_window = state.rng.random() < window_us / interval_us
     return worker.admitted_in_window
+
+
+def _attempt_interval_us(state: PolicyState, job: InFlightJob, worker: Worker) -> float:
+    """Return the mean time between two attempts on a worker that is warming up."""
+    multiple = state.settings.overload_multiple * USED_OVERLOAD_MULTIPLE_FRACTION
+    rate_ratio = multiple * slow_start_factor(state, worker)  # to that of a warm worker
+    warm_interval_us = warm_worker_interval_us(state, job.request.job_class)
+    return warm_interval_us / rate_ratio if rate_ratio else inf
+
+
+def warm_worker_interval_us(state: PolicyState, job_class: int) -> float:
+    """Return the mean time between two jobs of this class that a warm worker serves for us.
+
+    The class's mean run time scales it, as jobs that take longer load a worker more. Before any job
+    is served, one job in an overload window is expected of all dispatchers together.
+    """
+    settings = state.settings
+    run_times = state.measurements.run_times
+    interval_us = run_times.served_interval_us
+    interval_us = interval_us or settings.overload_window_us * settings.dispatcher_count
+    class_mean_us = run_times.mean_us[job_class]
+    overall_mean_us = run_times.mean_us[-1]
+    if class_mean_us and overall_mean_us:
+        interval_us *= class_mean_us / overall_mean_us
+    return interval_us * state.workers.warm_count
--- a/stepstream/model/rotation.py
+++ b/stepstream/policy/weighted_round_robin.py
@@ -1,4 +1,4 @@
-"""Smooth weighted round robin, as nginx does it; the workers' records keep the current weights."""
+"""Smooth weighted round robin, as nginx does it; the workers' records hold the current weights."""
 
 from collections.abc import Sequence
 
@@ -6,7 +6,11 @@
 
 
 def take_next(workers: Sequence[Worker], weights: Sequence[float]) -> Worker:
-    """Return the worker whose turn it is: the one with the largest current weight."""
+    """Return the worker whose turn it is: the one with the largest current weight.
+
+    Each choice raises all current weights by the workers' weights, and lowers the chosen one by
+    their sum. So turns follow the weights and do not come in a row.
+    """
     for worker, weight in zip(workers, weights, strict=True):
         worker.current_weight += weight
     chosen = max(workers, key=lambda worker: worker.current_weight)
--- a/tests/gearman/test_gearman_service.py
+++ b/tests/gearman/test_gearman_service.py
@@ -292,7 +292,7 @@
     harness = ServiceHarness()
     harness.connect().send(Kind.CAN_DO, "revalue")
     harness.connect().join("w", extra=";zone=petrzalka;kind=old-blade;cell=3;slots=4;weight=0.5")
-    new, described = [w.endpoint for w in harness.core.load_balancer.state.workers.values()]
+    new, described = [w.endpoint for w in harness.core.load_balancer.state.workers.by_id.values()]
     assert new.worker_id == "gearman:c1"
     assert new.started_us == harness.now_us
     assert new.supported_jobs == {"revalue"}
@@ -314,9 +314,9 @@
 def test_two_connections_of_one_id_are_two_workers():
     harness = ServiceHarness()
     first, second = harness.connect().join("w"), harness.connect().join("w")
-    assert sorted(harness.core.load_balancer.state.workers) == ["gearman:w", "gearman:w~2"]
+    assert sorted(harness.core.load_balancer.state.workers.by_id) == ["gearman:w", "gearman:w~2"]
     first.disconnect()
-    assert sorted(harness.core.load_balancer.state.workers) == ["gearman:w~2"]
+    assert sorted(harness.core.load_balancer.state.workers.by_id) == ["gearman:w~2"]
     assert second.peer.worker
 
 
@@ -540,7 +540,7 @@
 def test_a_client_id_changes_only_while_no_job_is_assigned():
     harness, worker = harness_with_worker()
     worker.send(Kind.SET_CLIENT_ID, "other;slots=2")
-    assert list(harness.core.load_balancer.state.workers) == ["gearman:other"]
+    assert list(harness.core.load_balancer.state.workers.by_id) == ["gearman:other"]
     submit(harness.connect())
     worker.grab()
     assert code(worker.send(Kind.SET_CLIENT_ID, "third")) == "BAD_CLIENT_ID"
--- a/tests/golden/decision_codec.py
+++ b/tests/golden/decision_codec.py
@@ -37,7 +37,6 @@
 # The modules whose every line the recorded streams have to reach.
 DECISION_MODULES = (
     "stepstream.model.actions",
-    "stepstream.model.ejections",
     "stepstream.model.endpoints",
     "stepstream.model.estimators",
     "stepstream.model.events",
@@ -46,19 +45,32 @@
     "stepstream.model.load_report_lag",
     "stepstream.model.pool_load",
     "stepstream.model.pools",
-    "stepstream.model.rotation",
     "stepstream.model.settings",
     "stepstream.model.state",
     "stepstream.model.tenant_usage",
     "stepstream.model.worker_records",
     "stepstream.policy.admission",
+    "stepstream.policy.attempts",
+    "stepstream.policy.capacity",
     "stepstream.policy.endpoint_polling",
+    "stepstream.policy.endpoint_updates",
+    "stepstream.policy.hedging",
+    "stepstream.policy.idempotency",
+    "stepstream.policy.key_affinity",
     "stepstream.policy.load_balancer",
+    "stepstream.policy.load_reports",
+    "stepstream.policy.lost_attempts",
     "stepstream.policy.outliers",
+    "stepstream.policy.pool_capacity",
     "stepstream.policy.pools",
+    "stepstream.policy.priority",
+    "stepstream.policy.quotas",
     "stepstream.policy.retries",
     "stepstream.policy.selection",
     "stepstream.policy.slow_start",
+    "stepstream.policy.timers",
+    "stepstream.policy.waiting",
+    "stepstream.policy.weighted_round_robin",
 )
 
 
@@ -92,8 +104,8 @@
     Actions alone would not show a changed order of float sums, or not for long.
     """
     state = policy.state
-    pool_load = state.pool_load
-    pools = (pool_load.high_set, pool_load.low_set)
+    measurements = state.measurements
+    pools = (state.pools.high_set, state.pools.low_set)
     slot_counts = (
         [pool.busy_slots for pool in pools],
         [pool.mean_busy_slots for pool in pools],
@@ -101,24 +113,26 @@
         [pool.mean_running_slots for pool in pools],
         [pool.worker_count for pool in pools],
     )
-    runs = state.run_times
+    job_mix = measurements.job_mix
+    runs = measurements.run_times
+    workers = state.workers
     return {
         "draws": [state.rng.getstate()],
         "means": [
-            state.job_mix.mean_weight,
-            state.job_mix.mean_ordinary_weight,
-            state.job_mix.priority_fraction,
-            state.common_cap,
-            state.warm_worker_count,
-            state.health_check_credit,
-            list(state.tenant_usage.fractions),
-            list(state.tenant_usage.credits),
-            list(state.late_start_slots),
+            job_mix.mean_weight,
+            job_mix.mean_ordinary_weight,
+            job_mix.priority_fraction,
+            measurements.common_cap,
+            workers.warm_count,
+            measurements.health_check_credit,
+            list(measurements.tenant_usage.job_fractions),
+            list(measurements.tenant_usage.credit_jobs),
+            list(measurements.observed_caps),
         ],
         "runs": [runs.served_interval_us, list(runs.mean_us), list(runs.usual_log_us)],
-        "report age": list(state.report_lag.errors),
-        "share": [pool_load.cap, list(slot_counts)],
-        "workers": [worker_learned(state, state.workers[name]) for name in sorted(state.workers)],
+        "report age": list(measurements.report_lag.errors),
+        "share": [state.pools.worker_cap, list(slot_counts)],
+        "workers": [worker_learned(state, workers.by_id[name]) for name in sorted(workers.by_id)],
     }
 
 
@@ -126,7 +140,7 @@
     """What the policy has learned of one worker."""
     return [
         worker.endpoint.worker_id,
-        worker.pool is state.high_set,
+        worker.pool is state.pools.high_set,
         worker.current_weight,
         worker.busy_slots,
         worker.running_slots,
--- a/tests/policy/test_cold.py
+++ b/tests/policy/test_cold.py
@@ -18,7 +18,7 @@
 from stepstream.model.endpoints import Endpoint, EndpointList, EndpointListKind
 from stepstream.model.settings import Effect, JobClass
 from stepstream.policy.load_balancer import LoadBalancer
-from stepstream.policy.slow_start import USED_OVERLOAD_FRACTION
+from stepstream.policy.slow_start import USED_OVERLOAD_MULTIPLE_FRACTION
 
 SPAN_US, MULTIPLE, COLD_SHARE, WARM_US = 2_000_000, 4.0, 0.3, 9_000_000
 RUN_US, SLOTS = 200_000, 4
@@ -100,6 +100,6 @@
 
 
 def test_the_allowance_for_chance_is_several_standard_deviations():
-    part = USED_OVERLOAD_FRACTION
+    part = USED_OVERLOAD_MULTIPLE_FRACTION
     least = min((n + 2 * sqrt(n) + 2 - part * n) / sqrt(part * n) for n in range(1, 400))
     assert least > 4.8
--- a/tests/policy/test_departures.py
+++ b/tests/policy/test_departures.py
@@ -7,7 +7,8 @@
 from stepstream.model.endpoints import EndpointList, EndpointListKind
 from stepstream.model.events import AttemptResult, AttemptStarted, HealthChecked
 from stepstream.model.settings import LoadReportSource
-from stepstream.model.state import PolicyState
+from stepstream.policy import capacity
+from stepstream.policy.capacity import headroom, median_cap
 
 REPORTS = {
     "load_report_source": LoadReportSource.ANSWERS,
@@ -41,7 +42,7 @@
     name, _ = bench.job()
     answer = [a for _ in range(10) for a in bench.tick(40_000)]
     assert [type(a) for a in finals(answer)] == [Reject]
-    assert not bench.balancer.state.jobs
+    assert not bench.balancer.state.jobs.in_flight
 
 
 def test_a_waiting_job_has_a_timer_of_its_own_and_is_answered_before_its_client_leaves():
@@ -70,7 +71,7 @@
             bench.job()
         bench.tick(100_000)  # the period ends while the jobs wait
         state = bench.balancer.state
-        return sum(w.pool is state.high_set for w in state.eligible_workers)
+        return sum(w.pool is state.pools.high_set for w in state.workers.eligible)
 
     assert high_count(5) == high_count(0) + 1
 
@@ -200,13 +201,13 @@
     # The median cap and the order of a key's workers, made anew for each event, got whole days cut off.
     calls = {"headroom": 0, "median_cap": 0}
     for name in calls:
-        original = getattr(PolicyState, name)
+        original = getattr(capacity, name)
 
-        def counted(self, *args, name=name, original=original):
+        def counted(*args, name=name, original=original):
             calls[name] += 1
-            return original(self, *args)
+            return original(*args)
 
-        monkeypatch.setattr(PolicyState, name, counted)
+        monkeypatch.setattr(capacity, name, counted)
     workers = 200
     bench = Bench(SAFE, workers=workers, dispatcher_count=300, **REPORTS)
     reported(bench, [4.0] * workers)
@@ -215,7 +216,7 @@
     for k in range(50):
         name, actions = bench.later(1000).job(key=f"key{k % 3}")
         bench.ended(name, pushes(actions)[0].worker_id, AttemptResult.OK)
-    assert calls["headroom"] - before <= 3 * workers * 50
+    assert 0 < calls["headroom"] - before <= 3 * workers * 50
     assert calls["median_cap"] - medians <= 1
 
 
@@ -252,7 +253,7 @@
         tenant = 1 + k % 2 if k % 10 < 2 else 0  # the first sends 8 in 10, three times its share
         name, actions = bench.later(10_000).job(tenant=tenant)
         for p in pushes(actions):
-            within[tenant].append(bench.balancer.state.jobs[name].priority)
+            within[tenant].append(bench.balancer.state.jobs.in_flight[name].priority)
             bench.ended(name, p.worker_id, AttemptResult.OK)
     assert sum(within[1][20:] + within[2][20:]) >= 0.95 * len(within[1][20:] + within[2][20:])
     assert 0.3 <= sum(within[0][100:]) / len(within[0][100:]) <= 0.75
@@ -277,7 +278,7 @@
     assert bench.tell(AttemptStarted(name, 1, second[0].worker_id)) == [CancelAttempt(name, 0)]
     assert not bench.ended(name, first, AttemptResult.CANCELLED, attempt=0)
     bench.ended(name, second[0].worker_id, AttemptResult.OK, attempt=1)
-    assert not bench.balancer.state.jobs
+    assert not bench.balancer.state.jobs.in_flight
 
 
 def test_a_second_copy_is_sent_only_where_a_repeat_is_allowed_and_there_is_room():
@@ -348,16 +349,16 @@
 def test_a_choice_looks_at_a_bounded_number_of_workers(monkeypatch):
     # At 330 workers a choice cost a millisecond, each event several, and the day was cut off.
     looks = []
-    original = PolicyState.headroom
+    original = capacity.headroom
     monkeypatch.setattr(
-        PolicyState, "headroom", lambda self, worker: looks.append(worker) or original(self, worker)
+        capacity, "headroom", lambda state, worker: looks.append(worker) or original(state, worker)
     )
     bench = Bench(SAFE, workers=250, dispatcher_count=250, **REPORTS)
     reported(bench, [4.0] * 250)
     for key in (None, "aa"):
         looks.clear()
         assert pushes(bench.later(1000).job(key=key)[1])
-        assert len(looks) <= 70
+        assert 0 < len(looks) <= 70
 
 
 def test_half_of_the_attempts_wait_until_room_has_changed():
@@ -387,8 +388,8 @@
             )
     bench.tick(1000)
     state = bench.balancer.state
-    others = [w for w in state.eligible_workers if w.endpoint.worker_id != jammed]
-    assert state.headroom(state.workers[jammed]) <= max(state.headroom(w) for w in others)
+    others = [w for w in state.workers.eligible if w.endpoint.worker_id != jammed]
+    assert headroom(state, state.workers.by_id[jammed]) <= max(headroom(state, w) for w in others)
 
 
 def test_the_high_set_keeps_its_part_where_few_rooms_are_known():
@@ -403,7 +404,7 @@
             bench.next_period()
         state = bench.balancer.state
         high = frozenset(
-            w.endpoint.worker_id for w in state.eligible_workers if w.pool is state.high_set
+            w.endpoint.worker_id for w in state.workers.eligible if w.pool is state.pools.high_set
         )
         assert len(high) >= 5
         kept.add(high)
@@ -420,15 +421,15 @@
         for push in sent[1:]:
             bench.tell(AttemptStarted(push.job_id, 0, push.worker_id))
         state = bench.balancer.state
-        marked = state.workers[late.worker_id]
+        marked = state.workers.by_id[late.worker_id]
         busy = marked.busy_slots
         if result:
             bench.ended(late.job_id, late.worker_id, result)
-            assert state.headroom(marked) == marked.cap - marked.busy_slots < 0
+            assert headroom(state, marked) == marked.cap - marked.busy_slots < 0
         else:
             bench.tick(200_000)
-            assert state.headroom(marked) == 0.0
-            assert state.median_cap() == busy > 1
+            assert headroom(state, marked) == 0.0
+            assert median_cap(state) == busy > 1
 
 
 def test_one_late_start_on_a_slow_worker_does_not_stand_for_all_caps():
@@ -443,11 +444,11 @@
             bench.ended(name, pushes(actions)[0].worker_id, AttemptResult.OK)
 
     late_starts(12)
-    busy = bench.balancer.state.median_cap()
+    busy = median_cap(bench.balancer.state)
     bench.later(3_000_000)
     late_starts(1)
     assert busy > 1
-    assert bench.balancer.state.median_cap() == busy
+    assert median_cap(bench.balancer.state) == busy
 
 
 def test_a_prompt_start_beyond_the_common_cap_raises_it():
@@ -456,13 +457,13 @@
     bench.job()
     bench.tick(200_000)
     bench.tick()  # the common cap is now one
-    assert state.common_cap == 1.0
+    assert state.measurements.common_cap == 1.0
     bench.later(2_100_000)
     for _ in range(6):
         name, actions = bench.job()
         for push in pushes(actions):
             bench.tell(AttemptStarted(name, 0, push.worker_id))
-    assert state.median_cap() > 1.0
+    assert median_cap(state) > 1.0
 
 
 def test_a_cold_worker_of_another_zone_gets_its_turns_though_the_own_zone_has_room():
--- /dev/null
+++ b/tests/policy/test_idempotency.py
@@ -0,0 +1,74 @@
+"""What the rules allow for a job by its effect and its attempts."""
+
+from dataclasses import replace
+
+import pytest
+from helpers import KEYED_ALL, KEYED_ZONE, SAFE, UNSAFE, entry
+
+from stepstream.model.events import JobSubmitted
+from stepstream.model.job_records import Attempt, InFlightJob
+from stepstream.model.pools import Pool
+from stepstream.model.settings import KeyScope
+from stepstream.model.worker_records import Worker
+from stepstream.policy.idempotency import (
+    is_client_retry_harmless,
+    may_repeat,
+    workers_in_key_scope,
+)
+from stepstream.policy.retries import may_attempt
+
+SENT_US = 1_000_000
+WORKERS = [Worker(entry(k, zone=k % 2, cell=k), 0, 0, Pool()) for k in range(4)]
+
+
+def tried(class_settings, *, never_ran):
+    """A job with one attempt, on the first worker."""
+    job = InFlightJob(JobSubmitted("a", 0, 1), class_settings, 0, 0, False, 1.0)
+    job.attempts.append(Attempt(WORKERS[0], SENT_US, never_ran=never_ran))
+    return job
+
+
+@pytest.mark.parametrize(
+    ("class_settings", "never_ran", "repeats", "harmless"),
+    [
+        (SAFE, False, True, True),
+        (SAFE, True, True, True),
+        (UNSAFE, False, False, False),
+        (UNSAFE, True, True, True),
+        (KEYED_ZONE, False, True, False),
+        (KEYED_ALL, False, True, True),
+    ],
+)
+def test_the_effect_and_a_possible_run_decide_on_repeats(
+    class_settings, never_ran, repeats, harmless
+):
+    job = tried(class_settings, never_ran=never_ran)
+    assert may_repeat(job, SENT_US + 1) is repeats
+    assert is_client_retry_harmless(job) is harmless
+
+
+def test_a_key_holds_for_its_window_only():
+    job = tried(KEYED_ZONE, never_ran=False)
+    window_us = KEYED_ZONE.idempotency_window_us
+    assert may_repeat(job, SENT_US + window_us)
+    assert not may_repeat(job, SENT_US + window_us + 1)
+
+
+@pytest.mark.parametrize(
+    ("scope", "allowed"),
+    [(KeyScope.ALL, [0, 1, 2, 3]), (KeyScope.ZONE, [0, 2]), (KeyScope.CELL, [0])],
+)
+def test_repeats_stay_in_the_key_scope_of_the_first_possible_run(scope, allowed):
+    class_settings = replace(KEYED_ZONE, key_scope=scope)
+    job = tried(class_settings, never_ran=False)
+    assert workers_in_key_scope(job, WORKERS) == [WORKERS[k] for k in allowed]
+    never_ran = tried(class_settings, never_ran=True)
+    assert workers_in_key_scope(never_ran, WORKERS) == WORKERS
+
+
+def test_attempts_end_with_the_limit_and_with_the_job():
+    job = tried(SAFE, never_ran=False)
+    assert may_attempt(job, 2, SENT_US)
+    assert not may_attempt(job, 1, SENT_US)
+    job.ended = True
+    assert not may_attempt(job, 2, SENT_US)
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -120,7 +120,7 @@
 def test_equal_worths_count_as_priority():
     bench = Bench(SAFE, SAFE, workers=4)
     assert all(pushes(bench.later(1000).job(k % 2)[1]) for k in range(50))
-    assert bench.balancer.state.job_mix.priority_fraction > START_SHARE
+    assert bench.balancer.state.measurements.job_mix.priority_fraction > START_SHARE
 
 
 START_SHARE = 0.2
@@ -228,20 +228,20 @@
 
 def test_the_low_set_keeps_a_worker_when_all_of_it_has_gone():
     bench = Bench(SAFE, workers=6, **shares())
-    high_set = bench.balancer.state.high_set
+    high_set = bench.balancer.state.pools.high_set
     gone = tuple(
         entry(k, state=EndpointState.REMOVED)
         for k in range(6)
-        if bench.balancer.state.workers[entry(k).worker_id].pool is not high_set
+        if bench.balancer.state.workers.by_id[entry(k).worker_id].pool is not high_set
     )
     assert gone
     bench.tell(EndpointList(EndpointListKind.CHANGES, gone))
-    assert sum(w.pool is not high_set for w in bench.balancer.state.eligible_workers) == 1
+    assert sum(w.pool is not high_set for w in bench.balancer.state.workers.eligible) == 1
 
 
 def known_caps(bench, cap):
     """As if each worker had once been full; the common cap follows with the next period."""
-    for worker in bench.balancer.state.workers.values():
+    for worker in bench.balancer.state.workers.by_id.values():
         worker.cap = cap
     bench.next_period()
     return bench
@@ -293,12 +293,12 @@
     slow = entry(1).worker_id
     run_jobs(bench, 40, None)
     run_jobs(bench, 40, slow)
-    assert bench.balancer.state.workers[slow].ejection_time_us
+    assert bench.balancer.state.workers.by_id[slow].ejection_time_us
     # With caps of one slot the same jobs fill the fleet.
-    for worker in bench.balancer.state.workers.values():
+    for worker in bench.balancer.state.workers.by_id.values():
         worker.cap = 0.1
     bench.tick()
-    assert not bench.balancer.state.workers[slow].ejection_time_us
+    assert not bench.balancer.state.workers.by_id[slow].ejection_time_us
 
 
 def crowded(load_report_source=LoadReportSource.PROBE, retry_after_us=2_000_000):
@@ -342,7 +342,7 @@
         bench, _ = crowded(reports)
         state = bench.balancer.state
         lender = next(
-            w.endpoint.worker_id for w in state.eligible_workers if w.pool is state.high_set
+            w.endpoint.worker_id for w in state.workers.eligible if w.pool is state.pools.high_set
         )
         bench.tell(HealthChecked(lender, True, load_report={"free_slots": 2.0}))
         assert [p.worker_id for p in pushes(bench.job()[1])] == [lender] * lent
@@ -366,7 +366,7 @@
     answer = bench.later(140_000).tell(HealthChecked(push.worker_id, True, load_report=told))
     assert [
         e.ejection_time_us
-        for e in bench.balancer.state.workers[push.worker_id].class_ejections.values()
+        for e in bench.balancer.state.workers.by_id[push.worker_id].class_ejections.values()
     ] == [10**6] * (more == {})
     assert (CancelAttempt(name, 0) in answer) == (
         more == {} and effect is Effect.IDEMPOTENT
--- a/tests/policy/test_many_dispatchers.py
+++ b/tests/policy/test_many_dispatchers.py
@@ -7,9 +7,9 @@
 from stepstream.model.actions import SetTimer, StartAttempt, WatchEndpoints
 from stepstream.model.endpoints import EndpointList, EndpointListKind
 from stepstream.model.events import JobSubmitted, TimerFired
-from stepstream.model.pool_load import MANY_DISPATCHERS
 from stepstream.model.settings import Effect, JobClass, Settings
 from stepstream.policy.load_balancer import LoadBalancer
+from stepstream.policy.pool_capacity import MANY_DISPATCHERS
 
 SAFE = JobClass(latency_objective_us=200_000, deadline_us=5_000_000, effect=Effect.IDEMPOTENT)
 FLEET = 40
@@ -141,7 +141,7 @@
     cluster = loaded(1.0)
     for balancer in cluster.balancers:
         state = balancer.state
-        high = [worker.pool is state.high_set for worker in state.eligible_workers]
+        high = [worker.pool is state.pools.high_set for worker in state.workers.eligible]
         size = sum(high)
         assert 1 <= size < 20
         assert sum(high[: size + 3]) >= size - 1
@@ -151,9 +151,9 @@
     """A cap of one slot, which one late start brings, would hold it back until it is refused."""
     cluster = SimulatedCluster((LONG, SHORT, DEAR), workers=4)
     one = cluster.balancers[0]
-    one.state.late_start_slots.append(1)
-    one.state.job_mix.mean_weight = 5.0  # or the first job would be a priority one
-    one.state.pool_load.cap = 0.5
-    one.state.high_set.worker_count = one.state.low_set.worker_count = 2
+    one.state.measurements.observed_caps.append(1)
+    one.state.measurements.job_mix.mean_weight = 5.0  # or the first job would be a priority one
+    one.state.pools.worker_cap = 0.5
+    one.state.pools.high_set.worker_count = one.state.pools.low_set.worker_count = 2
     actions = one.handle(1_000, [JobSubmitted("wide", 0, 5_000_000, slots=2.0)])
     assert any(isinstance(action, StartAttempt) for action in actions)
--- /dev/null
+++ b/tests/policy/test_pool_capacity.py
@@ -0,0 +1,95 @@
+"""The cap of a worker in parts of a slot, and the headroom of whole pools."""
+
+import pytest
+from helpers import SAFE, entry
+
+from stepstream.model.pool_load import PoolLoad
+from stepstream.model.settings import Settings
+from stepstream.model.state import PolicyState
+from stepstream.model.worker_records import Worker
+from stepstream.policy.capacity import SAFETY_FACTOR
+from stepstream.policy.outliers import eject
+from stepstream.policy.pool_capacity import (
+    AVERAGES_SETTLE_US,
+    MANY_DISPATCHERS,
+    MAX_CAP_TO_BUSY_SLOTS_RATIO,
+    MAX_CAP_TO_RUNNING_SLOTS_RATIO,
+    has_many_dispatchers,
+    learn_from_low_set_start,
+    mean_pool_headroom,
+    pool_headroom,
+    summed_caps,
+)
+
+FLEET = 40
+
+
+def settled_load(level=2.0, running=2.0, workers=20):
+    load = PoolLoad(0)
+    load.low_set.worker_count = workers
+    load.low_set.mean_busy_slots = level
+    load.low_set.mean_running_slots = running
+    load.averaged_at_us = AVERAGES_SETTLE_US
+    return load
+
+
+def test_a_late_start_bounds_the_cap_by_what_runs_of_ours_and_not_by_what_waits():
+    load = settled_load(level=16.0, running=2.0)
+    assert mean_pool_headroom(load, load.low_set) == float(
+        "inf"
+    )  # until a late start pools stay as they are
+    learn_from_low_set_start(load, overdue=True)
+    assert load.worker_cap <= MAX_CAP_TO_RUNNING_SLOTS_RATIO * 2.0 / 20
+    assert mean_pool_headroom(load, load.low_set) < -10
+
+
+def test_the_cap_sinks_with_late_starts_only_while_it_is_kept_and_comes_back():
+    load = settled_load()
+    for _ in range(100):
+        learn_from_low_set_start(load, overdue=True)
+    assert 0.08 < load.worker_cap < 0.1  # just below the load at which they were late
+    load.low_set.mean_busy_slots = 4.0
+    for _ in range(100):
+        learn_from_low_set_start(load, overdue=False)
+    assert load.worker_cap == pytest.approx(MAX_CAP_TO_BUSY_SLOTS_RATIO * 4.0 / 20, rel=0.1)
+
+
+def test_a_pool_whose_jobs_were_all_refused_is_tried_again():
+    load = settled_load()
+    for _ in range(200):
+        learn_from_low_set_start(load, overdue=True)
+        load.low_set.mean_busy_slots *= 0.9
+        load.low_set.mean_running_slots *= 0.9
+    assert load.worker_cap * load.low_set.worker_count >= 1
+
+
+def test_early_starts_set_no_cap_and_a_small_fleet_goes_by_whole_slots():
+    load = settled_load()
+    load.averaged_at_us = AVERAGES_SETTLE_US - 1
+    learn_from_low_set_start(load, overdue=True)
+    assert load.worker_cap == float("inf")
+    assert has_many_dispatchers(Settings(classes=(SAFE,), dispatcher_count=FLEET))
+    assert not has_many_dispatchers(Settings(classes=(SAFE,), dispatcher_count=MANY_DISPATCHERS))
+
+
+def test_the_high_set_is_loaded_to_the_safety_factor_of_its_caps():
+    load = settled_load()
+    load.worker_cap = 0.5
+    load.high_set.worker_count = load.low_set.worker_count = 10
+    assert summed_caps(load, load.low_set) == 5.0
+    assert summed_caps(load, load.high_set) == pytest.approx(5.0 * SAFETY_FACTOR)
+
+
+def test_the_headroom_of_a_pool_is_measured_once_a_round_without_ejected_workers():
+    state = PolicyState(Settings(classes=(SAFE,)), 1, 0)
+    low_set = state.pools.low_set
+    state.workers.eligible = [Worker(entry(index), 0, 0, low_set) for index in range(4)]
+    for worker in state.workers.eligible:
+        worker.cap = 3.0
+    eject(state.workers.eligible[0], 1_000_000, 0)
+    state.begin_round(1)
+    assert pool_headroom(state, low_set) == 9.0
+    state.workers.eligible[1].busy_slots = 2.0
+    assert pool_headroom(state, low_set) == 9.0
+    state.begin_round(2)
+    assert pool_headroom(state, low_set) == 7.0
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -253,7 +253,7 @@
     world.run()
     assert world.jobs
     assert all(job["over"] for job in world.jobs.values())
-    assert not world.bench.balancer.state.jobs  # nothing is kept of what has ended
+    assert not world.bench.balancer.state.jobs.in_flight  # nothing is kept of what has ended
 
 
 @pytest.mark.parametrize("fleet", [1, 500])
@@ -297,4 +297,4 @@
     name, actions = bench.job()
     answers = actions + [a for _ in range(4) for a in bench.tick(2_000_000)]
     assert name in [a.job_id for a in finals(answers)]
-    assert not bench.balancer.state.jobs
+    assert not bench.balancer.state.jobs.in_flight
