--- /dev/null
+++ b/tests/policy/test_capacity.py
@@ -0,0 +1,50 @@
+"""The caps and the headroom of single workers."""
+
+import pytest
+from helpers import SAFE, entry
+
+from stepstream.model.load_report_lag import CANDIDATE_LAGS_US
+from stepstream.model.settings import LoadReportSource, Settings
+from stepstream.model.state import PolicyState
+from stepstream.model.worker_records import Worker
+from stepstream.policy import capacity
+
+START_US = 10_000_000
+
+
+def one_worker(**settings):
+    """The state of a dispatcher, and its one worker."""
+    state = PolicyState(Settings(classes=(SAFE,), **settings), 1, START_US)
+    worker = Worker(entry(0), 0, 0, state.pools.low_set)
+    state.workers.eligible.append(worker)
+    return state, worker
+
+
+def test_a_measured_headroom_counts_until_it_is_too_old():
+    state, worker = one_worker()
+    worker.cap = 8.0
+    worker.headroom = 3.0
+    worker.headroom_at_us = START_US
+    state.now_us = START_US + capacity.HEADROOM_VALID_US
+    assert capacity.headroom(state, worker) == 3.0
+    state.now_us += 1
+    assert capacity.headroom(state, worker) == 8.0
+
+
+def test_an_answer_full_sets_the_cap_below_the_busy_slots():
+    state, worker = one_worker()
+    capacity.learn_from_full(state, worker, 13.0)
+    assert worker.cap == pytest.approx(9.0)  # 18/26 of the busy slots
+    capacity.learn_from_full(state, worker, 0.5)
+    assert worker.cap == 1.0  # a smaller one would stop all jobs
+
+
+def test_attempts_within_the_lag_of_a_report_are_taken_off_its_headroom():
+    state, worker = one_worker(load_report_source=LoadReportSource.ANSWERS)
+    capacity.change_busy_slots(state, worker, 2.0)
+    state.now_us += CANDIDATE_LAGS_US[0]
+    capacity.change_busy_slots(state, worker, 1.0)
+    state.now_us += 1
+    # The report is from after the first change and from before the second one.
+    capacity.learn_from_load_report(state, worker, 5.0)
+    assert capacity.headroom(state, worker) == 4.0
--- /dev/null
+++ b/tests/policy/test_selection.py
@@ -0,0 +1,74 @@
+"""The choice of a worker for one attempt."""
+
+import pytest
+from helpers import SAFE, entry
+
+from stepstream.model.events import JobSubmitted
+from stepstream.model.job_records import Attempt, InFlightJob
+from stepstream.model.settings import LoadReportSource, Settings
+from stepstream.model.state import PolicyState
+from stepstream.model.worker_records import Worker
+from stepstream.policy.selection import choose_worker
+
+NOW_US = 10_000_000
+
+
+def state_with(worker_count, **settings):
+    """A state whose workers are all in the Low Set."""
+    state = PolicyState(Settings(classes=(SAFE,), **settings), 1, NOW_US)
+    state.workers.eligible = [
+        Worker(entry(index), 0, 0, state.pools.low_set) for index in range(worker_count)
+    ]
+    return state
+
+
+def job_of(*, priority):
+    return InFlightJob(JobSubmitted("a", 0, 1), SAFE, 0, 0, priority, 1.0)
+
+
+def test_a_repeat_goes_to_a_worker_that_was_not_tried():
+    state = state_with(3)
+    tried = state.workers.eligible[1]
+    tried.current_weight = 10.0  # it would be its turn
+    job = job_of(priority=False)
+    assert choose_worker(state, job) is tried
+    tried.current_weight = 10.0
+    job.attempts.append(Attempt(tried, NOW_US, open=False, never_ran=True))
+    assert choose_worker(state, job) is not tried
+
+
+def test_a_repeat_goes_to_a_tried_worker_where_there_is_no_other():
+    state = state_with(1)
+    job = job_of(priority=False)
+    job.attempts.append(Attempt(state.workers.eligible[0], NOW_US, open=False, never_ran=True))
+    assert choose_worker(state, job) is state.workers.eligible[0]
+
+
+@pytest.mark.parametrize("priority", [True, False])
+def test_a_cap_without_a_valid_measurement_holds_up_only_ordinary_jobs(priority):
+    state = state_with(1, load_report_source=LoadReportSource.ANSWERS)
+    state.measurements.common_cap = 2.0
+    (worker,) = state.workers.eligible
+    worker.busy_slots = 3.0
+    chosen = choose_worker(state, job_of(priority=priority))
+    assert (chosen is worker) == priority
+
+
+def test_a_valid_measurement_holds_up_priority_jobs_too():
+    state = state_with(1, load_report_source=LoadReportSource.ANSWERS)
+    (worker,) = state.workers.eligible
+    worker.headroom = 0.0
+    worker.headroom_at_us = NOW_US
+    assert choose_worker(state, job_of(priority=True)) is None
+
+
+@pytest.mark.parametrize("priority", [True, False])
+def test_a_job_goes_to_its_own_pool_while_that_has_headroom(priority):
+    state = state_with(4)
+    for worker in state.workers.eligible[:2]:
+        worker.pool = state.pools.high_set
+        worker.current_weight = 0.0 if priority else 10.0  # it would be the other pool's turn
+    for worker in state.workers.eligible[2:]:
+        worker.current_weight = 10.0 if priority else 0.0
+    own_pool = state.pools.high_set if priority else state.pools.low_set
+    assert choose_worker(state, job_of(priority=priority)).pool is own_pool
