--- a/stepstream/policy/hedging.py
+++ b/stepstream/policy/hedging.py
@@ -4,7 +4,6 @@
 """
 
 from stepstream.model.job_records import InFlightJob
-from stepstream.model.settings import Effect
 from stepstream.model.state import PolicyState
 from stepstream.policy import attempts, capacity, retries, timers
 from stepstream.policy.selection import choose_worker
@@ -19,8 +18,11 @@
 
 
 def _may_hedge(state: PolicyState, job: InFlightJob) -> bool:
-    """Return whether the platform and the job's effect and attempts allow a hedged request."""
-    if not state.settings.may_hedge or job.class_settings.effect is Effect.NOT_IDEMPOTENT:
+    """Return whether the platform and the job's attempts allow a hedged request.
+
+    The overdue attempt may still run, so a job that is not idempotent may not repeat.
+    """
+    if not state.settings.may_hedge:
         return False
     return retries.may_attempt(job, state.settings.attempt_limit, state.now_us)
 
