--- a/stepstream/policy/admission.py
+++ b/stepstream/policy/admission.py
@@ -86,11 +86,13 @@
 
 
 def _finds_pools_full(state: PolicyState, job: InFlightJob) -> bool:
-    """Return whether an ordinary job finds the Low Set over its caps and the High Set not lending.
+    """Return whether an ordinary job finds the Low Set full and the High Set taking no overflow.
 
     Priority jobs find no pool full.
     """
-    return not job.priority and _is_low_set_full(state, job) and not pools.lends(state)
+    if job.priority or not _is_low_set_full(state, job):
+        return False
+    return not pools.high_set_takes_overflow(state)
 
 
 def _is_low_set_full(state: PolicyState, job: InFlightJob) -> bool:
--- a/stepstream/policy/outliers.py
+++ b/stepstream/policy/outliers.py
@@ -9,12 +9,12 @@
 
 BASE_EJECTION_TIME_US = 1_000_000
 MAX_EJECTION_TIME_US = 8_000_000
-# If fewer workers are available the fault is not theirs, and none is ejected.
+# If fewer workers are available, the fault is not theirs, and none counts as ejected.
 PANIC_THRESHOLD_FRACTION = 0.5
 # Three failures in a row exceed it.
 MAX_FAILURE_RATE = 0.6
 NEWEST_OUTCOME_WEIGHT = 0.3
-# Runs that take three times as long as usual.
+# The natural logarithm of 3: runs take three times as long as usual.
 MAX_SLOWNESS_LOGARITHM = 1.1
 NEWEST_RUN_WEIGHT = 0.15
 SLOW_EJECTION_TIME_US = 3_000_000
--- a/stepstream/policy/pools.py
+++ b/stepstream/policy/pools.py
@@ -1,4 +1,4 @@
-"""The High Set and the Low Set of DynamicPart: which workers are in which, and what one lends.
+"""The High Set and the Low Set of DynamicPart: which workers are in which, and overflow.
 
 The High Set serves priority jobs, the Low Set ordinary ones. After Andreolini et al.
 """
@@ -13,11 +13,11 @@
 from stepstream.policy.capacity import SAFETY_FACTOR
 from stepstream.policy.pool_capacity import has_many_dispatchers, pool_headroom, typical_cap
 
-# Without load reports caps are estimates, so a whole cap stays free before the High Set lends.
-LENDING_HEADROOM_CAPS = 1.0
-LENDING_HEADROOM_CAPS_WITH_REPORTS = 0.25
-SPARE_CAPACITY_CAPS = 2
-# One resizing moves one worker for each of these, and at least one.
+# Headrooms in caps of one worker. Without load reports caps are estimates, so more has to be free.
+MIN_OVERFLOW_HEADROOM_CAPS = 1.0
+MIN_OVERFLOW_HEADROOM_CAPS_WITH_REPORTS = 0.25
+MIN_SPARE_HEADROOM_CAPS = 2
+# A resizing moves one worker of each group of this size, and at least one.
 WORKERS_PER_MOVE = 16
 
 
@@ -26,17 +26,19 @@
     return state.pools.high_set if job.priority else state.pools.low_set
 
 
-def lends(state: PolicyState) -> bool:
-    """Return whether the High Set has enough headroom for an ordinary job to go to it."""
-    caps = LENDING_HEADROOM_CAPS_WITH_REPORTS if state.has_load_reports else LENDING_HEADROOM_CAPS
-    return pool_headroom(state, state.pools.high_set) > typical_cap(state) * caps
+def high_set_takes_overflow(state: PolicyState) -> bool:
+    """Return whether the High Set has enough headroom to take an ordinary job."""
+    min_caps = MIN_OVERFLOW_HEADROOM_CAPS
+    if state.has_load_reports:
+        min_caps = MIN_OVERFLOW_HEADROOM_CAPS_WITH_REPORTS
+    return pool_headroom(state, state.pools.high_set) > typical_cap(state) * min_caps
 
 
 def has_spare_capacity(state: PolicyState) -> bool:
     """Return whether both pools together have headroom for more than two workers' caps."""
     high_set_headroom = pool_headroom(state, state.pools.high_set)
     low_set_headroom = pool_headroom(state, state.pools.low_set)
-    return high_set_headroom + low_set_headroom > SPARE_CAPACITY_CAPS * typical_cap(state)
+    return high_set_headroom + low_set_headroom > MIN_SPARE_HEADROOM_CAPS * typical_cap(state)
 
 
 def fill_empty_pool(state: PolicyState) -> None:
@@ -66,7 +68,7 @@
     workers = state.workers.eligible
     min_high_set_size = 1.0
     if _knows_few_headrooms(state):
-        # All dispatchers would give back all workers but one, the same at each of them.
+        # Without a minimum all dispatchers would return all workers but one, and keep the same one.
         min_high_set_size = max(state.measurements.job_mix.priority_fraction * len(workers), 1)
         workers = state.rng.sample(workers, len(workers))
     workers = outliers.available_workers(state, workers, outliers.ANY_CLASS)
--- a/stepstream/policy/selection.py
+++ b/stepstream/policy/selection.py
@@ -18,7 +18,7 @@
 
 # More candidates would only cost time on large fleets.
 MAX_CANDIDATES = 64
-SLOTS_LEFT_FREE_BY_BEST_EFFORT = 1.0
+SLOTS_RESERVED_FROM_BEST_EFFORT = 1.0
 MIN_FRACTION_OF_BEST_HEADROOM = 0.5
 MIN_ENDPOINT_WEIGHT = 1e-6
 ANY_WORKER_KIND = -1
@@ -34,13 +34,13 @@
     """
     candidates = _candidates(state, job)
     headrooms = dict(zip(candidates, capacity.headrooms(state, candidates), strict=True))
-    workers = _own_or_borrowed(state, job, headrooms)
+    workers = _own_pool_or_overflow(state, job, headrooms)
     if not workers:
         return None
     if job.request.key is not None and len(candidates) <= key_affinity.MIN_WORKERS_PER_KEY:
         return workers[0]
     workers = _in_own_zone(state, _with_large_headroom(workers, headrooms))
-    return _next_in_turn(state, workers)
+    return _next_round_robin(state, workers)
 
 
 def _candidates(state: PolicyState, job: InFlightJob) -> list[Worker]:
@@ -100,22 +100,25 @@
     return [worker for worker in workers if worker not in tried] or workers
 
 
-def _own_or_borrowed(state: PolicyState, job: InFlightJob, headrooms: Headrooms) -> list[Worker]:
-    """Return workers with headroom of the job's own pool, else of the other one if it lends."""
+def _own_pool_or_overflow(
+    state: PolicyState, job: InFlightJob, headrooms: Headrooms
+) -> list[Worker]:
+    """Return workers with headroom of the own pool, or of the other one if the job may use it."""
     workers = _with_headroom(state, job, headrooms)
     own_pool = pools.own_pool(state, job)
     own = [worker for worker in workers if worker.pool is own_pool]
     if own:
         return own
-    return workers if _may_borrow(state, job, headrooms) else []
+    return workers if _may_overflow(state, job, headrooms) else []
 
 
-def _may_borrow(state: PolicyState, job: InFlightJob, headrooms: Headrooms) -> bool:
+def _may_overflow(state: PolicyState, job: InFlightJob, headrooms: Headrooms) -> bool:
     """Return whether a job may go to the pool that is not its own.
 
-    Priority jobs always may. Ordinary jobs may where the High Set lends, or has all candidates.
+    Priority jobs always may. Ordinary jobs may where the High Set takes overflow, or has all
+    candidates.
     """
-    if job.priority or pools.lends(state):
+    if job.priority or pools.high_set_takes_overflow(state):
         return True
     high_set = state.pools.high_set
     return all(worker.pool is high_set for worker in headrooms)
@@ -129,7 +132,7 @@
     """
     needed = job.request.slots
     if priority.is_best_effort(job):
-        needed += SLOTS_LEFT_FREE_BY_BEST_EFFORT
+        needed += SLOTS_RESERVED_FROM_BEST_EFFORT
     valid_since_us = state.now_us - capacity.HEADROOM_VALID_US
     if job.priority:
         return [
@@ -175,7 +178,7 @@
     return near or workers
 
 
-def _next_in_turn(state: PolicyState, workers: list[Worker]) -> Worker:
+def _next_round_robin(state: PolicyState, workers: list[Worker]) -> Worker:
     """Return the worker whose turn it is, by the endpoints' weights and slow start."""
     weights = [
         max(worker.endpoint.weight, MIN_ENDPOINT_WEIGHT)
--- a/stepstream/policy/slow_start.py
+++ b/stepstream/policy/slow_start.py
@@ -17,14 +17,14 @@
 def slow_start_factor(state: PolicyState, worker: Worker) -> float:
     """Return the least fraction of its capacity that a worker has by now, from 0 to 1.
 
-    It grows linearly from the cold fraction to 1 within the slow-start time.
+    It grows linearly within the slow-start time, from that of a process that has just started to 1.
     """
     if state.now_us >= worker.slow_start_ends_us:
         return 1.0
     age_us = max(state.now_us - worker.endpoint.started_us, 0)
     progress = age_us / max(state.settings.slow_start_us, 1)
-    cold_fraction = state.settings.cold_capacity_fraction
-    return cold_fraction + (1 - cold_fraction) * progress
+    initial_fraction = state.settings.cold_capacity_fraction
+    return initial_fraction + (1 - initial_fraction) * progress
 
 
 def count_warm_workers(state: PolicyState) -> None:
