--- a/stepstream/config/limits.py
+++ b/stepstream/config/limits.py
@@ -5,9 +5,10 @@
 methods are generated for that: they would lengthen every start.
 """
 
-from dataclasses import dataclass, field
+from dataclasses import field
 
 from stepstream.config.node_config import NodeConfig
+from stepstream.model.records import record
 
 KIB = 1024
 MIB = 1024 * KIB
@@ -48,7 +49,7 @@
 MIN_SHUTDOWN_PHASE_SECONDS = 0.4
 
 
-@dataclass(frozen=True, eq=False, repr=False)
+@record
 class SizeLimits:
     """Sizes in bytes."""
 
@@ -63,7 +64,7 @@
     handover_bytes: int = 1 * MIB  # the state file of a hot restart; the rest is not read
 
 
-@dataclass(frozen=True, eq=False, repr=False)
+@record
 class GearmanLimits:
     """Limits of the Gearman front and carrier."""
 
@@ -85,7 +86,7 @@
     core_backlog_check_seconds: float = 0.005  # between two checks of that backlog
 
 
-@dataclass(frozen=True, eq=False, repr=False)
+@record
 class ConnectionLimits:
     """Counts of connections and of the threads that serve them."""
 
@@ -104,7 +105,7 @@
     forwarder_threads: int = 4  # for notifications to the sibling process
 
 
-@dataclass(frozen=True, eq=False, repr=False)
+@record
 class Timeouts:
     """Timeouts of connections and calls, in seconds."""
 
@@ -139,7 +140,7 @@
     drain_close_seconds: float = 0.5
 
 
-@dataclass(frozen=True, eq=False, repr=False)
+@record
 class StartupTimeouts:
     """How long a start waits for a first endpoint list, in seconds."""
 
@@ -148,7 +149,7 @@
     first_agent_list_seconds: float = 0.6
 
 
-@dataclass(frozen=True, eq=False, repr=False)
+@record
 class ShutdownTimeouts:
     """Times of a shutdown in seconds; they count from SIGTERM unless the comment says otherwise."""
 
@@ -162,7 +163,7 @@
     poll_seconds: float = 0.02  # between two checks of what is owed
 
 
-@dataclass(frozen=True, eq=False, repr=False)
+@record
 class LoopLimits:
     """Periods and batch sizes of the decision thread and of the main thread."""
 
@@ -177,7 +178,7 @@
     status_period_seconds: float = 60.0  # between two `status` events in the log
 
 
-@dataclass(frozen=True, eq=False, repr=False)
+@record
 class LogLimits:
     """Rate limit of the log events of one kind of bad input."""
 
@@ -185,7 +186,7 @@
     period_seconds: float = 10.0
 
 
-@dataclass(frozen=True, eq=False, repr=False)
+@record
 class Limits:
     """All limits, by concern."""
 
--- a/stepstream/config/node_config.py
+++ b/stepstream/config/node_config.py
@@ -5,7 +5,7 @@
 
 import os
 from collections.abc import Mapping
-from dataclasses import dataclass, field
+from dataclasses import field
 from typing import Any
 
 import ujson
@@ -13,6 +13,7 @@
 from stepstream.config.errors import ConfigurationError
 from stepstream.config.fields import SettingsFields, flatten
 from stepstream.config.settings_reader import read_settings
+from stepstream.model.records import record
 from stepstream.model.settings import Settings
 
 # Keys of the file that become pairs; `settings` and `known` are read on their own.
@@ -23,7 +24,7 @@
 JsonObject = dict[str, Any]
 
 
-@dataclass(frozen=True)
+@record
 class NodeConfig:
     """The checked configuration of one dispatcher."""
 
--- a/stepstream/core/commands.py
+++ b/stepstream/core/commands.py
@@ -5,10 +5,9 @@
 the core's state: the outcome of a call comes back as an event.
 """
 
-from dataclasses import dataclass
-
 from stepstream.core.events import JobNotification
 from stepstream.core.requests import Answer, Call, Outcome, Request
+from stepstream.model.records import record
 
 __all__ = [
     "Answer",
@@ -24,21 +23,21 @@
 ]
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class StartCall:
     """Send a call through the carrier of its worker."""
 
     call: Call
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class StopCall:
     """Give up a call that the core has ended; later reports of its carrier are ignored."""
 
     call: Call
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class Progress:
     """Report to the client that `done` of `of` parts of the job are complete."""
 
@@ -47,28 +46,28 @@
     of: int
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class CheckWorkerHealth:
     """Send a health check to a worker; its result comes back as the event `HealthChecked`."""
 
     worker_id: str
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class PollEndpoints:
     """Poll discovery for the endpoint list."""
 
     watch: bool  # True: wait for changes from now on. False: fetch the complete list once.
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class LogMessage:
     """Write a line of the policy to the log."""
 
     text: str
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class ForwardNotification:
     """Forward a notification of an unknown request to the sibling process of a hot restart."""
 
--- a/stepstream/core/endpoint_set.py
+++ b/stepstream/core/endpoint_set.py
@@ -11,17 +11,17 @@
 """
 
 from collections.abc import Iterator
-from dataclasses import dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
 from stepstream.model.endpoints import Endpoint, EndpointList, EndpointListKind, EndpointState
+from stepstream.model.records import record
 
 if TYPE_CHECKING:  # maintenance is loaded only where there are operators
     from stepstream.core.log import CoreLog
     from stepstream.core.maintenance import MaintenanceOverlay, MaintenanceState
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class EndpointsUpdated:
     """An update of one source's endpoints.
 
--- a/stepstream/core/events.py
+++ b/stepstream/core/events.py
@@ -6,13 +6,13 @@
 node's clock.
 """
 
-from dataclasses import dataclass
 from enum import Enum
 from typing import TYPE_CHECKING
 
 from stepstream.core.endpoint_set import EndpointsUpdated
 from stepstream.core.requests import Call, Request
 from stepstream.model.events import AttemptResult, HealthChecked, SettingsChanged
+from stepstream.model.records import record
 
 if TYPE_CHECKING:  # loaded only where there are operators
     from stepstream.core.maintenance import MaintenanceState
@@ -37,28 +37,28 @@
 }
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class RequestReceived:
     """A front has read a complete request; sent by the thread of its connection."""
 
     request: Request
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class ClientDisconnected:
     """The client has disconnected or withdrawn the job; sent by the thread of its front."""
 
     request: Request
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class RequestFaulted:
     """A front failed on this request and will not answer it; sent by the thread that failed."""
 
     request: Request
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class CallEnded:
     """A call ended and its worker did not accept the job; sent by the carrier's thread."""
 
@@ -67,7 +67,7 @@
     load_report: dict[str, float] | None = None  # the worker's load by name, if it reported it
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class CallTimeoutSet:
     """A worker has set a timeout for a call that it has begun; sent by the carrier's thread."""
 
@@ -75,7 +75,7 @@
     at_us: int  # the call times out then
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class JobNotification:
     """A worker's notification of a job; sent by the thread that received it.
 
@@ -92,14 +92,14 @@
     load_report: dict[str, float] | None = None  # the worker's load by name, where it ends a call
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class MaintenanceChanged:
     """Operators have changed the maintenance state; sent by the admin listener's thread."""
 
     state: "MaintenanceState"  # the complete new state
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class SiblingProcessChanged:
     """A sibling process of a hot restart has come or gone; sent by the admin listener's thread.
 
@@ -109,7 +109,7 @@
     present: bool
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class ShutdownStarted:
     """The process ends soon; sent by the main thread.
 
--- a/stepstream/core/job_results.py
+++ b/stepstream/core/job_results.py
@@ -3,12 +3,12 @@
 All records are immutable and may be read by any thread.
 """
 
-from dataclasses import dataclass
-
 import ujson
 
+from stepstream.model.records import record
+
 
-@dataclass(frozen=True, slots=True)
+@record
 class ResultChunk:
     """A part of a result that its worker sent before the end of the job."""
 
@@ -16,7 +16,7 @@
     warning: bool = False  # a warning is forwarded, but is not part of the result
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class ChunkedResult:
     """The result of a worker that sends it in chunks.
 
--- a/stepstream/core/maintenance.py
+++ b/stepstream/core/maintenance.py
@@ -14,12 +14,13 @@
 from dataclasses import dataclass, field, replace
 
 from stepstream.model.endpoints import Endpoint, EndpointState
+from stepstream.model.records import record
 
 # Releases that are remembered for slow start; the oldest are dropped first.
 MAX_REMEMBERED_RELEASES = 1024
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class MaintenanceState:
     """The complete maintenance state, as it is sent to other processes and to the core."""
 
--- a/stepstream/core/requests.py
+++ b/stepstream/core/requests.py
@@ -14,10 +14,11 @@
 from typing import Protocol
 
 from stepstream.model.events import AttemptResult
+from stepstream.model.records import record
 from stepstream.model.settings import Effect, Settings
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class Payload:
     """The part of a request that its worker gets, independent of any protocol."""
 
@@ -160,7 +161,7 @@
         return self.open and not self.request.answered and not self.request.client_disconnected
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class Answer:
     """The command to give a request its one final answer; see `core.commands`."""
 
--- a/stepstream/core/timer_wheel.py
+++ b/stepstream/core/timer_wheel.py
@@ -4,33 +4,32 @@
 decision thread owns the wheel. Times are microseconds on the node's clock.
 """
 
-from dataclasses import dataclass
-
 from stepstream.core.requests import Call, Request
+from stepstream.model.records import record
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class PolicyTimer:
     """The policy has requested a call at this time."""
 
     token: int  # the policy's id of the timer
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class CallTimeout:
     """A call has reached its time limit."""
 
     call: Call
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class AnswerDeadline:
     """The latest time at which a request's answer still reaches the client in time."""
 
     request: Request
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class AnswerOverdue:
     """One tick after the answer deadline: a request without an answer fails."""
 
--- a/stepstream/http/discovery_api.py
+++ b/stepstream/http/discovery_api.py
@@ -4,13 +4,13 @@
 immutable, and any thread may use it.
 """
 
-from dataclasses import dataclass
 from typing import Any, cast
 
 from stepstream.http.codec import Message, ProtocolError, write_request
 from stepstream.http.json_body import read_json_object
 from stepstream.http.named_numbers import bounded_number
 from stepstream.model.endpoints import Endpoint, EndpointList, EndpointListKind, EndpointState
+from stepstream.model.records import record
 from stepstream.model.settings import Settings
 
 ENDPOINT_LIST_PATH = "/api/targets"
@@ -24,7 +24,7 @@
 Address = tuple[str, int]
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class EndpointAnswer:
     """An answer of discovery: the list for the core, and the workers' addresses."""
 
--- a/stepstream/http/session.py
+++ b/stepstream/http/session.py
@@ -16,7 +16,6 @@
 """
 
 import math
-from dataclasses import dataclass
 from enum import Enum
 
 from stepstream.config.limits import Limits
@@ -35,11 +34,12 @@
 from stepstream.http.json_body import read_json_object
 from stepstream.http.server_state import ServerState
 from stepstream.http.worker_api import NOTIFICATION_PATH, read_notification
+from stepstream.model.records import record
 from stepstream.ports.access_control import Authorization, Credential, Rejection
 from stepstream.runtime.transport import Transport
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class Reply:
     """Bytes to send to the peer."""
 
--- a/stepstream/model/actions.py
+++ b/stepstream/model/actions.py
@@ -1,8 +1,9 @@
 """Actions: what the policy instructs the dispatcher to do."""
 
-from dataclasses import dataclass
 from enum import IntEnum
 
+from stepstream.model.records import record
+
 
 class TimerToken(IntEnum):
     """What a timer is for. The simulator's wire carries these numbers."""
@@ -13,7 +14,7 @@
     START_DUE = 3  # an attempt should have started by now
 
 
-@dataclass(frozen=True)
+@record
 class StartAttempt:
     """Start an attempt; attempts of a job count 0, 1, 2 ... in the order of their starts."""
 
@@ -22,7 +23,7 @@
     timeout_us: int = 0  # 0: until the client gives up
 
 
-@dataclass(frozen=True)
+@record
 class Reject:
     """A final answer that promises: the job never ran, or a repeat is harmless."""
 
@@ -30,14 +31,14 @@
     retry_after_us: int = 0
 
 
-@dataclass(frozen=True)
+@record
 class Fail:
     """A final answer that promises nothing."""
 
     job_id: str
 
 
-@dataclass(frozen=True)
+@record
 class CancelAttempt:
     """Cancel an attempt, whether it waits or runs; its end is reported in any case."""
 
@@ -45,14 +46,14 @@
     attempt_number: int
 
 
-@dataclass(frozen=True)
+@record
 class CheckHealth:
     """Ask a worker for its health and load."""
 
     worker_id: str
 
 
-@dataclass(frozen=True)
+@record
 class SetTimer:
     """Report at this time that a timer has fired."""
 
@@ -60,19 +61,19 @@
     at_us: int
 
 
-@dataclass(frozen=True)
+@record
 class WatchEndpoints:
     """Poll for changes of the endpoint list."""
 
     active: bool = True
 
 
-@dataclass(frozen=True)
+@record
 class FetchEndpoints:
     """Call for the complete endpoint list once. The wire has it; no rule uses it yet."""
 
 
-@dataclass(frozen=True)
+@record
 class WriteLog:
     """Write a line to the log. The wire has it; no rule uses it yet."""
 
--- a/stepstream/model/endpoints.py
+++ b/stepstream/model/endpoints.py
@@ -1,8 +1,9 @@
 """Endpoints: the workers that a source of endpoints lists."""
 
-from dataclasses import dataclass
 from enum import Enum
 
+from stepstream.model.records import record
+
 
 class EndpointState(Enum):
     """Whether a worker may get new jobs."""
@@ -21,7 +22,7 @@
     FAILED = "failed"  # they stay; a call for the list has failed, and it has no endpoints
 
 
-@dataclass(frozen=True)
+@record
 class Endpoint:
     """One worker process as the endpoint list names it."""
 
@@ -36,7 +37,7 @@
     supported_jobs: frozenset[str] | None = None
 
 
-@dataclass(frozen=True)
+@record
 class EndpointList:
     """An endpoint list, or a failed call for one."""
 
--- a/stepstream/model/events.py
+++ b/stepstream/model/events.py
@@ -1,9 +1,9 @@
 """Events: what the dispatcher notifies the policy of."""
 
-from dataclasses import dataclass
 from enum import Enum
 
 from stepstream.model.endpoints import EndpointList
+from stepstream.model.records import record
 from stepstream.model.settings import Settings
 
 
@@ -31,7 +31,7 @@
         return self not in neutral
 
 
-@dataclass(frozen=True)
+@record
 class JobSubmitted:
     """A job has arrived."""
 
@@ -45,7 +45,7 @@
     client_retry: bool = False
 
 
-@dataclass(frozen=True)
+@record
 class AttemptEnded:
     """An attempt is over."""
 
@@ -58,7 +58,7 @@
     load_report: dict[str, float] | None = None
 
 
-@dataclass(frozen=True)
+@record
 class AttemptStarted:
     """The job has begun to run on the worker."""
 
@@ -67,7 +67,7 @@
     worker_id: str
 
 
-@dataclass(frozen=True)
+@record
 class HealthChecked:
     """A health check of a worker has ended, with or without an answer."""
 
@@ -77,21 +77,21 @@
     load_report: dict[str, float] | None = None
 
 
-@dataclass(frozen=True)
+@record
 class JobAbandoned:
     """The job's client has disconnected: no answer is owed any more."""
 
     job_id: str
 
 
-@dataclass(frozen=True)
+@record
 class TimerFired:
     """A timer that the policy had set has fired."""
 
     token: int  # the TimerToken that it was set with
 
 
-@dataclass(frozen=True)
+@record
 class SettingsChanged:
     """The settings were replaced; what was learned of classes and tenants stays, by name."""
 
--- /dev/null
+++ b/stepstream/model/records.py
@@ -0,0 +1,42 @@
+"""Immutable records that are cheap to define.
+
+A frozen dataclass has six methods that are generated and compiled for each class. With some seventy
+records that was half of the time that a dispatcher needs to import its modules, and operators wait
+for each start. A record has one generated method, its initializer, and shares all others.
+"""
+
+from dataclasses import dataclass, field
+from typing import Any, TypeVar, dataclass_transform
+
+Class = TypeVar("Class")
+
+
+@dataclass_transform(frozen_default=True, field_specifiers=(field,))
+def record(cls: type[Class]) -> type[Class]:
+    """Make a class a record: a dataclass that compares, hashes and prints by its fields.
+
+    It has slots. mypy reports an assignment to a field; at run time nothing prevents one.
+    """
+    cls.__eq__ = _is_equal  # type: ignore[method-assign]
+    cls.__hash__ = _hash  # type: ignore[method-assign]
+    cls.__repr__ = _text  # type: ignore[method-assign]
+    return dataclass(eq=False, repr=False, slots=True)(cls)
+
+
+def _values(instance: Any) -> tuple[object, ...]:  # noqa: ANN401  a record of any class
+    return tuple(getattr(instance, name) for name in instance.__dataclass_fields__)
+
+
+def _is_equal(self: object, other: object) -> Any:  # noqa: ANN401  a bool or NotImplemented
+    if type(self) is not type(other):
+        return NotImplemented
+    return _values(self) == _values(other)
+
+
+def _hash(self: object) -> int:
+    return hash(_values(self))
+
+
+def _text(self: Any) -> str:  # noqa: ANN401  a record of any class
+    fields = (f"{name}={getattr(self, name)!r}" for name in self.__dataclass_fields__)
+    return f"{type(self).__qualname__}({', '.join(fields)})"
--- a/stepstream/model/settings.py
+++ b/stepstream/model/settings.py
@@ -8,9 +8,10 @@
 fields is part of the digest too.
 """
 
-from dataclasses import dataclass
 from enum import Enum, StrEnum
 
+from stepstream.model.records import record
+
 
 class Effect(Enum):
     """What a repeat of a job of this class may do."""
@@ -36,7 +37,7 @@
     NONE = "none"
 
 
-@dataclass(frozen=True)
+@record
 class JobClass:
     """The terms of one class of jobs."""
 
@@ -52,7 +53,7 @@
     name: str = ""
 
 
-@dataclass(frozen=True)
+@record
 class Settings:
     """Settings of one deployment; counts, prices and permissions as its platform states them."""
 
--- a/stepstream/ports/access_control.py
+++ b/stepstream/ports/access_control.py
@@ -3,12 +3,13 @@
 Implemented by the identity subsystem; without it the fronts admit every peer.
 """
 
-from dataclasses import dataclass
 from enum import Enum
 from typing import Protocol
 
+from stepstream.model.records import record
 
-@dataclass(frozen=True, slots=True)
+
+@record
 class Credential:
     """What a peer presents to identify itself."""
 
@@ -24,7 +25,7 @@
     RATE_LIMITED = "LATER"  # it may, but not now
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class Rejection:
     """A rejected request, worker or command."""
 
--- a/stepstream/ports/admin.py
+++ b/stepstream/ports/admin.py
@@ -1,16 +1,18 @@
 """Requests to the admin listener, the routes that subsystems add to it, and worker maintenance."""
 
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass, field
+from dataclasses import field
 from typing import Protocol
 
+from stepstream.model.records import record
+
 # Methods of an admin route. Changes come by PUT; POST is accepted as well, as at other proxies'
 # admin listeners.
 READ_METHODS = frozenset({"GET", "HEAD"})
 WRITE_METHODS = frozenset({"PUT", "POST"})
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class AdminRequest:
     """An operator's request to a path that a subsystem has added."""
 
@@ -20,7 +22,7 @@
     body: bytes = b""
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class AdminResponse:
     """The response to an operator's request."""
 
@@ -29,7 +31,7 @@
     content_type: str = "text/plain"
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class AdminRoute:
     """A path of the admin listener that a subsystem serves."""
 
--- a/stepstream/ports/connections.py
+++ b/stepstream/ports/connections.py
@@ -9,6 +9,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+from stepstream.model.records import record
+
 
 class Connection(Protocol):
     """An inbound connection of a front.
@@ -56,7 +58,7 @@
     overload_response: Callable[[], bytes]  # sent to a peer when no connection is left for it
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class BoundListener:
     """A listener that is open."""
 
