--- a/stepstream/core/events.py
+++ b/stepstream/core/events.py
@@ -1,35 +1,35 @@
-"""Events: what fronts, carriers, endpoint sources and subsystems report to the core.
+"""Events: the reports of fronts, carriers, endpoint sources and subsystems to the core.
 
-Any thread may create one and post it to the node's event queue; none is changed afterwards. The
-decision thread takes them from the queue and hands them to `Dispatcher.handle` in their order.
-Events that the core does not handle itself pass to the policy as they are. Times are microseconds
-on the node's clock.
+Any thread may create an event and post it to the node's event queue. An event never changes
+afterwards. The decision thread passes events to `Dispatcher.handle` in the order of the queue. The
+core forwards events that it does not handle itself to the policy. Times are microseconds on the
+node's clock.
 """
 
-from dataclasses import dataclass
 from enum import Enum
 from typing import TYPE_CHECKING
 
 from stepstream.core.endpoint_set import EndpointsUpdated
 from stepstream.core.requests import Call, Request
 from stepstream.model.events import AttemptResult, HealthChecked, SettingsChanged
+from stepstream.model.records import record
 
 if TYPE_CHECKING:  # loaded only where there are operators
     from stepstream.core.maintenance import MaintenanceState
 
 
 class JobStatus(Enum):
-    """The status of a job in a worker's notification; the values are the platform's words."""
+    """The status of a job in a worker's notification; the values are the wire names."""
 
     STARTED = "started"
     RUNNING = "running"
     DONE = "done"
     FAILED = "failed"
-    RETURNED = "returned"  # the worker gave the job back without having run it
+    RETURNED = "returned"  # the worker has returned the job without running it
     LOST = "lost"  # the worker has lost the job; it may have run
 
 
-# How a call ends by a notification that the job ended without a result.
+# The result of a call whose job ended without a result, by the status in the notification.
 RESULT_BY_STATUS = {
     JobStatus.FAILED: AttemptResult.ERROR,
     JobStatus.RETURNED: AttemptResult.FULL,
@@ -37,68 +37,69 @@
 }
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class RequestReceived:
     """A front has read a complete request; sent by the thread of its connection."""
 
     request: Request
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class ClientDisconnected:
     """The client has disconnected or withdrawn the job; sent by the thread of its front."""
 
     request: Request
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class RequestFaulted:
     """A front failed on this request and will not answer it; sent by the thread that failed."""
 
     request: Request
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class CallEnded:
-    """A call ended without its worker taking the job; sent by the carrier's thread."""
+    """A call ended and its worker did not accept the job; sent by the carrier's thread."""
 
     call: Call
     result: AttemptResult
-    load_report: dict[str, float] | None = None  # the worker's load by name, if its answer has it
+    load_report: dict[str, float] | None = None  # the worker's load by name, if it reported it
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class CallTimeoutSet:
-    """A worker has set a time limit to a call that it has begun; sent by the carrier's thread."""
+    """A worker has set a timeout for a call that it has begun; sent by the carrier's thread."""
 
     call: Call
-    at_us: int  # past it the call has timed out
+    at_us: int  # the call times out then
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class JobNotification:
     """A worker's notification of a job; sent by the thread that received it.
 
-    It may come before the worker's response to the call, more than once, or from before a restart.
+    It may arrive before the worker's response to the call, more than once, or after a restart of
+    this process.
     """
 
     request_id: str
     worker_id: str
     status: JobStatus
-    result: object = None  # of DONE: JSON value or `ports.payload.ChunkedResult`
+    result: object = None  # of DONE: JSON value or `core.job_results.ChunkedResult`
     progress: tuple[int, int] | None = None  # of RUNNING: parts complete, parts in all
     forwarded: bool = False  # came from the sibling process of a hot restart
     load_report: dict[str, float] | None = None  # the worker's load by name, where it ends a call
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class MaintenanceChanged:
     """Operators have changed the maintenance state; sent by the admin listener's thread."""
 
     state: "MaintenanceState"  # the complete new state
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class SiblingProcessChanged:
     """A sibling process of a hot restart has come or gone; sent by the admin listener's thread.
 
@@ -108,11 +109,11 @@
     present: bool
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class ShutdownStarted:
     """The process ends soon; sent by the main thread.
 
-    Every request that is open or still comes is answered by the deadline.
+    Every request that is open or arrives later is answered by the deadline.
     """
 
     deadline_us: int
--- a/stepstream/core/job_results.py
+++ b/stepstream/core/job_results.py
@@ -1,22 +1,22 @@
-"""Results of jobs as workers return them, in no protocol's form.
+"""Results of jobs as workers return them, independent of any protocol.
 
 All records are immutable and may be read by any thread.
 """
 
-from dataclasses import dataclass
-
 import ujson
 
+from stepstream.model.records import record
+
 
-@dataclass(frozen=True, slots=True)
+@record
 class ResultChunk:
     """A part of a result that its worker sent before the end of the job."""
 
     data: bytes
-    warning: bool = False  # a warning is reported, but is no part of the result
+    warning: bool = False  # a warning is forwarded, but is not part of the result
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class ChunkedResult:
     """The result of a worker that sends it in chunks.
 
@@ -24,7 +24,7 @@
     """
 
     chunks: tuple[ResultChunk, ...]
-    last: bytes  # what came with the end of the job
+    last: bytes  # the part that came with the end of the job
 
     @property
     def complete(self) -> bytes:
--- a/stepstream/model/actions.py
+++ b/stepstream/model/actions.py
@@ -1,19 +1,20 @@
-"""Actions: what the policy asks the dispatcher to do."""
+"""Actions: what the policy instructs the dispatcher to do."""
 
-from dataclasses import dataclass
 from enum import IntEnum
 
+from stepstream.model.records import record
+
 
 class TimerToken(IntEnum):
     """What a timer is for. The simulator's wire carries these numbers."""
 
     PERIODIC_TASKS = 0
     POLL_ENDPOINTS = 1
-    WAIT_EXPIRED = 2  # a job has waited for headroom as long as it may
+    WAIT_EXPIRED = 2  # the wait of a job for headroom has ended
     START_DUE = 3  # an attempt should have started by now
 
 
-@dataclass(frozen=True)
+@record
 class StartAttempt:
     """Start an attempt; attempts of a job count 0, 1, 2 ... in the order of their starts."""
 
@@ -22,37 +23,37 @@
     timeout_us: int = 0  # 0: until the client gives up
 
 
-@dataclass(frozen=True)
+@record
 class Reject:
-    """A final answer that promises the job never ran (or may be repeated without harm)."""
+    """A final answer that promises: the job never ran, or a repeat is harmless."""
 
     job_id: str
     retry_after_us: int = 0
 
 
-@dataclass(frozen=True)
+@record
 class Fail:
     """A final answer that promises nothing."""
 
     job_id: str
 
 
-@dataclass(frozen=True)
+@record
 class CancelAttempt:
-    """Call off an attempt, wherever it is; its end is reported all the same."""
+    """Cancel an attempt, whether it waits or runs; its end is reported in any case."""
 
     job_id: str
     attempt_number: int
 
 
-@dataclass(frozen=True)
+@record
 class CheckHealth:
     """Ask a worker for its health and load."""
 
     worker_id: str
 
 
-@dataclass(frozen=True)
+@record
 class SetTimer:
     """Report at this time that a timer has fired."""
 
@@ -60,21 +61,21 @@
     at_us: int
 
 
-@dataclass(frozen=True)
+@record
 class WatchEndpoints:
-    """Poll for the endpoint list's changes from here on."""
+    """Poll for changes of the endpoint list."""
 
     active: bool = True
 
 
-@dataclass(frozen=True)
+@record
 class FetchEndpoints:
-    """Call for the complete endpoint list once."""
+    """Call for the complete endpoint list once. The wire has it; no rule uses it yet."""
 
 
-@dataclass(frozen=True)
+@record
 class WriteLog:
-    """Write a line to the log."""
+    """Write a line to the log. The wire has it; no rule uses it yet."""
 
     text: str
 
--- a/stepstream/model/events.py
+++ b/stepstream/model/events.py
@@ -1,9 +1,9 @@
 """Events: what the dispatcher notifies the policy of."""
 
-from dataclasses import dataclass
 from enum import Enum
 
 from stepstream.model.endpoints import EndpointList
+from stepstream.model.records import record
 from stepstream.model.settings import Settings
 
 
@@ -26,12 +26,12 @@
 
     @property
     def reflects_health(self) -> bool:
-        """Return whether it speaks for or against the worker's health."""
+        """Return whether it says anything about the worker's health."""
         neutral = (AttemptResult.FULL, AttemptResult.NOT_SENT, AttemptResult.CANCELLED)
         return self not in neutral
 
 
-@dataclass(frozen=True)
+@record
 class JobSubmitted:
     """A job has arrived."""
 
@@ -45,7 +45,7 @@
     client_retry: bool = False
 
 
-@dataclass(frozen=True)
+@record
 class AttemptEnded:
     """An attempt is over."""
 
@@ -54,11 +54,11 @@
     worker_id: str
     result: AttemptResult
     elapsed_us: int = 0
-    job_answered: bool = False  # the client has its answer, by this attempt or before it
+    job_answered: bool = False  # the client has its answer, from this attempt or an earlier one
     load_report: dict[str, float] | None = None
 
 
-@dataclass(frozen=True)
+@record
 class AttemptStarted:
     """The job has begun to run on the worker."""
 
@@ -67,9 +67,9 @@
     worker_id: str
 
 
-@dataclass(frozen=True)
+@record
 class HealthChecked:
-    """A worker has answered a health check, or has not."""
+    """A health check of a worker has ended, with or without an answer."""
 
     worker_id: str
     healthy: bool
@@ -77,21 +77,21 @@
     load_report: dict[str, float] | None = None
 
 
-@dataclass(frozen=True)
+@record
 class JobAbandoned:
-    """The job's client has gone: no answer is owed any more."""
+    """The job's client has disconnected: no answer is owed any more."""
 
     job_id: str
 
 
-@dataclass(frozen=True)
+@record
 class TimerFired:
     """A timer that the policy had set has fired."""
 
     token: int  # the TimerToken that it was set with
 
 
-@dataclass(frozen=True)
+@record
 class SettingsChanged:
     """The settings were replaced; what was learned of classes and tenants stays, by name."""
 
