--- a/stepstream/runtime/__init__.py
+++ b/stepstream/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every driver stands on: clock, log, threads, sockets and transports."""
+"""Log, clock, threads, sockets and transports, which every driver uses."""
--- a/stepstream/runtime/clock.py
+++ b/stepstream/runtime/clock.py
@@ -1,17 +1,17 @@
-"""The one clock of a dispatcher."""
+"""The clock of a dispatcher."""
 
 import time
 
 
 class Clock:
-    """System time at the start, carried on by the monotonic clock; any thread may read it.
+    """The system time at the start plus the monotonic time since then; any thread may read it.
 
-    Workers' start times, which are system times, compare with it, and it never goes back.
+    It never goes back. Workers' start times are system times and compare with it.
     """
 
     def __init__(self) -> None:
         self.base_ns = time.time_ns() - time.monotonic_ns()
 
     def now_us(self) -> int:
-        """Give the time in microseconds since 1970."""
+        """Return the microseconds since 1970."""
         return (self.base_ns + time.monotonic_ns()) // 1000
--- a/stepstream/runtime/sockets.py
+++ b/stepstream/runtime/sockets.py
@@ -1,7 +1,7 @@
-"""Operations on blocking sockets whose time limits the kernel enforces.
+"""Operations on blocking sockets; the kernel enforces their timeouts.
 
-Nothing here keeps state; the thread that owns a socket calls these, except `shut_down`, which any
-thread may call.
+Nothing here keeps state. The thread that owns a socket calls these functions; any thread may call
+`shut_down`.
 """
 
 import contextlib
@@ -9,32 +9,32 @@
 import struct
 import time
 
-MICROSECONDS = 1e6
-LEAST_TIMEOUT_SECONDS = 0.001  # the kernel takes 0 for no limit at all
+MICROSECONDS_PER_SECOND = 1e6
+MIN_TIMEOUT_SECONDS = 0.001  # to the kernel, 0 means no timeout
 
 
 def set_socket_timeout(sock: socket.socket, option: int, seconds: float) -> None:
-    """Set SO_RCVTIMEO or SO_SNDTIMEO, socket(7).
+    """Set SO_RCVTIMEO or SO_SNDTIMEO; see socket(7).
 
-    Unlike settimeout() they leave the socket a blocking one; a call that takes longer raises
-    BlockingIOError.
+    The socket stays a blocking one, which it does not after settimeout(). A call that takes longer
+    raises BlockingIOError.
     """
     whole_seconds = int(seconds)
-    microseconds = int((seconds - whole_seconds) * MICROSECONDS)
+    microseconds = int((seconds - whole_seconds) * MICROSECONDS_PER_SECOND)
     sock.setsockopt(socket.SOL_SOCKET, option, struct.pack("ll", whole_seconds, microseconds))
 
 
 def connect(
     address: tuple[str, int], connect_seconds: float, write_seconds: float
 ) -> socket.socket:
-    """Open a TCP connection within `connect_seconds`; OSError if there is none by then.
+    """Open a TCP connection within `connect_seconds`.
 
-    `write_seconds` bounds each later write.
+    `write_seconds` is the timeout of each later write. Raise OSError if the connection fails.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        # SO_SNDTIMEO bounds connect() too.
-        set_socket_timeout(sock, socket.SO_SNDTIMEO, max(connect_seconds, LEAST_TIMEOUT_SECONDS))
+        # SO_SNDTIMEO is the timeout of connect() as well.
+        set_socket_timeout(sock, socket.SO_SNDTIMEO, max(connect_seconds, MIN_TIMEOUT_SECONDS))
         sock.connect(address)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         set_socket_timeout(sock, socket.SO_SNDTIMEO, write_seconds)
@@ -45,22 +45,23 @@
 
 
 def receive_until(sock: socket.socket, deadline: float, max_bytes: int) -> bytes:
-    """Receive what comes by `deadline` (monotonic seconds), b"" for the end; TimeoutError.
+    """Receive the next bytes by `deadline` (monotonic seconds); b"" is the peer's end.
 
-    Guards the thread against an answer that comes in drips: each is within any bound on one read.
+    Raise TimeoutError after the deadline. One deadline for all reads of an answer guards the thread
+    against a peer that sends it byte by byte.
     """
     remaining_seconds = deadline - time.monotonic()
     if remaining_seconds <= 0:
         raise TimeoutError("no answer in time")
-    set_socket_timeout(sock, socket.SO_RCVTIMEO, max(remaining_seconds, LEAST_TIMEOUT_SECONDS))
+    set_socket_timeout(sock, socket.SO_RCVTIMEO, max(remaining_seconds, MIN_TIMEOUT_SECONDS))
     try:
         return sock.recv(max_bytes)
-    except BlockingIOError:  # what a socket's time limit raises
+    except BlockingIOError:  # raised by a socket with SO_RCVTIMEO
         raise TimeoutError("no answer in time") from None
 
 
 def is_stale(sock: socket.socket) -> bool:
-    """Whether an idle connection has been closed, or has bytes that belong to nothing."""
+    """Return whether an idle connection is closed by its peer, or has unexpected bytes."""
     try:
         sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -71,6 +72,6 @@
 
 
 def shut_down(sock: socket.socket) -> None:
-    """Wake the thread that reads or writes here; it closes the socket itself."""
+    """End both directions, which wakes the thread that reads or writes; it closes the socket."""
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
--- a/stepstream/runtime/threads.py
+++ b/stepstream/runtime/threads.py
@@ -1,7 +1,7 @@
-"""Threads that outlive a fault, and pools of them.
+"""Threads that continue after a fault, and pools of threads.
 
-All threads are daemons: the main thread ends the process, whatever they do. Each is named for what
-it runs, and whoever calls `spawn_thread` owns it.
+All threads are daemons, so that the main thread alone decides when the process ends. Each thread is
+named for what it runs. The caller of `spawn_thread` owns it.
 """
 
 import threading
@@ -16,40 +16,40 @@
 
 
 def run_guarded(name: str, step: Callable[[*Arguments], object], *arguments: *Arguments) -> None:
-    """Run a step; an unexpected fault costs one line in the log, not the caller's thread."""
+    """Run a step and log an unexpected fault; the caller's thread continues."""
     try:
         step(*arguments)
-    except Exception as error:  # noqa: BLE001  the last guard of every thread: any fault is logged
+    except Exception as error:  # noqa: BLE001  without this guard the thread would end
         log_events.internal_fault(where=name, error=error)
 
 
 def run_until_closed(
     name: str, step: Callable[[], object], is_closed: Callable[[], bool], pause_seconds: float
 ) -> None:
-    """Run a step over and over until closed: the loop of a thread that must outlive any fault.
+    """Repeat a step until closed, and log each unexpected fault.
 
-    After a fault, which costs one line in the log, the loop pauses: a lasting fault must not fill
-    the log or take a whole processor.
+    The loop pauses after a fault, so that a lasting one neither fills the log nor uses a whole
+    processor.
     """
     while not is_closed():
         try:
             step()
-        except Exception as error:  # noqa: BLE001  without its thread a subsystem would be gone silently
+        except Exception as error:  # noqa: BLE001  a subsystem without its thread would stop silently
             log_events.internal_fault(where=name, error=error)
             time.sleep(pause_seconds)
 
 
 def spawn_thread(name: str, step: Callable[[*Arguments], object], *arguments: *Arguments) -> None:
-    """Start a guarded daemon thread; RuntimeError if the machine has none left."""
+    """Start a guarded daemon thread; raise RuntimeError if the machine has none left."""
     threading.Thread(
         target=run_guarded, args=(name, step, *arguments), name=name, daemon=True
     ).start()
 
 
 class ThreadPool:
-    """Threads that take jobs from one queue, started as needed up to `max_threads`.
+    """Threads that take jobs from one queue, started when needed, `max_threads` at most.
 
-    Threads are never stopped. Any thread may submit.
+    The threads never stop. Any thread may call `submit`.
     """
 
     def __init__(self, name: str, max_threads: int) -> None:
@@ -58,7 +58,7 @@
         self.jobs: SimpleQueue[tuple[Callable[..., object], tuple[Any, ...]]] = SimpleQueue()
         self.lock = threading.Lock()  # guards the two counts
         self.thread_count = 0
-        self.idle_count = 0  # threads less the jobs that are queued or running; may be negative
+        self.idle_count = 0  # threads minus jobs that are queued or running; may be negative
 
     def submit(self, step: Callable[[*Arguments], object], *arguments: *Arguments) -> None:
         """Queue a job, and start a thread for it if all are busy and more are allowed."""
@@ -77,14 +77,14 @@
         try:
             spawn_thread(self.name, self.run_jobs)
         except RuntimeError:
-            # Guards against a machine out of threads: the job waits for one that is there.
+            # On a machine without free threads the job waits for a thread that exists.
             with self.lock:
                 self.thread_count -= 1
                 self.idle_count -= 1
             log_events.thread_start_failed(pool=self.name)
 
     def run_jobs(self) -> None:
-        """Run jobs for ever; the body of each thread."""
+        """Run jobs forever; each thread of the pool runs this."""
         while True:
             step, arguments = self.jobs.get()
             run_guarded(self.name, step, *arguments)
--- a/stepstream/runtime/transport.py
+++ b/stepstream/runtime/transport.py
@@ -1,7 +1,7 @@
-"""A connected socket as its driver uses it: reads wait, writes need not.
+"""A connected socket as its driver uses it: reads wait for the peer, writes do not have to.
 
-The connection's own thread reads; its owner lets one thread at a time send. `shut_down` may be
-called by any thread.
+The connection's own thread reads. The connection's owner lets one thread at a time send. Any thread
+may call `shut_down`.
 """
 
 import contextlib
@@ -11,39 +11,39 @@
 
 
 class Transport:
-    """Plain TCP; `identity.tls` has the form for TLS.
+    """A transport over TCP; `identity.tls` has the one over TLS.
 
-    Every method but `has_unread`, `half_close`, `shut_down` and `close` raises OSError if the
-    connection has broken.
+    Every method raises OSError if the connection has broken, except `has_unread`, `half_close`,
+    `shut_down` and `close`.
     """
 
-    certificate: object = None  # the peer's, where it showed one
+    certificate: object = None  # the peer's; None for a peer without one
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self.unsent = bytearray()  # what the peer has not taken yet
+        self.unsent = bytearray()  # bytes that the kernel has not accepted yet
 
     def handshake(self) -> None:
-        """Do what precedes the first read, in the connection's own thread; nothing for TCP."""
+        """Prepare the connection before the first read, in its own thread; nothing for TCP."""
 
     def receive(self, max_bytes: int) -> bytes:
-        """Wait for bytes; b"" for the peer's end."""
+        """Wait for bytes and return them; b"" is the peer's end."""
         return self.sock.recv(max_bytes)
 
-    def wait_readable(self, max_bytes: int) -> bool:  # noqa: ARG002  TLS reads so much at once
-        """Wait until bytes can be received; False for the peer's end."""
+    def wait_readable(self, max_bytes: int) -> bool:  # noqa: ARG002  used by TLS
+        """Wait until bytes can be received; return False at the peer's end."""
         return bool(self.sock.recv(1, socket.MSG_PEEK))
 
     def receive_available(self, max_bytes: int) -> bytes:
-        """Receive what is there after `wait_readable`, without waiting."""
+        """Receive bytes without waiting; call it after `wait_readable`."""
         return self.sock.recv(max_bytes, socket.MSG_DONTWAIT)
 
     def enqueue(self, data: bytes) -> None:
-        """Put bytes behind what waits to be sent."""
+        """Append bytes to those that wait to be sent."""
         self.unsent += data
 
     def send_available(self, data: bytes) -> bool:
-        """Send without waiting, and keep what the peer does not take; whether all is sent."""
+        """Send without waiting and keep the rest in `unsent`; return whether all bytes are sent."""
         if not self.unsent:
             with contextlib.suppress(BlockingIOError):
                 data = data[self.sock.send(data, socket.MSG_DONTWAIT) :]
@@ -53,7 +53,7 @@
         return False
 
     def flush_available(self) -> bool:
-        """Send on from what is unsent, without waiting; whether nothing is left."""
+        """Send from `unsent` without waiting; return whether nothing is left."""
         try:
             while self.unsent:
                 sent_bytes = self.sock.send(self.unsent, socket.MSG_DONTWAIT)
@@ -63,29 +63,29 @@
         return True
 
     def flush(self) -> None:
-        """Wait until all is sent, within the socket's time limit."""
+        """Send all of `unsent`, within the socket's timeout."""
         self.sock.sendall(self.unsent)
         self.unsent.clear()
 
     def has_unread(self) -> bool:
-        """Whether bytes are here that nobody has read."""
+        """Return whether there are bytes that were not read."""
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
-        except OSError:  # nothing, or no connection any more
+        except OSError:  # no bytes, or the connection has broken
             return False
 
     def half_close(self) -> None:
-        """Send nothing more, and go on receiving.
+        """End the sending direction only.
 
-        A full close could reset the connection and take the last answer with it.
+        A full close could reset the connection, and the peer would lose the last answer.
         """
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     def shut_down(self) -> None:
-        """End both directions; wakes the thread that reads or writes here."""
+        """End both directions, which wakes the thread that reads or writes."""
         shut_down(self.sock)
 
     def close(self) -> None:
-        """Release the socket; only by the thread that reads it."""
+        """Release the socket; only the reading thread may call it."""
         self.sock.close()
