--- a/stepstream/admin/listener.py
+++ b/stepstream/admin/listener.py
@@ -109,7 +109,7 @@
             self.poll.register(sock, READABLE)
 
     def _close_expired(self, now: float) -> None:
-        """Close the connections that have had their time for a request."""
+        """Close the connections whose time for a request is over."""
         max_age_seconds = self.limits.timeouts.admin_request_seconds
         for connection in list(self.connections.values()):
             if decisions.has_expired(connection, now, max_age_seconds):
--- a/stepstream/config/operator_sections.py
+++ b/stepstream/config/operator_sections.py
@@ -143,7 +143,8 @@
     longest_s (86,400 s): longest lifetime of a token, from `iat` to `exp`.
     cache (10,000 tokens): verified tokens that are cached; fewer cost more signature checks.
     workers (["worker/"]): a worker's subject is one of these prefixes and the worker's id.
-    news ("identified"): "open" takes workers' notifications and registrations from anybody.
+    news ("identified"): "open" accepts workers' notifications and registrations without a
+        credential.
     admins ([]): subjects that may use Gearman's text commands.
     audit ("json"): format of audit lines, "json" or "console".
     audit_allowed (false): whether allowed requests are written too.
@@ -176,12 +177,12 @@
 
     listen (required, IPv4:PORT): UDP address of this member.
     advertise (`listen`, IPv4:PORT): where the others send, if that is another address.
-    seeds ([], up to 64 IPv4:PORT): members to join through; none: it stays alone until another
-        member has it as a seed.
+    seeds ([], up to 64 IPv4:PORT): members to join through; without one it stays alone until
+        another member has it as a seed.
     cluster (required): name of the cluster; datagrams of another one are dropped and counted.
     share_maintenance (false): whether worker maintenance set at one dispatcher holds at all.
     follow_size (true): whether the policy's count of dispatchers follows the membership list;
-        otherwise the settings' `fleet_size` holds, whoever has crashed or joined.
+        otherwise the settings' `fleet_size` counts, even after crashes and joins.
     hold_s (30, 1 to 86,400 s): how long a dead member still counts as a dispatcher. Short: a stop
         of a few seconds changes every dispatcher's share twice.
     period_ms (400, 10 to 600,000 ms): protocol period, between two probes. Longer: crashes are
@@ -192,7 +193,7 @@
         enough for a suspicion.
     suspicion (3, 1 to 100 periods): shortest suspicion, times the logarithm of the cluster's size.
         Short: slow members are declared dead.
-    slack (6, 1 to 100 times): longest suspicion over the shortest, where nobody confirms it.
+    slack (6, 1 to 100 times): longest suspicion over the shortest, if no member confirms it.
     confirmations (3, 0 to 16 members): independent ones that make the suspicion shortest.
     gossip (4, 1 to 32 times): retransmissions of a message, times the logarithm of the cluster's
         size. Less: more is left to anti-entropy.
@@ -242,8 +243,8 @@
         small, two may hold a lease at once; if too large, a lost holder blocks its lease longer.
     longest_s (60, 1 to 3,600 s): longest time to live of a lease. A voter is silent for this time
         after its start.
-    timeout_ms (300 ms): one round to the voters and back; under the true round trip nobody gets a
-        lease.
+    timeout_ms (300 ms): one round to the voters and back; below the true round trip no lease is
+        granted.
     turn_ms (300 ms): how long the candidate that waited longest goes first once a lease is free.
     most (4,096, 1 to 65,536): leases that a voter remembers.
     most_sessions (1,024, 1 to 65,536): programs and tasks that want leases through this dispatcher;
--- a/stepstream/gearman/access.py
+++ b/stepstream/gearman/access.py
@@ -58,7 +58,7 @@
     def check_worker(self, now_us: int, worker: Worker) -> None:
         """Check that a worker's credential has not expired since it registered.
 
-        Such a worker is assigned nothing more; what is assigned already goes on.
+        Such a worker gets no further job and may end the jobs that it holds.
         """
         access_control = self.state.host.access_control
         peer = worker.peer
--- a/stepstream/gearman/front.py
+++ b/stepstream/gearman/front.py
@@ -145,7 +145,7 @@
             self.flush()
 
     def stop(self, call: Call) -> None:
-        """Drop a call; one that its worker has begun goes on there."""
+        """Drop a call; its worker ends one that is assigned already."""
         with self.lock:
             self.service.stop(call)
 
--- a/stepstream/gearman/job_assignment.py
+++ b/stepstream/gearman/job_assignment.py
@@ -36,7 +36,7 @@
             self.wake(self.state.workers.by_id[call.worker_id])
 
     def stop(self, call: Call) -> None:
-        """Drop a call that the core gave up; one that is assigned goes on at its worker."""
+        """Drop a call that the core gave up; its worker ends one that is assigned already."""
         self.state.workers.stop(call)
 
     def pre_sleep(self, _now_us: int, peer: Peer, _packet: Packet) -> None:
--- a/stepstream/gearman/service.py
+++ b/stepstream/gearman/service.py
@@ -89,7 +89,7 @@
         return peer
 
     def disconnect(self, peer: Peer) -> None:
-        """End what a connection had open: foreground jobs of its own, and its calls as a worker."""
+        """End the foreground jobs and the worker of a connection that has ended."""
         if peer.disconnected:
             return
         peer.disconnected = True
--- a/stepstream/hot_restart/state.py
+++ b/stepstream/hot_restart/state.py
@@ -50,7 +50,7 @@
 
 def encode(state: HandoverState) -> bytes:
     """Write the state as the file's bytes."""
-    # The keys `banned`, `lifted` and `list` are part of the format, whatever the code calls them.
+    # The keys `banned`, `lifted` and `list` are part of the format and keep their names.
     body = {
         "generation": state.maintenance.generation,
         "banned": sorted(state.maintenance.in_maintenance),
--- a/stepstream/identity/access_control.py
+++ b/stepstream/identity/access_control.py
@@ -120,10 +120,7 @@
         principal = presented.principal
         permissions = rules.permissions
         decision = presented.failure or permissions.decide(principal, class_name, tenant)
-        is_counted = (
-            decision.verdict is Verdict.ALLOWED
-            and permissions.callers_by_subject[presented.subject].has_limits
-        )
+        is_counted = permissions.is_counted(presented.subject, decision)
         if is_counted:
             with self.lock:
                 # By the present rules: a reload may have moved the rate limiters to them.
--- a/stepstream/identity/authentication.py
+++ b/stepstream/identity/authentication.py
@@ -60,7 +60,7 @@
 
 
 def unauthenticated(error: CredentialError, rule: str) -> PresentedCredential:
-    """Return a credential that identifies nobody, as the check that `rule` names found."""
+    """Return a credential that identifies nobody; `rule` names the check that failed."""
     decision = Decision(Verdict.UNKNOWN, error.reason, rule)
     return PresentedCredential(failure=decision, key_id=error.key_id)
 
--- a/stepstream/identity/permissions.py
+++ b/stepstream/identity/permissions.py
@@ -151,6 +151,15 @@
             return Decision(Verdict.DENIED, "method_not_allowed", rule, caller.name)
         return None
 
+    def is_counted(self, subject: str, decision: Decision) -> bool:
+        """Return whether `admit` counts a request on which `decide` has decided.
+
+        Only allowed requests of callers with limits are counted: the others need no lock.
+        """
+        if decision.verdict is not Verdict.ALLOWED:
+            return False
+        return self.callers_by_subject[subject].has_limits
+
     def admit(
         self, principal: Principal | None, class_name: str, tenant: str | None, now: float
     ) -> Decision:
@@ -159,11 +168,9 @@
         `now` is in Unix seconds.
         """
         decision = self.decide(principal, class_name, tenant)
-        if principal is None or decision.verdict is not Verdict.ALLOWED:
+        if principal is None or not self.is_counted(principal.subject, decision):
             return decision
         caller = self.callers_by_subject[principal.subject]
-        if not caller.has_limits:
-            return decision
         limiter = self.rate_limiters.get(caller.name)
         if limiter is None:
             limiter = RateLimiter(TokenBucket(float(caller.burst), now))
