--- a/stepstream/core/dispatcher.py
+++ b/stepstream/core/dispatcher.py
@@ -1,14 +1,13 @@
 """The dispatcher: routes events, timers and the policy's actions to their handlers.
 
-It knows no socket and no protocol. One round takes the time and a batch of events and returns
-commands; the node turns what fronts and carriers report into events and carries the commands out.
-The decision thread owns the dispatcher and all that it holds. Other threads may read `open_count`
-and call `endpoints.contains` and `endpoints.owner`. Times are microseconds on the process's
-monotonic clock.
+It knows no socket and no protocol. One round takes the time and a batch of events, and returns
+commands. Fronts and carriers post the events, and the node executes the commands. The decision
+thread owns the dispatcher and everything in it. Other threads may read `open_count` and call
+`endpoints.contains` and `endpoints.owner`. Times are microseconds on the process's monotonic clock.
 """
 
 from collections.abc import Callable
-from typing import TypeVar, TypeVarTuple
+from typing import TYPE_CHECKING, TypeVar, TypeVarTuple
 
 from stepstream.core.action_handler import ActionHandler
 from stepstream.core.call_handler import CallHandler
@@ -38,6 +37,9 @@
 from stepstream.model.settings import Settings
 from stepstream.policy.load_balancer import LoadBalancer
 
+if TYPE_CHECKING:
+    from stepstream.core.log import CoreLog
+
 Arguments = TypeVarTuple("Arguments")
 Result = TypeVar("Result")
 
@@ -52,17 +54,17 @@
         now_us: int,
         tick_us: int,
         answer_margin_us: int,
-        log_fault: Callable[[str], None],
+        log: "CoreLog",
     ) -> None:
         """Create a dispatcher without requests.
 
-        `seed` starts the policy's random numbers; `tick_us` is the timers' resolution;
-        `answer_margin_us` is the time before a deadline that writing an answer needs; `log_fault`
-        takes one line a fault.
+        `seed` starts the policy's random numbers. `tick_us` is the timers' resolution.
+        `answer_margin_us` is the time that is reserved before a deadline for writing the answer.
+        `log` gets one event for each fault.
         """
         self.load_balancer = LoadBalancer(settings, seed, now_us)
-        self.endpoints = EndpointSet(log_fault)
-        self._log_fault = log_fault
+        self.endpoints = EndpointSet(log)
+        self._log = log
         self._output = RoundOutput()
         self._timers = TimerWheel(now_us, tick_us)
         self._state = DispatchState(
@@ -80,33 +82,35 @@
 
     @property
     def requests(self) -> dict[str, Request]:
-        """The requests that are open or have calls in flight, by id; to be read."""
+        """The requests that are open or have calls in flight, by id; callers only read it."""
         return self._state.requests.by_id
 
     @property
     def open_count(self) -> int:
-        """The number of requests that are owed an answer; any thread may read it."""
+        """The number of requests without an answer; any thread may read it."""
         return self._state.requests.open_count
 
     def next_timer_us(self) -> int | None:
-        """Return when the next timer is due; None without timers."""
+        """Return when the next timer is due, in microseconds; None without timers."""
         return self._timers.next_due_us()
 
     def handle(self, now_us: int, events: list[Event]) -> list[Command]:
-        """Run one round: due timers, events, then the policy until it has no more to decide."""
+        """Run one round: due timers, then events, then the policy until no policy event is left."""
         for timer in self._timers.pop_due(now_us):
-            self._run_guarded("on_timer", self._timer_handler.handle, now_us, timer)
+            self._run_guarded("timer handling", self._timer_handler.handle, now_us, timer)
         for event in events:
-            self._run_guarded("on_event", self._route, now_us, event)
-        # An action may end a call at once, which is a new event for the policy.
+            self._run_guarded("event handling", self._route, now_us, event)
+        # An action may end a call at once. That is a new event for the policy.
         while self._output.policy_events:
             policy_events = self._output.take_policy_events()
-            actions = self._run_guarded("handle", self.load_balancer.handle, now_us, policy_events)
+            actions = self._run_guarded(
+                "policy decisions", self.load_balancer.handle, now_us, policy_events
+            )
             if actions is None:
                 self._fail_new_requests(policy_events)
                 continue
             for action in actions:
-                self._run_guarded("on_action", self._action_handler.handle, now_us, action)
+                self._run_guarded("action handling", self._action_handler.handle, now_us, action)
         return self._output.take_commands()
 
     def _run_guarded(
@@ -114,16 +118,19 @@
     ) -> Result | None:
         """Run a step; log its fault under `step_name` and return None.
 
-        A fault costs no more than the timer, event or action that it is about.
+        A fault costs only the timer, event or action that caused it.
         """
         try:
             return step(*arguments)
         except Exception as error:  # noqa: BLE001  the decision thread must outlive any fault
-            self._log_fault(f"fault in {step_name}: {type(error).__name__}: {error}")
+            self._log.internal_fault(where=step_name, error=error)
             return None
 
     def _fail_new_requests(self, policy_events: list[PolicyEvent]) -> None:
-        """Fail the new requests among events on which the policy failed: it never answers them."""
+        """Fail the new requests among events on which the policy failed.
+
+        The policy does not know these requests and would never answer them.
+        """
         for event in policy_events:
             if not isinstance(event, JobSubmitted):
                 continue
--- a/stepstream/identity/access_control.py
+++ b/stepstream/identity/access_control.py
@@ -23,7 +23,7 @@
 from stepstream.identity.permissions import Decision, Verdict
 from stepstream.identity.tls import TlsTransport
 from stepstream.ports.access_control import Credential, Rejection, RejectionKind
-from stepstream.runtime.log import log
+from stepstream.runtime import log_events
 
 REJECTION_KINDS = {
     Verdict.UNKNOWN: RejectionKind.UNAUTHENTICATED,
@@ -99,11 +99,11 @@
         try:
             loaded = load_identity(rules.section)
         except ConfigurationError as error:
-            log(f"keys: {error}; the old ones serve on")
+            log_events.keys_reload_failed(reason=str(error))
             return
         self.rules = rules_with_new_keys(rules, loaded)
         self.key_file_version = loaded.key_file_version
-        log(f"keys: {len(loaded.key_set.keys)} read anew")
+        log_events.keys_reloaded(keys=len(loaded.key_set.keys))
 
     # -- authorization, by the fronts' threads ----------------------------------------------------
 
--- a/stepstream/membership/context.py
+++ b/stepstream/membership/context.py
@@ -6,6 +6,7 @@
 import random
 from dataclasses import dataclass, field
 
+from stepstream.membership.local_health import LocalHealth
 from stepstream.membership.protocol_settings import ProtocolSettings
 
 
@@ -22,28 +23,13 @@
     misdirected_pings: int = 0  # meant for another name at this address
 
 
-@dataclass(slots=True)
-class LocalHealth:
-    """Lifeguard's local health multiplier (LHA-Probe): 0 is healthy.
-
-    A member that misses answers which it should have had doubts itself before others: it stretches
-    its probe interval and timeout.
-    """
-
-    score: int = 0
-
-    @property
-    def multiplier(self) -> int:
-        """The factor by which probe interval and timeout are stretched."""
-        return 1 + self.score
-
-    def worsen(self, points: int, max_score: int) -> None:
-        """Add points, up to `max_score`."""
-        self.score = min(self.score + points, max_score)
+@dataclass(frozen=True, slots=True)
+class DriverMetrics:
+    """The driver's counters since the start; `cpu_seconds` is the time that its thread has used."""
 
-    def improve(self) -> None:
-        """Take off one point after a probe that succeeded."""
-        self.score = max(self.score - 1, 0)
+    dropped_datagrams: int
+    unsent_datagrams: int
+    cpu_seconds: float
 
 
 @dataclass(slots=True)
--- a/stepstream/subsystem_api/subsystem.py
+++ b/stepstream/subsystem_api/subsystem.py
@@ -76,6 +76,6 @@
         """
         return {}
 
-    def status(self) -> str:
-        """Return its part of the status line; empty for none."""
-        return ""
+    def status_counts(self) -> Mapping[str, int]:
+        """Return the fields that it adds to the status event."""
+        return {}
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -7,6 +7,7 @@
 from core_helpers import START_US, DispatcherHarness, of_type
 from net_helpers import LIMITS, SETTINGS, WORKERS, request
 
+from stepstream.core.call_handler import call_deadline_us, may_start
 from stepstream.core.commands import Answer, Outcome, PollEndpoints, Progress, StartCall, StopCall
 from stepstream.core.events import (
     CallEnded,
@@ -18,7 +19,8 @@
     RequestReceived,
     ShutdownStarted,
 )
-from stepstream.model.actions import StartAttempt
+from stepstream.core.requests import Call
+from stepstream.model.actions import Fail, Reject, StartAttempt
 from stepstream.model.endpoints import EndpointList, EndpointListKind
 from stepstream.model.events import AttemptResult, SettingsChanged
 from stepstream.model.settings import Settings
@@ -180,6 +182,13 @@
     assert commands == [Answer(second, Outcome.REJECTED, None, 5)]
 
 
+def test_a_second_answer_to_a_request_with_an_open_call_is_dropped():
+    harness = DispatcherHarness()
+    received, _ = harness.receive()
+    commands = harness.decide(Fail("aa"), Reject("aa", 5))
+    assert commands == [Answer(received, Outcome.FAILED)]
+
+
 # -- faults -------------------------------------------------------------------------------------
 
 
@@ -191,7 +200,7 @@
     monkeypatch.setattr(harness.dispatcher.load_balancer, "handle", broken)
     received, commands = harness.receive()
     assert commands == [Answer(received, Outcome.FAILED)]
-    assert harness.faults == ["fault in handle: KeyError: 'lost'"]
+    assert harness.log.events == [("internal_fault", "policy decisions", "KeyError('lost')")]
 
 
 def test_a_request_whose_thread_broke_is_answered():
@@ -259,6 +268,28 @@
     assert received.calls[-1].result == (AttemptResult.NOT_SENT if may_collide else None)
 
 
+@pytest.mark.parametrize(
+    ("number", "now_us", "answered", "allowed"),
+    [
+        (0, 99, False, True),
+        (1, 99, False, False),  # beyond the attempt limit
+        (0, 100, False, False),  # at its deadline
+        (0, 99, True, False),
+    ],
+)
+def test_a_call_starts_only_within_the_limits_of_its_request(number, now_us, answered, allowed):
+    received = request("aa")
+    received.answered = answered
+    call = Call(received, number, "s-0", sent_us=now_us, deadline_us=100)
+    assert may_start(call, now_us, attempt_limit=1) == allowed
+
+
+@pytest.mark.parametrize(("timeout_us", "deadline_us"), [(0, 990), (20, 520), (800, 990)])
+def test_a_call_ends_at_its_own_timeout_and_before_its_request_is_answered(timeout_us, deadline_us):
+    received = request("aa", now_us=0, budget_us=1000)
+    assert call_deadline_us(received, 500, timeout_us, answer_margin_us=10) == deadline_us
+
+
 @pytest.mark.parametrize(
     ("result", "has_limit"),
     [(AttemptResult.RESET, True), (None, True), (AttemptResult.CONNECT_FAILED, False)],
@@ -290,7 +321,7 @@
 
 
 def mean_run_times_us(harness):
-    return harness.dispatcher.load_balancer.state.run_times.mean_us
+    return harness.dispatcher.load_balancer.state.measurements.run_times.mean_us
 
 
 def test_a_request_read_before_a_reload_keeps_its_class_and_tenant_by_name():
