--- a/tests/policy/test_cold.py
+++ b/tests/policy/test_cold.py
@@ -1,13 +1,15 @@
-"""What all dispatchers together send to cold workers, against the budget that the platform holds them to.
-
-The arithmetic. A worker may get N = multiple x present capacity x span requests of mean work in a span, and
-chance is allowed 2 x root of N + 2. Each dispatcher sends a cold worker what a warm one did for it of late,
-times the multiple, the warmth and three fifths: summed over dispatchers, whatever their shares of the
-traffic, at most 0.6 N u, where u is how busy a warm worker is. Pushes rarer than one a span are drawn once a
-span: their count in a window is nearly Poisson's, its variance no greater than its mean; more frequent ones
-are spaced. The allowance lies (N + 2 root N + 2 - 0.6 N) / root(0.6 N) standard deviations over the mean, at
-least 4.8. Poisson's tail is long where the mean is small: of 2,000 starts drawn at u = 1 for 200 dispatchers
-12 passed it at N = 2, 7 at N = 8 and none at 16 and 40. Reckoned from the site files, N is 11 and more.
+"""What all dispatchers together send to workers that warm up, against the platform's budget.
+
+The arithmetic. In a window a worker may get N = multiple x present capacity x window requests of
+mean work, and 2 x root of N + 2 more for chance. Each dispatcher sends a cold worker what a warm one
+did for it recently, times the multiple, the slow-start factor and three fifths. Summed over the
+dispatchers, whatever their parts of the traffic, this is at most 0.6 N u, where u is the utilization
+of a warm worker. Attempts rarer than one in a window are drawn once a window: their count in a
+window is nearly Poisson's, with a variance no greater than the mean. More frequent attempts are
+spaced. The allowance lies (N + 2 root N + 2 - 0.6 N) / root(0.6 N) standard deviations over the
+mean, at least 4.8. Poisson's tail is long where the mean is small: of 2,000 starts drawn at u = 1
+for 200 dispatchers 12 passed it at N = 2, 7 at N = 8 and none at 16 and 40. By the site files N is
+11 and more.
 """
 
 from math import sqrt
@@ -20,10 +22,15 @@
 from stepstream.policy.load_balancer import LoadBalancer
 from stepstream.policy.slow_start import USED_OVERLOAD_MULTIPLE_FRACTION
 
-SPAN_US, MULTIPLE, COLD_SHARE, WARM_US = 2_000_000, 4.0, 0.3, 9_000_000
-RUN_US, SLOTS = 200_000, 4
+WINDOW_US = 2_000_000
+MULTIPLE = 4.0
+COLD_FRACTION = 0.3
+SLOW_START_US = 9_000_000
+RUN_US = 200_000
+SLOTS = 4
 JOBS = JobClass(latency_objective_us=500_000, deadline_us=5_000_000, effect=Effect.IDEMPOTENT)
-BEGIN_US, END_US = 3_000_000, 9_000_000
+BEGIN_US = 3_000_000
+END_US = 9_000_000
 
 
 class ColdCluster(SimulatedCluster):
@@ -31,10 +38,10 @@
 
     def __init__(self, dispatchers, workers, seed):
         slow_start = {
-            "cold_capacity_fraction": COLD_SHARE,
-            "slow_start_us": WARM_US,
+            "cold_capacity_fraction": COLD_FRACTION,
+            "slow_start_us": SLOW_START_US,
             "overload_multiple": MULTIPLE,
-            "overload_window_us": SPAN_US,
+            "overload_window_us": WINDOW_US,
         }
         super().__init__((JOBS,), dispatchers, workers, seed=seed, **slow_start)
         # Some get several times the mean, as the platform's front does it.
@@ -54,7 +61,7 @@
         cold = sorted(self.workers)[:count]
         restarted = {worker_id: Endpoint(worker_id, started_us=self.now_us) for worker_id in cold}
         for worker_id in cold:
-            self.workers[worker_id].speed = COLD_SHARE
+            self.workers[worker_id].speed = COLD_FRACTION
             self.received_us[worker_id] = []
         forgetful = self.random.randrange(len(self.balancers))
         self.balancers[forgetful] = LoadBalancer(
@@ -73,9 +80,11 @@
         """The most by which a window's count was over what is allowed."""
         times_us, worst = self.received_us[worker_id], -1e9
         for index, last_us in enumerate(times_us):
-            count = sum(time_us > last_us - SPAN_US for time_us in times_us[: index + 1])
-            warmth = COLD_SHARE + (1 - COLD_SHARE) * min((last_us - BEGIN_US) / WARM_US, 1.0)
-            allowed = MULTIPLE * warmth * SLOTS * SPAN_US / RUN_US
+            count = sum(time_us > last_us - WINDOW_US for time_us in times_us[: index + 1])
+            slow_start_factor = COLD_FRACTION + (1 - COLD_FRACTION) * min(
+                (last_us - BEGIN_US) / SLOW_START_US, 1.0
+            )
+            allowed = MULTIPLE * slow_start_factor * SLOTS * WINDOW_US / RUN_US
             worst = max(worst, count - allowed - 2 * sqrt(allowed) - 2)
         return worst
 
--- a/tests/policy/test_many_dispatchers.py
+++ b/tests/policy/test_many_dispatchers.py
@@ -1,4 +1,4 @@
-"""Many dispatchers side by side, which load nothing: what is harmless from one and harmful from forty."""
+"""Many dispatchers that share nothing: what is harmless from one of them and harmful from forty."""
 
 import heapq
 
@@ -20,52 +20,58 @@
     return [LoadBalancer(settings, seed, 0) for seed in range(count)]
 
 
-class Queue:
-    """A discovery that serves calls in turn, those given up meanwhile too; who waits too long has failed."""
+class EndpointSource:
+    """Serves calls in turn, also those that were given up; a call that waits too long has failed."""
 
-    def __init__(self, call_us, patience_us=2_000_000):
-        self.call_us, self.patience_us, self.free_us = call_us, patience_us, 0
+    def __init__(self, call_us, timeout_us=2_000_000):
+        self.call_us = call_us
+        self.timeout_us = timeout_us
+        self.free_us = 0
 
-    def ask(self, now_us):
-        """When the caller hears, and whether it has its list."""
+    def call(self, now_us):
+        """When the caller has its answer, and whether that is the list."""
         done_us = max(self.free_us, now_us) + self.call_us
         self.free_us = done_us
-        late = done_us > now_us + self.patience_us
-        return (now_us + self.patience_us, False) if late else (done_us, True)
-
-
-def ask_all(balancers, queue, until_us):
-    """Plays first asks and repeats; when each dispatcher had its list, and how many calls were made."""
-    events, told, calls = [(0, k, []) for k in range(len(balancers))], {}, 0
-    while events:
-        now, k, heard = heapq.heappop(events)
-        if now > until_us:
+        timed_out = done_us > now_us + self.timeout_us
+        return (now_us + self.timeout_us, False) if timed_out else (done_us, True)
+
+
+def poll_all(balancers, source, until_us):
+    """First calls and repeats of all; when each dispatcher had its list, and the number of calls."""
+    schedule = [(0, dispatcher, []) for dispatcher in range(len(balancers))]
+    served_us = {}
+    calls = 0
+    while schedule:
+        now_us, dispatcher, events = heapq.heappop(schedule)
+        if now_us > until_us:
             break
-        for action in balancers[k].handle(now, heard):
+        for action in balancers[dispatcher].handle(now_us, events):
             if isinstance(action, SetTimer):
-                heapq.heappush(events, (action.at_us, k, [TimerFired(action.token)]))
+                timer = [TimerFired(action.token)]
+                heapq.heappush(schedule, (action.at_us, dispatcher, timer))
             if isinstance(action, WatchEndpoints):
                 calls += 1
-                at, served = queue.ask(now)
+                answered_us, served = source.call(now_us)
                 kind = EndpointListKind.CHANGES if served else EndpointListKind.FAILED
-                told.update({k: at} if served else {})
-                heapq.heappush(events, (at, k, [EndpointList(kind)]))
-    return told, calls
+                if served:
+                    served_us[dispatcher] = answered_us
+                heapq.heappush(schedule, (answered_us, dispatcher, [EndpointList(kind)]))
+    return served_us, calls
 
 
 def test_a_fleet_that_starts_as_one_is_served_by_a_discovery_that_takes_a_seventh_of_a_second_a_call():
-    told, calls = ask_all(fleet(), Queue(140_000), 30_000_000)
-    assert len(told) == FLEET
-    assert max(told.values()) < 8_000_000
+    served_us, calls = poll_all(fleet(), EndpointSource(140_000), 30_000_000)
+    assert len(served_us) == FLEET
+    assert max(served_us.values()) < 8_000_000
     assert calls <= FLEET * 1.2
 
 
 def test_a_fleet_turned_away_as_one_falls_behind_until_all_get_in():
-    balancers, queue = fleet(), Queue(140_000)
-    queue.free_us = 5_000_000  # it was down, or others have filled it
-    told, calls = ask_all(balancers, queue, 60_000_000)
-    assert len(told) == FLEET
-    assert max(told.values()) < 35_000_000
+    source = EndpointSource(140_000)
+    source.free_us = 5_000_000  # it was down, or others have filled it
+    served_us, calls = poll_all(fleet(), source, 60_000_000)
+    assert len(served_us) == FLEET
+    assert max(served_us.values()) < 35_000_000
     assert calls <= FLEET * 4
 
 
