--- a/stepstream/leases/admin_api.py
+++ b/stepstream/leases/admin_api.py
@@ -44,8 +44,8 @@
 MAX_MILLISECONDS_DIGITS = 8
 MAX_QUOTED_CHARACTERS = 80
 FREE = "free"  # the `state` of a lease that nobody holds
-RECENT_ANSWER_REFRESHES = 2  # an answer is recent within as many refresh intervals of waiters
-FIRST_ROUNDS = 2
+MAX_ANSWER_AGE_REFRESHES = 2  # a waiter gets an answer in each refresh interval
+FIRST_ANSWER_ROUNDS = 2  # the first answers may take as many rounds
 
 Row = dict[str, object]  # one lease in `GET /leases`
 
@@ -225,9 +225,9 @@
 
 def missing_quorum(configuration: LeaseConfiguration, proposer: Proposer, now: float) -> str:
     """Return which acceptors a quorum misses; "" if the lease is held or may be granted."""
-    recent_seconds = RECENT_ANSWER_REFRESHES * configuration.waiter_refresh_seconds()
+    recent_seconds = MAX_ANSWER_AGE_REFRESHES * configuration.waiter_refresh_seconds()
     answered = {name for name, at in proposer.answered_at.items() if now - at <= recent_seconds}
-    first_rounds_seconds = FIRST_ROUNDS * configuration.round_timeout_seconds
+    first_rounds_seconds = FIRST_ANSWER_ROUNDS * configuration.round_timeout_seconds
     is_early = now - proposer.requested_at < first_rounds_seconds
     if proposer.is_held(now) or configuration.is_quorum(answered) or is_early:
         return ""
--- a/stepstream/leases/command_deadlines.py
+++ b/stepstream/leases/command_deadlines.py
@@ -6,18 +6,20 @@
 
 KILL_MARGIN_SECONDS = 0.3  # after SIGKILL a process may take a moment to be gone
 MIN_TERM_TO_KILL_SECONDS = 0.2
-TERM_MARGIN_FRACTION = 1 / 4  # of the time to live
+TERM_MARGIN_FRACTION_OF_TTL = 1 / 4
 HEARTBEATS_PER_TTL = 6
 ACQUIRE_CALLS_PER_TTL = 20
 MAX_ACQUIRE_INTERVAL_SECONDS = 0.25
 MAX_CALL_SECONDS = 2.0
-MAX_CALL_FRACTION = 1 / 4  # of the time to live
+MAX_CALL_FRACTION_OF_TTL = 1 / 4
 MIN_CALL_SECONDS = 0.05
 
 
 def term_margin_seconds(ttl_seconds: float) -> float:
     """Return the time from SIGTERM to the lease's end: the command may need it to end by itself."""
-    return max(ttl_seconds * TERM_MARGIN_FRACTION, KILL_MARGIN_SECONDS + MIN_TERM_TO_KILL_SECONDS)
+    return max(
+        ttl_seconds * TERM_MARGIN_FRACTION_OF_TTL, KILL_MARGIN_SECONDS + MIN_TERM_TO_KILL_SECONDS
+    )
 
 
 def is_term_due(now: float, expires_at: float, term_seconds: float) -> bool:
@@ -55,7 +57,7 @@
     `until_term_seconds` is the time until the command gets SIGTERM, None before it runs. A call
     must not keep this program past the time to end the command.
     """
-    longest_seconds = min(ttl_seconds * MAX_CALL_FRACTION, MAX_CALL_SECONDS)
+    longest_seconds = min(ttl_seconds * MAX_CALL_FRACTION_OF_TTL, MAX_CALL_SECONDS)
     if until_term_seconds is None:
         return longest_seconds
     return min(longest_seconds, max(until_term_seconds, MIN_CALL_SECONDS))
--- a/stepstream/leases/command_runner.py
+++ b/stepstream/leases/command_runner.py
@@ -48,7 +48,7 @@
 EXIT_SIGNAL_BASE = 128  # the signal's number is added
 
 POLL_INTERVAL_SECONDS = 0.05
-MIN_TTL_SECONDS = 1.0  # in less a command could not be ended in time
+MIN_TTL_SECONDS = 1.0  # a command could not be ended in a shorter time
 RELEASE_CALL_SECONDS = 1.0
 PR_SET_PDEATHSIG = 1  # prctl(2)
 
--- a/stepstream/leases/configuration.py
+++ b/stepstream/leases/configuration.py
@@ -12,7 +12,7 @@
 
 MIN_ROUNDS_PER_TTL = 4  # with fewer, one lost renewal could lose the lease
 ROUNDS_PER_REFRESH = 10
-MAX_OPERATION_FRACTION = 0.5  # of the time to live
+MAX_OPERATION_FRACTION_OF_TTL = 0.5
 DIGEST_BYTES = 6
 
 
@@ -120,7 +120,7 @@
         raise LeaseTimesError(
             f"{ttl_text} is over leases.longest_s={configuration.max_ttl_seconds:g}"
         )
-    if not 0 < operation_seconds <= ttl_seconds * MAX_OPERATION_FRACTION:
+    if not 0 < operation_seconds <= ttl_seconds * MAX_OPERATION_FRACTION_OF_TTL:
         raise LeaseTimesError(
             f"act_ms={operation_seconds * 1000:.0f} is not between 1 and half of {ttl_text}"
         )
--- a/stepstream/leases/health_check_leader.py
+++ b/stepstream/leases/health_check_leader.py
@@ -33,7 +33,7 @@
 
 MESSAGE_KIND = "sweep"  # the kind of the membership layer's application messages
 PUBLISH_INTERVAL_SECONDS = 0.05
-PAUSE_SECONDS = 0.5  # after a fault, or while there is no worker
+RETRY_PAUSE_SECONDS = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,14 +102,16 @@
     def run(self) -> None:
         """Campaign and lead until stopped."""
         # Without a leader each dispatcher checks for itself, which costs workers more.
-        run_until_closed("the probe sweep", self.campaign, lambda: self.stopped, PAUSE_SECONDS)
+        run_until_closed(
+            "the probe sweep", self.campaign, lambda: self.stopped, RETRY_PAUSE_SECONDS
+        )
 
     def campaign(self) -> None:
         """Lead once the lease is granted; pause while this dispatcher is drained or stops."""
         try:
             self.lead()
         except LeaseLostError:
-            time.sleep(PAUSE_SECONDS)
+            time.sleep(RETRY_PAUSE_SECONDS)
 
     def lead(self) -> None:
         """Make one attempt at the lease, to its end."""
@@ -124,7 +126,7 @@
     def wait_for(self, lease: Lease) -> None:
         """Wait until the lease is granted or over, or this dispatcher stops."""
         while True:
-            is_granted = lease.wait(PAUSE_SECONDS)
+            is_granted = lease.wait(RETRY_PAUSE_SECONDS)
             if is_granted or lease.is_over or self.stopped:
                 return
 
@@ -144,7 +146,7 @@
         if workers:
             time.sleep(max(begun_at + period_seconds - time.monotonic(), 0.0))
         else:
-            time.sleep(PAUSE_SECONDS)
+            time.sleep(RETRY_PAUSE_SECONDS)
         self.publish(lease)
 
     def publish_until(self, due_at: float, published_at: float, lease: Lease) -> float:
--- a/stepstream/leases/messages.py
+++ b/stepstream/leases/messages.py
@@ -120,7 +120,7 @@
     | ConfigurationMismatch
 )
 ProposerMessage = Prepare | Propose | Release
-PROPOSER_MESSAGES = (Prepare, Propose, Release)  # to acceptors; the rest are their answers
+PROPOSER_MESSAGES = (Prepare, Propose, Release)  # all other messages are answers of acceptors
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
--- a/stepstream/leases/proposer.py
+++ b/stepstream/leases/proposer.py
@@ -51,11 +51,11 @@
     StaleBallot,
 )
 from stepstream.leases.proposer_rules import (
-    BACKOFF_FRACTIONS,
+    BACKOFF_FRACTIONS_OF_LONGEST,
     MAX_BACKOFF_DOUBLINGS,
     MAX_OPEN_ROUNDS,
-    WAIT_FRACTIONS,
-    WAIT_JITTER_FRACTIONS,
+    WAIT_FRACTIONS_OF_REFRESH,
+    WAIT_JITTER_FRACTIONS_OF_ROUND,
     extends_lease,
     gives_up_proposal,
     is_quorum_possible,
@@ -240,7 +240,7 @@
             has_lease=self.token != 0,
         )
         self.phase = Phase.IDLE
-        self.next_step_at = now + self.rng.uniform(*BACKOFF_FRACTIONS) * longest_seconds
+        self.next_step_at = now + self.rng.uniform(*BACKOFF_FRACTIONS_OF_LONGEST) * longest_seconds
         self.can_renew = False
         return []
 
@@ -342,8 +342,8 @@
 
     def wait_until_available(self, now: float, announced_seconds: float) -> None:
         """Rest until the lease may be free, or until the place in the queue needs a refresh."""
-        refresh_fraction = self.rng.uniform(*WAIT_FRACTIONS)
-        jitter_fraction = self.rng.uniform(*WAIT_JITTER_FRACTIONS)
+        refresh_fraction = self.rng.uniform(*WAIT_FRACTIONS_OF_REFRESH)
+        jitter_fraction = self.rng.uniform(*WAIT_JITTER_FRACTIONS_OF_ROUND)
         self.next_step_at = now + wait_seconds(
             announced_seconds, jitter_fraction, refresh_fraction, self.configuration
         )
--- a/stepstream/leases/proposer_rules.py
+++ b/stepstream/leases/proposer_rules.py
@@ -8,14 +8,15 @@
 
 from stepstream.leases.configuration import LeaseConfiguration
 
-RENEWAL_FRACTION = 1 / 3  # of the time to live: leaves two thirds for further attempts
+RENEWAL_FRACTION_OF_TTL = 1 / 3  # two thirds remain for further attempts
 RENEWAL_SLOTS_PER_TTL = 30
 MAX_OPEN_ROUNDS = 4
 MAX_PREPARE_ATTEMPTS = 3
 MAX_BACKOFF_DOUBLINGS = 5
-BACKOFF_FRACTIONS = (0.1, 1.0)  # of the longest backoff
-WAIT_FRACTIONS = (0.6, 1.0)  # of the refresh interval of waiters
-WAIT_JITTER_FRACTIONS = (0.0, 0.1)  # of the round timeout
+# Fractions are drawn evenly between these bounds, so that proposers do not act in step.
+BACKOFF_FRACTIONS_OF_LONGEST = (0.1, 1.0)
+WAIT_FRACTIONS_OF_REFRESH = (0.6, 1.0)
+WAIT_JITTER_FRACTIONS_OF_ROUND = (0.0, 0.1)
 
 
 def may_repeat_prepare(attempts: int, rejected_by: Collection[str]) -> bool:
@@ -41,7 +42,7 @@
     Renewals of many leases fall into common slots and go together, in few envelopes (the paper's
     "Extending leases").
     """
-    due_at = sent_at + ttl_seconds * RENEWAL_FRACTION
+    due_at = sent_at + ttl_seconds * RENEWAL_FRACTION_OF_TTL
     slot_seconds = ttl_seconds / RENEWAL_SLOTS_PER_TTL
     return due_at // slot_seconds * slot_seconds
 
--- a/stepstream/leases/session_table.py
+++ b/stepstream/leases/session_table.py
@@ -18,7 +18,7 @@
 
 from stepstream.leases.proposer import Proposer
 
-HEARTBEAT_TIMEOUT_FRACTION = 0.5  # of the time to live
+HEARTBEAT_TIMEOUT_FRACTION_OF_TTL = 0.5
 
 
 @dataclass(slots=True)
@@ -40,7 +40,7 @@
 
     A program that has died must not keep its lease from others.
     """
-    max_silent_seconds = HEARTBEAT_TIMEOUT_FRACTION * session.proposer.ttl_seconds
+    max_silent_seconds = HEARTBEAT_TIMEOUT_FRACTION_OF_TTL * session.proposer.ttl_seconds
     return session.silent_seconds(now) > max_silent_seconds
 
 
--- a/stepstream/membership/anti_entropy.py
+++ b/stepstream/membership/anti_entropy.py
@@ -21,7 +21,7 @@
 # Each interval is drawn between these fractions, so that members do not act in step.
 INTERVAL_FRACTIONS = (0.75, 1.25)
 HASTENED_INTERVAL_FRACTIONS = (0.5, 1.0)
-MIN_PAGE_PAUSE_FRACTION = 0.5  # of the probe interval
+PAGE_PAUSE_FRACTION_OF_PROBE_INTERVAL = 0.5
 
 
 def is_page_pause_over(now: float, sent_at: float, probe_interval_seconds: float) -> bool:
@@ -30,7 +30,7 @@
     `sent_at` is when pages went there last. Without a pause several digests that differ in one
     moment would each bring a whole list.
     """
-    return now - sent_at >= MIN_PAGE_PAUSE_FRACTION * probe_interval_seconds
+    return now - sent_at >= PAGE_PAUSE_FRACTION_OF_PROBE_INTERVAL * probe_interval_seconds
 
 
 class AntiEntropy:
--- a/stepstream/membership/application_messages.py
+++ b/stepstream/membership/application_messages.py
@@ -10,7 +10,7 @@
 from stepstream.membership.messages import ApplicationMessage, MemberRecord
 from stepstream.membership.outbox import Outbox
 
-MAX_RECEIVED_MESSAGES = 1_024  # more than the driver takes in one cycle; the oldest are dropped
+MAX_RECEIVED_MESSAGES = 1_024  # the oldest are dropped first
 
 
 class ReceivedMessage(NamedTuple):
--- a/stepstream/membership/driver.py
+++ b/stepstream/membership/driver.py
@@ -30,7 +30,7 @@
 from stepstream.runtime.structured_log import log_changes
 from stepstream.runtime.threads import run_until_closed
 
-MAX_READS_PER_CYCLE = 64  # so that a flood of datagrams does not delay the timers
+MAX_READS_PER_CYCLE = 64  # a flood of datagrams must not delay the timers
 PERIODIC_TASK_INTERVAL_SECONDS = 0.2
 LEAVE_TRANSMISSIONS = 3  # some may be lost
 LEAVE_PAUSE_SECONDS = 0.02
--- a/stepstream/membership/failure_detector.py
+++ b/stepstream/membership/failure_detector.py
@@ -31,7 +31,7 @@
 from stepstream.membership.suspicion import is_suspect_dead
 
 MAX_RELAYED_PROBES = 64
-NACK_TIMEOUT_FRACTION = 0.8  # of the probe timeout
+NACK_FRACTION_OF_PROBE_TIMEOUT = 0.8
 FIRST_SEQUENCE_RANGE = 2**32
 
 
@@ -71,7 +71,7 @@
     A nack must reach the prober before its own timeout (Lifeguard, LHA-Probe): a late one counts as
     missing and makes a healthy prober doubt itself.
     """
-    return now + NACK_TIMEOUT_FRACTION * probe_timeout_seconds
+    return now + NACK_FRACTION_OF_PROBE_TIMEOUT * probe_timeout_seconds
 
 
 class FailureDetector:
--- a/stepstream/membership/local_health.py
+++ b/stepstream/membership/local_health.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 
 MIN_STALL_SECONDS = 0.1  # a shorter delay of a tick is ordinary thread scheduling
-REFUTATION_PENALTY = 1
-UNAIDED_PROBE_PENALTY = 1
-SHORT_STALL_PENALTY = 1
-LONG_STALL_PENALTY = 2
+REFUTATION_PENALTY_POINTS = 1
+UNAIDED_PROBE_PENALTY_POINTS = 1
+SHORT_STALL_PENALTY_POINTS = 1
+LONG_STALL_PENALTY_POINTS = 2
 
 
 @dataclass(slots=True)
@@ -42,7 +42,7 @@
     LHA-Probe). Without helpers the place of the fault is unknown.
     """
     if not helpers:
-        return UNAIDED_PROBE_PENALTY
+        return UNAIDED_PROBE_PENALTY_POINTS
     return helpers - nacks
 
 
@@ -60,4 +60,4 @@
     A stall over one probe interval counts twice: a whole probe of others was missed.
     """
     is_long = stalled_seconds > probe_interval_seconds
-    return LONG_STALL_PENALTY if is_long else SHORT_STALL_PENALTY
+    return LONG_STALL_PENALTY_POINTS if is_long else SHORT_STALL_PENALTY_POINTS
--- a/stepstream/membership/outbox.py
+++ b/stepstream/membership/outbox.py
@@ -24,7 +24,8 @@
     encoded_bytes,
 )
 
-MAX_BURST_DATAGRAMS = 16  # of one purpose at one time
+# Bounds the datagrams that one event, such as a healed partition, sends at once.
+MAX_BURST_DATAGRAMS = 16
 
 
 @dataclass(frozen=True, slots=True)
--- a/stepstream/membership/record_merge.py
+++ b/stepstream/membership/record_merge.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from stepstream.membership.context import ProtocolContext
-from stepstream.membership.local_health import REFUTATION_PENALTY
+from stepstream.membership.local_health import REFUTATION_PENALTY_POINTS
 from stepstream.membership.member import Member
 from stepstream.membership.member_list import MemberList
 from stepstream.membership.member_status import MemberStatuses
@@ -174,7 +174,7 @@
 
     def _refute(self, record: MemberRecord, reported_by: str) -> None:
         self.context.metrics.refutations += 1
-        self.context.worsen_local_health(REFUTATION_PENALTY)
+        self.context.worsen_local_health(REFUTATION_PENALTY_POINTS)
         local = self.members.local
         self._replace_local(msgspec.structs.replace(local, incarnation=record.incarnation + 1))
         reason = f"refuted what {reported_by} said"
