--- a/stepstream/model/load_report_lag.py
+++ b/stepstream/model/load_report_lag.py
@@ -3,8 +3,6 @@
 State: an error for each candidate lag. Only the decision thread touches it.
 """
 
-from itertools import takewhile
-
 from stepstream.model.worker_records import (
     MAX_REPORT_INTERVAL_US,
     MAX_REPORT_LAG_US,
@@ -33,8 +31,12 @@
     def unreported_slots(self, worker: Worker, now_us: int) -> float:
         """Return the slots of our own changes that a report arriving now does not include."""
         since_us = now_us - self.lag_us
-        newest = takewhile(lambda change: change[0] >= since_us, reversed(worker.busy_history))
-        return sum(slots for _, slots in newest)
+        unreported = 0.0
+        for at_us, slots in reversed(worker.busy_history):
+            if at_us < since_us:
+                break
+            unreported += slots
+        return unreported
 
     def record_report(self, worker: Worker, now_us: int, headroom: float) -> None:
         """Compare a report's headroom, in slots, with the worker's previous report."""
--- a/stepstream/policy/capacity.py
+++ b/stepstream/policy/capacity.py
@@ -4,7 +4,6 @@
 are learned, as no dispatcher knows them beforehand.
 """
 
-from itertools import repeat
 from math import inf
 
 from stepstream.model.state import PolicyState
@@ -36,7 +35,7 @@
 
 def headrooms(state: PolicyState, workers: list[Worker]) -> list[float]:
     """Return the headroom of each worker in slots, in their order."""
-    return list(map(headroom, repeat(state), workers))
+    return [headroom(state, worker) for worker in workers]
 
 
 def has_valid_headroom(worker: Worker, now_us: int) -> bool:
--- a/stepstream/policy/selection.py
+++ b/stepstream/policy/selection.py
@@ -84,15 +84,19 @@
         workers = [
             worker for worker in workers if worker.endpoint.worker_kind == job_class.worker_kind
         ]
-    names = {job_class.name, f"{tenant}/{job_class.name}"}
     return [
         worker
         for worker in workers
         if worker.endpoint.supported_jobs is None
-        or not names.isdisjoint(worker.endpoint.supported_jobs)
+        or _supports(worker.endpoint.supported_jobs, job_class, tenant)
     ]
 
 
+def _supports(supported_jobs: frozenset[str], job_class: JobClass, tenant: str) -> bool:
+    """Return whether the jobs that an endpoint names include a tenant's jobs of the class."""
+    return job_class.name in supported_jobs or f"{tenant}/{job_class.name}" in supported_jobs
+
+
 def _workers_for_repeat(job: InFlightJob, workers: list[Worker]) -> list[Worker]:
     """Return the workers that may repeat the job, without those that were tried if others exist."""
     workers = idempotency.workers_in_key_scope(job, workers)
--- a/stepstream/policy/weighted_round_robin.py
+++ b/stepstream/policy/weighted_round_robin.py
@@ -1,9 +1,12 @@
 """Smooth weighted round robin, as nginx does it; the workers' records hold the current weights."""
 
 from collections.abc import Sequence
+from operator import attrgetter
 
 from stepstream.model.worker_records import Worker
 
+_current_weight = attrgetter("current_weight")
+
 
 def take_next(workers: Sequence[Worker], weights: Sequence[float]) -> Worker:
     """Return the worker whose turn it is: the one with the largest current weight.
@@ -13,6 +16,6 @@
     """
     for worker, weight in zip(workers, weights, strict=True):
         worker.current_weight += weight
-    chosen = max(workers, key=lambda worker: worker.current_weight)
+    chosen = max(workers, key=_current_weight)
     chosen.current_weight -= sum(weights)
     return chosen
