--- a/stepstream/config/settings_reader.py
+++ b/stepstream/config/settings_reader.py
@@ -5,9 +5,10 @@
 Each section function reads the keys of its section and returns the settings with them filled in;
 a refusal is a `ConfigurationError` that names the key.
 
-Three keys are accepted and checked and have no effect, because no rule reads their fields:
-`deductions.probe`, `safety.stop_sending_within_us` and `safety.grace_to_answer_us`. They count only
-in the settings digest, by which members compare their settings.
+Some keys are accepted and checked and have no effect, because no rule reads their fields:
+`deductions.probe`, `safety.stop_sending_within_us`, `safety.grace_to_answer_us`, and the classes'
+`aim_stretch` and `extra.class_stretch`. They count only in the settings digest, by which members
+compare their settings; `model.settings` names the fields.
 """
 
 from dataclasses import replace
