--- a/stepstream/core/commands.py
+++ b/stepstream/core/commands.py
@@ -1,14 +1,13 @@
-"""Commands: what the core asks fronts, carriers and endpoint sources to do.
+"""Commands from the core to fronts, carriers and endpoint sources.
 
-`Dispatcher.handle` returns them in the order in which they must take effect. The node carries each
-out on the decision thread, so whatever it calls must not wait. No command's failure changes the
-core's state: the outcome of a call comes back as an event.
+`Dispatcher.handle` returns them in the order in which they must take effect. The node executes them
+on the decision thread, so no handler of a command may wait. A command that fails does not change
+the core's state: the outcome of a call comes back as an event.
 """
 
-from dataclasses import dataclass
-
 from stepstream.core.events import JobNotification
 from stepstream.core.requests import Answer, Call, Outcome, Request
+from stepstream.model.records import record
 
 __all__ = [
     "Answer",
@@ -24,21 +23,21 @@
 ]
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class StartCall:
     """Send a call through the carrier of its worker."""
 
     call: Call
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class StopCall:
-    """Give up a call that the core has ended; what its carrier still reports is ignored."""
+    """Give up a call that the core has ended; later reports of its carrier are ignored."""
 
     call: Call
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class Progress:
     """Report to the client that `done` of `of` parts of the job are complete."""
 
@@ -47,28 +46,28 @@
     of: int
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class CheckWorkerHealth:
     """Send a health check to a worker; its result comes back as the event `HealthChecked`."""
 
     worker_id: str
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class PollEndpoints:
-    """Ask discovery for the endpoint list."""
+    """Poll discovery for the endpoint list."""
 
-    watch: bool  # True: wait for changes from now on; False: fetch the complete list once
+    watch: bool  # True: wait for changes from now on. False: fetch the complete list once.
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class LogMessage:
     """Write a line of the policy to the log."""
 
     text: str
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class ForwardNotification:
     """Forward a notification of an unknown request to the sibling process of a hot restart."""
 
--- a/stepstream/ports/access_control.py
+++ b/stepstream/ports/access_control.py
@@ -1,14 +1,15 @@
-"""Authentication and authorization of peers, as the fronts ask for them.
+"""Authentication and authorization of peers, as the fronts use them.
 
 Implemented by the identity subsystem; without it the fronts admit every peer.
 """
 
-from dataclasses import dataclass
 from enum import Enum
 from typing import Protocol
 
+from stepstream.model.records import record
 
-@dataclass(frozen=True, slots=True)
+
+@record
 class Credential:
     """What a peer presents to identify itself."""
 
@@ -24,13 +25,13 @@
     RATE_LIMITED = "LATER"  # it may, but not now
 
 
-@dataclass(frozen=True, slots=True)
+@record
 class Rejection:
     """A rejected request, worker or command."""
 
     kind: RejectionKind
     reason: str  # one word, for the peer and the log
-    retry_after_seconds: float = 0.0  # of RATE_LIMITED
+    retry_after_seconds: float = 0.0  # for RATE_LIMITED
 
 
 class Authorization(Protocol):
@@ -44,10 +45,10 @@
 
 
 class AccessControl(Protocol):
-    """Who may do what. The fronts' threads call it; no method waits.
+    """Decides who may do what. The fronts' threads call it; no method waits.
 
-    `front` names the front that asks. Rejections are written to the audit log, admissions only
-    where the operators ask for it.
+    `front` names the calling front. Rejections are written to the audit log, admissions only if
+    the operators have switched that on.
     """
 
     def authorize_request(
--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -10,18 +10,25 @@
 import pytest
 from admin_helpers import request
 from config_helpers import CONFIG
+from core_helpers import RecordingLog
 from net_helpers import LIMITS, job_bytes
 from node_helpers import PATIENCE, ROOT, World, ask, free_port, wait_for
 
+from stepstream.admin.connection import AdminConnection
+from stepstream.admin.decisions import (
+    Decision,
+    ProcessView,
+    connection_to_evict,
+    decide,
+    has_expired,
+    is_serving,
+)
 from stepstream.admin.listener import AdminListener
 from stepstream.admin.routing import (
     AdminAction,
     AdminRequestError,
-    Decision,
     OperatorRequest,
-    ProcessView,
     SubsystemRequest,
-    decide,
     route,
 )
 from stepstream.core.drain import DrainState
@@ -117,6 +124,29 @@
     assert decision.effect is None
 
 
+@pytest.mark.parametrize(
+    ("started", "shutting_down", "draining", "serving"),
+    [
+        (True, False, False, True),
+        (False, False, False, False),
+        (True, True, False, False),
+        (True, False, True, False),
+    ],
+)
+def test_clients_are_taken_between_the_start_and_a_shutdown_or_drain(
+    started, shutting_down, draining, serving
+):
+    found = is_serving(started=started, shutting_down=shutting_down, draining=draining)
+    assert found is serving
+
+
+def test_the_oldest_connection_makes_room_and_each_one_expires():
+    older, newer = (AdminConnection(None, None, opened_at) for opened_at in (10.0, 11.0))
+    assert connection_to_evict([newer, older], 3) is None
+    assert connection_to_evict([newer, older], 2) is older
+    assert [has_expired(older, now, 5.0) for now in (15.0, 15.01)] == [False, True]
+
+
 @pytest.mark.parametrize("action", [AdminAction.START_DRAIN, AdminAction.CANCEL_DRAIN])
 def test_a_drain_starts_and_ends_on_request_in_any_state(action):
     decision = decide(OperatorRequest(action), ProcessView(False, False, False))
@@ -143,7 +173,7 @@
 
 
 def test_a_worker_in_maintenance_is_draining_whatever_its_list_says_and_returns_cold():
-    members = EndpointSet(lambda _: None)
+    members = EndpointSet(RecordingLog())
     entries = (Endpoint("s-1", started_us=1_000), Endpoint("s-2"))
     members.apply(EndpointsUpdated("discovery", EndpointList(EndpointListKind.COMPLETE, entries)))
     told = members.apply_maintenance(MaintenanceState(1, frozenset({"s-1"})))
@@ -188,8 +218,8 @@
 
 def test_bad_requests_are_logged_within_a_rate():
     quota = LogRateLimit(2, 10.0)
-    assert [quota.line_suffix(t) for t in (0.0, 1.0, 2.0, 3.0)] == ["", "", None, None]
-    assert quota.line_suffix(10.5) == " (2 more such not logged)"
+    assert [quota.admit_line(t) for t in (0.0, 1.0, 2.0, 3.0)] == [0, 0, None, None]
+    assert quota.admit_line(10.5) == 2
 
 
 # -- the driver on real sockets ---------------------------------------------------------------------------
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -2,6 +2,7 @@
 
 import json
 import os
+import re
 import signal
 import subprocess
 import sys
@@ -21,7 +22,8 @@
 from stepstream.core.maintenance import MaintenanceRegistry, MaintenanceState
 from stepstream.hot_restart.controller import HotRestartController
 from stepstream.hot_restart.forwarder import NotificationForwarder
-from stepstream.hot_restart.process import ProcessRecord, newest_sibling
+from stepstream.hot_restart.precedence import newest_sibling, replace_own_record
+from stepstream.hot_restart.process import ProcessRecord
 from stepstream.hot_restart.state import (
     HandoverState,
     StateChecksumError,
@@ -30,7 +32,6 @@
     StateVersionError,
     decode,
     encode,
-    replace_own_record,
 )
 from stepstream.hot_restart.state_file import StateFile
 from stepstream.http.codec import Message
@@ -247,7 +248,8 @@
         wait_for(lambda: ask(world.port, job_bytes(f"{time.monotonic_ns():016x}")).status == 200)
         world.process.send_signal(signal.SIGTERM)
         assert world.process.wait(timeout=PATIENCE) == 0
-        assert "stopping for the process beside this one" in world.process.stderr.read()
+        log = world.process.stderr.read()
+        assert re.search(r"shutdown_started open_requests=\d+ hot_restart=true", log)
         for k in range(5):  # the address is served on by the new process alone
             assert ask(world.port, job_bytes(f"00000000000000e{k}")).status == 200
     finally:
--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -9,11 +9,12 @@
 
 import pytest
 from inbound_helpers import ServerHarness, serve
-from net_helpers import job_bytes
+from net_helpers import LIMITS, job_bytes
 from node_helpers import PATIENCE, ask, wait_for
 
 from stepstream.config.limits import Limits, Timeouts
 from stepstream.core.events import ClientDisconnected, RequestFaulted, RequestReceived
+from stepstream.http.client_connection import counts_as_client
 from stepstream.http.session import HttpSession, SessionPhase
 
 
@@ -106,6 +107,16 @@
         wait_for(lambda: harness.requests(ClientDisconnected) == harness.requests(RequestReceived))
 
 
+@pytest.mark.parametrize(
+    ("accepted_at", "shutdown_started_at", "is_client"),
+    [(9.0, 10.0, True), (10.5, 10.0, True), (10.6, 10.0, False), (10.6, None, True)],
+)
+def test_after_sigterm_a_new_peer_with_half_a_message_is_a_client_only_for_a_while(
+    accepted_at, shutdown_started_at, is_client
+):
+    assert counts_as_client(accepted_at, shutdown_started_at, arrivals_seconds=0.5) == is_client
+
+
 class IdleClient:
     """A client with an idle connection, after one served request."""
 
@@ -119,6 +130,18 @@
         assert ask(0, b"", self.peer).status == 200
 
 
+def test_a_shutdown_waits_for_an_idle_client_until_connections_close():
+    client = IdleClient()
+    assert client.connection.busy()
+    client.harness.server.state.closing = True
+    assert not client.connection.busy()
+    client.harness.server.close_idle()
+    assert client.connection.busy()  # for the peer's end
+    client.connection.phase_started_at_seconds -= LIMITS.timeouts.close_grace_seconds
+    assert not client.connection.busy()
+    client.peer.close()
+
+
 CLOSES = {
     "shutdown": lambda client: client.harness.server.close_idle(),
     "timeout": lambda client: client.connection.enforce_timeouts(time.monotonic() + 1000.0),
@@ -219,4 +242,4 @@
         peer.sendall(b"x")
         faulted = wait_for(lambda: harness.requests(RequestFaulted))
         assert faulted == harness.requests(RequestReceived)
-    assert "fault in inbound: KeyError" in capfd.readouterr().err
+    assert "internal_fault where=inbound error_type=KeyError" in capfd.readouterr().err
--- a/tests/node/test_decision_thread.py
+++ b/tests/node/test_decision_thread.py
@@ -22,7 +22,7 @@
 
 
 class RecordingCarrier:
-    """Records what it is asked to do."""
+    """Records the calls and health checks that it gets."""
 
     def __init__(self):
         self.calls = []
@@ -38,16 +38,16 @@
 
 
 class RecordingSink:
-    """Records what a request's origin is told."""
+    """Records the answers and the progress of a request."""
 
     def __init__(self):
-        self.told = []
+        self.received = []
 
     def answer(self, answer):
-        self.told.append(answer)
+        self.received.append(answer)
 
     def progress(self, done, of):
-        self.told.append((done, of))
+        self.received.append((done, of))
 
 
 @pytest.fixture
@@ -70,14 +70,14 @@
     monkeypatch.setattr(node.core, "next_timer_us", lambda: node.clock.now_us() - 1)
     started_at = time.monotonic()
     assert node.decision_thread.next_events() == []
-    assert time.monotonic() - started_at < node.limits.loop.longest_wait_seconds
+    assert time.monotonic() - started_at < node.limits.loop.max_wait_seconds
 
 
 def test_without_a_timer_a_wait_for_events_ends_by_itself(node, monkeypatch):
     monkeypatch.setattr(node.core, "next_timer_us", lambda: None)
     started_at = time.monotonic()
     assert node.decision_thread.next_events() == []
-    assert time.monotonic() - started_at >= node.limits.loop.longest_wait_seconds
+    assert time.monotonic() - started_at >= node.limits.loop.max_wait_seconds
 
 
 def test_a_call_is_stopped_at_the_carrier_that_started_it(node):
@@ -101,7 +101,7 @@
     answer = Answer(request, Outcome.SERVED, b"1")
     node.decision_thread.execute(Progress(request, 1, 2))
     node.decision_thread.execute(answer)
-    assert request.response_sink.told == [(1, 2), answer]
+    assert request.response_sink.received == [(1, 2), answer]
     assert node.decision_thread.outcome_counts == {
         Outcome.SERVED: 1,
         Outcome.REJECTED: 0,
@@ -124,5 +124,7 @@
     node.post(object())
     node.decision_thread.run_batch()
     fault, note = capsys.readouterr().err.splitlines()
-    assert fault.startswith("stepstream: fault in a command: AttributeError")
-    assert note == "stepstream: note: next"
+    assert fault.startswith(
+        'stepstream: error internal_fault where="a command" error_type=AttributeError'
+    )
+    assert note == "stepstream: info policy_message text=next"
