--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -153,3 +153,8 @@
     out = capsys.readouterr().out
     assert "classes: revalue, nav-publish" in out
     assert out.splitlines()[-1][0].isdigit()
+
+
+def test_a_port_with_a_digit_beyond_ascii_is_an_error_that_names_its_key():
+    with pytest.raises(ConfigurationError, match="listen=h:²"):
+        config_from(changed(("listen",), "h:²"), {})
--- a/tests/gearman/test_gearman_service.py
+++ b/tests/gearman/test_gearman_service.py
@@ -135,6 +135,14 @@
     assert not harness.core.requests
 
 
+def test_slots_beyond_the_bound_are_refused_whatever_zeros_lead_them():
+    client = ServiceHarness().connect()
+    client.send(Kind.SUBMIT_JOB, "revalue+0000010249999999", "", "x")
+    assert [(packet.kind, packet.args[0]) for packet in client.received] == [
+        (Kind.ERROR, b"BAD_FUNCTION")
+    ]
+
+
 def test_submissions_beyond_a_limit_are_rejected_with_a_retry_after():
     small = replace(
         LIMITS,
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -133,6 +133,16 @@
     assert [process.pid for process in state.processes] == [os.getpid(), os.getppid()]
 
 
+def test_a_handed_over_list_whose_version_is_no_number_does_not_replace_the_own_one(tmp_path):
+    first = controller_for(tmp_path, ProcessRecord(os.getpid(), "127.0.0.1:9901", 1_000))
+    first.endpoint_list = {**ENDPOINT_LIST, "version": "seven"}
+    first.write()
+    second = controller_for(tmp_path, ProcessRecord(os.getppid(), "127.0.0.1:9902", 2_000))
+    second.endpoint_list = ENDPOINT_LIST
+    second.load()
+    assert second.endpoint_list == ENDPOINT_LIST
+
+
 def test_maintenance_passes_to_the_successor_and_back(tmp_path):
     first_maintenance, second_maintenance = MaintenanceRegistry(), MaintenanceRegistry()
     own = ProcessRecord(os.getpid(), "127.0.0.1:9901", 1_000, True)
--- a/tests/identity/test_identity_commands.py
+++ b/tests/identity/test_identity_commands.py
@@ -5,9 +5,13 @@
 import subprocess
 import sys
 
+import pytest
 from identity_helpers import ISSUER_AND_AUDIENCE
 from node_helpers import PATIENCE, ROOT
 
+from stepstream.identity.key_rotation import SigningKeyStore
+from stepstream.identity.key_set import KeyState
+
 
 def stepstream(*words, **environment):
     return subprocess.run(
@@ -52,6 +56,19 @@
     assert stepstream("keys", "revoke", "who", "--dir", folder).returncode == 2
 
 
+@pytest.mark.parametrize(("position", "member"), [(0, "state"), (1, "not_before")])
+def test_a_rotation_takes_rows_without_their_optional_members(tmp_path, position, member):
+    store = SigningKeyStore(tmp_path)
+    store.create_key("EdDSA", "first", KeyState.ACTIVE, 0)
+    store.create_key("EdDSA", "second", KeyState.NEXT, 0)
+    rows = store.load_rows()
+    del rows[position][member]
+    store.key_file.write_text(json.dumps({"keys": rows}))
+    rotated = stepstream("keys", "rotate", "--dir", str(tmp_path))
+    assert (rotated.returncode, rotated.stderr) == (0, "")
+    assert [row["state"] for row in store.load_rows()] == ["retiring", "active", "next"]
+
+
 def test_explain_prints_the_decision_and_its_rule(program):
     def explain(token, *more):
         words = ("--operator", str(program.operator), "--token", token, "--class", *more)
--- a/tests/model/test_estimators.py
+++ b/tests/model/test_estimators.py
@@ -49,3 +49,10 @@
     total = runs.mean_us[-1]
     runs.carry_over(("a", "b"), ("b", "new"))
     assert runs.mean_us == [2_000, 0.0, total]
+
+
+def test_a_served_job_of_a_class_that_is_gone_counts_once_in_the_mean_of_all():
+    runs = RunTimeEstimator(1, 0)
+    runs.record_served(10, 0, 1_000)
+    runs.record_served(20, -1, 3_000)
+    assert runs.mean_us == [1_000, pytest.approx(1_000 + NEWEST_JOB_WEIGHT * 2_000)]
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -1,10 +1,14 @@
 """Ejections of workers and of classes, and probation."""
 
+from dataclasses import replace
+
 import pytest
-from helpers import entry
+from helpers import SAFE, UNSAFE, Bench, entry
 
+from stepstream.model.events import SettingsChanged
 from stepstream.model.pools import Pool
-from stepstream.model.worker_records import Worker
+from stepstream.model.worker_records import MAX_REPORT_LAG_US, Worker
+from stepstream.policy.lost_attempts import presume_lost
 from stepstream.policy.outliers import (
     ANY_CLASS,
     BASE_EJECTION_TIME_US,
@@ -68,3 +72,26 @@
     assert not accepts(worker, 1, NOW_US)  # and one at a time
     shorten_class_ejection(worker, 1)
     assert worker.class_ejections == {}
+
+
+def test_a_lost_attempt_of_a_class_that_is_gone_does_not_eject_its_worker_as_a_whole():
+    gone, stays = replace(UNSAFE, name="gone"), replace(SAFE, name="stays")
+    bench = Bench(gone, stays)
+    name, _ = bench.job(0)
+    bench.tell(SettingsChanged(replace(bench.settings, classes=(stays,))))
+    (attempt,) = bench.balancer.state.jobs.in_flight[name].attempts
+    attempt.start_overdue = True
+    bench.later(MAX_REPORT_LAG_US + 1).tell()
+    presume_lost(bench.balancer.state, attempt.worker)
+    assert attempt.presumed_lost
+    assert accepts(attempt.worker, 0, bench.now)
+    assert accepts(attempt.worker, ANY_CLASS, bench.now)
+
+
+def test_an_ejected_class_keeps_its_ejection_by_name_over_a_reload():
+    first, second = replace(SAFE, name="first"), replace(SAFE, name="second")
+    bench = Bench(first, second)
+    worker = bench.balancer.state.workers.by_id[entry(0).worker_id]
+    eject_class(worker, 0, bench.now, bench.now)
+    bench.tell(SettingsChanged(replace(bench.settings, classes=(second, first))))
+    assert [accepts(worker, index, bench.now) for index in (0, 1)] == [True, False]
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -8,6 +8,7 @@
 from stepstream.model.settings import LoadReportSource, Settings
 from stepstream.model.state import PolicyState
 from stepstream.model.worker_records import Worker
+from stepstream.policy.key_affinity import workers_in_key_order
 from stepstream.policy.selection import choose_worker
 
 NOW_US = 10_000_000
@@ -72,3 +73,11 @@
         worker.current_weight = 10.0 if priority else 0.0
     own_pool = state.pools.high_set if priority else state.pools.low_set
     assert choose_worker(state, job_of(priority=priority)).pool is own_pool
+
+
+def test_the_table_of_workers_in_key_order_is_bounded_by_the_open_requests():
+    state = state_with(1)
+    limit = state.settings.max_open_requests  # no more keys can be in use at once
+    for number in range(limit + 1):
+        workers_in_key_order(state, f"key-{number}")
+    assert len(state.workers.by_key) <= limit
