--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -151,9 +151,12 @@
     assert lines.count("second") == 1
 
 
-def test_an_operator_and_a_stopping_dispatcher_take_a_lease_back(fleet, capsys):
+def test_an_operator_and_a_stopping_dispatcher_take_a_lease_back(fleet, capsys, tmp_path):
     for end in ("release", "term"):
-        job = lease_run(fleet, "long", ["sleep", "60"], "--ttl", "1.2", at="n2")
+        # A `lease run` whose command has not begun waits on: only one that runs is taken back.
+        begun = tmp_path / end
+        script = f"touch {begun}; exec sleep 60"
+        job = lease_run(fleet, "long", [*SHELL, script], "--ttl", "1.2", at="n2")
         at = fleet.members["n2"].admin
 
         def held(at=at):
@@ -162,6 +165,7 @@
             return [r for r in rows if r["name"] == "long" and r["holder"].startswith("n2@")]
 
         fleet.wait_for(held, TIMEOUT_SECONDS, "the holder")
+        fleet.wait_for(begun.exists, TIMEOUT_SECONDS, "the command")
         if end == "release":
             assert run(["lease", "show", "long", "--at", at]) == 0
             assert "held" in capsys.readouterr().out
