--- a/stepstream/config/limits.py
+++ b/stepstream/config/limits.py
@@ -240,7 +240,7 @@
         inbound=inbound,
         outbound=outbound,
         reserved_for_workers=reserved_for_workers,
-        open_requests=max_open_requests(inbound - reserved_for_workers),
+        open_requests=max_requests_on_connections(inbound - reserved_for_workers),
         evicted_unclosed=int(unassigned * EVICTED_UNCLOSED_FRACTION_OF_UNASSIGNED),
         lingering=int(unassigned * LINGERING_FRACTION_OF_UNASSIGNED),
         call_threads=max(min(MAX_CALL_THREADS, outbound), MIN_CALL_THREADS),
@@ -253,7 +253,7 @@
     return connection_memory_mb * KIB // CONNECTION_MEMORY_KIB
 
 
-def max_open_requests(client_connections: int) -> int:
+def max_requests_on_connections(client_connections: int) -> int:
     """Return the bound of open requests, a little below the connections that clients may use."""
     return max(int(client_connections * OPEN_REQUEST_FRACTION_OF_CLIENT_CONNECTIONS), 1)
 
--- a/stepstream/core/commands.py
+++ b/stepstream/core/commands.py
@@ -57,7 +57,9 @@
 class PollEndpoints:
     """Poll discovery for the endpoint list."""
 
-    watch: bool  # True: wait for changes from now on. False: fetch the complete list once.
+    # True: wait for changes from now on. False: fetch the complete list once. A dispatcher's
+    # discovery client does not read it, because it always watches.
+    watch: bool
 
 
 @record
--- a/stepstream/core/drain.py
+++ b/stepstream/core/drain.py
@@ -2,11 +2,11 @@
 
 `PUT /healthcheck/fail` starts the drain. `PUT /healthcheck/ok` ends it at once, without a restart.
 
-During a drain, `GET /-/ready` answers 503 to the load balancer in front of the dispatcher. The load
-balancer checks every 0.1 s and stops sending new connections 0.2 s after the first failure. It
-keeps using open connections until they close. After the closing delay every answer therefore closes
-its connection, and idle connections are closed, so that no client stays connected until the end of
-the drain.
+During a drain, `GET /-/ready` answers 503 to the front proxy, which spreads clients over the
+dispatchers. It checks every 0.1 s and stops sending new connections 0.2 s after the first failure.
+It keeps using open connections until they close. After the closing delay every answer therefore
+closes its connection, and idle connections are closed, so that no client stays connected until the
+end of the drain.
 
 The admin listener's thread owns the state; other threads may read `active`.
 """
@@ -43,7 +43,7 @@
         """Decide whether idle connections close now, and others after their next answer.
 
         True once `close_after_seconds` have passed since the start of the drain. Connections that
-        close sooner would be replaced by new ones, because the load balancer has not noticed yet.
+        close sooner would be replaced by new ones, because the front proxy has not noticed yet.
         """
         if self.started_at_seconds is None:
             return False
--- a/stepstream/core/endpoint_set.py
+++ b/stepstream/core/endpoint_set.py
@@ -113,7 +113,7 @@
                 del self._waiting_claims[claim]
 
     def _register(self, source: str, endpoint: Endpoint) -> bool:
-        """Record an endpoint, or a claim if another source owns its id; return which (True, False).
+        """Record an endpoint and return True, or a claim and False if another source owns its id.
 
         The first owner keeps an id: its calls go on to the same worker, whatever others list.
         """
--- a/stepstream/core/events.py
+++ b/stepstream/core/events.py
@@ -60,7 +60,7 @@
 
 @record
 class CallEnded:
-    """A call ended and its worker did not accept the job; sent by the carrier's thread."""
+    """A call ended without a result of its worker; sent by the carrier's thread."""
 
     call: Call
     result: AttemptResult
--- a/stepstream/core/maintenance.py
+++ b/stepstream/core/maintenance.py
@@ -1,7 +1,7 @@
 """Maintenance of workers by operators, and its effect on the endpoints that the policy sees.
 
-The policy sees a worker in maintenance as draining, whatever its source reports. The worker gets no
-new jobs after the policy's grace period. Maintenance lasts until an operator releases the worker.
+The policy sees a worker in maintenance as draining, whatever its source reports. It gets
+no new job from that moment on. Maintenance lasts until an operator releases the worker.
 Operators usually restart a worker in maintenance. The policy therefore sees the release as its
 start, so that the worker goes through slow start, unless its source reports a later start.
 
--- a/stepstream/core/requests.py
+++ b/stepstream/core/requests.py
@@ -31,7 +31,7 @@
     """How a request ended for its client."""
 
     SERVED = "served"
-    REJECTED = "refused"
+    REJECTED = "refused"  # the platform's word
     FAILED = "failed"
 
 
@@ -145,7 +145,7 @@
 
     @property
     def worker_finished(self) -> bool:
-        """Whether its worker no longer works on it.
+        """Whether the call has ended and no stop of it may still be on its way to the worker.
 
         After a timeout or a cancellation the worker may still work on the call, because the stop
         may not have reached it.
--- a/stepstream/core/timer_handler.py
+++ b/stepstream/core/timer_handler.py
@@ -38,9 +38,9 @@
                     self._state.requests.fail(request)
 
     def _end_calls(self, now_us: int, request: Request) -> None:
-        """End all calls, whatever their carriers do; the policy answers in the same round.
+        """End all calls, whatever their carriers do, so that the policy can answer in this round.
 
-        If the policy fails to answer, the request fails one tick later.
+        A request that it leaves open, such as that of a waiting job, fails one tick later.
         """
         for call in request.calls:
             self._calls.time_out(now_us, call)
--- a/stepstream/http/client_api.py
+++ b/stepstream/http/client_api.py
@@ -16,7 +16,7 @@
 from stepstream.model.settings import Settings
 from stepstream.ports.access_control import Rejection, RejectionKind
 
-READINESS_PATH = "/-/ready"  # health check of this dispatcher by the load balancer in front of it
+READINESS_PATH = "/-/ready"  # health check of this dispatcher by the front proxy
 REQUEST_ID = re.compile(r"[0-9A-Za-z._~-]{1,64}")
 TIMEOUT_MS = re.compile(r"[0-9]{1,9}")
 MICROSECONDS_PER_SECOND = 1e6
--- a/stepstream/http/client_connection.py
+++ b/stepstream/http/client_connection.py
@@ -374,7 +374,7 @@
 ) -> bool:
     """Decide whether a peer that has sent only a part of its first message counts as a client.
 
-    After SIGTERM, the load balancer in front of the dispatcher opens connections for at most
+    After SIGTERM, the front proxy opens connections for at most
     `arrivals_seconds`. The message of a later connection is no client's request. Without this rule
     peers that connect and never finish a message would hold up the shutdown. Times are monotonic
     seconds; without a shutdown (None) every peer counts.
--- a/stepstream/http/server_state.py
+++ b/stepstream/http/server_state.py
@@ -22,7 +22,7 @@
         # Whether another open request would leave no connection for notifications.
         self.is_overloaded: Callable[[], bool] = lambda: False
 
-        # Each of these makes the readiness check fail, so that the load balancer in front of the
+        # Each of these makes the readiness check fail, so that the front proxy of the
         # dispatcher sends no new clients.
         self.starting = False  # there is no endpoint list yet
         self.shutting_down = False  # after SIGTERM
--- a/stepstream/identity/token_cache.py
+++ b/stepstream/identity/token_cache.py
@@ -1,7 +1,8 @@
 """A bounded cache of verified tokens, by the hash of their text; free of I/O.
 
 Owns the cached claims and the latest time that was seen. Any thread may verify: the lock guards the
-order and the size of the table, and a lookup needs none.
+order and the size of the table. A lookup and the removal of one token need none: each is one atomic
+operation of a dictionary.
 """
 
 import hashlib
--- a/stepstream/leases/session_table.py
+++ b/stepstream/leases/session_table.py
@@ -36,7 +36,7 @@
 
 
 def is_silent(session: Session, now: float) -> bool:
-    """Return whether a session is wound down: it had no heartbeat for a part of its time to live.
+    """Return whether a session had no heartbeat for a part of its time to live; it is wound down.
 
     A program that has died must not keep its lease from others.
     """
--- a/stepstream/model/endpoints.py
+++ b/stepstream/model/endpoints.py
@@ -6,7 +6,7 @@
 
 
 class EndpointState(Enum):
-    """Whether a worker may get new jobs."""
+    """Whether a worker may get new jobs. The values are the simulator's words."""
 
     ACTIVE = "in"
     DRAINING = "draining"
--- a/stepstream/model/events.py
+++ b/stepstream/model/events.py
@@ -79,7 +79,10 @@
 
 @record
 class JobAbandoned:
-    """The job's client has disconnected: no answer is owed any more."""
+    """No answer to the job is owed any more.
+
+    Its client has disconnected, or it was answered without the policy.
+    """
 
     job_id: str
 
--- a/stepstream/model/state.py
+++ b/stepstream/model/state.py
@@ -29,7 +29,7 @@
         self.by_key: dict[str, list[Worker]] = {}  # eligible ones, in the order of each key
         self.warm_count = 0.0  # eligible workers, each counted by its slow-start factor
         # Since the waiting jobs were last tried: new headroom was measured, or a period began.
-        self.headroom_changed = False
+        self.headroom_changed = False  # or time has passed: waiting jobs are to be retried
 
 
 class JobTable:
--- a/stepstream/node/context.py
+++ b/stepstream/node/context.py
@@ -62,15 +62,26 @@
         # To the main thread. A SimpleQueue and no Event, because a signal handler calls put() while
         # the same thread may be inside get().
         self.signals: SimpleQueue[int] = SimpleQueue()
-        self.bad_reports = RateLimitedLogger(log_events.load_report_ignored, self.limits)
-        self.bad_answers = RateLimitedLogger(log_events.worker_answer_unreadable, self.limits)
-        self.bad_lists = RateLimitedLogger(log_events.discovery_call_failed, self.limits)
+        self.unreadable_load_reports = RateLimitedLogger(
+            log_events.load_report_ignored, self.limits
+        )
+        self.unreadable_answers = RateLimitedLogger(
+            log_events.worker_answer_unreadable, self.limits
+        )
+        self.failed_discovery_calls = RateLimitedLogger(
+            log_events.discovery_call_failed, self.limits
+        )
         self.core = create_core(config, self.limits, self.clock)
         self.destinations = create_destinations(config)
-        self.reports = LoadReportReader(config.settings, self.bad_reports.add)
+        self.reports = LoadReportReader(config.settings, self.unreadable_load_reports.add)
         self.server = self.create_server()
         self.outbound = OutboundCarrier(
-            self.limits, self.clock, self.destinations, self.post, self.reports, self.bad_answers
+            self.limits,
+            self.clock,
+            self.destinations,
+            self.post,
+            self.reports,
+            self.unreadable_answers,
         )
         self.carriers: dict[str, Carrier] = {SOURCE: self.outbound}  # by endpoint source
         self.discovery = self.create_discovery_client(config, self.limits)
@@ -112,7 +123,7 @@
             DiscoveryApi(config.settings),
             self.destinations,
             self.events.put,
-            self.bad_lists,
+            self.failed_discovery_calls,
             PollSchedule.from_settings(config.settings, random.Random(config.seed)),
         )
 
--- a/stepstream/node/periodic_tasks.py
+++ b/stepstream/node/periodic_tasks.py
@@ -23,9 +23,9 @@
 
 
 def enforce_timeouts(context: NodeContext) -> None:
-    """Enforce the timeouts of inbound connections, and run the subsystems' tasks.
+    """Enforce the timeouts of inbound connections, and run the subsystems' periodic tasks.
 
-    A shutdown calls it as well, and more often.
+    A shutdown calls it as well, and more often: it needs both until the process ends.
     """
     run_guarded("enforce timeouts", context.server.enforce_timeouts)
     for key, subsystem in context.subsystems.items():
--- a/stepstream/node/shutdown.py
+++ b/stepstream/node/shutdown.py
@@ -1,10 +1,10 @@
 """The graceful shutdown after SIGTERM, run by the main thread: every request is answered.
 
-New connections arrive until the load balancer in front of the dispatcher has noticed the shutdown.
-Clients may use their open connections as long as there is time to answer. When dispatchers restart
-one after the other, the next one may not serve yet, and the clients would find no dispatcher. The
-listener stays open to the end, because workers send the notifications that open requests await on
-new connections.
+New connections arrive until the front proxy, which spreads clients over dispatchers, has noticed
+the shutdown. Clients may use their open connections as long as there is time to answer. When
+dispatchers restart one after the other, the next one may not serve yet, and the clients would find
+no dispatcher. The listener stays open to the end, except in a hot restart, because workers send the
+notifications that open requests await on new connections.
 """
 
 import time
@@ -31,7 +31,7 @@
 
 
 def announce_shutdown(context: NodeContext) -> None:
-    """Notify the subsystems, the load balancer and the core of the shutdown.
+    """Notify the subsystems, the front proxy and the core of the shutdown.
 
     In a hot restart new connections go to the sibling process, and the readiness check goes on to
     succeed.
@@ -87,7 +87,7 @@
     """Decide whether the shutdown may end, because no request can be left.
 
     `elapsed_seconds` count from SIGTERM. For `quiet_seconds` no request has been open and no
-    connection has been busy. The load balancer may still send clients until it has noticed the
+    connection has been busy. The front proxy may still send clients until it has noticed the
     shutdown, so the shutdown takes `min_seconds` at least.
     """
     has_been_quiet = quiet_seconds >= timeouts.quiet_seconds
--- a/stepstream/node/startup.py
+++ b/stepstream/node/startup.py
@@ -45,7 +45,7 @@
         subsystem.on_serving()
     # Last: a peer that sees the node ready relies on everything above.
     if context.destinations.version is None:
-        spawn_thread("await first endpoint list", become_ready_with_list, context)
+        spawn_thread("await first endpoint list", become_ready_with_list_or_timeout, context)
     else:
         context.server.state.starting = False
 
@@ -72,7 +72,7 @@
         )
 
 
-def become_ready_with_list(context: NodeContext) -> None:
+def become_ready_with_list_or_timeout(context: NodeContext) -> None:
     """Wait for the first endpoint list, for a few seconds at most; then become ready.
 
     Runs in a thread of its own.
--- a/stepstream/node/status.py
+++ b/stepstream/node/status.py
@@ -23,9 +23,9 @@
         "inbound_connections": len(context.server.connections),
         "outbound_connections": outbound.pool.open_count,
         "rejected_connections": context.server.rejected_count,
-        "unreadable_load_reports": context.bad_reports.count,
-        "unreadable_answers": context.bad_answers.count,
-        "failed_discovery_calls": context.bad_lists.count,
+        "unreadable_load_reports": context.unreadable_load_reports.count,
+        "unreadable_answers": context.unreadable_answers.count,
+        "failed_discovery_calls": context.failed_discovery_calls.count,
     }
     for outcome, count in outcome_counts.items():
         counts[OUTCOME_FIELDS[outcome]] = count
--- a/stepstream/policy/admission.py
+++ b/stepstream/policy/admission.py
@@ -24,12 +24,12 @@
 def _classify(state: PolicyState, request: JobSubmitted) -> InFlightJob:
     """Count a job that has arrived and return its record, with its priority and its quota."""
     job_class = state.settings.classes[request.job_class]
-    over_quota = _is_over_quota(state, request)
+    over_quota = _charge_quota(state, request)
     weight = job_class.priority_weight
     if over_quota:
         weight *= state.settings.over_quota_weight_fraction
-    is_priority = _count_weight(state, weight)
-    is_late_retry = _has_missed_objective(state.settings, request, job_class)
+    is_priority = _count_weight_and_compare(state, weight)
+    misses_objective = _has_missed_objective(state.settings, request, job_class)
     return InFlightJob(
         request,
         job_class,
@@ -38,12 +38,12 @@
         priority=is_priority,
         priority_weight=weight,
         over_quota=over_quota,
-        stale_retry=is_late_retry and not is_priority,
+        stale_retry=misses_objective and not is_priority,
     )
 
 
-def _is_over_quota(state: PolicyState, request: JobSubmitted) -> bool:
-    """Count a job for its tenant, and return whether it loses weight by the tenant's quota."""
+def _charge_quota(state: PolicyState, request: JobSubmitted) -> bool:
+    """Charge a job to its tenant's quota; return whether it is over it and loses weight."""
     measurements = state.measurements
     measurements.job_mix.record_arrival(request.key)
     within_quota = quotas.charge_quota(
@@ -55,7 +55,7 @@
     return not within_quota and state.settings.over_quota_weight_fraction < 1.0
 
 
-def _count_weight(state: PolicyState, weight: float) -> bool:
+def _count_weight_and_compare(state: PolicyState, weight: float) -> bool:
     """Count a job's weight, and return whether it is a priority job."""
     job_mix = state.measurements.job_mix
     job_mix.record_weight(weight)
--- a/stepstream/policy/attempts.py
+++ b/stepstream/policy/attempts.py
@@ -18,7 +18,7 @@
     job.attempts.append(attempt)
     capacity.change_busy_slots(state, worker, job.request.slots)
     slow_start.record_attempt(worker, state.now_us)
-    outliers.begin_probation(worker, job.request.job_class, state.now_us)
+    outliers.postpone_next_probation(worker, job.request.job_class, state.now_us)
     state.actions.append(StartAttempt(job.request.job_id, worker.endpoint.worker_id))
     timers.await_start(state, job, attempt)
 
--- a/stepstream/policy/capacity.py
+++ b/stepstream/policy/capacity.py
@@ -1,7 +1,9 @@
 """Capacity of single workers: their caps and their headroom, in slots.
 
 A cap is the number of slots that a worker may be loaded with. Headroom is what is free of it. Caps
-are learned, as no dispatcher knows them beforehand.
+are learned, as no dispatcher knows them beforehand. `Worker.cap` is a worker's own cap, by its last
+answer 'full'; the common cap is the median of all known ones and stands for an unknown cap. With
+many dispatchers a pool has caps instead, see `policy.pool_capacity`.
 """
 
 from math import inf
@@ -15,7 +17,7 @@
 # and guaranteed services".
 SAFETY_FACTOR = 18 / 26
 MIN_CAP_SLOTS = 1.0
-# With less than a slot no waiting job can start.
+# Freed headroom below this does not wake the waiting jobs.
 MIN_USEFUL_HEADROOM_SLOTS = 1.0
 
 
@@ -24,7 +26,8 @@
 
     A measurement counts for HEADROOM_VALID_US. After that the headroom is the worker's cap less its
     busy slots; the common cap stands for an unknown cap. Where load is reported the common cap
-    stands for every cap: a cap from an old 'full' would draw attempts to its worker.
+    stands for every cap: a worker's own cap from an old 'full' could look larger than the others'
+    and draw the attempts.
     """
     if state.now_us - worker.headroom_at_us <= HEADROOM_VALID_US:
         return worker.headroom
--- a/stepstream/policy/endpoint_polling.py
+++ b/stepstream/policy/endpoint_polling.py
@@ -1,4 +1,8 @@
-"""Endpoint polling: when to call for the endpoint list, with backoff after a failed call."""
+"""Endpoint polling: when to call for the endpoint list, with backoff after a failed call.
+
+The first call holds everywhere. The backoff holds on the simulator alone: the discovery client of a
+dispatcher repeats its own calls, see `http/poll_schedule.py`, and reports no failed one.
+"""
 
 from stepstream.model.actions import TimerToken, WatchEndpoints
 from stepstream.model.state import PolicyState
@@ -49,7 +53,7 @@
         self.backoff_us = min(2 * self.backoff_us, self._max_backoff_us())
 
     def on_success(self) -> None:
-        """Begin with the first backoff again."""
+        """Begin with the first backoff again; the call stays open, as a watch."""
         self.backoff_us = self._first_backoff_us()
 
     def _first_backoff_us(self) -> int:
--- a/stepstream/policy/idempotency.py
+++ b/stepstream/policy/idempotency.py
@@ -27,7 +27,7 @@
     return has_key and now_us <= window_ends_us
 
 
-def workers_in_key_scope(job: InFlightJob, workers: list[Worker]) -> list[Worker]:
+def workers_in_idempotency_scope(job: InFlightJob, workers: list[Worker]) -> list[Worker]:
     """Return those of the workers on which a repeat would be recognized by its key.
 
     Where the key does not matter all workers are returned.
--- a/stepstream/policy/load_reports.py
+++ b/stepstream/policy/load_reports.py
@@ -12,7 +12,6 @@
 QUEUED_JOBS = "queue"
 HEALTH_CHECKS_PER_JOB = 1.0
 MIN_IDLE_SLOTS = 1
-MIN_QUEUED_JOBS = 1
 
 
 def on_load_report(state: PolicyState, worker: Worker, report: dict[str, float] | None) -> None:
@@ -27,7 +26,7 @@
 
 def _shows_empty_queue(report: dict[str, float]) -> bool:
     """Return whether a report says that no job waits; a report without the queue does not."""
-    return report.get(QUEUED_JOBS, MIN_QUEUED_JOBS) < MIN_QUEUED_JOBS
+    return QUEUED_JOBS in report and report[QUEUED_JOBS] < 1
 
 
 def credit_health_checks(state: PolicyState) -> None:
--- a/stepstream/policy/outliers.py
+++ b/stepstream/policy/outliers.py
@@ -82,8 +82,11 @@
         ejection.ejected_at_us = now_us
 
 
-def begin_probation(worker: Worker, job_class: int, now_us: int) -> None:
-    """Note an attempt on a worker: one at a time while it, or the class, is on probation."""
+def postpone_next_probation(worker: Worker, job_class: int, now_us: int) -> None:
+    """Allow the next probation attempt of a worker, or a class, one ejection time from now.
+
+    To be called for each attempt; it changes nothing where there is no ejection.
+    """
     if worker.ejection_time_us:
         worker.next_probation_us = now_us + worker.ejection_time_us
     if job_class in worker.class_ejections:
@@ -123,12 +126,19 @@
     """
     _measure_open_runs(state)
     for worker in state.workers.eligible:
+        if not _is_slow(worker) or _fails_steadily(worker):
+            continue
         ejected = worker.ejection_time_us > 0
-        if _is_slow(worker) and not _fails_steadily(worker) and ejected != spare_capacity:
+        if spare_capacity and not ejected:
             eject(worker, SLOW_EJECTION_TIME_US, state.now_us)
-            if not spare_capacity:
-                # It is back, but its failures can eject it again only after this time.
-                worker.ejection_time_us = 0
+        elif ejected and not spare_capacity:
+            _return_slow_worker(worker, state.now_us)
+
+
+def _return_slow_worker(worker: Worker, now_us: int) -> None:
+    """End the ejection of a slow worker; its failures can eject it only after some time."""
+    worker.ejection_time_us = 0
+    worker.next_probation_us = now_us + SLOW_EJECTION_TIME_US
 
 
 def _is_slow(worker: Worker) -> bool:
--- a/stepstream/policy/pool_capacity.py
+++ b/stepstream/policy/pool_capacity.py
@@ -14,7 +14,7 @@
 from stepstream.policy import capacity, outliers
 
 # More dispatchers than this are many.
-MANY_DISPATCHERS = 8
+MAX_FEW_DISPATCHERS = 8
 # The averages of a dispatcher that has just started are too low.
 AVERAGES_SETTLE_US = 2_000_000
 # With less a pool would never be tried again.
@@ -32,7 +32,7 @@
 
 def has_many_dispatchers(settings: Settings) -> bool:
     """Return whether caps are learned for whole pools instead of single workers."""
-    return settings.dispatcher_count > MANY_DISPATCHERS
+    return settings.dispatcher_count > MAX_FEW_DISPATCHERS
 
 
 def pool_headroom(state: PolicyState, pool: Pool) -> float:
--- a/stepstream/policy/pools.py
+++ b/stepstream/policy/pools.py
@@ -18,7 +18,7 @@
 MIN_OVERFLOW_HEADROOM_CAPS_WITH_REPORTS = 0.25
 MIN_SPARE_HEADROOM_CAPS = 2
 # A resizing moves one worker of each group of this size, and at least one.
-WORKERS_PER_MOVE = 16
+WORKERS_PER_MOVED_WORKER = 16
 
 
 def own_pool(state: PolicyState, job: InFlightJob) -> Pool:
@@ -73,7 +73,7 @@
         workers = state.rng.sample(workers, len(workers))
     workers = outliers.available_workers(state, workers, outliers.ANY_CLASS)
     state.pools.recount(workers)
-    for _ in range(max(len(workers) // WORKERS_PER_MOVE, 1)):
+    for _ in range(max(len(workers) // WORKERS_PER_MOVED_WORKER, 1)):
         headroom += _move_one_worker(state, workers, headroom, min_high_set_size)
     state.pools.recount(workers)
 
--- a/stepstream/policy/priority.py
+++ b/stepstream/policy/priority.py
@@ -18,7 +18,10 @@
 
 
 def is_best_effort(job: InFlightJob) -> bool:
-    """Return whether a job comes last: one attempt, no wait on arrival, and a slot stays free.
+    """Return whether a job comes last.
+
+    It is not retried, it does not wait where the pools are full on arrival, and it leaves a slot of
+    its worker free. It may still be hedged.
 
     A job over its tenant's quota must not take workers from those inside theirs. A stale retry can
     hardly be in time any more.
--- a/stepstream/policy/selection.py
+++ b/stepstream/policy/selection.py
@@ -99,7 +99,7 @@
 
 def _workers_for_repeat(job: InFlightJob, workers: list[Worker]) -> list[Worker]:
     """Return the workers that may repeat the job, without those that were tried if others exist."""
-    workers = idempotency.workers_in_key_scope(job, workers)
+    workers = idempotency.workers_in_idempotency_scope(job, workers)
     tried = job.tried_workers
     return [worker for worker in workers if worker not in tried] or workers
 
--- a/stepstream/runtime/clock.py
+++ b/stepstream/runtime/clock.py
@@ -13,5 +13,5 @@
         self.base_ns = time.time_ns() - time.monotonic_ns()
 
     def now_us(self) -> int:
-        """Return the microseconds since 1970."""
+        """Return Unix time in microseconds, which never steps back."""
         return (self.base_ns + time.monotonic_ns()) // 1000
--- a/tests/golden/front_samples.py
+++ b/tests/golden/front_samples.py
@@ -1226,7 +1226,11 @@
         counts = node.decision_thread.outcome_counts
         counts.update({outcome: 5 + k for k, outcome in enumerate(counts)})
         node.server.rejected_count, node.outbound.pool.open_count = 1, 2
-        node.bad_reports.count, node.bad_answers.count, node.bad_lists.count = 3, 4, 9
+        (
+            node.unreadable_load_reports.count,
+            node.unreadable_answers.count,
+            node.failed_discovery_calls.count,
+        ) = 3, 4, 9
         node.log_status()
     return error.getvalue()
 
--- a/tests/policy/test_idempotency.py
+++ b/tests/policy/test_idempotency.py
@@ -13,7 +13,7 @@
 from stepstream.policy.idempotency import (
     is_client_retry_harmless,
     may_repeat,
-    workers_in_key_scope,
+    workers_in_idempotency_scope,
 )
 from stepstream.policy.retries import may_attempt
 
@@ -61,9 +61,9 @@
 def test_repeats_stay_in_the_key_scope_of_the_first_possible_run(scope, allowed):
     class_settings = replace(KEYED_ZONE, key_scope=scope)
     job = tried(class_settings, never_ran=False)
-    assert workers_in_key_scope(job, WORKERS) == [WORKERS[k] for k in allowed]
+    assert workers_in_idempotency_scope(job, WORKERS) == [WORKERS[k] for k in allowed]
     never_ran = tried(class_settings, never_ran=True)
-    assert workers_in_key_scope(never_ran, WORKERS) == WORKERS
+    assert workers_in_idempotency_scope(never_ran, WORKERS) == WORKERS
 
 
 def test_attempts_end_with_the_limit_and_with_the_job():
--- a/tests/policy/test_many_dispatchers.py
+++ b/tests/policy/test_many_dispatchers.py
@@ -9,7 +9,7 @@
 from stepstream.model.events import JobSubmitted, TimerFired
 from stepstream.model.settings import Effect, JobClass, Settings
 from stepstream.policy.load_balancer import LoadBalancer
-from stepstream.policy.pool_capacity import MANY_DISPATCHERS
+from stepstream.policy.pool_capacity import MAX_FEW_DISPATCHERS
 
 SAFE = JobClass(latency_objective_us=200_000, deadline_us=5_000_000, effect=Effect.IDEMPOTENT)
 FLEET = 40
@@ -76,7 +76,7 @@
 
 
 def test_one_of_few_dispatchers_or_without_any_worker_asks_at_once():
-    assert all(WatchEndpoints(True) in one.handle(0, []) for one in fleet(MANY_DISPATCHERS))
+    assert all(WatchEndpoints(True) in one.handle(0, []) for one in fleet(MAX_FEW_DISPATCHERS))
     one = fleet()[0]
     assert WatchEndpoints(True) not in one.handle(0, [])
     jobs = [JobSubmitted("a", 0, 5_000_000), JobSubmitted("b", 0, 5_000_000)]
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -15,10 +15,10 @@
     MAX_EJECTION_TIME_US,
     accepting_workers,
     accepts,
-    begin_probation,
     eject,
     eject_class,
     next_ejection_time_us,
+    postpone_next_probation,
     shorten_class_ejection,
 )
 
@@ -42,7 +42,7 @@
     eject(worker, BASE_EJECTION_TIME_US, NOW_US)
     assert not accepts(worker, ANY_CLASS, NOW_US + BASE_EJECTION_TIME_US - 1)
     assert accepts(worker, ANY_CLASS, NOW_US + BASE_EJECTION_TIME_US)
-    begin_probation(worker, 0, NOW_US + BASE_EJECTION_TIME_US)
+    postpone_next_probation(worker, 0, NOW_US + BASE_EJECTION_TIME_US)
     assert not accepts(worker, ANY_CLASS, NOW_US + BASE_EJECTION_TIME_US + 1)
 
 
@@ -68,7 +68,7 @@
     eject_class(worker, 1, NOW_US, NOW_US)
     shorten_class_ejection(worker, 1)
     assert accepts(worker, 1, NOW_US)  # the next one at once
-    begin_probation(worker, 1, NOW_US)
+    postpone_next_probation(worker, 1, NOW_US)
     assert not accepts(worker, 1, NOW_US)  # and one at a time
     shorten_class_ejection(worker, 1)
     assert worker.class_ejections == {}
--- a/tests/policy/test_pool_capacity.py
+++ b/tests/policy/test_pool_capacity.py
@@ -11,9 +11,9 @@
 from stepstream.policy.outliers import eject
 from stepstream.policy.pool_capacity import (
     AVERAGES_SETTLE_US,
-    MANY_DISPATCHERS,
     MAX_CAP_TO_BUSY_SLOTS_RATIO,
     MAX_CAP_TO_RUNNING_SLOTS_RATIO,
+    MAX_FEW_DISPATCHERS,
     has_many_dispatchers,
     learn_from_low_set_start,
     mean_pool_headroom,
@@ -69,7 +69,7 @@
     learn_from_low_set_start(load, overdue=True)
     assert load.worker_cap == float("inf")
     assert has_many_dispatchers(Settings(classes=(SAFE,), dispatcher_count=FLEET))
-    assert not has_many_dispatchers(Settings(classes=(SAFE,), dispatcher_count=MANY_DISPATCHERS))
+    assert not has_many_dispatchers(Settings(classes=(SAFE,), dispatcher_count=MAX_FEW_DISPATCHERS))
 
 
 def test_the_high_set_is_loaded_to_the_safety_factor_of_its_caps():
