--- a/stepstream/node/context.py
+++ b/stepstream/node/context.py
@@ -55,36 +55,26 @@
         self.config = config
         self.operator = operator
         self.operator_path = operator_path
-        self.limits: Limits = limits_for(config)
+        limits = limits_for(config)
+        self.limits: Limits = limits
         self.clock = Clock()
         self.events: SimpleQueue[Event] = SimpleQueue()  # to the decision thread
         self.post = self.events.put
         # To the main thread. A SimpleQueue and no Event, because a signal handler calls put() while
         # the same thread may be inside get().
         self.signals: SimpleQueue[int] = SimpleQueue()
-        self.unreadable_load_reports = RateLimitedLogger(
-            log_events.load_report_ignored, self.limits
-        )
-        self.unreadable_answers = RateLimitedLogger(
-            log_events.worker_answer_unreadable, self.limits
-        )
-        self.failed_discovery_calls = RateLimitedLogger(
-            log_events.discovery_call_failed, self.limits
-        )
-        self.core = create_core(config, self.limits, self.clock)
+        self.unreadable_load_reports = RateLimitedLogger(log_events.load_report_ignored, limits)
+        self.unreadable_answers = RateLimitedLogger(log_events.worker_answer_unreadable, limits)
+        self.failed_discovery_calls = RateLimitedLogger(log_events.discovery_call_failed, limits)
+        self.core = create_core(config, limits, self.clock)
         self.destinations = create_destinations(config)
         self.reports = LoadReportReader(config.settings, self.unreadable_load_reports.add)
         self.server = self.create_server()
         self.outbound = OutboundCarrier(
-            self.limits,
-            self.clock,
-            self.destinations,
-            self.post,
-            self.reports,
-            self.unreadable_answers,
+            limits, self.clock, self.destinations, self.post, self.reports, self.unreadable_answers
         )
         self.carriers: dict[str, Carrier] = {SOURCE: self.outbound}  # by endpoint source
-        self.discovery = self.create_discovery_client(config, self.limits)
+        self.discovery = self.create_discovery_client(config, limits)
         # The list from before the start: the configuration's, or a newer one of a hot restart.
         self.persisted_endpoints = config.persisted_endpoints
         self.hot_restarting = False
