--- a/stepstream/model/state.py
+++ b/stepstream/model/state.py
@@ -93,5 +93,7 @@
         self.settings = new
         self.has_load_reports = new.load_report_source != LoadReportSource.NONE
         self.measurements.carry_over(old, new)
+        for worker in self.workers.by_id.values():
+            worker.reclassify_ejections(old.class_names, new.class_names)
         for job in self.jobs.in_flight.values():
             job.reclassify(new.class_names)
--- a/stepstream/model/worker_records.py
+++ b/stepstream/model/worker_records.py
@@ -70,3 +70,11 @@
         while self.busy_history[0][0] < now_us - BUSY_HISTORY_US:
             self.busy_history.popleft()
         self.headroom -= slots
+
+    def reclassify_ejections(self, old_names: tuple[str, ...], new_names: tuple[str, ...]) -> None:
+        """Find the ejected classes among replaced settings by name; drop those that are gone."""
+        self.class_ejections = {
+            new_names.index(old_names[job_class]): ejection
+            for job_class, ejection in self.class_ejections.items()
+            if old_names[job_class] in new_names
+        }
--- a/stepstream/policy/key_affinity.py
+++ b/stepstream/policy/key_affinity.py
@@ -13,9 +13,14 @@
 
 
 def workers_in_key_order(state: PolicyState, key: str) -> list[Worker]:
-    """Return the eligible workers in the key's order, which is the same at every dispatcher."""
+    """Return the eligible workers in the key's order, which is the same at every dispatcher.
+
+    Orders are kept for as many keys as there may be open requests; the oldest one makes room.
+    """
     orders = state.workers.by_key
     if key not in orders:
+        if len(orders) >= max(state.settings.max_open_requests, 1):
+            del orders[next(iter(orders))]
         key_hash = crc32(key.encode())
         orders[key] = sorted(
             state.workers.eligible,
--- a/stepstream/policy/lost_attempts.py
+++ b/stepstream/policy/lost_attempts.py
@@ -1,6 +1,6 @@
 """Lost attempts: those that a worker has accepted but will never start."""
 
-from stepstream.model.job_records import Attempt
+from stepstream.model.job_records import GONE_CLASS, Attempt
 from stepstream.model.settings import Effect
 from stepstream.model.state import PolicyState
 from stepstream.model.worker_records import MAX_REPORT_LAG_US, Worker
@@ -10,8 +10,8 @@
 def presume_lost(state: PolicyState, worker: Worker) -> None:
     """Presume the overdue attempts on a worker lost, as it reports free slots and no queue.
 
-    The job's class is ejected from the worker. An attempt of an idempotent job is cancelled, and
-    its end brings the next attempt.
+    The job's class is ejected from the worker, unless a reload has removed the class. An attempt of
+    an idempotent job is cancelled, and its end brings the next attempt.
     """
     # The report may be older than later attempts.
     sent_before_us = state.now_us - MAX_REPORT_LAG_US
@@ -25,7 +25,8 @@
     ]
     for job, attempt in lost:
         attempt.presumed_lost = True
-        outliers.eject_class(worker, job.request.job_class, attempt.sent_us, state.now_us)
+        if job.request.job_class != GONE_CLASS:
+            outliers.eject_class(worker, job.request.job_class, attempt.sent_us, state.now_us)
         if job.class_settings.effect is Effect.IDEMPOTENT and not job.ended:
             attempts.cancel_attempts(state, job, [attempt])
 
--- a/stepstream/policy/slow_start.py
+++ b/stepstream/policy/slow_start.py
@@ -6,6 +6,7 @@
 
 from math import inf
 
+from stepstream.model.estimators import ALL_CLASSES
 from stepstream.model.job_records import InFlightJob
 from stepstream.model.state import PolicyState
 from stepstream.model.worker_records import Worker
@@ -74,7 +75,7 @@
     interval_us = run_times.served_interval_us
     interval_us = interval_us or settings.overload_window_us * settings.dispatcher_count
     class_mean_us = run_times.mean_us[job_class]
-    overall_mean_us = run_times.mean_us[-1]
+    overall_mean_us = run_times.mean_us[ALL_CLASSES]
     if class_mean_us and overall_mean_us:
         interval_us *= class_mean_us / overall_mean_us
     return interval_us * state.workers.warm_count
