--- a/stepstream/config/fields.py
+++ b/stepstream/config/fields.py
@@ -16,6 +16,7 @@
 FALSE_TEXTS = ("0", "false")
 EMPTY_LIST_TEXTS = ("", "-")
 MAX_PORT = 65_535
+MAX_PORT_DIGITS = 5
 
 
 class SettingsFields:
@@ -116,9 +117,10 @@
         """Read HOST:PORT."""
         text = self.text(name)
         host, _, port = text.rpartition(":")
-        if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+        port_number = parse_whole_number(port.lstrip("0"), MAX_PORT_DIGITS)
+        if not host or port_number is None or port_number > MAX_PORT:
             raise ConfigurationError(f"{name}={text} is not HOST:PORT")
-        return host, int(port)
+        return host, port_number
 
 
 def flatten(value: object, path: str, pairs: dict[str, str]) -> dict[str, str]:
--- a/stepstream/gearman/names.py
+++ b/stepstream/gearman/names.py
@@ -7,6 +7,7 @@
 from collections.abc import Container
 from dataclasses import dataclass
 
+from stepstream.config.fields import parse_whole_number
 from stepstream.config.operator_file import WorkerDefaults
 from stepstream.gearman.errors import RequestError
 from stepstream.model.settings import Settings
@@ -14,7 +15,7 @@
 CLIENT_ID = re.compile(r"[!-:<-~]{1,64}")  # printable, no space and no semicolon
 CLIENT_ID_KEYS = ("zone", "kind", "cell", "slots", "weight", "start")
 MAX_SLOTS = 1024
-MAX_SLOT_DIGITS = 9  # further digits are not checked against the bound
+MAX_SLOT_DIGITS = 4
 MAX_CELL = 2**31
 MIN_WEIGHT = 1e-6
 MAX_WEIGHT = 1e6
@@ -48,8 +49,8 @@
     text = name.decode("utf-8", "replace")
     full_name, plus, slots = text.partition("+")
     if plus:
-        is_number = slots.isascii() and slots.isdigit()
-        if not is_number or not 1 <= int(slots[:MAX_SLOT_DIGITS]) <= MAX_SLOTS:
+        slot_count = parse_whole_number(slots.lstrip("0"), MAX_SLOT_DIGITS)
+        if slot_count is None or slot_count > MAX_SLOTS:
             raise RequestError(
                 "BAD_FUNCTION", f"{text}: the slots behind + are a number from 1 to {MAX_SLOTS}"
             )
--- a/stepstream/hot_restart/precedence.py
+++ b/stepstream/hot_restart/precedence.py
@@ -44,8 +44,20 @@
     """Decide whether the candidate replaces the current endpoint list.
 
     It does with a later version of discovery, and where there is no current list. A process that
-    missed a change would otherwise bring back removed workers.
+    missed a change would otherwise bring back removed workers. A candidate whose version is no
+    number does not replace any list; a current list without such a number counts as version 0.
     """
     if candidate is None:
         return False
-    return current is None or int(candidate.get("version", 0)) > int(current.get("version", 0))
+    candidate_version = _version(candidate)
+    if candidate_version is None:
+        return False
+    return current is None or candidate_version > (_version(current) or 0)
+
+
+def _version(endpoint_list: EndpointListJson) -> int | None:
+    """Return the list's version, 0 if it has none, None if it is no whole number."""
+    try:
+        return int(endpoint_list.get("version", 0))
+    except (TypeError, ValueError, OverflowError):
+        return None
--- a/stepstream/identity/rotation_rules.py
+++ b/stepstream/identity/rotation_rules.py
@@ -16,22 +16,27 @@
 JwkRow = dict[str, Any]  # a key's row in the key file
 
 
+def state_of(row: JwkRow) -> KeyState:
+    """Return a checked row's state; a row without one is active."""
+    return KeyState(row.get("state", KeyState.ACTIVE.value))
+
+
 def has_propagated(next_row: JwkRow, now: int) -> bool:
     """Decide whether all verifiers know a next key, so that it may sign.
 
     A verifier that has not read it yet would reject its tokens.
     """
-    return bool(now - next_row["not_before"] >= PROPAGATION_SECONDS)
+    return bool(now - next_row.get("not_before", 0) >= PROPAGATION_SECONDS)
 
 
 def is_expired(row: JwkRow, now: int) -> bool:
     """Decide whether a key is removed: it is retired, and the last of its tokens has expired."""
-    return row["state"] == KeyState.RETIRING.value and bool(row["not_after"] <= now)
+    return state_of(row) is KeyState.RETIRING and bool(row["not_after"] <= now)
 
 
 def first_next_row(rows: Iterable[JwkRow]) -> JwkRow | None:
     """Return the next key that signs after a rotation, None without one."""
-    return next((row for row in rows if row["state"] == KeyState.NEXT.value), None)
+    return next((row for row in rows if state_of(row) is KeyState.NEXT), None)
 
 
 def signing_row(rows: Iterable[JwkRow], key_id: str | None) -> JwkRow:
@@ -42,7 +47,7 @@
     if key_id:
         matching = [row for row in rows if row["kid"] == key_id]
     else:
-        matching = [row for row in rows if row["state"] == KeyState.ACTIVE.value]
+        matching = [row for row in rows if state_of(row) is KeyState.ACTIVE]
     if not matching:
         raise IdentityCommandError(
             f"there is no key {key_id}" if key_id else "there is no active key"
@@ -57,7 +62,7 @@
     """
     lines = []
     for row in rows:
-        if row["state"] == KeyState.ACTIVE.value:
+        if state_of(row) is KeyState.ACTIVE:
             row["state"] = KeyState.RETIRING.value
             row["not_after"] = now + overlap_seconds
             lines.append(f"{row['kid']} retires, its tokens are good for {overlap_seconds} s more")
