--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -14,13 +14,14 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from stepstream.lab.fleet_faults import draw
-from stepstream.lab.fleet_rig import Dispatcher, FleetRig
-from stepstream.lab.fleet_search import Search
-from stepstream.lab.fleet_world import BrokenError, World
+from stepstream.lab.faults.schedule import draw
+from stepstream.lab.processes.dispatcher_cluster import Dispatcher, DispatcherCluster
+from stepstream.lab.search.membership_search import Search
+from stepstream.lab.simulation.membership_cluster import InvariantError, MembershipCluster
 from stepstream.membership.messages import MemberState
 from stepstream.membership.protocol_settings import ProtocolSettings
 
+DEFAULT_SETTINGS = ProtocolSettings()
 # Lifeguard's parts off: one fixed suspicion
 SWIM = {
     "max_local_health_score": 0,
@@ -29,11 +30,13 @@
 }
 
 
-def joined(seed: int, members: int, times: ProtocolSettings = ProtocolSettings()) -> World:  # noqa: B008
-    world = World(seed, members, times)
+def joined(
+    seed: int, members: int, times: ProtocolSettings = DEFAULT_SETTINGS
+) -> MembershipCluster:
+    world = MembershipCluster(seed, members, times)
     world.start_all()
     if not world.run(120.0, world.agreed):
-        raise BrokenError(f"{members} members, seed {seed}: not joined")
+        raise InvariantError(f"{members} members, seed {seed}: not joined")
     return world
 
 
@@ -56,7 +59,7 @@
     world.links.heal()
     begun = world.now
     if not world.run(120.0, world.agreed):
-        raise BrokenError(f"{members} members, seed {seed}: not healed")
+        raise InvariantError(f"{members} members, seed {seed}: not healed")
     return {
         "members": members,
         "known": known,
@@ -91,7 +94,7 @@
 
 def schedule(job: tuple[int, int, float]) -> dict:
     members, seed, seconds = job
-    world = World(seed, members, ProtocolSettings())
+    world = MembershipCluster(seed, members, ProtocolSettings())
     world.links.doubled = world.links.late = 0.05
     world.start_all()
     world.run(3.0)
@@ -101,7 +104,7 @@
             "seed": seed,
             "settled": world.play(draw(seed, world.names, seconds), 60.0),
         }
-    except BrokenError as error:
+    except InvariantError as error:
         return {"members": members, "seed": seed, "broken": str(error)}
 
 
@@ -133,7 +136,7 @@
 def twenty(seconds: float) -> dict:
     """Real processes: CPU when calm, a crash, a cut in halves, an operator's word on each side of it."""
     told: dict = {}
-    with FleetRig(20, 1) as rig:
+    with DispatcherCluster(20, 1) as rig:
         everyone = set(rig.members)
         told["joined_s"] = rig.wait_for(lambda: rig.agreed(everyone), 60.0, "one view")
         time.sleep(5.0)
@@ -183,7 +186,7 @@
     return told
 
 
-def bans(rig: FleetRig, name: str) -> bool:
+def bans(rig: DispatcherCluster, name: str) -> bool:
     told = rig.members[name].fleet()
     return bool(told) and any(word["out"] for word in told["words"])
 
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -15,15 +15,15 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from stepstream.lab import ledger
-from stepstream.lab.fleet_day import play_swept
-from stepstream.lab.fleet_faults import draw
-from stepstream.lab.lease_member import MANY
-from stepstream.lab.lease_rig import TROUBLES, LeaseRig, trouble
-from stepstream.lab.lease_search import Bounds, Search, TwoHoldersError
-from stepstream.lab.lease_workload import Resource, Task
-from stepstream.lab.lease_workload import TwoHoldersError as BrokenError
-from stepstream.lab.lease_world import LeaseWorld, drawn
+from stepstream.lab.faults.schedule import draw
+from stepstream.lab.processes.cluster_load_test import play_swept
+from stepstream.lab.processes.lease_cluster import TROUBLES, LeaseDispatcherCluster, trouble
+from stepstream.lab.processes.lease_member import MANY
+from stepstream.lab.search.lease_search import Bounds, Search, TwoHoldersError
+from stepstream.lab.simulation.lease_cluster import LeaseCluster, drawn
+from stepstream.lab.simulation.lease_workload import Resource, Task
+from stepstream.lab.simulation.lease_workload import TwoHoldersError as InvariantError
+from stepstream.lab.verification import ledger
 from stepstream.leases.configuration import LeaseConfiguration
 
 SMALL = (
@@ -39,7 +39,7 @@
     world = drawn(seed)
     try:
         settled = world.play(draw(seed, world.names, 25.0, 1.0), 60.0)
-    except BrokenError as error:
+    except InvariantError as error:
         return {"seed": seed, "broken": str(error)}
     acts = world.resources.get("x", Resource()).acts
     return {
@@ -69,7 +69,7 @@
 def crash(job: tuple[float, int]) -> dict:
     """From a holder's crash to the next one's first act; the crash comes at any time of a renewal."""
     ttl, seed = job
-    world = LeaseWorld(
+    world = LeaseCluster(
         seed,
         [f"n{k}" for k in range(5)],
         LeaseConfiguration(("n0", "n1", "n2"), max_ttl_seconds=ttl),
@@ -83,13 +83,13 @@
     world.kill(holder.partition("@")[0])
     begun = world.now
     if not world.run(10 * ttl, lambda: len(world.resources["x"].acts) > acts):
-        raise BrokenError(f"nobody acted: ttl {ttl}, seed {seed}")
+        raise InvariantError(f"nobody acted: ttl {ttl}, seed {seed}")
     return {"ttl": ttl, "s": world.resources["x"].acts[acts].begun - begun}
 
 
 def load(waiting: int) -> dict:
     """One holder that stays, so many that wait: bodies a second, all members' together."""
-    world = LeaseWorld(
+    world = LeaseCluster(
         1,
         [f"n{k}" for k in range(10)],
         LeaseConfiguration(("n0", "n1", "n2"), max_ttl_seconds=15.0),
@@ -115,7 +115,7 @@
     """All troubles so many times over, on a rig of its own; what its ledger shows."""
     seed, voters, times = job
     told: dict = {"seed": seed, "voters": voters, "played": 0, "next_act_s": []}
-    with LeaseRig(voters + 2, voters, seed) as rig:
+    with LeaseDispatcherCluster(voters + 2, voters, seed) as rig:
         rig.wait_for(rig.holder, 60.0, "a first holder")
         try:
             for _ in range(times):
@@ -140,7 +140,7 @@
 def held_at_once(many: int, seconds: float) -> dict:
     """CPU of the holder of so many leases, of a voter, and of a dispatcher that does neither; percent."""
     os.environ[MANY] = str(many)
-    with LeaseRig(5, 3, 1, ttl=15.0, tasks=("n4",)) as rig:
+    with LeaseDispatcherCluster(5, 3, 1, ttl=15.0, tasks=("n4",)) as rig:
         at = rig.members["n4"]
 
         def held() -> int:
--- a/benchmarks/mixed.py
+++ b/benchmarks/mixed.py
@@ -20,8 +20,8 @@
 import msgspec
 from docopt import docopt
 
-from stepstream.lab.rig import Result, Rig
-from stepstream.lab.site import draw_day, read_site
+from stepstream.lab.load.site import draw_scenario, read_site
+from stepstream.lab.processes.load_test import LoadTest, Result
 
 MIXES = ("http", "gearman", "mixed")
 LATE_MS = 100.0
@@ -37,8 +37,8 @@
 
 async def play(seed: int, seconds: int, load: float, mix: str) -> tuple[int, Result]:
     site = msgspec.structs.replace(read_site(), load=load)
-    day = draw_day(site, seed, seconds, mix)
-    rig = Rig(day, seed, with_gearman=mix != "http")
+    day = draw_scenario(site, seed, seconds, mix)
+    rig = LoadTest(day, seed, with_gearman=mix != "http")
     try:
         await rig.start()
         return len(day.asks), await rig.play()
--- a/stepstream/cli/demo.py
+++ b/stepstream/cli/demo.py
@@ -8,7 +8,7 @@
 def run(arguments: Arguments) -> int:
     """Run the demo and return its exit code; raise CommandError if an option is at fault."""
     with optional_packages("demo", extra="lab"):
-        from stepstream.lab.demo import run as run_demo
+        from stepstream.lab.reports.demo import run as run_demo
     with command_errors(ConfigurationError, prefix="demo: "):
         return run_demo(
             mix=arguments["--mix"],
--- a/stepstream/cli/lab.py
+++ b/stepstream/cli/lab.py
@@ -8,7 +8,7 @@
 def run(arguments: Arguments) -> int:
     """Play the schedule and return the exit code; raise CommandError if an option is at fault."""
     with optional_packages("lab", extra="lab"):
-        from stepstream.lab.fleet_play import run as run_fleet_play
+        from stepstream.lab.reports.fault_run import run as run_fleet_play
     with command_errors(ConfigurationError, prefix="lab: "):
         return run_fleet_play(
             members=whole_number_option("--members", arguments["--members"]),
--- /dev/null
+++ b/stepstream/lab/emulator/__init__.py
@@ -0,0 +1,1 @@
+"""Emulated surroundings of a dispatcher: workers, discovery, links with faults."""
--- a/stepstream/lab/catalogue.py
+++ b/stepstream/lab/emulator/discovery.py
@@ -1,7 +1,7 @@
 """Emulate the platform's discovery service: the list of servers, and the watch for its changes.
 
 `GET` without a query answers with the whole list. `GET ?index=VERSION&wait=MILLISECONDS` waits for
-a version above the given one and answers with the servers that changed since. A `Catalogue`
+a version above the given one and answers with the servers that changed since. A `DiscoveryEmulator`
 belongs to the event loop that plays the day; it has no lock.
 """
 
@@ -14,8 +14,8 @@
 import ujson
 
 from stepstream.http.codec import Message, Parser, ProtocolError, write_answer
-from stepstream.lab.nodes import LIMITS, READ, Clock
-from stepstream.lab.referee import Referee
+from stepstream.lab.emulator.worker_drivers import LIMITS, READ, Clock
+from stepstream.lab.verification.verifier import Verifier
 
 Row = dict[str, Any]
 """A server in the form of the discovery service's JSON, with at least `id` and `state`."""
@@ -24,11 +24,11 @@
 
 
 @dataclass(eq=False)
-class Catalogue:
+class DiscoveryEmulator:
     """The list of servers with its version, served over HTTP on a loopback port."""
 
     clock: Clock
-    referee: Referee
+    verifier: Verifier
     version: int = 1
     rows: dict[str, Row] = field(default_factory=dict)
     changed: dict[str, int] = field(default_factory=dict)  # by id, the version of its last change
@@ -46,7 +46,7 @@
         self.version += 1
         self.rows[row["id"]] = row
         self.changed[row["id"]] = self.version
-        if self.referee.day.site.lists == "pushed":
+        if self.verifier.day.site.lists == "pushed":
             # The dispatcher counts as informed once its local agent holds the change.
             self._note_informed([row])
         async with self.version_raised:
@@ -86,9 +86,9 @@
         now_us = self.clock.now_us()
         for row in rows:
             if row["state"] == "ready":
-                self.referee.ready_again(row["id"])
+                self.verifier.ready_again(row["id"])
             else:
-                self.referee.drain_told(now_us, row["id"])
+                self.verifier.drain_told(now_us, row["id"])
 
     def _encode_answer(self, rows: list[Row], *, full: bool) -> bytes:
         """Return the answer's bytes; the dispatcher counts as informed of its rows from now on."""
--- a/stepstream/lab/nodes.py
+++ b/stepstream/lab/emulator/worker_drivers.py
@@ -16,8 +16,15 @@
 from stepstream.gearman import codec
 from stepstream.gearman.codec import Item, Kind, Packet
 from stepstream.http.codec import Message, Parser, ProtocolError, write_answer, write_request
-from stepstream.lab.pricing import Happening, Health, Offer, PricingNode, Task, Word
-from stepstream.lab.referee import Attempt, Referee
+from stepstream.lab.emulator.worker_model import (
+    Health,
+    OfferResult,
+    Task,
+    TaskEvent,
+    TaskState,
+    WorkerModel,
+)
+from stepstream.lab.verification.verifier import Attempt, Verifier
 
 LIMITS = Limits()
 READ = 65536  # bytes read from a socket at once
@@ -82,12 +89,12 @@
 
 
 @dataclass(eq=False)
-class NodeDriver:
-    """Run a node's model in real time and report its attempts to the verifier (`referee`)."""
+class WorkerDriver:
+    """Run a node's model in real time and report its attempts to the verifier (`verifier`)."""
 
-    model: PricingNode
+    model: WorkerModel
     clock: Clock
-    referee: Referee
+    verifier: Verifier
     stirred: asyncio.Event = field(default_factory=asyncio.Event)  # the model's next event changed
     tasks: list[asyncio.Task[None]] = field(default_factory=list)  # of the event loop, till `stop`
     foreign_jobs: int = 0  # jobs of clients other than the lab's so far
@@ -118,10 +125,10 @@
         """Report the model's new events to the verifier, then to the dispatcher."""
         for event in self.model.take_events():
             context: TaskContext = event.task.about
-            if event.word in (Word.DONE, Word.FAILED):
+            if event.word in (TaskState.DONE, TaskState.FAILED):
                 context.attempt.open = False
-            if event.word is Word.DONE:
-                self.referee.made(context.key, self.result_of(event.task))
+            if event.word is TaskState.DONE:
+                self.verifier.made(context.key, self.result_of(event.task))
             self.say(event)
 
     def result_of(self, task: Task) -> str:
@@ -135,27 +142,27 @@
         Its number is negative, so that the verifier does not take it for one of the schedule.
         """
         self.foreign_jobs += 1
-        job_class = self.referee.day.site.job[0]
+        job_class = self.verifier.day.site.job[0]
         factor = self.model.rng.lognormal(FOREIGN_WORK_LOG_MEAN, FOREIGN_WORK_LOG_SIGMA)
         work_us = job_class.work_ms * 1000 * factor
         return Workload(-self.foreign_jobs, 0, max(int(work_us), FOREIGN_WORK_LEAST_US), 1)
 
-    def offer(self, name: str, body: bytes, handle: bytes = b"") -> tuple[Offer, Task]:
+    def offer(self, name: str, body: bytes, handle: bytes = b"") -> tuple[OfferResult, Task]:
         """Offer a received job to the model; report the attempt to the verifier."""
         now_us = self.clock.now_us()
         workload = Workload.load(body) or self.draw_foreign_workload()
         key = (workload.number, workload.attempt)
-        attempt = self.referee.arrived(now_us, key, self.name, self.model.spec.cell)
+        attempt = self.verifier.arrived(now_us, key, self.name, self.model.spec.cell)
         context = TaskContext(key, attempt, handle)
         task = Task(name, workload.work_us, workload.slots, context)
         was_cold = self.model.is_cold(now_us)
         offer = self.model.offer(now_us, task)
-        if offer is Offer.DOWN and was_cold and self.model.health is Health.UP:
-            self.referee.toppled(now_us, self.name)
+        if offer is OfferResult.DOWN and was_cold and self.model.health is Health.UP:
+            self.verifier.toppled(now_us, self.name)
             self.fall(Health.TOPPLED)
-        if offer is not Offer.TAKEN:
+        if offer is not OfferResult.TAKEN:
             attempt.open = False
-            attempt.never_ran = offer is Offer.FULL
+            attempt.never_ran = offer is OfferResult.FULL
         self.stirred.set()
         return offer, task
 
@@ -171,7 +178,7 @@
         """Start to serve, as a node that has run for long."""
         raise NotImplementedError
 
-    def say(self, happening: Happening) -> None:
+    def say(self, happening: TaskEvent) -> None:
         """Notify the dispatcher of an event, in the driver's protocol."""
         raise NotImplementedError
 
@@ -190,7 +197,7 @@
 
 
 @dataclass(eq=False)
-class HttpNode(NodeDriver):
+class HttpWorker(WorkerDriver):
     """Emulate a node of the platform: answer 202 at once, then notify of the job's progress."""
 
     host: str = "127.0.0.1"
@@ -246,17 +253,17 @@
             return self.answer_health_check(message.target)
         offer, _ = self.offer(message.headers["request-id"], message.body)
         match offer:
-            case Offer.TAKEN:
+            case OfferResult.TAKEN:
                 return write_answer(202)
-            case Offer.FULL:
+            case OfferResult.FULL:
                 return write_answer(503, headers={"Not-Started": "1", **self.load_header()})
-            case Offer.ERROR:
+            case OfferResult.ERROR:
                 return write_answer(500, headers=self.load_header())
         return None
 
     def answer_health_check(self, path: str) -> bytes:
         """Answer a health check, which costs work; 404 where the site's settings have none."""
-        site = self.referee.day.site
+        site = self.verifier.day.site
         if site.reports == "none" or path not in ("/-/healthy", "/-/load"):
             return write_answer(404)
         self.probes += 1
@@ -269,7 +276,7 @@
     def current_load_report(self) -> dict[str, int]:
         """Return the load report, sampled anew at the site's report interval."""
         now_us = self.clock.now_us()
-        if now_us - self.load_sampled_at_us >= self.referee.day.site.report_ms * 1000:
+        if now_us - self.load_sampled_at_us >= self.verifier.day.site.report_ms * 1000:
             self.load_sampled_at_us = now_us
             self.sampled_load = self.model.load_report(now_us)
         return self.sampled_load
@@ -281,7 +288,7 @@
 
     def load_header(self) -> dict[str, str]:
         """Return the load report's header; empty unless the site's answers carry reports."""
-        if self.referee.day.site.reports != "answers":
+        if self.verifier.day.site.reports != "answers":
             return {}
         return {"Server-Load": self.load_text()}
 
@@ -295,7 +302,7 @@
         self.model.cancel(now_us, name)
         self.stirred.set()
 
-    def say(self, happening: Happening) -> None:
+    def say(self, happening: TaskEvent) -> None:
         """Queue a job notification; its field names are the platform's."""
         task = happening.task
         notification: dict[str, object] = {
@@ -303,11 +310,11 @@
             "from": self.name,
             "state": happening.word.value,
         }
-        if happening.word is Word.RUNNING:
+        if happening.word is TaskState.RUNNING:
             notification["share"] = task.completed_fraction()
-        elif happening.word is Word.DONE:
+        elif happening.word is TaskState.DONE:
             notification["result"] = self.result_of(task)
-        if happening.word in (Word.DONE, Word.FAILED) and self.load_header():
+        if happening.word in (TaskState.DONE, TaskState.FAILED) and self.load_header():
             notification["load"] = self.current_load_report()
         self.news.put_nowait(notification)
 
@@ -362,7 +369,7 @@
 
 
 @dataclass(eq=False)
-class GearmanNode(NodeDriver):
+class GearmanWorker(WorkerDriver):
     """Emulate a Gearman worker that runs as many jobs at once as it has slots."""
 
     address: tuple[str, int] = ("127.0.0.1", 0)  # of the dispatcher's Gearman listener
@@ -416,7 +423,7 @@
             case Packet(Kind.JOB_ASSIGN_UNIQ, (handle, _, _, workload)):
                 self.grab_pending = False
                 offer, _ = self.offer(handle.decode(), workload, handle)
-                if offer in (Offer.ERROR, Offer.FULL):
+                if offer in (OfferResult.ERROR, OfferResult.FULL):
                     self.send(Kind.WORK_FAIL, handle)
                 self.grab_job()
             case Packet(Kind.NO_JOB):
@@ -442,25 +449,25 @@
         self.grab_pending = True
         self.send(Kind.GRAB_JOB_UNIQ)
 
-    def say(self, happening: Happening) -> None:
+    def say(self, happening: TaskEvent) -> None:
         """Send a task's progress or its end."""
         task = happening.task
         handle = task.about.handle
         match happening.word:
-            case Word.RUNNING:
+            case TaskState.RUNNING:
                 done = int(task.completed_fraction() * PROGRESS_STEPS)
                 self.send(Kind.WORK_STATUS, handle, done, PROGRESS_STEPS)
-            case Word.DONE:
+            case TaskState.DONE:
                 self.send(Kind.WORK_COMPLETE, handle, self.result_of(task))
                 self.grab_job()
-            case Word.FAILED:
+            case TaskState.FAILED:
                 self.send(Kind.WORK_FAIL, handle)
                 self.grab_job()
 
     def drain(self) -> None:
         """Withdraw all functions, which tells the dispatcher that the node drains."""
         self.send(Kind.RESET_ABILITIES)
-        self.referee.drain_told(self.clock.now_us(), self.name)
+        self.verifier.drain_told(self.clock.now_us(), self.name)
 
     def crash(self) -> None:
         """Abort the connection and lose the tasks."""
--- a/stepstream/lab/pricing.py
+++ b/stepstream/lab/emulator/worker_model.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodeSpec:
+class WorkerSpec:
     """The properties of a node that no fault and no restart changes."""
 
     name: str
@@ -62,7 +62,7 @@
         return 1.0 - max(self.remaining_us, 0.0) / self.work_us
 
 
-class Word(Enum):
+class TaskState(Enum):
     """What happened to a task; the values are the states of the platform's job notifications."""
 
     STARTED = "started"
@@ -71,7 +71,7 @@
     FAILED = "failed"
 
 
-class Offer(Enum):
+class OfferResult(Enum):
     """The node's answer to an offered task."""
 
     TAKEN = "taken"
@@ -89,18 +89,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Happening:
+class TaskEvent:
     """An event of one task."""
 
-    word: Word
+    word: TaskState
     task: Task
 
 
 @dataclass(eq=False)
-class PricingNode:
+class WorkerModel:
     """The model of one node. `rng` decides which jobs fail; nothing else is random."""
 
-    spec: NodeSpec
+    spec: WorkerSpec
     rng: np.random.Generator
     at_us: int  # the model is played up to here
     started_us: int = 0  # 0: started long ago, so warm
@@ -111,7 +111,7 @@
     waiting: deque[Task] = field(default_factory=deque)
     # Time and work of the tasks offered while cold, within the spec's `fall_span_us`.
     offered_while_cold: deque[tuple[int, float]] = field(default_factory=deque)
-    events: list[Happening] = field(default_factory=list)  # not yet taken by the driver
+    events: list[TaskEvent] = field(default_factory=list)  # not yet taken by the driver
 
     # -- capacity --
 
@@ -164,21 +164,21 @@
 
     # -- tasks --
 
-    def offer(self, now_us: int, task: Task) -> Offer:
+    def offer(self, now_us: int, task: Task) -> OfferResult:
         """Offer a task; it runs or waits if the answer is `TAKEN`."""
         self.advance(now_us)
         if self.health is not Health.UP:
-            return Offer.DOWN
+            return OfferResult.DOWN
         if self.overloads_while_cold(now_us, task.work_us):
-            return Offer.DOWN
+            return OfferResult.DOWN
         if self.fails and self.rng.random() < self.fails:
-            return Offer.ERROR
+            return OfferResult.ERROR
         if len(self.waiting) >= self.spec.queue and not self.fits(task):
-            return Offer.FULL
+            return OfferResult.FULL
         task.remaining_us = float(task.work_us)
         self.waiting.append(task)
         self.start_waiting(now_us)
-        return Offer.TAKEN
+        return OfferResult.TAKEN
 
     def overloads_while_cold(self, now_us: int, work_us: int) -> bool:
         """Record work offered to a cold node; return whether its window exceeds the limit."""
@@ -213,7 +213,7 @@
             task = self.waiting.popleft()
             task.progress_sent_at_us = now_us
             self.running[task.id] = task
-            self.events.append(Happening(Word.STARTED, task))
+            self.events.append(TaskEvent(TaskState.STARTED, task))
 
     def cancel(self, now_us: int, name: str) -> bool:
         """Remove a running or waiting task; return whether the node had it."""
@@ -262,13 +262,13 @@
             if task.remaining_us <= FINISHED_BELOW_US:
                 del self.running[task.id]
                 failed = self.spec.error_rate and self.rng.random() < self.spec.error_rate
-                self.events.append(Happening(Word.FAILED if failed else Word.DONE, task))
+                self.events.append(TaskEvent(TaskState.FAILED if failed else TaskState.DONE, task))
             elif self.at_us - task.progress_sent_at_us >= self.spec.progress_us:
                 task.progress_sent_at_us = self.at_us
-                self.events.append(Happening(Word.RUNNING, task))
+                self.events.append(TaskEvent(TaskState.RUNNING, task))
         self.start_waiting(self.at_us)
 
-    def take_events(self) -> list[Happening]:
+    def take_events(self) -> list[TaskEvent]:
         """Return the events since the last call, oldest first."""
         events = self.events
         self.events = []
--- /dev/null
+++ b/stepstream/lab/faults/__init__.py
@@ -0,0 +1,1 @@
+"""Fault schedules, read from a file or drawn from a seed, and their injection into a cluster."""
--- a/stepstream/lab/fleet_faults.py
+++ b/stepstream/lab/faults/schedule.py
@@ -1,7 +1,7 @@
 """Fault schedules for a cluster of dispatchers: read or draw one, and apply it to a cluster.
 
-The same schedule is applied to protocol instances in simulated time (`fleet_world`, `lease_world`)
-and to processes (`fleet_play`). The module itself owns no state; a `Play` belongs to the one thread
+The same schedule is applied to protocol instances in simulated time (`simulation`) and to processes
+(`reports.fault_run`). The module itself owns no state; a `FaultInjector` belongs to the one thread
 that applies it.
 """
 
@@ -87,7 +87,7 @@
     fault: Fault
 
 
-class Fleet(Protocol):
+class FaultTarget(Protocol):
     """A cluster that a schedule can be applied to."""
 
     @property
@@ -179,13 +179,13 @@
     return steps
 
 
-class Play:
+class FaultInjector:
     """One schedule applied to one cluster.
 
     `steps` is what to apply, in order; the caller waits for each step's time and calls `do`.
     """
 
-    def __init__(self, fleet: Fleet, schedule: Schedule) -> None:
+    def __init__(self, fleet: FaultTarget, schedule: Schedule) -> None:
         self.fleet = fleet
         self.steps: list[Step] = []
         self._link_faults: list[Fault] = []  # those in force now
--- a/stepstream/lab/clients.py
+++ b/stepstream/lab/load/clients.py
@@ -12,9 +12,9 @@
 from stepstream.gearman import codec
 from stepstream.gearman.codec import Item, Kind, Packet
 from stepstream.http.codec import Message, write_request
-from stepstream.lab.nodes import LIMITS, READ, Clock, Workload, read_answer
-from stepstream.lab.referee import Final, Referee
-from stepstream.lab.site import Ask, Day, Speech
+from stepstream.lab.emulator.worker_drivers import LIMITS, READ, Clock, Workload, read_answer
+from stepstream.lab.load.site import PlannedRequest, Scenario, WireProtocol
+from stepstream.lab.verification.verifier import FinalOutcome, Verifier
 
 RETRY_AFTER_SHARE = 0.5  # part of the clients that wait as long as an answer's retry-after says
 GEARMAN_CONNECTIONS = 4
@@ -22,10 +22,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class ReceivedResponse:
     """The outcome of one client attempt; `pause_s` is the answer's retry-after in seconds."""
 
-    final: Final
+    final: FinalOutcome
     result: str | None = None
     pause_s: float = 0.0
 
@@ -34,9 +34,9 @@
 class Clients:
     """Play the schedule's jobs against a dispatcher and report each answer to the verifier."""
 
-    day: Day
+    day: Scenario
     clock: Clock
-    referee: Referee
+    verifier: Verifier
     http: tuple[str, int]  # address of the dispatcher's HTTP listener
     gearman: tuple[str, int]  # address of its Gearman listener
     # HTTP connections without a request in flight; the latest used is reused first.
@@ -47,12 +47,12 @@
 
     async def run(self) -> None:
         """Play the whole schedule; return when the last job has finished."""
-        if any(ask.speech is Speech.GEARMAN for ask in self.day.asks):
+        if any(ask.speech is WireProtocol.GEARMAN for ask in self.day.asks):
             self.gearman_connections = [
                 await GearmanConnection.open(self.gearman) for _ in range(GEARMAN_CONNECTIONS)
             ]
         begun_us = self.clock.now_us()
-        self.referee.begun_us = begun_us
+        self.verifier.begun_us = begun_us
         running: set[asyncio.Task[None]] = set()
         for ask in self.day.asks:
             wait_us = begun_us + ask.at_us - self.clock.now_us()
@@ -64,12 +64,12 @@
             task.add_done_callback(running.discard)
         await asyncio.gather(*running)
 
-    async def submit(self, ask: Ask) -> None:
+    async def submit(self, ask: PlannedRequest) -> None:
         """Send a job until it is served, its deadline passes or the client's retries are used up.
 
         A job that must not run twice is sent again only after a rejection.
         """
-        self.referee.asked(ask)
+        self.verifier.asked(ask)
         job_class = self.day.site.job[ask.job_class]
         deadline_us = self.clock.now_us() + int(job_class.deadline_ms * 1000)
         for attempt in range(self.day.site.retries + 1):
@@ -78,29 +78,31 @@
             if remaining_us <= 0:
                 break
             outcome = await self.attempt(ask, attempt, remaining_us)
-            self.referee.answered(self.clock.now_us(), key, outcome.final, outcome.result)
-            if outcome.final is Final.SERVED:
+            self.verifier.answered(self.clock.now_us(), key, outcome.final, outcome.result)
+            if outcome.final is FinalOutcome.SERVED:
                 break
-            if outcome.final is Final.FAILED and job_class.effect == "side_effect":
+            if outcome.final is FinalOutcome.FAILED and job_class.effect == "side_effect":
                 break
             advised_seconds = outcome.pause_s if ask.patience < RETRY_AFTER_SHARE else 0.0
             await asyncio.sleep(max(advised_seconds, self.day.site.backoff_ms / 1000))
         self.over += 1
 
-    async def attempt(self, ask: Ask, attempt: int, remaining_us: int) -> Heard:
+    async def attempt(
+        self, ask: PlannedRequest, attempt: int, remaining_us: int
+    ) -> ReceivedResponse:
         """Send a job once, in its client's protocol, and await the outcome."""
         workload = Workload(ask.number, attempt, ask.work_us, ask.slots).dump()
-        if ask.speech is Speech.GEARMAN:
+        if ask.speech is WireProtocol.GEARMAN:
             return await self.by_gearman(ask, workload)
         return await self.by_http(ask, workload, remaining_us, attempt > 0)
 
     async def by_http(
         self,
-        ask: Ask,
+        ask: PlannedRequest,
         workload: bytes,
         left_us: int,
-        again: bool,  # noqa: FBT001  overridden with this signature in fleet_day
-    ) -> Heard:
+        again: bool,  # noqa: FBT001  overridden with this signature in cluster_load_test
+    ) -> ReceivedResponse:
         """Send a job by HTTP; `left_us` is the time to its deadline, `again` marks a retry."""
         data = self.http_request(ask, workload, left_us, is_retry=again)
         may_be_closed = bool(self.idle)
@@ -119,16 +121,16 @@
                     self.idle.clear()
                     may_be_closed = False
                     continue
-                return Heard(Final.LOST)
+                return ReceivedResponse(FinalOutcome.LOST)
             if message.keep_alive:
                 self.idle.append(connection)
             else:
                 writer.close()
-            return heard_http(message)
-        return Heard(Final.LOST)
+            return received_http_response(message)
+        return ReceivedResponse(FinalOutcome.LOST)
 
     def http_request(
-        self, ask: Ask, workload: bytes, remaining_us: int, *, is_retry: bool
+        self, ask: PlannedRequest, workload: bytes, remaining_us: int, *, is_retry: bool
     ) -> bytes:
         """Return the bytes of a job's HTTP request."""
         site = self.day.site
@@ -146,7 +148,7 @@
             headers["Idempotency-Key"] = f"key-{ask.number}"
         return write_request("POST", f"/{job_class.name}", headers, workload)
 
-    async def by_gearman(self, ask: Ask, workload: bytes) -> Heard:
+    async def by_gearman(self, ask: PlannedRequest, workload: bytes) -> ReceivedResponse:
         """Send a job by Gearman; the function names tenant, job class and slots above one."""
         job_class = self.day.site.job[ask.job_class]
         slots = f"+{ask.slots}" if ask.slots > 1 else ""
@@ -156,13 +158,15 @@
         return await connection.submit(function, unique, workload)
 
 
-def heard_http(message: Message) -> Heard:
+def received_http_response(message: Message) -> ReceivedResponse:
     """Return the outcome that an HTTP answer means."""
     if message.status == HTTPStatus.OK:
-        return Heard(Final.SERVED, message.body.decode())
+        return ReceivedResponse(FinalOutcome.SERVED, message.body.decode())
     if message.status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
-        return Heard(Final.REFUSED, pause_s=float(message.headers.get("retry-after", "0")))
-    return Heard(Final.FAILED)
+        return ReceivedResponse(
+            FinalOutcome.REFUSED, pause_s=float(message.headers.get("retry-after", "0"))
+        )
+    return ReceivedResponse(FinalOutcome.FAILED)
 
 
 @dataclass(eq=False)
@@ -172,9 +176,9 @@
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     # Jobs without a handle yet, in the order of their submission.
-    submitted: deque[asyncio.Future[Heard]] = field(default_factory=deque)
+    submitted: deque[asyncio.Future[ReceivedResponse]] = field(default_factory=deque)
     # Unfinished jobs by handle; jobs that the dispatcher coalesces share one.
-    open_jobs: dict[bytes, list[asyncio.Future[Heard]]] = field(default_factory=dict)
+    open_jobs: dict[bytes, list[asyncio.Future[ReceivedResponse]]] = field(default_factory=dict)
     warnings: dict[bytes, bytes] = field(default_factory=dict)  # latest WORK_WARNING by handle
     lost: bool = False  # the connection has ended
     task: asyncio.Task[None] | None = None  # runs `listen`; kept from garbage collection
@@ -186,11 +190,11 @@
         connection.task = asyncio.ensure_future(connection.listen())
         return connection
 
-    async def submit(self, function: str, unique: str, workload: bytes) -> Heard:
+    async def submit(self, function: str, unique: str, workload: bytes) -> ReceivedResponse:
         """Submit a job and await its outcome."""
         if self.lost:
-            return Heard(Final.LOST)
-        future: asyncio.Future[Heard] = asyncio.get_running_loop().create_future()
+            return ReceivedResponse(FinalOutcome.LOST)
+        future: asyncio.Future[ReceivedResponse] = asyncio.get_running_loop().create_future()
         self.submitted.append(future)
         self.writer.write(codec.request(Kind.SUBMIT_JOB, function, unique, workload))
         return await future
@@ -210,7 +214,7 @@
         for futures in self.open_jobs.values():
             unfinished += futures
         for future in unfinished:
-            future.set_result(Heard(Final.LOST))
+            future.set_result(ReceivedResponse(FinalOutcome.LOST))
 
     def on_packet(self, packet: Item) -> None:
         """Handle a packet of the dispatcher; ignore those that end no job, such as progress."""
@@ -218,19 +222,19 @@
             case Packet(Kind.JOB_CREATED, (handle,)):
                 self.open_jobs.setdefault(handle, []).append(self.submitted.popleft())
             case Packet(Kind.ERROR, (code, text)):
-                final = Final.REFUSED if code == b"JOB_QUEUE_FULL" else Final.FAILED
-                outcome = Heard(final, pause_s=retry_after_seconds(text))
+                final = FinalOutcome.REFUSED if code == b"JOB_QUEUE_FULL" else FinalOutcome.FAILED
+                outcome = ReceivedResponse(final, pause_s=retry_after_seconds(text))
                 self.submitted.popleft().set_result(outcome)
             case Packet(Kind.WORK_WARNING, (handle, text)):
                 self.warnings[handle] = text
             case Packet(Kind.WORK_COMPLETE, (handle, result)):
-                self.finish(handle, Heard(Final.SERVED, result.decode()))
+                self.finish(handle, ReceivedResponse(FinalOutcome.SERVED, result.decode()))
             case Packet(Kind.WORK_FAIL, (handle,)):
                 text = self.warnings.get(handle, b"")
-                final = Final.REFUSED if text.startswith(b"refused") else Final.FAILED
-                self.finish(handle, Heard(final, pause_s=retry_after_seconds(text)))
+                final = FinalOutcome.REFUSED if text.startswith(b"refused") else FinalOutcome.FAILED
+                self.finish(handle, ReceivedResponse(final, pause_s=retry_after_seconds(text)))
 
-    def finish(self, handle: bytes, outcome: Heard) -> None:
+    def finish(self, handle: bytes, outcome: ReceivedResponse) -> None:
         """Give the outcome to the oldest job of the handle."""
         self.warnings.pop(handle, None)
         futures = self.open_jobs[handle]
--- a/stepstream/lab/site.py
+++ b/stepstream/lab/load/site.py
@@ -1,12 +1,12 @@
 """Input of a lab run: a site file of ranges, and the fleet, load and faults drawn from it.
 
-`read_site` reads the ranges and `draw_day` draws one `Day` from them. Each purpose draws from a
-random stream of its own, all spawned from one `SeedSequence`, so a change to the draws of one
-purpose does not shift those of the others, and one seed gives the same fleet, load and faults
+`read_site` reads the ranges and `draw_scenario` draws one `Scenario` from them. Each purpose draws
+from a random stream of its own, all spawned from one `SeedSequence`, so a change to the draws of
+one purpose does not shift those of the others, and one seed gives the same fleet, load and faults
 whatever the mix of protocols.
 
-The module holds no state. A `Day` belongs to the run that drew it: its streams change with each
-draw and are used on that run's event loop thread only.
+The module holds no state. A `Scenario` belongs to the run that drew it: its streams change with
+each draw and are used on that run's event loop thread only.
 """
 
 import tomllib
@@ -20,7 +20,7 @@
 import numpy as np
 
 from stepstream.config.errors import ConfigurationError
-from stepstream.lab.pricing import NodeSpec
+from stepstream.lab.emulator.worker_model import WorkerSpec
 
 Range = tuple[float, float]  # low and high end of a uniform draw
 Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
@@ -153,7 +153,7 @@
         raise ConfigurationError(f"site file {source}: {error}") from error
 
 
-class Speech(Enum):
+class WireProtocol(Enum):
     """Protocol that a client or a worker node speaks with the dispatcher."""
 
     HTTP = "http"
@@ -161,7 +161,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class PlannedRequest:
     """One request of the schedule; the client's retries of it are part of it."""
 
     number: int
@@ -170,7 +170,7 @@
     tenant: int  # index in Site.tenant
     work_us: int  # on a core of speed 1
     slots: int
-    speech: Speech
+    speech: WireProtocol
     patience: float  # uniform draw that decides whether this client follows Retry-After
 
 
@@ -186,19 +186,19 @@
 
 
 @dataclass(frozen=True)
-class Day:
+class Scenario:
     """One draw from a site: fleet, request schedule and fault schedule of a run."""
 
     site: Site
     seconds: int
-    specs: tuple[NodeSpec, ...]
-    speeches: tuple[Speech, ...]  # of the nodes, in the order of `specs`
-    asks: tuple[Ask, ...]  # by time
+    specs: tuple[WorkerSpec, ...]
+    speeches: tuple[WireProtocol, ...]  # of the nodes, in the order of `specs`
+    asks: tuple[PlannedRequest, ...]  # by time
     faults: tuple[Fault, ...]
     streams: dict[str, np.random.Generator]  # by purpose, for draws during the run
 
 
-def draw_day(site: Site, seed: int, seconds: int, mix: str) -> Day:
+def draw_scenario(site: Site, seed: int, seconds: int, mix: str) -> Scenario:
     """Draw a run of `seconds` from `site`.
 
     `mix` is one of `MIXES` and decides who speaks which protocol, nothing else. Raises
@@ -215,21 +215,21 @@
     speeches = tuple(choose_node_protocol(mix, index) for index in range(len(specs)))
     asks = sample_requests(site, specs, seconds, mix, streams)
     faults = tuple(sample_fault(site, table, seconds, streams["faults"]) for table in site.fault)
-    return Day(site, seconds, specs, speeches, asks, faults, streams)
+    return Scenario(site, seconds, specs, speeches, asks, faults, streams)
 
 
-def choose_node_protocol(mix: str, index: int) -> Speech:
+def choose_node_protocol(mix: str, index: int) -> WireProtocol:
     """Return the protocol of the node with this index; in a mixed fleet the odd ones speak HTTP."""
     if mix == "http" or (mix == "mixed" and index % 2):
-        return Speech.HTTP
-    return Speech.GEARMAN
+        return WireProtocol.HTTP
+    return WireProtocol.GEARMAN
 
 
-def sample_node(site: Site, index: int, rng: np.random.Generator) -> NodeSpec:
+def sample_node(site: Site, index: int, rng: np.random.Generator) -> WorkerSpec:
     """Draw kind, name and speed of one node; zone and cell follow from its index."""
     shares = normalized([kind.share for kind in site.kind])
     kind = site.kind[rng.choice(len(site.kind), p=shares)]
-    return NodeSpec(
+    return WorkerSpec(
         name=f"s-{int(rng.integers(2**32)):08x}",
         zone=site.zones[index % len(site.zones)],
         kind=kind.name,
@@ -247,11 +247,11 @@
 
 def sample_requests(
     site: Site,
-    specs: tuple[NodeSpec, ...],
+    specs: tuple[WorkerSpec, ...],
     seconds: int,
     mix: str,
     streams: dict[str, np.random.Generator],
-) -> tuple[Ask, ...]:
+) -> tuple[PlannedRequest, ...]:
     """Draw the requests, as Poisson arrivals; each stream is drawn for all of them at once."""
     shares = normalized([table.share for table in site.job])
     duration_us = seconds * US_PER_SECOND
@@ -272,7 +272,7 @@
         # Lognormal with the mean `work_ms`.
         work_us = table.work_ms * US_PER_MS * np.exp(sigma * normals[number] - sigma**2 / 2)
         asks.append(
-            Ask(
+            PlannedRequest(
                 number=number,
                 at_us=int(arrivals_us[number]),
                 job_class=int(classes[number]),
@@ -291,7 +291,7 @@
     return np.array(weights) / float(np.array(weights).sum())
 
 
-def arrival_rate_per_us(site: Site, specs: tuple[NodeSpec, ...], shares: np.ndarray) -> float:
+def arrival_rate_per_us(site: Site, specs: tuple[WorkerSpec, ...], shares: np.ndarray) -> float:
     """Return the requests per microsecond that load the fleet as `site.load` says.
 
     `shares` are those of the job classes, with a sum of 1.
@@ -302,11 +302,11 @@
     return site.load * capacity / mean_us
 
 
-def choose_client_protocol(mix: str, uniform: float) -> Speech:
+def choose_client_protocol(mix: str, uniform: float) -> WireProtocol:
     """Return a request's protocol; `uniform`, a draw on [0, 1), decides in a mixed load."""
     if mix == "gearman" or (mix == "mixed" and uniform < GEARMAN_SHARE_OF_MIXED):
-        return Speech.GEARMAN
-    return Speech.HTTP
+        return WireProtocol.GEARMAN
+    return WireProtocol.HTTP
 
 
 def sample_fault(site: Site, table: FaultTable, seconds: int, rng: np.random.Generator) -> Fault:
@@ -318,7 +318,7 @@
     return Fault(table.kind, at_us, end_us, nodes, table.size)
 
 
-def settings_of(day: Day) -> dict[str, Any]:
+def settings_of(day: Scenario) -> dict[str, Any]:
     """Return the dispatcher's settings for a run: nested JSON with the platform's own keys."""
     site = day.site
     rate_per_second = len(day.asks) / day.seconds
--- a/stepstream/lab/fleet_day.py
+++ b/stepstream/lab/processes/cluster_load_test.py
@@ -17,14 +17,14 @@
 import ujson
 
 from stepstream.http.codec import Message, write_request
-from stepstream.lab.catalogue import Catalogue
-from stepstream.lab.clients import Clients, Heard, heard_http
-from stepstream.lab.fleet_rig import free_port
-from stepstream.lab.nodes import HttpNode, read_answer
-from stepstream.lab.pricing import Happening, PricingNode, Task
-from stepstream.lab.referee import Figures, Final
-from stepstream.lab.rig import PATIENCE_S, START_S, Rig
-from stepstream.lab.site import Day, Fault, draw_day, read_site, settings_of
+from stepstream.lab.emulator.discovery import DiscoveryEmulator
+from stepstream.lab.emulator.worker_drivers import HttpWorker, read_answer
+from stepstream.lab.emulator.worker_model import Task, TaskEvent, WorkerModel
+from stepstream.lab.load.clients import Clients, ReceivedResponse, received_http_response
+from stepstream.lab.load.site import Fault, Scenario, draw_scenario, read_site, settings_of
+from stepstream.lab.processes.dispatcher_cluster import free_port
+from stepstream.lab.processes.load_test import PATIENCE_S, START_S, LoadTest
+from stepstream.lab.verification.verifier import Figures, FinalOutcome
 
 NOTICE_S = 1.0  # the front goes on sending to a dead dispatcher for so long
 HOLD_S = 3  # of `fleet.hold_s`: shorter than its default, as the day is short
@@ -32,7 +32,7 @@
 
 
 @dataclass(eq=False)
-class ManyNode(HttpNode):
+class MultiListenerWorker(HttpWorker):
     """A node with a door for each dispatcher, which tells whose a job is and where its news goes."""
 
     dispatchers: list[tuple[str, int]] = field(default_factory=list)
@@ -58,7 +58,7 @@
     def offer(self, name: str, body: bytes, handle: bytes = b"") -> tuple:
         return super().offer(name, body, bytes([self.door]))
 
-    def say(self, happening: Happening) -> None:
+    def say(self, happening: TaskEvent) -> None:
         super().say(happening)
         self.pass_on(happening.task)
 
@@ -103,7 +103,9 @@
         self.turn += 1
         return usable[self.turn % len(usable)]
 
-    async def by_http(self, ask: object, workload: bytes, left_us: int, again: bool) -> Heard:
+    async def by_http(
+        self, ask: object, workload: bytes, left_us: int, again: bool
+    ) -> ReceivedResponse:
         part, k = self.day.site.job[ask.job_class], self.next_front()
         headers = {
             "Host": "lab",
@@ -120,14 +122,14 @@
             writer.write(write_request("POST", f"/{part.name}", headers, workload))
             message: Message = await read_answer(reader)
             writer.close()
-            return heard_http(message)
+            return received_http_response(message)
         except (OSError, EOFError):
             # Of a killed dispatcher: nothing is known of what it had taken. Of a running one it is a loss.
-            return Heard(Final.FAILED if k in self.dead else Final.LOST)
+            return ReceivedResponse(FinalOutcome.FAILED if k in self.dead else FinalOutcome.LOST)
 
 
 @dataclass(eq=False)
-class FleetDay(Rig):
+class ClusterLoadTest(LoadTest):
     """`viewed`: whether the dispatchers have `[fleet]`; off, they have their settings' figure only."""
 
     dispatchers: int = 4
@@ -141,15 +143,17 @@
         hosts = [f"{self.host.rpartition('.')[0]}.{200 + k}" for k in range(self.dispatchers)]
         self.fronts = [(host, free_port(host)) for host in hosts]
         self.members = [f"{host}:{free_port(host)}" for host in hosts]
-        self.catalogues = [Catalogue(self.clock, self.referee) for _ in hosts]
+        self.catalogues = [DiscoveryEmulator(self.clock, self.verifier) for _ in hosts]
         self.processes: list[asyncio.subprocess.Process] = []
         self.toppled = 0
 
-    def node(self, k: int) -> ManyNode:
-        model = PricingNode(
+    def node(self, k: int) -> MultiListenerWorker:
+        model = WorkerModel(
             self.day.specs[k], self.day.streams["nodes"].spawn(1)[0], self.clock.now_us()
         )
-        return ManyNode(model, self.clock, self.referee, host=self.host, dispatchers=self.fronts)
+        return MultiListenerWorker(
+            model, self.clock, self.verifier, host=self.host, dispatchers=self.fronts
+        )
 
     async def start(self) -> None:
         ports = [await catalogue.begin() for catalogue in self.catalogues]
@@ -170,12 +174,12 @@
                 await asyncio.sleep(PATIENCE_S)
         await asyncio.sleep(2.0)  # for one view
 
-    async def put(self, node: ManyNode, state: str) -> None:
+    async def put(self, node: MultiListenerWorker, state: str) -> None:
         for k, catalogue in enumerate(self.catalogues):
             row = {**self.row(node, state), "addr": f"{self.host}:{node.ports[k]}"}
             await catalogue.put(row)
 
-    async def announce(self, node: ManyNode, state: str) -> None:
+    async def announce(self, node: MultiListenerWorker, state: str) -> None:
         await asyncio.sleep(self.day.streams["discovery"].uniform(*self.day.site.notice_ms) / 1000)
         await self.put(node, state)
 
@@ -211,7 +215,7 @@
 
     async def day_of_crashes(self) -> Figures:
         """At two fifths of it two dispatchers die, and a quarter of the nodes, which return."""
-        clients = FrontClients(self.day, self.clock, self.referee, self.fronts[0], self.fronts[0])
+        clients = FrontClients(self.day, self.clock, self.verifier, self.fronts[0], self.fronts[0])
         clients.fronts = self.fronts
         faults = [asyncio.ensure_future(self.fault(fault)) for fault in self.day.faults]
         killer = asyncio.ensure_future(self.kill_two(clients))
@@ -219,7 +223,7 @@
         for task in (*faults, killer):
             task.cancel()
         self.late_ms = clients.late_us / 1000
-        return self.referee.figures()
+        return self.verifier.figures()
 
     async def kill_two(self, clients: FrontClients) -> None:
         await asyncio.sleep(0.4 * self.day.seconds)
@@ -238,13 +242,13 @@
 
     async def day_of_sweep(self) -> Figures:
         """Nothing happens but, if so wished, to the sweep's holder: killed, or stopped for a quarter."""
-        clients = FrontClients(self.day, self.clock, self.referee, self.fronts[0], self.fronts[0])
+        clients = FrontClients(self.day, self.clock, self.verifier, self.fronts[0], self.fronts[0])
         clients.fronts = self.fronts
         harm = asyncio.ensure_future(self.harm_sweeper(clients))
         await clients.run()
         harm.cancel()
         self.late_ms = clients.late_us / 1000
-        return self.referee.figures()
+        return self.verifier.figures()
 
     async def harm_sweeper(self, clients: FrontClients) -> None:
         if not self.harm:
@@ -271,8 +275,12 @@
 
 async def swept(seed: int, sweep: bool, dispatchers: int, seconds: int, harm: str) -> dict:
     site = msgspec.structs.replace(read_site(name="probed"), nodes=8, fault=(), load=LOAD)
-    rig = FleetDay(
-        draw_day(site, seed, seconds, "http"), seed, dispatchers=dispatchers, sweep=sweep, harm=harm
+    rig = ClusterLoadTest(
+        draw_scenario(site, seed, seconds, "http"),
+        seed,
+        dispatchers=dispatchers,
+        sweep=sweep,
+        harm=harm,
     )
     try:
         await rig.start()
@@ -301,17 +309,17 @@
     return asyncio.run(swept(*job))
 
 
-def day_of(seed: int, seconds: int) -> Day:
+def day_of(seed: int, seconds: int) -> Scenario:
     """The small site's, with more nodes, and one fault: a quarter of them dies and comes back cold."""
     site = msgspec.structs.replace(read_site(), nodes=NODES, fault=(), load=LOAD)
-    day = draw_day(site, seed, seconds, "http")
+    day = draw_scenario(site, seed, seconds, "http")
     hit = tuple(int(k) for k in day.streams["faults"].choice(NODES, size=NODES // 4, replace=False))
     crash = Fault("crash", int(0.4e6 * seconds), int(0.6e6 * seconds), hit, 1.0)
     return replace(day, faults=(crash,))
 
 
 async def played(seed: int, viewed: bool, seconds: int) -> tuple[Figures, float]:
-    rig = FleetDay(day_of(seed, seconds), seed, viewed=viewed)
+    rig = ClusterLoadTest(day_of(seed, seconds), seed, viewed=viewed)
     try:
         await rig.start()
         return await rig.day_of_crashes(), rig.late_ms
--- a/stepstream/lab/fleet_rig.py
+++ b/stepstream/lab/processes/dispatcher_cluster.py
@@ -15,7 +15,7 @@
 
 import ujson
 
-from stepstream.lab.links import Links, Relay
+from stepstream.lab.emulator.links import Links, Relay
 
 START_S = 30.0
 LOOK_S = 0.05
@@ -89,7 +89,7 @@
         return (self.folder / f"{self.name}.log").read_text()
 
 
-class FleetRig:
+class DispatcherCluster:
     """`more`: further lines of `[fleet]`, for all. As a context it ends every process that it started."""
 
     def __init__(self, members: int, seed: int, more: str = "", links: Links | None = None) -> None:
@@ -109,7 +109,7 @@
         self.seeds = [member.advertise for member in list(self.members.values())[:2]]
         threading.Thread(target=self.relay.run, name="relay", daemon=True).start()
 
-    def __enter__(self) -> "FleetRig":
+    def __enter__(self) -> "DispatcherCluster":
         self.start(self.members)
         return self
 
--- a/stepstream/lab/lease_rig.py
+++ b/stepstream/lab/processes/lease_cluster.py
@@ -1,6 +1,7 @@
 """Run dispatchers that contend for one lease, inject faults and record who operated on a ledger.
 
-A `LeaseRig` owns the processes of the dispatchers and of the ledger, and the relay between them.
+A `LeaseDispatcherCluster` owns the processes of the dispatchers and of the ledger, and the relay
+between them.
 All calls come from one thread, of the test or benchmark; the relay's thread shares only its links.
 """
 
@@ -15,9 +16,9 @@
 from pathlib import Path
 from typing import Any
 
-from stepstream.lab import ledger
-from stepstream.lab.fleet_rig import FleetRig, free_port
-from stepstream.lab.lease_member import LEASE, LEDGER, TASKS
+from stepstream.lab.processes.dispatcher_cluster import DispatcherCluster, free_port
+from stepstream.lab.processes.lease_member import LEASE, LEDGER, TASKS
+from stepstream.lab.verification import ledger
 
 TTL = 1.2
 """A lease's time to live in seconds."""
@@ -50,7 +51,7 @@
 """How many of the ledger's last rows are searched: for the holder, for an operation's end."""
 
 
-class LeaseRig(FleetRig):
+class LeaseDispatcherCluster(DispatcherCluster):
     """A cluster n0, n1, ... of which the first `voters` vote on leases, with a ledger.
 
     `tasks` names the members that contend for the lease; all of them if it is empty.
@@ -65,7 +66,7 @@
         super().__init__(members, seed, MEMBERSHIP_SETTINGS + section)
         self.ttl = ttl
         self.contenders = tasks
-        self.program = ["-m", "stepstream.lab.lease_member"]
+        self.program = ["-m", "stepstream.lab.processes.lease_member"]
         self.draw = random.Random(seed)
         self.drained: set[str] = set()
         self.ledger_file = Path(self.folder.name) / "ledger.jsonl"
@@ -73,8 +74,8 @@
         self.ledger_address = f"{host}:{free_port(host)}"
         self.ledger_process: subprocess.Popen[bytes] | None = None
 
-    def __enter__(self) -> "LeaseRig":
-        module = "stepstream.lab.ledger"
+    def __enter__(self) -> "LeaseDispatcherCluster":
+        module = "stepstream.lab.verification.ledger"
         self.ledger_process = subprocess.Popen(
             [sys.executable, "-m", module, self.ledger_address, str(self.ledger_file)]
         )
@@ -154,35 +155,35 @@
 
     name: str
     lifetimes: float
-    begin: Callable[[LeaseRig, str], None]
+    begin: Callable[[LeaseDispatcherCluster, str], None]
 
 
-def others(rig: LeaseRig, *names: str) -> list[str]:
+def others(rig: LeaseDispatcherCluster, *names: str) -> list[str]:
     """Return all members but the named ones."""
     return [name for name in rig.members if name not in names]
 
 
-def majority_without(rig: LeaseRig, holder: str) -> list[str]:
+def majority_without(rig: LeaseDispatcherCluster, holder: str) -> list[str]:
     """Return a majority of the voters without the holder, as far as there are enough others."""
     voters = [name for name in rig.voters if name != holder]
     return voters[: len(rig.voters) // 2 + 1]
 
 
-def set_links(rig: LeaseRig, **values: float) -> None:
+def set_links(rig: LeaseDispatcherCluster, **values: float) -> None:
     """Set fields of the relay's `Links` together."""
     with rig.relay.lock:
         for name, value in values.items():
             setattr(rig.relay.links, name, value)
 
 
-def kill(rig: LeaseRig, *names: str) -> None:
+def kill(rig: LeaseDispatcherCluster, *names: str) -> None:
     """Kill the named members that are running."""
     for name in names:
         if rig.members[name].running():
             rig.kill(name)
 
 
-def terminate(rig: LeaseRig, name: str) -> None:
+def terminate(rig: LeaseDispatcherCluster, name: str) -> None:
     """Send SIGTERM to a member that was started, without waiting for its end."""
     process = rig.members[name].process
     if process is None:
@@ -190,20 +191,20 @@
     process.send_signal(signal.SIGTERM)
 
 
-def restart(rig: LeaseRig, *names: str) -> None:
+def restart(rig: LeaseDispatcherCluster, *names: str) -> None:
     """Kill the named members and start them again, without waiting until they are up."""
     kill(rig, *names)
     rig.start(names, wait=False)
 
 
-def restart_voters_one_by_one(rig: LeaseRig, _holder: str) -> None:
+def restart_voters_one_by_one(rig: LeaseDispatcherCluster, _holder: str) -> None:
     """Restart one voter after another, faster than the lease expires."""
     for name in rig.voters:
         restart(rig, name)
         time.sleep(TTL / 2)
 
 
-def isolate_with_one_voter(rig: LeaseRig, holder: str) -> None:
+def isolate_with_one_voter(rig: LeaseDispatcherCluster, holder: str) -> None:
     """Cut the holder and one voter, which may be the holder itself, from all other members."""
     side = {holder}
     if holder not in rig.voters:
@@ -211,7 +212,7 @@
     rig.cut(side, others(rig, *side))
 
 
-def stop_two(rig: LeaseRig, holder: str) -> None:
+def stop_two(rig: LeaseDispatcherCluster, holder: str) -> None:
     """Stop the holder's process and another member's with SIGSTOP."""
     for name in (holder, others(rig, holder)[0]):
         rig.freeze(name)
@@ -263,7 +264,7 @@
 """Every fault that the lease must survive."""
 
 
-def trouble(rig: LeaseRig, which: Fault, timeout_seconds: float) -> dict[str, Any]:
+def trouble(rig: LeaseDispatcherCluster, which: Fault, timeout_seconds: float) -> dict[str, Any]:
     """Inject one fault, end it, and measure how long until an operation completes after that.
 
     The wait for a holder before and for an operation afterwards is limited by `timeout_seconds`:
--- a/stepstream/lab/lease_member.py
+++ b/stepstream/lab/processes/lease_member.py
@@ -1,6 +1,6 @@
 """Run `stepstream serve` with a task inside that contends for a lease and operates on a ledger.
 
-    python -m stepstream.lab.lease_member serve --operator FILE
+    python -m stepstream.lab.processes.lease_member serve --operator FILE
 
 The environment configures the task:
 
@@ -21,7 +21,7 @@
 
 from stepstream.cli import main
 from stepstream.config.operator_file import split_address
-from stepstream.lab.ledger import Client
+from stepstream.lab.verification.ledger import Client
 from stepstream.leases import subsystem
 from stepstream.leases.client import Lease, LeaseClient, LeaseLostError, OperationOverranError
 from stepstream.runtime.threads import spawn_thread
--- a/stepstream/lab/rig.py
+++ b/stepstream/lab/processes/load_test.py
@@ -1,7 +1,7 @@
 """Test harness of a lab run on loopback: worker nodes, discovery, clients and the real dispatcher.
 
-`Rig` starts emulated worker nodes and a discovery service in this process, the dispatcher in a
-process of its own, plays the request and fault schedules of a `Day`, and measures what the
+`LoadTest` starts emulated worker nodes and a discovery service in this process, the dispatcher in a
+process of its own, plays the request and fault schedules of a `Scenario`, and measures what the
 dispatcher used. It owns the child process, its log and a temporary folder; all of its state
 belongs to the event loop thread that calls `start`.
 """
@@ -21,12 +21,12 @@
 
 import ujson
 
-from stepstream.lab.catalogue import Catalogue
-from stepstream.lab.clients import Clients
-from stepstream.lab.nodes import Clock, GearmanNode, HttpNode
-from stepstream.lab.pricing import PricingNode
-from stepstream.lab.referee import Figures, Referee
-from stepstream.lab.site import Day, Fault, Speech, settings_of
+from stepstream.lab.emulator.discovery import DiscoveryEmulator
+from stepstream.lab.emulator.worker_drivers import Clock, GearmanWorker, HttpWorker
+from stepstream.lab.emulator.worker_model import WorkerModel
+from stepstream.lab.load.clients import Clients
+from stepstream.lab.load.site import Fault, Scenario, WireProtocol, settings_of
+from stepstream.lab.verification.verifier import Figures, Verifier
 
 START_S = 20.0  # limit for the dispatcher's start, and for its shutdown
 PATIENCE_S = 0.02  # between two attempts to connect to a dispatcher that starts
@@ -48,10 +48,10 @@
 tenant = "{tenant}"
 """
 
-EmulatedNode = HttpNode | GearmanNode
+EmulatedNode = HttpWorker | GearmanWorker
 
 
-class RigError(RuntimeError):
+class LoadTestError(RuntimeError):
     """The dispatcher's process did not start, or is not there."""
 
 
@@ -90,7 +90,7 @@
 
 
 @dataclass(eq=False)
-class Rig:
+class LoadTest:
     """A dispatcher process with the emulated fleet, discovery and clients around it.
 
     Call `start`, then `play` once, and `stop` in any case. `with_gearman` says whether the
@@ -98,7 +98,7 @@
     platform.
     """
 
-    day: Day
+    day: Scenario
     seed: int  # of the dispatcher
     with_gearman: bool = True
     clock: Clock = field(default_factory=Clock)
@@ -107,8 +107,8 @@
     log: TextIO | None = None  # the dispatcher's standard error
 
     def __post_init__(self) -> None:
-        self.referee = Referee(self.day)
-        self.catalogue = Catalogue(self.clock, self.referee)
+        self.verifier = Verifier(self.day)
+        self.catalogue = DiscoveryEmulator(self.clock, self.verifier)
         self.host = own_host()
         self.http = (self.host, free_port(self.host))
         self.gearman = (self.host, free_port(self.host))
@@ -125,24 +125,28 @@
         discovery_port = await self.catalogue.begin()
         self.nodes = [self.node(index) for index in range(len(self.day.specs))]
         for node in self.nodes:
-            if isinstance(node, HttpNode):
+            if isinstance(node, HttpWorker):
                 await node.begin()
                 await self.catalogue.put(self.row(node, "ready"))
         await self.start_dispatcher(discovery_port)
         for node in self.nodes:
-            if isinstance(node, GearmanNode):
+            if isinstance(node, GearmanWorker):
                 await node.begin()
 
     def node(self, index: int) -> EmulatedNode:
         """Build the emulated node with this index; it does not run yet."""
         seeds = self.day.streams["nodes"].spawn(1)
-        model = PricingNode(self.day.specs[index], seeds[0], self.clock.now_us())
-        if self.day.speeches[index] is Speech.HTTP:
-            return HttpNode(model, self.clock, self.referee, host=self.host, dispatcher=self.http)
+        model = WorkerModel(self.day.specs[index], seeds[0], self.clock.now_us())
+        if self.day.speeches[index] is WireProtocol.HTTP:
+            return HttpWorker(
+                model, self.clock, self.verifier, host=self.host, dispatcher=self.http
+            )
         names = tuple(job_class.name for job_class in self.day.site.job)
-        return GearmanNode(model, self.clock, self.referee, address=self.gearman, functions=names)
+        return GearmanWorker(
+            model, self.clock, self.verifier, address=self.gearman, functions=names
+        )
 
-    def row(self, node: HttpNode, state: str) -> dict[str, Any]:
+    def row(self, node: HttpWorker, state: str) -> dict[str, Any]:
         """Return the node's entry in discovery's endpoint list, with the platform's keys."""
         spec = node.model.spec
         return {
@@ -198,7 +202,7 @@
             while True:
                 has_ended = self.dispatcher().returncode is not None
                 if has_ended or time.monotonic() > deadline_s:
-                    raise RigError(f"the dispatcher did not start: {self.log_tail()}")
+                    raise LoadTestError(f"the dispatcher did not start: {self.log_tail()}")
                 with contextlib.suppress(OSError):
                     _, writer = await asyncio.open_connection(*address)
                     writer.close()
@@ -208,7 +212,7 @@
     def dispatcher(self) -> asyncio.subprocess.Process:
         """Return the dispatcher's process; RigError if `start` has not started it."""
         if self.process is None:
-            raise RigError("the dispatcher's process is not started: call Rig.start first")
+            raise LoadTestError("the dispatcher's process is not started: call Rig.start first")
         return self.process
 
     def log_tail(self) -> str:
@@ -247,7 +251,7 @@
         `on_progress` is called twice a second. An end of the dispatcher before that of the
         schedule is a breach in the result; an error of the lab's own is raised.
         """
-        clients = Clients(self.day, self.clock, self.referee, self.http, self.gearman)
+        clients = Clients(self.day, self.clock, self.verifier, self.http, self.gearman)
         before = self.cost()
         self.fault_tasks = [asyncio.ensure_future(self.fault(fault)) for fault in self.day.faults]
         reporting = None
@@ -264,10 +268,10 @@
         if run.done():
             run.result()  # raises an error of the lab's own, which is not the dispatcher's
         else:
-            self.referee.breach(self.clock.now_us(), f"the dispatcher ended: {self.log_tail()}")
+            self.verifier.breach(self.clock.now_us(), f"the dispatcher ended: {self.log_tail()}")
         after = self.cost()
         cost = Cost(after.cpu_s - before.cpu_s, after.rss_mb)
-        return Result(self.referee.figures(), cost, clients.late_us / 1000)
+        return Result(self.verifier.figures(), cost, clients.late_us / 1000)
 
     async def report_progress(
         self, clients: Clients, on_progress: Callable[[Clients], None]
@@ -323,7 +327,7 @@
 
     async def drain(self, node: EmulatedNode) -> None:
         """Announce that the node drains, let it finish its work, then end its process."""
-        if isinstance(node, GearmanNode):
+        if isinstance(node, GearmanWorker):
             node.drain()
         else:
             await self.announce(node, "draining")
@@ -342,7 +346,7 @@
     async def bring_back(self, node: EmulatedNode) -> None:
         """Start the node's process anew and announce it."""
         await node.restart()
-        self.referee.ready_again(node.name)
+        self.verifier.ready_again(node.name)
         await self.announce(node, "ready")
 
     async def announce(self, node: EmulatedNode, state: str) -> None:
@@ -350,7 +354,7 @@
 
         Discovery does not list Gearman workers: their connection says that they are there.
         """
-        if isinstance(node, HttpNode):
+        if isinstance(node, HttpWorker):
             row = self.row(node, state)
             notice_ms = self.day.streams["discovery"].uniform(*self.day.site.notice_ms)
             await asyncio.sleep(notice_ms / MS_PER_SECOND)
--- /dev/null
+++ b/stepstream/lab/reports/__init__.py
@@ -0,0 +1,1 @@
+"""Commands that run the lab and report: tables, JSON and charts."""
--- a/stepstream/lab/demo.py
+++ b/stepstream/lab/reports/demo.py
@@ -18,10 +18,10 @@
 from rich.table import Table
 
 from stepstream.config.errors import ConfigurationError
-from stepstream.lab.clients import Clients
-from stepstream.lab.referee import Figures
-from stepstream.lab.rig import Result, Rig
-from stepstream.lab.site import Day, draw_day, read_site
+from stepstream.lab.load.clients import Clients
+from stepstream.lab.load.site import Scenario, draw_scenario, read_site
+from stepstream.lab.processes.load_test import LoadTest, Result
+from stepstream.lab.verification.verifier import Figures
 
 WIDTH = 120  # columns of the table, at least
 MAX_LATE_MS = 100.0  # a lab later than this says so: its figures are the machine's as well
@@ -46,7 +46,7 @@
     """
     if not 1 <= seconds <= MAX_SECONDS:
         raise ConfigurationError(f"--seconds={seconds} is not between 1 and {MAX_SECONDS}")
-    day = draw_day(read_site(name=site), seed, seconds, mix)
+    day = draw_scenario(read_site(name=site), seed, seconds, mix)
     if hold:
         return asyncio.run(run_until_signal(day, seed))
     result = asyncio.run(play_schedule(day, seed))
@@ -59,7 +59,7 @@
     return 1 if result.figures.breaches else 0
 
 
-def as_json(day: Day, mix: str, seed: int, result: Result) -> dict[str, Any]:
+def as_json(day: Scenario, mix: str, seed: int, result: Result) -> dict[str, Any]:
     """Return the content of the file of `--json`."""
     head = {
         "mix": mix,
@@ -72,12 +72,12 @@
     return {**head, **figures, **asdict(result.cost), "late_ms": result.late_ms}
 
 
-async def run_until_signal(day: Day, seed: int) -> int:
+async def run_until_signal(day: Scenario, seed: int) -> int:
     """Run fleet and dispatcher without load until SIGINT or SIGTERM; return the exit code.
 
     The addresses of the dispatcher's listeners are printed as a line of JSON once they accept.
     """
-    rig = Rig(day, seed)
+    rig = LoadTest(day, seed)
     stop = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
@@ -91,10 +91,10 @@
     return 0
 
 
-async def play_schedule(day: Day, seed: int) -> Result:
+async def play_schedule(day: Scenario, seed: int) -> Result:
     """Play the request schedule, reporting progress on standard error, and return the outcome."""
     console = Console(stderr=True)
-    rig = Rig(day, seed)
+    rig = LoadTest(day, seed)
     with contextlib.ExitStack() as stack:
         on_progress: Callable[[Clients], None]
         if console.is_terminal:
@@ -141,7 +141,7 @@
             print(f"{clients.over} of {self.total} jobs", file=sys.stderr, flush=True)
 
 
-def show(console: Console, day: Day, mix: str, seed: int, result: Result) -> None:
+def show(console: Console, day: Scenario, mix: str, seed: int, result: Result) -> None:
     """Print the table of job classes, the score, the dispatcher's cost and all violations."""
     figures = result.figures
     console.print(class_table(day, mix, seed, figures))
@@ -159,7 +159,7 @@
         console.print("all four rules kept, as seen at the nodes and the clients")
 
 
-def class_table(day: Day, mix: str, seed: int, figures: Figures) -> Table:
+def class_table(day: Scenario, mix: str, seed: int, figures: Figures) -> Table:
     """Return the table with a row for each job class."""
     jobs = f"{len(day.asks)} jobs in {day.seconds} s"
     table = Table(title=f"{mix}: {jobs} on {len(day.specs)} nodes, seed {seed}")
--- a/stepstream/lab/fleet_play.py
+++ b/stepstream/lab/reports/fault_run.py
@@ -12,8 +12,8 @@
 from rich.table import Table
 
 from stepstream.config.errors import ConfigurationError
-from stepstream.lab.fleet_faults import Fault, Play, Schedule, draw, read
-from stepstream.lab.fleet_rig import FleetRig
+from stepstream.lab.faults.schedule import Fault, FaultInjector, Schedule, draw, read
+from stepstream.lab.processes.dispatcher_cluster import DispatcherCluster
 
 LOOK_S = 0.1
 COLOURS = {
@@ -25,10 +25,10 @@
 }
 
 
-class OnProcesses:
-    """A rig as a schedule's `Fleet`."""
+class ProcessController:
+    """A rig as a schedule's `FaultTarget`."""
 
-    def __init__(self, rig: FleetRig) -> None:
+    def __init__(self, rig: DispatcherCluster) -> None:
         self.rig, self.frozen = rig, set()
 
     @property
@@ -75,7 +75,7 @@
 
 
 @dataclass
-class Watch:
+class InvariantMonitor:
     """What all members were seen to hold, and what of it may not be."""
 
     began: float
@@ -89,7 +89,7 @@
     # Starts of members whose status an observing process has replaced by that of another start.
     past_starts: set[tuple[str, str, int]] = field(default_factory=set)
 
-    def look(self, rig: FleetRig, frozen: set[str]) -> None:
+    def look(self, rig: DispatcherCluster, frozen: set[str]) -> None:
         now = time.monotonic() - self.began
         for observer, member in rig.members.items():
             told = member.fleet() if member.running() and observer not in frozen else None
@@ -148,11 +148,11 @@
 
 
 def play(
-    rig: FleetRig, schedule: Schedule, seconds: float, console: Console
-) -> tuple[Watch, Outcome]:
-    fleet = OnProcesses(rig)
+    rig: DispatcherCluster, schedule: Schedule, seconds: float, console: Console
+) -> tuple[InvariantMonitor, Outcome]:
+    fleet = ProcessController(rig)
     rig.wait_for(lambda: rig.agreed(rig.members), 60.0, "one view at the start")
-    watch, steps = Watch(time.monotonic()), Play(fleet, schedule)
+    watch, steps = InvariantMonitor(time.monotonic()), FaultInjector(fleet, schedule)
     waits: list[tuple[float, str]] = []
     detected: list[float] = []
     for at, _, what, fault in [*steps.steps, (max(seconds, 0.0), 0, "", None)]:
@@ -179,7 +179,11 @@
 
 
 def look(
-    watch: Watch, rig: FleetRig, fleet: OnProcesses, waits: list, detected: list[float]
+    watch: InvariantMonitor,
+    rig: DispatcherCluster,
+    fleet: ProcessController,
+    waits: list,
+    detected: list[float],
 ) -> None:
     watch.look(rig, fleet.frozen)
     for wait in list(waits):
@@ -197,7 +201,7 @@
     return f"{fault.kind}{size} {' '.join(fault.who)}".strip()
 
 
-def chart(watch: Watch, schedule: Schedule, path: str) -> None:
+def chart(watch: InvariantMonitor, schedule: Schedule, path: str) -> None:
     """Each member's view of each other over time, faults marked."""
     import matplotlib
 
@@ -238,7 +242,7 @@
     console = Console(width=120)
     names = tuple(f"n{k}" for k in range(members))
     schedule = read(faults, names) if faults else draw(seed, names, seconds)
-    with FleetRig(members, seed) as rig:
+    with DispatcherCluster(members, seed) as rig:
         watch, outcome = play(rig, schedule, seconds, console)
     outcome.seed = seed
     made = Table(
--- a/stepstream/lab/lease_search.py
+++ b/stepstream/lab/search/lease_search.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, field
 
-from stepstream.lab.lease_situation import (
+from stepstream.lab.search.lease_situation import (
     ACCEPTORS,
     LEASE,
     Situation,
--- a/stepstream/lab/fleet_search.py
+++ b/stepstream/lab/search/membership_search.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from operator import methodcaller
 
-from stepstream.lab.fleet_world import BrokenError, Claim
+from stepstream.lab.simulation.membership_cluster import Claim, InvariantError
 from stepstream.membership import record_precedence
 from stepstream.membership.messages import (
     MAX_DATAGRAM_BYTES,
@@ -75,7 +75,7 @@
         if self.states % self.settle_every == 0:
             self.settled += 1
             if not situation.copy().agrees_in_the_end():
-                raise BrokenError(f"not settled after {path}")
+                raise InvariantError(f"not settled after {path}")
         if not depth:
             return
         pickled = pickle.dumps(situation)
@@ -83,8 +83,8 @@
             successor: Situation = pickle.loads(pickled)
             try:
                 apply_event(successor)
-            except BrokenError as error:
-                raise BrokenError(f"{error} after {(*path, name)}") from error
+            except InvariantError as error:
+                raise InvariantError(f"{error} after {(*path, name)}") from error
             self.visit(successor, depth - 1, (*path, name))
 
 
@@ -150,7 +150,7 @@
         for outgoing in datagrams:
             data = encode(outgoing.datagram)
             if len(data) > MAX_DATAGRAM_BYTES:
-                raise BrokenError(f"{len(data)} bytes")
+                raise InvariantError(f"{len(data)} bytes")
             self.in_flight.append((outgoing.address, data))
         self.in_flight = self.in_flight[-MAX_IN_FLIGHT:]
 
@@ -203,7 +203,7 @@
             if member.record.state not in PRESENT:
                 self.ended_claims[key] = max(claim, self.ended_claims.get(key, claim))
             elif key in self.ended_claims and claim <= self.ended_claims[key]:
-                raise BrokenError(f"{observer} has {name} back on an old claim")
+                raise InvariantError(f"{observer} has {name} back on an old claim")
 
     def agrees_in_the_end(self) -> bool:
         """Return whether all come to agree once no datagram is lost or late."""
--- a/stepstream/lab/lease_world.py
+++ b/stepstream/lab/simulation/lease_cluster.py
@@ -4,7 +4,7 @@
 no two processes may hold one lease, each by its own clock, also one that is stalled; operations
 that the resource admitted never overlap, and its tokens never fall.
 
-A `LeaseWorld` owns all state of its run. Only the thread that runs its timeline may touch it.
+A `LeaseCluster` owns all state of its run. Only the thread that runs its timeline may touch it.
 """
 
 import heapq
@@ -13,9 +13,10 @@
 from functools import partial
 from math import inf
 
-from stepstream.lab.fleet_faults import Play, Schedule
-from stepstream.lab.lease_process import Process
-from stepstream.lab.lease_workload import (
+from stepstream.lab.emulator.links import Links
+from stepstream.lab.faults.schedule import FaultInjector, Schedule
+from stepstream.lab.simulation.lease_process import Process
+from stepstream.lab.simulation.lease_workload import (
     CLOCK_TOLERANCE_SECONDS,
     Act,
     Grant,
@@ -23,8 +24,7 @@
     Task,
     TwoHoldersError,
 )
-from stepstream.lab.links import Links
-from stepstream.lab.timeline import Timeline
+from stepstream.lab.simulation.timeline import Timeline
 from stepstream.leases.configuration import LeaseConfiguration
 from stepstream.leases.envelopes import OutgoingEnvelope
 from stepstream.leases.fencing import FencedError
@@ -44,7 +44,7 @@
 SHAPES = ((3, 5), (5, 7), (3, 10), (5, 10))  # acceptors, members
 
 
-class LeaseWorld(Timeline):
+class LeaseCluster(Timeline):
     """Simulate members that want leases; the acceptors are those of the configuration.
 
     The rate of each clock is drawn within the configuration's bound on clock drift.
@@ -68,7 +68,7 @@
         self.bodies = 0  # messages in them
         self.fenced = 0  # operations that the guard rejected
 
-    # -- processes, and what a fault schedule acts on (fleet_faults.Fleet) ------------------------
+    # -- faults.schedule.FaultTarget ---------------------------------------------------------------
 
     @property
     def names(self) -> tuple[str, ...]:
@@ -162,7 +162,7 @@
         takes longer than `within` seconds or if an invariant broke.
         """
         started = self.now
-        play = Play(self, schedule)
+        play = FaultInjector(self, schedule)
         for at, _, what, fault in play.steps:
             self.run(max(started + at - self.now, 0.0))
             play.do(what, fault)
@@ -359,7 +359,7 @@
                 self.grants.append(Grant(lease, holders[0], token, self.now))
 
 
-def drawn(seed: int, drift: float = 0.01) -> LeaseWorld:
+def drawn(seed: int, drift: float = 0.01) -> LeaseCluster:
     """Return a started cluster with one lease that every member wants.
 
     The seed draws its clocks, links and acceptors; `drift` is the bound on the clocks' rates.
@@ -367,7 +367,7 @@
     acceptors, members = SHAPES[seed % len(SHAPES)]
     names = [f"n{number}" for number in range(members)]
     rules = LeaseConfiguration(tuple(names[:acceptors]), max_ttl_seconds=6.0, max_clock_drift=drift)
-    world = LeaseWorld(seed, names, rules)
+    world = LeaseCluster(seed, names, rules)
     pick = world.draw.choice
     world.links = Links(
         doubled=0.05,
--- a/stepstream/lab/lease_process.py
+++ b/stepstream/lab/simulation/lease_process.py
@@ -1,6 +1,6 @@
 """Simulate the process of one member that uses leases: its clocks, its stalls, its participant.
 
-A `LeaseWorld` owns the processes; only the thread that runs its timeline may touch them.
+A `LeaseCluster` owns the processes; only the thread that runs its timeline may touch them.
 """
 
 from collections.abc import Callable
--- a/stepstream/lab/lease_workload.py
+++ b/stepstream/lab/simulation/lease_workload.py
@@ -1,6 +1,6 @@
 """Provide what simulated leases are used for: tasks that want a lease, and the resource it guards.
 
-The resource checks what the leases promise from its own side. A `LeaseWorld` owns the objects of
+The resource checks what the leases promise from its own side. A `LeaseCluster` owns the objects of
 this module; only the thread that runs its timeline may touch them.
 """
 
--- a/stepstream/lab/fleet_world.py
+++ b/stepstream/lab/simulation/membership_cluster.py
@@ -4,7 +4,8 @@
 datagrams and are cut by ordered pair; members stall, crash and restart. The invariants are checked
 after every step of a member.
 
-A `World` owns all state of its run. Only the thread that runs its timeline may touch it.
+A `MembershipCluster` owns all state of its run. Only the thread that runs its timeline may touch
+it.
 """
 
 import heapq
@@ -13,9 +14,9 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from stepstream.lab.fleet_faults import Play, Schedule
-from stepstream.lab.links import Links
-from stepstream.lab.timeline import Timeline
+from stepstream.lab.emulator.links import Links
+from stepstream.lab.faults.schedule import FaultInjector, Schedule
+from stepstream.lab.simulation.timeline import Timeline
 from stepstream.membership import record_precedence
 from stepstream.membership.member_count import MemberCount, observe
 from stepstream.membership.messages import (
@@ -47,12 +48,12 @@
 Claim = tuple[int, str, int]  # generation, address, incarnation
 
 
-class BrokenError(Exception):
+class InvariantError(Exception):
     """Report an invariant that does not hold: which one, at what time and for which member."""
 
 
 @dataclass(eq=False)
-class Sim:
+class SimulatedMember:
     """Hold the simulated process of one member; times are in seconds of the timeline."""
 
     name: str
@@ -76,7 +77,7 @@
         return self.view
 
 
-class World(Timeline):
+class MembershipCluster(Timeline):
     """Simulate members `n0`, `n1`, ... and the links between them."""
 
     def __init__(
@@ -86,10 +87,10 @@
         self.draw = random.Random(seed)
         self.times = times
         self.links = links or Links()
-        self.sims: dict[str, Sim] = {}
+        self.sims: dict[str, SimulatedMember] = {}
         for number in range(members):
             name = f"n{number}"
-            self.sims[name] = Sim(name, f"127.1.{number >> 8}.{number & 255}:7946")
+            self.sims[name] = SimulatedMember(name, f"127.1.{number >> 8}.{number & 255}:7946")
         self.at = {sim.address: sim for sim in self.sims.values()}
         self.seeds = tuple(sim.address for sim in list(self.sims.values())[:SEED_MEMBERS])
         # By observer's start and member: the greatest claim that the observer saw end.
@@ -99,7 +100,7 @@
         # Time, observer, member believed dead, whether that was running.
         self.deaths: list[tuple[float, str, str, bool]] = []
         self.clock_offset: dict[str, float] = {}  # by member, seconds of its time of day
-        self.check_step: Callable[[World, Sim], None] = check
+        self.check_step: Callable[[MembershipCluster, SimulatedMember], None] = check
 
     # -- members ----------------------------------------------------------------------------------
 
@@ -151,7 +152,7 @@
         if seconds < STALL_FOREVER_SECONDS:
             self.call(seconds, partial(self.wake, sim))
 
-    def wake(self, sim: Sim) -> None:
+    def wake(self, sim: SimulatedMember) -> None:
         """Continue a stalled process: first its timers, then what waited in its socket."""
         if sim.view is None or self.now < sim.stalled_until:
             return
@@ -170,7 +171,7 @@
         for sim in self.sims.values():
             self.call(self.draw.uniform(0, COUNT_INTERVAL_SECONDS), partial(self.count, sim, hold))
 
-    def count(self, sim: Sim, hold: float) -> None:
+    def count(self, sim: SimulatedMember, hold: float) -> None:
         """Count the members as one member sees them, and schedule its next count."""
         self.call(COUNT_INTERVAL_SECONDS, partial(self.count, sim, hold))
         view = sim.view
@@ -194,11 +195,11 @@
         member_count = self.sims[name].member_count
         return len(member_count.names) if member_count is not None else 0
 
-    def running(self) -> list[Sim]:
+    def running(self) -> list[SimulatedMember]:
         """Return the members whose processes run, stalled ones included."""
         return [sim for sim in self.sims.values() if sim.view is not None]
 
-    # -- what a fault schedule acts on (fleet_faults.Fleet) ---------------------------------------
+    # -- faults.schedule.FaultTarget ---------------------------------------------------------------
 
     @property
     def names(self) -> tuple[str, ...]:
@@ -232,31 +233,31 @@
         `settle` seconds or if an invariant broke.
         """
         started = self.now
-        play = Play(self, schedule)
+        play = FaultInjector(self, schedule)
         for at, _, what, fault in play.steps:
             self.run(max(started + at - self.now, 0.0))
             play.do(what, fault)
         play.end()
         faults_ended = self.now
         if not self.run(settle, self.agreed):
-            raise BrokenError(f"not settled {settle} s after the last fault")
+            raise InvariantError(f"not settled {settle} s after the last fault")
         return self.now - faults_ended
 
     # -- time -------------------------------------------------------------------------------------
 
-    def schedule(self, sim: Sim) -> None:
+    def schedule(self, sim: SimulatedMember) -> None:
         """Schedule a member's next tick; it replaces the one that was scheduled before."""
         sim.tick_number += 1
         due_at = max(sim.running_view.next_tick_at(), self.now, sim.stalled_until)
         step: Callable[[], None] = partial(self.tick_if, sim, sim.tick_number)
         heapq.heappush(self.queue, (min(due_at, MAX_TICK_AT_SECONDS), next(self.serial), step))
 
-    def tick_if(self, sim: Sim, number: int) -> None:
+    def tick_if(self, sim: SimulatedMember, number: int) -> None:
         """Tick a member unless this tick was replaced, or its process ended or stalls."""
         if sim.view is not None and sim.tick_number == number and self.now >= sim.stalled_until:
             self.tick(sim)
 
-    def tick(self, sim: Sim) -> None:
+    def tick(self, sim: SimulatedMember) -> None:
         """Let a member do what is due, check it, and schedule its next tick."""
         self.send(sim, sim.running_view.tick(self.now))
         self.check_step(self, sim)
@@ -264,12 +265,12 @@
 
     # -- links ------------------------------------------------------------------------------------
 
-    def send(self, sim: Sim, datagrams: list[OutgoingDatagram]) -> None:
+    def send(self, sim: SimulatedMember, datagrams: list[OutgoingDatagram]) -> None:
         """Put a member's datagrams on the links; BrokenError if one is too long."""
         for outgoing in datagrams:
             data = encode(outgoing.datagram)
             if len(data) > MAX_DATAGRAM_BYTES:
-                raise BrokenError(
+                raise InvariantError(
                     f"{self.now:.3f} s: a datagram of {len(data)} bytes from {sim.name}"
                 )
             self.sent += 1
@@ -321,7 +322,7 @@
         return True
 
 
-def check(world: World, sim: Sim) -> None:
+def check(world: MembershipCluster, sim: SimulatedMember) -> None:
     """Check the invariants after a step of a member; BrokenError if one does not hold.
 
     No ended member comes back on the same claim, no running and reachable member is believed dead
@@ -335,7 +336,7 @@
         len(view.members.by_name) > max_members
         or len(view.outbox.broadcasts.queued) > max_broadcasts
     ):
-        raise BrokenError(f"{world.now:.3f} s: {sim.name} holds more than its bound")
+        raise InvariantError(f"{world.now:.3f} s: {sim.name} holds more than its bound")
     events = view.members.events
     if events.last_number > sim.checked_event:
         unchecked = min(events.last_number - sim.checked_event, len(events.recent))
@@ -346,14 +347,14 @@
                 check_claim(world, sim, member.record)
 
 
-def check_claim(world: World, sim: Sim, record: MemberRecord) -> None:
+def check_claim(world: MembershipCluster, sim: SimulatedMember, record: MemberRecord) -> None:
     """Check a changed record against the claims that its observer saw end; note a new end."""
     key = (f"{sim.name}@{sim.started}", record.name)
     claim = record_precedence.member_precedence(record)[:3]  # without the state
     ended = world.ended_claims.get(key)
     if record.state in PRESENT:
         if ended is not None and claim <= ended:
-            raise BrokenError(
+            raise InvariantError(
                 f"{world.now:.3f} s: {sim.name} has {record.name} back on an old claim"
             )
     elif ended is None or claim > ended:
@@ -363,7 +364,7 @@
             world.deaths.append((world.now, sim.name, record.name, is_running))
 
 
-def check_false_deaths(world: World, sim: Sim) -> None:
+def check_false_deaths(world: MembershipCluster, sim: SimulatedMember) -> None:
     """Check that a member believes no running and reachable one dead for too long."""
     if world.now < sim.false_deaths_checked_at + FALSE_DEATH_CHECK_SECONDS:
         return
@@ -384,7 +385,7 @@
         key = (name, other.started)
         since = false_deaths[key] = sim.false_deaths.get(key, world.now)
         if world.now - since > max_seconds:
-            raise BrokenError(
+            raise InvariantError(
                 f"{world.now:.3f} s: {sim.name} has held {name} dead since {since:.3f} s"
             )
     sim.false_deaths = false_deaths
--- a/stepstream/lab/ledger.py
+++ b/stepstream/lab/verification/ledger.py
@@ -1,6 +1,6 @@
 """A resource guarded by fencing tokens, in a process of its own, that records every operation.
 
-    python -m stepstream.lab.ledger HOST:PORT FILE
+    python -m stepstream.lab.verification.ledger HOST:PORT FILE
 
 The ledger speaks TCP with one JSON object a line. `{"do": "begin", "token", "holder"}` is answered
 with `{"act": N}` or `{"fenced": HIGHEST}`, and `{"do": "end", "act": N}` with `{"taken": true}` or
--- a/stepstream/lab/referee.py
+++ b/stepstream/lab/verification/verifier.py
@@ -9,7 +9,7 @@
    the node drains or is gone.
 4. No cold node is overloaded until it fails.
 
-This module does no I/O. A `Referee` owns all state of one day; it has no lock, so only the thread
+This module does no I/O. A `Verifier` owns all state of one day; it has no lock, so only the thread
 of the event loop that plays the day may call it. All times are in microseconds on the clock of the
 lab unless a name says otherwise.
 """
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from stepstream.lab.site import Ask, Day, JobClassTable
+from stepstream.lab.load.site import JobClassTable, PlannedRequest, Scenario
 
 SOCKET_SLACK_US = 50_000
 """Tolerance that every time limit gets because requests travel over real sockets."""
@@ -37,7 +37,7 @@
 SCORE_WEIGHT_TENANT = 0.1
 
 
-class Final(Enum):
+class FinalOutcome(Enum):
     """How a request of a client ended; the values are keys of the printed and stored results."""
 
     SERVED = "served"
@@ -69,7 +69,7 @@
     attempts: list[Attempt] = field(default_factory=list)
     results: set[str] = field(default_factory=set)
     """Results that nodes produced for this request."""
-    finals: list[Final] = field(default_factory=list)
+    finals: list[FinalOutcome] = field(default_factory=list)
 
     def may_have_run(self) -> list[Attempt]:
         """Return the attempts that a node did not reject before any work began."""
@@ -83,8 +83,8 @@
     `took_us` is the time from the scheduled sending of the first request to the last answer.
     """
 
-    ask: Ask
-    final: Final | None = None
+    ask: PlannedRequest
+    final: FinalOutcome | None = None
     took_us: int = 0
 
 
@@ -104,13 +104,13 @@
     breaches: list[str]
 
 
-class Referee:
+class Verifier:
     """Observe the requests of one day, record each breach of an invariant and score the run.
 
     A request's key is the number of its job in the schedule and the number of the client's try.
     """
 
-    def __init__(self, day: Day) -> None:
+    def __init__(self, day: Scenario) -> None:
         self.day = day
         self.begun_us = 0
         self.requests: dict[tuple[int, int], Request] = {}
@@ -189,12 +189,12 @@
 
     # -- at the clients ---------------------------------------------------------------------------
 
-    def asked(self, ask: Ask) -> None:
+    def asked(self, ask: PlannedRequest) -> None:
         """Record that a client submits a job of the schedule."""
         self.records[ask.number] = Record(ask)
 
     def answered(
-        self, now_us: int, key: tuple[int, int], final: Final, result: str | None = None
+        self, now_us: int, key: tuple[int, int], final: FinalOutcome, result: str | None = None
     ) -> None:
         """Record the final answer to a request, and verify invariant 1."""
         request = self.requests.setdefault(key, Request())
@@ -206,16 +206,16 @@
         label = f"{job_class.name} {key[0]} try {key[1]}"
         if len(request.finals) > 1:
             self.breach(now_us, f"a second final answer: {label}")
-        if final is Final.LOST:
+        if final is FinalOutcome.LOST:
             self.breach(now_us, f"lost: {label}")
-        if final is Final.SERVED and result not in request.results:
+        if final is FinalOutcome.SERVED and result not in request.results:
             self.breach(now_us, f"served with what no node made: {label}")
-        if final is Final.REFUSED and job_class.effect != "pure" and request.may_have_run():
+        if final is FinalOutcome.REFUSED and job_class.effect != "pure" and request.may_have_run():
             self.breach(now_us, f"refused though it may have run: {label}")
 
     # -- the score --------------------------------------------------------------------------------
 
-    def latency_objective_us(self, ask: Ask) -> float:
+    def latency_objective_us(self, ask: PlannedRequest) -> float:
         """Return the latency objective of a job: its class's, stretched by its work, to a limit."""
         job_class = self.day.site.job[ask.job_class]
         objective_us = job_class.aim_ms * 1000 + job_class.stretch * ask.work_us
@@ -224,7 +224,7 @@
     def in_time(self, record: Record) -> bool:
         """Return whether a job was served within its latency objective."""
         objective_us = self.latency_objective_us(record.ask)
-        return record.final is Final.SERVED and record.took_us <= objective_us
+        return record.final is FinalOutcome.SERVED and record.took_us <= objective_us
 
     def share(self, records: list[Record]) -> float:
         """Return the value served in time over the value asked for; 1 where nothing was asked."""
@@ -284,14 +284,14 @@
 
     def class_row(self, records: list[Record]) -> dict[str, float]:
         """Return one class's row of the results; the latencies are of its served jobs."""
-        latencies_ms = sorted(r.took_us / 1000 for r in records if r.final is Final.SERVED)
+        latencies_ms = sorted(r.took_us / 1000 for r in records if r.final is FinalOutcome.SERVED)
         count = Counter(r.final for r in records)
         return {
             "asked": len(records),
             "in_time": self.share(records),
-            "served": count[Final.SERVED],
-            "refused": count[Final.REFUSED],
-            "failed": count[Final.FAILED],
+            "served": count[FinalOutcome.SERVED],
+            "refused": count[FinalOutcome.REFUSED],
+            "failed": count[FinalOutcome.FAILED],
             "p50_ms": quantile(latencies_ms, 0.5),
             "p99_ms": quantile(latencies_ms, 0.99),
         }
--- a/tests/golden/state_answers.py
+++ b/tests/golden/state_answers.py
@@ -34,7 +34,12 @@
 from stepstream.hot_restart.process import ProcessRecord
 from stepstream.http import discovery_api, worker_api
 from stepstream.http.destination_set import DestinationSet
-from stepstream.lab import demo, fleet_faults, fleet_play, ledger, nodes, referee, rig
+from stepstream.lab.emulator import worker_drivers as nodes
+from stepstream.lab.faults import schedule as fleet_faults
+from stepstream.lab.processes import load_test as rig
+from stepstream.lab.reports import demo
+from stepstream.lab.reports import fault_run as fleet_play
+from stepstream.lab.verification import ledger, verifier
 from stepstream.leases import messages as lease_messages
 from stepstream.leases import participant as lease_participant
 from stepstream.leases import subsystem as lease_plug
@@ -432,7 +437,7 @@
 # -- /leases --------------------------------------------------------------------------------------
 
 
-class LeaseRig:
+class LeaseDispatcherCluster:
     """One dispatcher's leases, and the voter of another that answers while `answering`."""
 
     def __init__(self, clock: StillClock, voters: tuple[str, ...], **section: object) -> None:
@@ -476,7 +481,7 @@
     """One lease from being wanted to its end, each refusal, and too few voters."""
     clock = StillClock()
     with quiet(), clock.in_force():
-        rig_made = LeaseRig(clock, ("n0", "n1", "n2"), most_sessions=4)
+        rig_made = LeaseDispatcherCluster(clock, ("n0", "n1", "n2"), most_sessions=4)
         caller = Caller(desk_for(clock, []), rig_made.part.admin_routes())
         ask = caller.ask
         ask("GET", "/leases")
@@ -549,7 +554,7 @@
     """The parcels of one lease as the driver gives them to the messenger: member, kind, data."""
     clock = StillClock()
     with quiet(), clock.in_force():
-        made = LeaseRig(clock, ("n0", "n1", "n2"))
+        made = LeaseDispatcherCluster(clock, ("n0", "n1", "n2"))
         clock.now += 20.0
         claim = made.part.driver.acquire("night", 5.0, 1.0)
         clock.now += 2.0
@@ -677,7 +682,7 @@
 
 def played_figures(day: object) -> object:
     """Figures of a day whose jobs end in each way in turn, one of them against the rules."""
-    made, finals = referee.Referee(day), list(referee.Final)
+    made, finals = verifier.Verifier(day), list(verifier.FinalOutcome)
     for ask in day.asks:
         key, at_us = (ask.number, 0), ask.at_us + 100_000
         made.asked(ask)
@@ -709,7 +714,7 @@
     """fleet.json of `stepstream lab fleet --out`, the processes and the chart left out."""
     names = ("n0", "n1", "n2")
     schedule = fleet_faults.draw(3, names, 25.0)
-    watch = fleet_play.Watch(0.0)
+    watch = fleet_play.InvariantMonitor(0.0)
     facts = {"count": 4}
     steps = ((0.5, "alive", 5), (0.6, "suspect", 5), (0.7, "dead", 5), (0.8, "alive", 4))
     for now, state, generation in steps:
@@ -726,7 +731,7 @@
     with (
         folder as out,
         quiet(),
-        mock.patch.object(fleet_play, "FleetRig"),
+        mock.patch.object(fleet_play, "DispatcherCluster"),
         mock.patch.object(fleet_play, "draw", return_value=schedule),
         mock.patch.object(fleet_play, "play", return_value=(watch, outcome)),
         mock.patch.object(fleet_play, "chart"),
--- a/tests/lease_helpers.py
+++ b/tests/lease_helpers.py
@@ -2,8 +2,8 @@
 
 import random
 
-from stepstream.lab.fleet_faults import draw
-from stepstream.lab.lease_world import LeaseWorld, drawn
+from stepstream.lab.faults.schedule import draw
+from stepstream.lab.simulation.lease_cluster import LeaseCluster, drawn
 from stepstream.leases.acceptor import Acceptor
 from stepstream.leases.configuration import LeaseConfiguration
 from stepstream.leases.fencing import FencedError, FencingGuard
@@ -18,7 +18,7 @@
 
 def recovered_world(seed=1, members=5, tasks=()):
     """A cluster whose acceptors have just begun to answer; `tasks`: members and what they want."""
-    world = LeaseWorld(seed, [f"n{k}" for k in range(members)], CONFIGURATION)
+    world = LeaseCluster(seed, [f"n{k}" for k in range(members)], CONFIGURATION)
     for name, task in tasks:
         world.tasks[name].append(task)
     world.start_all()
--- a/tests/leases/test_lease_cluster.py
+++ b/tests/leases/test_lease_cluster.py
@@ -3,8 +3,8 @@
 import pytest
 from lease_helpers import ACCEPTORS, CONFIGURATION, no_drift_margin, recovered_world
 
-from stepstream.lab.lease_workload import Task, TwoHoldersError
-from stepstream.lab.lease_world import LeaseWorld
+from stepstream.lab.simulation.lease_cluster import LeaseCluster
+from stepstream.lab.simulation.lease_workload import Task, TwoHoldersError
 from stepstream.leases.configuration import LeaseConfiguration
 
 FOREVER = 1e6  # seconds
@@ -13,7 +13,7 @@
 def world_with_a_slow_holder():
     """n3, whose clock runs slow among fast ones, holds the lease and is cut off; n4 waits for it."""
     configuration = LeaseConfiguration(ACCEPTORS, max_ttl_seconds=6.0, max_clock_drift=0.05)
-    world = LeaseWorld(1, [f"n{k}" for k in range(5)], configuration)
+    world = LeaseCluster(1, [f"n{k}" for k in range(5)], configuration)
     for name, process in world.processes.items():
         process.rate = 0.95 if name == "n3" else 1.05
     world.tasks["n3"] = [Task("x", hold=FOREVER)]
@@ -113,7 +113,7 @@
 
 def world_after_reconfiguration(steps):
     """Every member takes one configuration, acceptors first, before any goes on to the next."""
-    world = LeaseWorld(3, [f"n{k}" for k in range(8)], steps[0])
+    world = LeaseCluster(3, [f"n{k}" for k in range(8)], steps[0])
     for name in world.names:
         world.tasks[name] = [Task("x", ttl=2.0, act=0.4, hold=FOREVER, think=0.5)]
     world.start_all()
--- a/tests/leases/test_lease_orders.py
+++ b/tests/leases/test_lease_orders.py
@@ -3,7 +3,7 @@
 import lease_helpers as planted
 import pytest
 
-from stepstream.lab.lease_search import Bounds, Search, TwoHoldersError
+from stepstream.lab.search.lease_search import Bounds, Search, TwoHoldersError
 
 
 def test_three_acceptors_and_two_proposers_have_one_holder_in_every_order():
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -15,9 +15,9 @@
 from config_helpers import CONFIG
 from node_helpers import ROOT, free_port
 
-from stepstream.lab import ledger
-from stepstream.lab.fleet_day import play_swept
-from stepstream.lab.lease_rig import TROUBLES, TTL, LeaseRig, trouble
+from stepstream.lab.processes.cluster_load_test import play_swept
+from stepstream.lab.processes.lease_cluster import TROUBLES, TTL, LeaseDispatcherCluster, trouble
+from stepstream.lab.verification import ledger
 from stepstream.leases.commands import run
 
 TIMEOUT_SECONDS = 40.0
@@ -25,7 +25,7 @@
 
 @pytest.fixture(scope="module")
 def rig():
-    with LeaseRig(5, 3, seed=1) as made:
+    with LeaseDispatcherCluster(5, 3, seed=1) as made:
         made.wait_for(made.holder, TIMEOUT_SECONDS, "a first holder")
         yield made
         assert not ledger.faults(made.rows())
--- a/tests/leases/test_lease_schedules.py
+++ b/tests/leases/test_lease_schedules.py
@@ -4,7 +4,7 @@
 import pytest
 from lease_helpers import play_schedule
 
-from stepstream.lab.lease_workload import Resource, TwoHoldersError
+from stepstream.lab.simulation.lease_workload import Resource, TwoHoldersError
 
 
 def test_under_any_faults_a_lease_has_one_holder_and_is_held_again_afterwards():
--- a/tests/membership/test_membership_messages.py
+++ b/tests/membership/test_membership_messages.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from membership_helpers import protocol
 
-from stepstream.lab.fleet_world import CLUSTER
+from stepstream.lab.simulation.membership_cluster import CLUSTER
 from stepstream.membership.messages import (
     MAX_DATAGRAM_BYTES,
     PROTOCOL_VERSION,
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -18,9 +18,9 @@
 from node_helpers import ROOT, free_port
 
 from stepstream.cli import main
-from stepstream.lab.fleet_day import play
-from stepstream.lab.fleet_play import Watch
-from stepstream.lab.fleet_rig import Dispatcher, FleetRig
+from stepstream.lab.processes.cluster_load_test import play
+from stepstream.lab.processes.dispatcher_cluster import Dispatcher, DispatcherCluster
+from stepstream.lab.reports.fault_run import InvariantMonitor
 from stepstream.membership.commands import run
 from stepstream.membership.messages import (
     PROTOCOL_VERSION,
@@ -38,7 +38,7 @@
 
 @pytest.fixture(scope="module")
 def rig():
-    with FleetRig(5, seed=1, more=SHORT_INTERVALS) as made:
+    with DispatcherCluster(5, seed=1, more=SHORT_INTERVALS) as made:
         made.wait_for(lambda: made.agreed(made.members), PATIENCE_SECONDS, "one view")
         yield made
 
@@ -254,7 +254,7 @@
 
 
 def test_a_name_started_twice_goes_to_the_later_start_and_the_earlier_logs_what_to_do(fleet):
-    twin = FleetRig(1, seed=2, more=SHORT_INTERVALS)
+    twin = DispatcherCluster(1, seed=2, more=SHORT_INTERVALS)
     made = twin.members["n0"]
     made.name, twin.members = "n3", {"n3": made}
     made.advertise = fleet.relay.add("twin", made.host, (made.host, made.ports["fleet"]))
@@ -472,7 +472,7 @@
 
 
 def test_the_lab_notices_a_record_that_goes_back():
-    watch = Watch(0.0)
+    watch = InvariantMonitor(0.0)
     row = {"name": "a", "state": "dead", "generation": 5, "incarnation": 1, "facts": {"count": 4}}
     for change in ({}, {"state": "alive"}, {"incarnation": 0}, {"generation": 4}):
         watch.saw(1.0, "n0@1", "n0", {**row, **change})
@@ -493,14 +493,14 @@
 
 
 def test_the_lab_takes_no_status_of_the_old_process_beside_the_new_record_for_one_that_goes_back():
-    watch = Watch(0.0)
+    watch = InvariantMonitor(0.0)
     for row in (status_row(1, 100, 7), status_row(2, 100, 7), status_row(2, 200, 0)):
         watch.saw(1.0, "n0@1", "n0", row)
     assert watch.broken == []
 
 
 def test_the_lab_notices_a_status_of_an_earlier_start_that_comes_back():
-    watch = Watch(0.0)
+    watch = InvariantMonitor(0.0)
     for row in (status_row(1, 100, 7), status_row(2, 200, 0), status_row(2, 100, 8)):
         watch.saw(1.0, "n0@1", "n0", row)
     assert len(watch.broken) == 1
--- a/tests/membership/test_membership_simulation.py
+++ b/tests/membership/test_membership_simulation.py
@@ -5,9 +5,9 @@
 import pytest
 from membership_helpers import SETTINGS, names, world
 
-from stepstream.lab.fleet_faults import Fault, Schedule, draw
-from stepstream.lab.fleet_search import Search
-from stepstream.lab.fleet_world import CLUSTER, BrokenError, World
+from stepstream.lab.faults.schedule import Fault, Schedule, draw
+from stepstream.lab.search.membership_search import Search
+from stepstream.lab.simulation.membership_cluster import CLUSTER, InvariantError, MembershipCluster
 from stepstream.membership import record_precedence
 from stepstream.membership.anti_entropy import AntiEntropy
 from stepstream.membership.messages import MemberRecord, MemberState
@@ -24,13 +24,13 @@
 @pytest.mark.parametrize(("members", "seeds"), [(3, 20), (5, 25), (20, 2)])
 def test_a_cluster_agrees_after_any_schedule_of_faults(members, seeds):
     for seed in range(seeds):
-        made = World(seed, members, SETTINGS)
+        made = MembershipCluster(seed, members, SETTINGS)
         made.links.doubled, made.links.late = 0.05, 0.05
         made.start_all()
         made.run(3.0)
         try:
             made.play(draw(seed, made.names, 20.0), SETTLE_SECONDS)
-        except BrokenError as error:
+        except InvariantError as error:
             raise AssertionError(f"seed {seed}: {error}") from None
 
 
@@ -73,12 +73,12 @@
     """A checker that catches none proves nothing."""
     plant(monkeypatch)
     for seed in range(40):
-        made = World(seed, 5, SETTINGS)
+        made = MembershipCluster(seed, 5, SETTINGS)
         made.start_all()
         try:
             made.run(3.0)
             made.play(draw(seed, made.names, 20.0), SETTLE_SECONDS)
-        except BrokenError:
+        except InvariantError:
             return
     raise AssertionError("nothing noticed")
 
@@ -91,7 +91,7 @@
     made.run(40.0)  # cut off: no fault of theirs
     made.links.heal()
     dead_members_are_not_contacted(monkeypatch)
-    with pytest.raises(BrokenError, match="has held"):
+    with pytest.raises(InvariantError, match="has held"):
         made.run(30.0)
 
 
@@ -101,14 +101,14 @@
     assert search.states > 1000
     assert search.settled >= 20
     old_records_win(monkeypatch)
-    with pytest.raises(BrokenError):
+    with pytest.raises(InvariantError):
         Search(depth=4, settle_every=10).run()
 
 
 def test_a_seed_replays_a_simulation():
     runs = []
     for _ in range(2):
-        made = World(7, 5, SETTINGS)
+        made = MembershipCluster(7, 5, SETTINGS)
         made.start_all()
         made.play(draw(7, made.names, 15.0), SETTLE_SECONDS)
         runs.append((made.now, made.sent, made.bytes, made.deaths))
@@ -253,7 +253,7 @@
 
 
 def test_a_member_whose_seeds_are_all_dead_joins_once_one_is_back():
-    made = World(2, 5, SETTINGS)
+    made = MembershipCluster(2, 5, SETTINGS)
     made.start("n4", seeds=(made.sims["n4"].address, made.sims["n0"].address))  # itself among them
     made.run(10.0)
     assert made.sims["n4"].view.members.joined_at is None
--- a/tests/membership_helpers.py
+++ b/tests/membership_helpers.py
@@ -2,7 +2,7 @@
 
 import random
 
-from stepstream.lab.fleet_world import CLUSTER, World
+from stepstream.lab.simulation.membership_cluster import CLUSTER, MembershipCluster
 from stepstream.membership.messages import MemberRecord, MemberState
 from stepstream.membership.protocol import MembershipProtocol
 from stepstream.membership.protocol_settings import ProtocolSettings
@@ -24,7 +24,7 @@
 
 def world(seed=1, members=5, settings=SETTINGS):
     """A simulated cluster whose members have joined and agree."""
-    made = World(seed, members, settings)
+    made = MembershipCluster(seed, members, settings)
     made.start_all()
     assert made.run(20.0, made.agreed)
     return made
