--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -1,7 +1,7 @@
-"""Two checkouts side by side: cost of a decision, memory after the start, time to start.
+"""Compare two checkouts: cost of a decision, memory after the start, time to start.
 
 Usage:
-  decision_cost.py OLD NEW [--runs N] [--jobs N]
+  decision_cost OLD NEW [--runs N] [--jobs N]
 
 Options:
   --runs N  Runs of each checkout, in turn: old, new, old, new ... [default: 5].
@@ -10,9 +10,10 @@
 Each run is a process of its own, started by the command that the checkout's deploy/balancer.toml
 names. A first run of each is not counted: it fills a cache of compiled modules outside the
 checkouts. The cost of a job is the processor time of the adapter for its request, its outcome and
-the timers beside it. Replies are compared too: the same settings, seed and events have to bring
-the same actions; if they do not, the exit code is 1. On a busy machine the lowest figures of a few
-runs say more than the medians. Linux only.
+the timers beside it, in microseconds; memory is in KiB, the time to start in milliseconds. Replies
+are compared too: the same settings, seed and events have to bring the same actions; if they do not,
+the exit code is 1. On a busy machine the lowest figures of a few runs say more than the medians.
+Linux only.
 """
 
 import json
@@ -28,6 +29,7 @@
 from dataclasses import dataclass
 from hashlib import sha256
 from heapq import heappop, heappush
+from http import HTTPStatus
 from http.client import HTTPConnection
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from pathlib import Path
@@ -35,6 +37,7 @@
 from socket import socket
 from statistics import median
 from time import monotonic
+from typing import IO, Any
 from urllib.parse import parse_qs, urlsplit
 
 from docopt import docopt
@@ -44,9 +47,13 @@
 SEED = 20_260
 JOB_GAP_US = 2_000  # between two requests
 IN_FLIGHT = 24  # jobs that are out at the same time
-LONGEST_START_S = 30.0
-POLL_S = 0.002
-STOP_S = 15.0
+SERVED_FRACTION = 0.97  # of the attempts; the rest fails
+KEYS = 200
+FIRST_RUN_US = 1_000_000
+MAX_START_SECONDS = 30.0
+POLL_SECONDS = 0.002
+STOP_SECONDS = 15.0
+CLASS_KEY_PARTS = 3  # services.NUMBER.KEY
 
 SETTINGS = {
     "discovery": "automatic",
@@ -81,7 +88,7 @@
     root: Path
     cache: Path
 
-    def start(self, command: str, **environment: str) -> subprocess.Popen:
+    def start(self, command: str, **environment: str) -> subprocess.Popen[str]:
         """Start the command of this name in the checkout's deploy file."""
         deploy = tomllib.loads((self.root / "deploy" / "balancer.toml").read_text())
         own = {"PYTHONPYCACHEPREFIX": str(self.cache), **environment}
@@ -102,96 +109,112 @@
 class Adapter:
     """The wire to one adapter process, with one instance in it."""
 
-    def __init__(self, process: subprocess.Popen) -> None:
+    def __init__(self, process: subprocess.Popen[str]) -> None:
         self.process = process
+        self.requests = open_pipe(process.stdin)
+        self.replies = open_pipe(process.stdout)
         self.batches = 0
         self.digest = sha256()
 
     def batch(self, now_us: int, lines: list[str]) -> list[str]:
-        """The lines of the reply, without the last one."""
+        """Send the lines of one instant; return those of the reply, without the last one."""
         self.batches += 1
-        head, first = f"MARK t_us={now_us} batch={self.batches}", "SWITCH_TO dispatcher=0"
-        self.process.stdin.write("\n".join((head, first, *lines, "END")) + "\n")
-        self.process.stdin.flush()
+        head = f"MARK t_us={now_us} batch={self.batches}"
+        first = "SWITCH_TO dispatcher=0"
+        self.requests.write("\n".join((head, first, *lines, "END")) + "\n")
+        self.requests.flush()
         reply = []
-        while not (line := self.process.stdout.readline()).startswith("FINISHED"):
+        while not (line := self.replies.readline()).startswith("FINISHED"):
             if not line or line.startswith("PANIC"):
                 raise RuntimeError(f"the adapter has failed: {line!r}")
             self.digest.update(line.encode())
             reply.append(line.rstrip("\n"))
         return reply
 
-    def processor_s(self) -> float:
-        """Time on a processor so far."""
+    def cpu_seconds(self) -> float:
+        """Return the process's time on a processor so far, by /proc/PID/schedstat."""
         return int(Path(f"/proc/{self.process.pid}/schedstat").read_text().split()[0]) / 1e9
 
 
+def open_pipe(pipe: IO[str] | None) -> IO[str]:
+    """Return a pipe of a process; RuntimeError if the process was started without it."""
+    if pipe is None:
+        raise RuntimeError("the process has no pipe for its input or output")
+    return pipe
+
+
 class Load:
-    """Clients and workers that answer each push after a drawn while."""
+    """Emulated clients and workers; a worker answers each attempt after a drawn time."""
 
     def __init__(self, adapter: Adapter, workers: int) -> None:
-        self.adapter, self.workers = adapter, workers
-        self.random = Random(SEED)
-        self.now_us = 1_000_000
-        self.due: list[tuple[int, int, str]] = []
-        self.sent = 0
-        self.tries: dict[str, int] = {}
-
-    def introduce(self) -> None:
-        """Settings and list, as the first batch brings them."""
+        self.adapter = adapter
+        self.workers = workers
+        self.rng = Random(SEED)
+        self.now_us = FIRST_RUN_US
+        # Time, serial number for a stable order, and the line of an event to come.
+        self.scheduled: list[tuple[int, int, str]] = []
+        self.scheduled_count = 0
+        self.attempts: dict[str, int] = {}  # by job
+
+    def send_settings(self) -> None:
+        """Send the settings and the endpoint list, as the first batch brings them."""
         pairs = " ".join(f"{key}={value}" for key, value in SETTINGS.items())
         table = [f"TABLE sheet=0 lines={self.workers}"]
         for number in range(self.workers):
             place = f"campus={number % 2} type=0 cluster={number % 8} mode=IN weight=1"
             table.append(f"RUNNER runner=10.0.{number // 250}.{number % 250}:5000 {place}")
-        told = "TOPOLOGY serial=1 sheet=0 mode=Persisted"
-        self.play([f"ENLIST rng_seed={SEED} {pairs}", *table, told])
+        topology = "TOPOLOGY serial=1 sheet=0 mode=Persisted"
+        self.send([f"ENLIST rng_seed={SEED} {pairs}", *table, topology])
 
-    def job(self, number: int) -> None:
-        """One request, with all that has come due before it."""
+    def submit_job(self, number: int) -> None:
+        """Send one request, with all events that are due before it."""
         self.now_us += JOB_GAP_US
         events = []
-        while self.due and self.due[0][0] <= self.now_us:
-            events.append(heappop(self.due)[2])
-        kind = number % 2
-        key = f" path_key={number % 200:016x}" if kind else ""
-        self.play([*events, f"REQUEST msg_id={number:016x} type={kind}{key} budget_us=5000000"])
-
-    def play(self, events: list[str]) -> None:
+        while self.scheduled and self.scheduled[0][0] <= self.now_us:
+            events.append(heappop(self.scheduled)[2])
+        job_class = number % 2
+        key = f" path_key={number % KEYS:016x}" if job_class else ""
+        request = f"REQUEST msg_id={number:016x} type={job_class}{key} budget_us=5000000"
+        self.send([*events, request])
+
+    def send(self, events: list[str]) -> None:
+        """Send events and act on the actions of the reply."""
         for line in self.adapter.batch(self.now_us, events):
             name, *parts = line.split(" ")
             fields = dict(part.split("=", 1) for part in parts)
             if name == "RELAY":
-                self.push(fields["msg_id"], fields["runner"])
+                self.start_attempt(fields["msg_id"], fields["runner"])
             elif name == "WAKE_ME":
-                self.later(int(fields["moment_us"]), f"WAKE ctx={fields['ctx']}")
+                self.schedule(int(fields["moment_us"]), f"WAKE ctx={fields['ctx']}")
 
-    def push(self, job: str, worker: str) -> None:
-        attempt = self.tries.get(job, 0)
-        self.tries[job] = attempt + 1
-        spent_us = int(self.random.uniform(0.5, 1.5) * IN_FLIGHT * JOB_GAP_US)
-        served = self.random.random() < 0.97
-        how = "state_code=OK finished=1" if served else "state_code=UNAVAILABLE"
-        gauge = f" gauge={self.random.randrange(2)},{self.random.randrange(1, 6)}" if served else ""
-        answer = f"ANSWER msg_id={job} n={attempt} runner={worker} {how} spent_us={spent_us}"
-        self.later(self.now_us + spent_us, answer + gauge)
+    def start_attempt(self, job: str, worker: str) -> None:
+        """Draw an attempt's time and outcome, and schedule its end."""
+        attempt = self.attempts.get(job, 0)
+        self.attempts[job] = attempt + 1
+        elapsed_us = int(self.rng.uniform(0.5, 1.5) * IN_FLIGHT * JOB_GAP_US)
+        is_served = self.rng.random() < SERVED_FRACTION
+        outcome = "state_code=OK finished=1" if is_served else "state_code=UNAVAILABLE"
+        report = f" gauge={self.rng.randrange(2)},{self.rng.randrange(1, 6)}" if is_served else ""
+        answer = f"ANSWER msg_id={job} n={attempt} runner={worker} {outcome} spent_us={elapsed_us}"
+        self.schedule(self.now_us + elapsed_us, answer + report)
 
-    def later(self, at_us: int, event: str) -> None:
-        self.sent += 1
-        heappush(self.due, (at_us, self.sent, event))
+    def schedule(self, at_us: int, event: str) -> None:
+        """Send an event with the first request that comes after its time."""
+        self.scheduled_count += 1
+        heappush(self.scheduled, (at_us, self.scheduled_count, event))
 
 
 def decision_cost(checkout: Checkout, workers: int, jobs: int) -> tuple[float, str]:
-    """Processor microseconds for one job, and a digest of all replies."""
+    """Return the CPU microseconds of one job, and a digest of all replies."""
     process = checkout.start("sim")
     try:
         adapter = Adapter(process)
         load = Load(adapter, workers)
-        load.introduce()
-        begun_s = adapter.processor_s()
+        load.send_settings()
+        before_seconds = adapter.cpu_seconds()
         for number in range(jobs):
-            load.job(number)
-        cost_us = (adapter.processor_s() - begun_s) / jobs * 1e6
+            load.submit_job(number)
+        cost_us = (adapter.cpu_seconds() - before_seconds) / jobs * 1e6
         return cost_us, adapter.digest.hexdigest()
     finally:
         end(process)
@@ -200,8 +223,8 @@
 # -- the dispatcher -------------------------------------------------------------------------
 
 
-class Targets(BaseHTTPRequestHandler):
-    """A stand-in for discovery: an unchanging list, and watches that end without news."""
+class DiscoveryHandler(BaseHTTPRequestHandler):
+    """Emulate discovery: an unchanging list, and watches that end without a change."""
 
     protocol_version = "HTTP/1.1"
     rows = [
@@ -209,7 +232,8 @@
         for number in range(WORKER_COUNTS[0])
     ]
 
-    def do_GET(self) -> None:  # noqa: N802
+    def do_GET(self) -> None:  # noqa: N802  the name that the base class calls
+        """Answer a call or a watch."""
         query = parse_qs(urlsplit(self.path).query)
         watched = "index" in query
         if watched:
@@ -224,13 +248,13 @@
             self.wfile.write(body.encode())
 
     def log_message(self, *arguments: object) -> None:
-        """Calls are not logged."""
+        """Log nothing."""
 
 
 @contextmanager
 def discovery() -> Iterator[int]:
-    """The port of a stand-in for discovery while it runs."""
-    server = ThreadingHTTPServer((LOCAL, 0), Targets)
+    """Run the emulated discovery; yield its port."""
+    server = ThreadingHTTPServer((LOCAL, 0), DiscoveryHandler)
     server.daemon_threads = True
     threading.Thread(target=server.serve_forever, daemon=True).start()
     try:
@@ -239,32 +263,35 @@
         server.shutdown()
 
 
-def nested(pairs: dict[str, str]) -> dict:
-    """Dotted keys as the nested JSON of a configuration; the classes as a list."""
-    root: dict = {}
+def nested(pairs: dict[str, str]) -> dict[str, Any]:
+    """Return dotted keys as the nested JSON of a configuration; the classes as a list."""
+    root: dict[str, Any] = {}
     for path, value in pairs.items():
         if not path.startswith("services."):
             *outer, last = path.split(".")
-            place = root
+            section = root
             for name in outer:
-                place = place.setdefault(name, {})
-            place[last] = value
-    services: list[dict] = [{} for _ in range(int(pairs["services.count"]))]
+                section = section.setdefault(name, {})
+            section[last] = value
+    services: list[dict[str, str]] = [{} for _ in range(int(pairs["services.count"]))]
     for path, value in pairs.items():
-        if path.startswith("services.") and path.count(".") == 2:
-            _, number, key = path.split(".")
+        parts = path.split(".")
+        if path.startswith("services.") and len(parts) == CLASS_KEY_PARTS:
+            _, number, key = parts
             services[int(number)][key] = value
     return {**root, "services": services}
 
 
 def free_port() -> int:
-    with socket() as probe:
-        probe.bind((LOCAL, 0))
-        return probe.getsockname()[1]
+    """Return a port that is free now."""
+    with socket() as listener:
+        listener.bind((LOCAL, 0))
+        port: int = listener.getsockname()[1]
+        return port
 
 
 def start_figures(checkout: Checkout, discovery_port: int) -> dict[str, float]:
-    """Milliseconds from the start to the first yes of /-/ready, and the memory then."""
+    """Return the milliseconds from the start to the first 200 of /-/ready, and the memory then."""
     port = free_port()
     config = {
         "name": "measured",
@@ -277,24 +304,25 @@
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         json.dump(config, file)
         file.flush()
-        begun = monotonic()
+        started_seconds = monotonic()
         process = checkout.start("run", EDGE_CONFIG=file.name)
         try:
-            while not ready(port):
-                if process.poll() is not None or monotonic() - begun > LONGEST_START_S:
+            while not is_ready(port):
+                if process.poll() is not None or monotonic() - started_seconds > MAX_START_SECONDS:
                     raise RuntimeError(f"{checkout.root}: the dispatcher did not become ready")
-                time.sleep(POLL_S)
-            ready_ms = (monotonic() - begun) * 1e3
+                time.sleep(POLL_SECONDS)
+            ready_ms = (monotonic() - started_seconds) * 1e3
             return {"start to ready, ms": ready_ms, **memory(process.pid)}
         finally:
             end(process)
 
 
-def ready(port: int) -> bool:
+def is_ready(port: int) -> bool:
+    """Return whether the dispatcher answers /-/ready with 200."""
     connection = HTTPConnection(LOCAL, port, timeout=1.0)
     try:
         connection.request("GET", "/-/ready")
-        return connection.getresponse().status == 200
+        return connection.getresponse().status == HTTPStatus.OK
     except OSError:
         return False
     finally:
@@ -302,19 +330,19 @@
 
 
 def memory(pid: int) -> dict[str, float]:
-    """Resident memory now and at its highest, in KiB."""
+    """Return the resident memory now and at its highest, in KiB."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     figures = dict(line.split(":", 1) for line in lines)
     return {f"{name} at ready, KiB": int(figures[name].split()[0]) for name in ("VmRSS", "VmHWM")}
 
 
-def end(process: subprocess.Popen) -> None:
-    """Close its input, which ends an adapter; a dispatcher needs no graceful stop here."""
-    process.stdin.close()
+def end(process: subprocess.Popen[str]) -> None:
+    """Close the input, which ends an adapter; a dispatcher needs no graceful shutdown here."""
+    open_pipe(process.stdin).close()
     if process.poll() is None:
         process.kill()
-    process.wait(STOP_S)
-    process.stdout.close()
+    process.wait(STOP_SECONDS)
+    open_pipe(process.stdout).close()
 
 
 # -- the comparison -------------------------------------------------------------------------
@@ -324,8 +352,9 @@
 
 
 def one_run(checkout: Checkout, jobs: int, discovery_port: int) -> tuple[Figures, list[str]]:
-    """All figures of one run, and the digests of the replies."""
-    figures, digests = {}, []
+    """Return all figures of one run, and the digests of the replies."""
+    figures: Figures = {}
+    digests: list[str] = []
     for workers in WORKER_COUNTS:
         cost_us, digest = decision_cost(checkout, workers, jobs)
         figures[f"a job at {workers} workers, CPU us"] = cost_us
@@ -334,32 +363,33 @@
 
 
 def compare(checkouts: list[Checkout], runs: int, jobs: int) -> tuple[list[list[Figures]], bool]:
-    """The figures by checkout and run, and whether all replies are the same."""
+    """Return the figures by checkout and run, and whether all replies are the same."""
     figures: list[list[Figures]] = [[] for _ in checkouts]
     replies: set[tuple[str, ...]] = set()
     with discovery() as port:
         for number in range(runs + 1):
-            for place, checkout in enumerate(checkouts):
+            for index, checkout in enumerate(checkouts):
                 measured, digests = one_run(checkout, jobs, port)
                 replies.add(tuple(digests))
-                if number:
-                    figures[place].append(measured)
+                if number:  # the first run is not counted
+                    figures[index].append(measured)
     return figures, len(replies) == 1
 
 
 def print_table(old: list[Figures], new: list[Figures]) -> None:
-    """Medians and lowest values of each figure, and their ratios."""
+    """Print the medians and lowest values of each figure, and their ratios."""
     columns = ("old", "new", "new/old", "old low", "new low", "new/old")
     print(" " * 34 + "".join(f"{column:>10}" for column in columns))
     for name in old[0]:
         cells = []
-        for middle in (median, min):
-            before, after = (middle([run[name] for run in runs]) for runs in (old, new))
+        for summary in (median, min):
+            before, after = (summary([run[name] for run in runs]) for runs in (old, new))
             cells.append(f"{before:10.1f}{after:10.1f}{after / before:10.3f}")
         print(f"{name:34}" + "".join(cells))
 
 
 def main() -> int:
+    """Run the benchmark with the options of the command line; return the exit code."""
     arguments = docopt(__doc__)
     runs, jobs = int(arguments["--runs"]), int(arguments["--jobs"])
     if runs < 1 or jobs < 1:
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -1,32 +1,65 @@
-"""Leases, measured: `PYTHONPATH=. python benchmarks/leases.py [--quick] [--out DIR]`, from the root.
+"""Measure leases, in simulated time, in every order of events and on real dispatchers.
 
-`--sweep` plays the days of the probe sweep instead, each with it and without beside each other.
+Usage:
+  leases [--quick] [--out DIR]
 
-Simulated: drawn schedules, every order of small configurations, the time from a holder's crash to the next
-one's first act, messages. Processes: fault schedules on real dispatchers with the ledger as the witness, the
-CPU of many leases held at once. Figures as JSON in DIR, tables to standard output as Markdown.
+Options:
+  --quick    Fewer runs and shorter ones.
+  --out DIR  Where leases.json is kept [default: docs/results].
+
+Simulated: fault schedules drawn by seeds; the exhaustive search of small configurations; the
+seconds from a holder's crash to the next holder's first operation; envelopes and messages a second
+while members wait for one lease. On processes: fault schedules with the ledger as the verifier; the
+CPU of many leases held at once, in percent of a core, beside a dispatcher that neither holds nor
+votes. Tables go to standard output as Markdown.
 """
 
-import argparse
-import json
 import os
 import statistics
 import time
+from collections.abc import Iterator
 from concurrent.futures import ProcessPoolExecutor
+from contextlib import contextmanager
+from dataclasses import asdict, dataclass
+from http import HTTPStatus
 from pathlib import Path
+from typing import Any, cast
+
+from docopt import docopt
 
+from benchmarks.harness import (
+    markdown_table,
+    process_cpu_seconds,
+    quantiles_of,
+    run_in_processes,
+    write_json,
+)
 from stepstream.lab.faults.schedule import draw
-from stepstream.lab.processes.cluster_load_test import play_swept
 from stepstream.lab.processes.lease_cluster import TROUBLES, LeaseDispatcherCluster, trouble
 from stepstream.lab.processes.lease_member import MANY
-from stepstream.lab.search.lease_search import Bounds, Search, TwoHoldersError
+from stepstream.lab.search.lease_search import Bounds, Search
+from stepstream.lab.search.lease_search import TwoHoldersError as SearchViolationError
 from stepstream.lab.simulation.lease_cluster import LeaseCluster, drawn
-from stepstream.lab.simulation.lease_workload import Resource, Task
-from stepstream.lab.simulation.lease_workload import TwoHoldersError as InvariantError
+from stepstream.lab.simulation.lease_workload import Resource, Task, TwoHoldersError
 from stepstream.lab.verification import ledger
 from stepstream.leases.configuration import LeaseConfiguration
 
-SMALL = (
+SIMULATION_PROCESSES = 7
+SIMULATION_CHUNK = 10
+DISPATCHER_CLUSTERS_AT_ONCE = 5
+ACCEPTORS = ("n0", "n1", "n2")
+LEASE = "x"
+SETTLE_SECONDS = 60.0  # longest wait for a holder after the last fault
+LONG_SECONDS = 1e6  # longer than any run
+SCHEDULE_SECONDS = 25.0
+LINK_FAULT_FRACTION = 1.0
+TTLS_SECONDS = (5.0, 15.0)
+WAITING_MEMBERS = (0, 1, 10, 100)
+LEASES_AT_ONCE = (1, 100, 1000)
+CPU_SECONDS = 20.0
+MAX_SEARCH_STATES = 400_000
+MAX_ERROR_CHARACTERS = 400
+SMALL_CONFIGURATIONS = (
     Bounds(renewals=0, restarts=0, releases=False, steps=2),
     Bounds(renewals=0, restarts=0, releases=False, steps=3),
     Bounds(renewals=0, restarts=0, releases=True, steps=2),
@@ -35,253 +68,310 @@
 )
 
 
-def schedule(seed: int) -> dict:
-    world = drawn(seed)
+@dataclass(frozen=True)
+class Sizes:
+    """How much a run of the benchmark plays."""
+
+    schedules: int
+    crashes_per_ttl: int
+    configurations: int
+    dispatcher_clusters: int
+    rounds_of_faults: int
+
+
+FULL = Sizes(3000, 200, len(SMALL_CONFIGURATIONS), 5, 4)
+QUICK = Sizes(400, 50, 2, 2, 1)
+
+# -- simulated clusters ----------------------------------------------------------------------------
+
+
+def play_schedule(seed: int) -> dict[str, Any]:
+    """Play a drawn fault schedule on a drawn cluster."""
+    cluster = drawn(seed)
     try:
-        settled = world.play(draw(seed, world.names, 25.0, 1.0), 60.0)
-    except InvariantError as error:
+        schedule = draw(seed, cluster.names, SCHEDULE_SECONDS, LINK_FAULT_FRACTION)
+        settled = cluster.play(schedule, SETTLE_SECONDS)
+    except TwoHoldersError as error:
         return {"seed": seed, "broken": str(error)}
-    acts = world.resources.get("x", Resource()).acts
+    operations = cluster.resources.get(LEASE, Resource()).acts
     return {
         "seed": seed,
         "settled": settled,
-        "grants": len(world.grants),
-        "acts": sum(act.taken for act in acts),
-        "refused": world.fenced,
+        "grants": len(cluster.grants),
+        "acts": sum(operation.taken for operation in operations),
+        "refused": cluster.fenced,
     }
 
 
-def every_order(bounds: Bounds) -> dict:
-    begun, search = time.monotonic(), Search(bounds, most=400_000)
-    told: dict = {"bounds": repr(bounds)}
+def search_configuration(bounds: Bounds) -> dict[str, Any]:
+    """Search every order of events of one small configuration."""
+    search = Search(bounds, most=MAX_SEARCH_STATES)
+    result: dict[str, Any] = {"bounds": repr(bounds)}
+    started_seconds = time.monotonic()
     try:
-        told["whole"] = search.run()
-    except TwoHoldersError as error:
-        told["broken"] = str(error)
-    return {
-        **told,
-        "states": search.states,
-        "held": search.held,
-        "s": round(time.monotonic() - begun, 1),
-    }
+        result["whole"] = search.run()
+    except SearchViolationError as error:
+        result["broken"] = str(error)
+    result["states"] = search.states
+    result["held"] = search.held
+    result["s"] = round(time.monotonic() - started_seconds, 1)
+    return result
 
 
-def crash(job: tuple[float, int]) -> dict:
-    """From a holder's crash to the next one's first act; the crash comes at any time of a renewal."""
-    ttl, seed = job
-    world = LeaseCluster(
-        seed,
-        [f"n{k}" for k in range(5)],
-        LeaseConfiguration(("n0", "n1", "n2"), max_ttl_seconds=ttl),
-    )
+def simulated_cluster(seed: int, members: int, max_ttl_seconds: float) -> LeaseCluster:
+    """Return a cluster of members whose first three are the acceptors."""
+    names = [f"n{number}" for number in range(members)]
+    return LeaseCluster(seed, names, LeaseConfiguration(ACCEPTORS, max_ttl_seconds=max_ttl_seconds))
+
+
+def measure_crash(job: tuple[float, int]) -> dict[str, float]:
+    """Measure the time from a holder's crash to the next one's first operation.
+
+    The job is a time to live and a seed. The crash comes at any time of a renewal.
+    """
+    ttl_seconds, seed = job
+    cluster = simulated_cluster(seed, 5, ttl_seconds)
     for name in ("n3", "n4"):
-        world.tasks[name] = [Task("x", ttl=ttl, act=ttl / 10, hold=1e6, think=0.1)]
-    world.start_all()
-    world.run(world.rules.recovery_seconds + 5.0 + world.draw.uniform(0.0, ttl))
-    (holder,) = world.holders("x")
-    acts = len(world.resources["x"].acts)
-    world.kill(holder.partition("@")[0])
-    begun = world.now
-    if not world.run(10 * ttl, lambda: len(world.resources["x"].acts) > acts):
-        raise InvariantError(f"nobody acted: ttl {ttl}, seed {seed}")
-    return {"ttl": ttl, "s": world.resources["x"].acts[acts].begun - begun}
-
-
-def load(waiting: int) -> dict:
-    """One holder that stays, so many that wait: bodies a second, all members' together."""
-    world = LeaseCluster(
-        1,
-        [f"n{k}" for k in range(10)],
-        LeaseConfiguration(("n0", "n1", "n2"), max_ttl_seconds=15.0),
-    )
-    world.start_all()
-    world.run(16.0)
-    for k in range(waiting + 1):
-        world.work(world.processes[f"n{k % 10}"], Task("x", ttl=15.0, act=1.0, hold=1e6))
-    world.run(20.0)
-    sent, bodies = world.sent, world.bodies
-    world.run(60.0)
+        cluster.tasks[name] = [
+            Task(LEASE, ttl=ttl_seconds, act=ttl_seconds / 10, hold=LONG_SECONDS, think=0.1)
+        ]
+    cluster.start_all()
+    phase_seconds = cluster.draw.uniform(0.0, ttl_seconds)
+    cluster.run(cluster.rules.recovery_seconds + 5.0 + phase_seconds)
+    (holder,) = cluster.holders(LEASE)
+    operations = cluster.resources[LEASE].acts
+    operations_before = len(operations)
+    cluster.kill(holder.partition("@")[0])
+    crashed_at = cluster.now
+    if not cluster.run(10 * ttl_seconds, lambda: len(operations) > operations_before):
+        raise TwoHoldersError(f"nobody acted: ttl {ttl_seconds}, seed {seed}")
+    return {"ttl": ttl_seconds, "s": operations[operations_before].begun - crashed_at}
+
+
+def measure_load(waiting: int) -> dict[str, float]:
+    """Measure envelopes and messages a second while a holder stays and some members wait."""
+    members = 10
+    window_seconds = 60.0
+    cluster = simulated_cluster(1, members, 15.0)
+    cluster.start_all()
+    cluster.run(16.0)
+    for number in range(waiting + 1):
+        process = cluster.processes[f"n{number % members}"]
+        cluster.work(process, Task(LEASE, ttl=15.0, act=1.0, hold=LONG_SECONDS))
+    cluster.run(20.0)
+    envelopes_before = cluster.sent
+    messages_before = cluster.bodies
+    cluster.run(window_seconds)
     return {
         "waiting": waiting,
-        "letters_s": (world.sent - sent) / 60,
-        "bodies_s": (world.bodies - bodies) / 60,
+        "letters_s": (cluster.sent - envelopes_before) / window_seconds,
+        "bodies_s": (cluster.bodies - messages_before) / window_seconds,
     }
 
 
-# -- processes --------------------------------------------------------------------------------------------
+# -- processes -------------------------------------------------------------------------------------
+
+
+@dataclass(frozen=True)
+class FaultRounds:
+    """A cluster of dispatchers, and how often it meets each fault."""
+
+    seed: int
+    acceptors: int
+    rounds: int
 
 
-def processes(job: tuple[int, int, int]) -> dict:
-    """All troubles so many times over, on a rig of its own; what its ledger shows."""
-    seed, voters, times = job
-    told: dict = {"seed": seed, "voters": voters, "played": 0, "next_act_s": []}
-    with LeaseDispatcherCluster(voters + 2, voters, seed) as rig:
-        rig.wait_for(rig.holder, 60.0, "a first holder")
+def measure_faults(job: FaultRounds) -> dict[str, Any]:
+    """Inject every fault in a drawn order, some times over; check the ledger."""
+    result: dict[str, Any] = {"seed": job.seed, "voters": job.acceptors}
+    next_operation_seconds: list[float] = []
+    members = job.acceptors + 2
+    with LeaseDispatcherCluster(members, job.acceptors, job.seed) as cluster:
+        cluster.wait_for(cluster.holder, SETTLE_SECONDS, "a first holder")
         try:
-            for _ in range(times):
-                for which in rig.draw.sample(TROUBLES, len(TROUBLES)):
-                    told["next_act_s"].append(trouble(rig, which, 60.0)["next_act_s"])
-                    told["played"] += 1
+            for _ in range(job.rounds):
+                for fault in cluster.draw.sample(TROUBLES, len(TROUBLES)):
+                    outcome = trouble(cluster, fault, SETTLE_SECONDS)
+                    next_operation_seconds.append(outcome["next_act_s"])
         except AssertionError as error:
-            told["broken"] = str(error)[:400]
-        rows = rig.rows()
-        told["faults"] = ledger.faults(rows)
-        told["acts"] = sum(row["what"] == "end" for row in rows)
-        told["refused"] = sum(row["what"].startswith("refused") for row in rows)
-        told["holders"] = len({row["token"] for row in rows})
-    return told
-
-
-def cpu(pid: int) -> float:
-    stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(stat[11]) + int(stat[12])) / os.sysconf("SC_CLK_TCK")
-
-
-def held_at_once(many: int, seconds: float) -> dict:
-    """CPU of the holder of so many leases, of a voter, and of a dispatcher that does neither; percent."""
-    os.environ[MANY] = str(many)
-    with LeaseDispatcherCluster(5, 3, 1, ttl=15.0, tasks=("n4",)) as rig:
-        at = rig.members["n4"]
-
-        def held() -> int:
-            status, rows = at.call("/leases")
-            return sum(row["holder"].startswith("n4@") for row in rows) if status == 200 else 0
-
-        rig.wait_for(lambda: held() >= many, 120.0, f"{many} leases")
-        time.sleep(5.0)
-        before = {name: cpu(x.process.pid) for name, x in rig.members.items()}
-        time.sleep(seconds)
-        used = {n: (cpu(x.process.pid) - before[n]) / seconds * 100 for n, x in rig.members.items()}
-        assert held() >= many
-    del os.environ[MANY]
-    voter = statistics.median(used[name] for name in rig.voters)
-    return {"leases": many, "holder": used["n4"], "voter": voter, "neither": used["n3"]}
-
-
-# -- the probe sweep --------------------------------------------------------------------------------------
-
-SWEPT = (
-    (4, ""),
-    (4, "kill"),
-    (4, "stop"),
-    (16, ""),
-)  # dispatchers, what befalls the sweep's holder
-
-
-def sweep_days(quick: bool) -> list[dict]:
-    rows = []
-    for dispatchers, harm in SWEPT:
-        jobs = [
-            (seed, on, dispatchers, 12, harm)
-            for seed in range(3 if quick else 10)
-            for on in (False, True)
+            result["broken"] = str(error)[:MAX_ERROR_CHARACTERS]
+        rows = cluster.rows()
+    result["played"] = len(next_operation_seconds)
+    result["next_act_s"] = next_operation_seconds
+    result["faults"] = ledger.faults(rows)
+    result["acts"] = sum(row["what"] == "end" for row in rows)
+    result["refused"] = sum(row["what"].startswith("refused") for row in rows)
+    result["holders"] = len({row["token"] for row in rows})
+    return result
+
+
+@contextmanager
+def environment_variable(name: str, value: str) -> Iterator[None]:
+    """Set an environment variable for the processes that are started meanwhile."""
+    os.environ[name] = value
+    try:
+        yield
+    finally:
+        del os.environ[name]
+
+
+def measure_cpu(lease_count: int) -> dict[str, float]:
+    """Measure the CPU, in percent of a core, of the holder of many leases and of others."""
+    holder = "n4"
+    with (
+        environment_variable(MANY, str(lease_count)),
+        LeaseDispatcherCluster(5, 3, 1, ttl=15.0, tasks=(holder,)) as cluster,
+    ):
+        member = cluster.members[holder]
+
+        def held_count() -> int:
+            status, body = member.call("/leases")
+            if status != HTTPStatus.OK:
+                return 0
+            rows = cast("list[dict[str, Any]]", body)
+            return sum(row["holder"].startswith(f"{holder}@") for row in rows)
+
+        cluster.wait_for(lambda: held_count() >= lease_count, 120.0, f"{lease_count} leases")
+        time.sleep(5.0)  # the acquisition's own work must not count
+        before = cpu_seconds(cluster)
+        time.sleep(CPU_SECONDS)
+        after = cpu_seconds(cluster)
+        if held_count() < lease_count:
+            raise RuntimeError(f"of {lease_count} leases only {held_count()} are held at the end")
+    used = {name: (after[name] - before[name]) / CPU_SECONDS * 100 for name in after}
+    acceptor = statistics.median(used[name] for name in cluster.voters)
+    return {
+        "leases": lease_count,
+        "holder": used[holder],
+        "voter": acceptor,
+        "neither": used["n3"],
+    }
+
+
+def cpu_seconds(cluster: LeaseDispatcherCluster) -> dict[str, float]:
+    """Return the CPU seconds of each dispatcher so far."""
+    return {
+        name: process_cpu_seconds(member.process.pid)
+        for name, member in cluster.members.items()
+        if member.process is not None
+    }
+
+
+# -- report ----------------------------------------------------------------------------------------
+
+
+def schedules_summary(rows: list[dict[str, Any]]) -> str:
+    """Return the count of schedules, the broken ones and totals."""
+    good = [row for row in rows if "settled" in row]
+    broken = [row for row in rows if "broken" in row]
+    settled = quantiles_of([row["settled"] for row in good])
+    seconds = [f"{value:.2f}" for value in asdict(settled).values()]
+    totals = [f"{key}: {sum(row[key] for row in good)}" for key in ("grants", "acts", "refused")]
+    return "\n".join(
+        [
+            f"schedules {len(rows)}, broken {broken}",
+            f"held again after the last fault, s: median, p99, most: {seconds}",
+            *totals,
         ]
-        with ProcessPoolExecutor(max_workers=4 if dispatchers < 8 else 2) as pool:
-            rows += pool.map(play_swept, jobs)
-    return rows
+    )
 
 
-def show_sweep(rows: list[dict]) -> None:
-    print(
-        "| dispatchers | holder | probes a worker and second: alone | swept | score: gain | late, ms |"
+def search_table(rows: list[dict[str, Any]]) -> str:
+    """Return the states and the verdict of each configuration."""
+    cells = []
+    for row in rows:
+        verdict = row.get("broken") or ("all tried" if row["whole"] else "unfinished")
+        cells.append((row["bounds"], f"{row['states']:,}", f"{row['held']:,}", row["s"], verdict))
+    return markdown_table(("bounds", "situations", "with a holder", "s", ""), cells)
+
+
+def crash_table(rows: list[dict[str, float]]) -> str:
+    """Return the seconds from a crash to the next operation by time to live."""
+    cells = []
+    for ttl_seconds in sorted({row["ttl"] for row in rows}):
+        seconds = [row["s"] for row in rows if row["ttl"] == ttl_seconds]
+        quantiles = [f"{value:.2f}" for value in asdict(quantiles_of(seconds)).values()]
+        cells.append((f"{ttl_seconds:g}", len(seconds), *quantiles))
+    return markdown_table(
+        ("time to live, s", "plays", "crash to the next act, s: median", "p99", "most"), cells
     )
-    print("| --- | --- | --- | --- | --- | --- |")
-    for dispatchers, harm in SWEPT:
-        mine = [row for row in rows if (row["dispatchers"], row["harm"]) == (dispatchers, harm)]
-        off, on = ([row for row in mine if row["sweep"] == wanted] for wanted in (False, True))
-        gaps = [b["score"] - a["score"] for a, b in zip(off, on, strict=True)]
-        error = statistics.stdev(gaps) / len(gaps) ** 0.5
-        probes = [statistics.mean(row["probes_a_worker_s"] for row in part) for part in (off, on)]
-        late = max(row["late_ms"] for row in mine)
-        broken = [row["breaches"] for row in mine if row["breaches"]]
-        print(
-            f"| {dispatchers} | {harm or 'well'} | {probes[0]:.2f} | {probes[1]:.2f} | "
-            f"{statistics.mean(gaps):+.3f}, standard error {error:.3f} | {late:.0f} | {broken or ''}"
-        )
-
-
-# -- all of it --------------------------------------------------------------------------------------------
-
-
-def quantiles(values: list[float]) -> tuple[float, float, float]:
-    ordered = sorted(values)
-    return (
-        statistics.median(ordered),
-        ordered[min(int(len(ordered) * 0.99), len(ordered) - 1)],
-        ordered[-1],
+
+
+def load_lines(rows: list[dict[str, float]]) -> str:
+    """Return a line for each number of waiting members."""
+    return "\n".join(
+        f"waiting {row['waiting']}: {row['letters_s']:.1f} envelopes,"
+        f" {row['bodies_s']:.1f} messages a second"
+        for row in rows
     )
 
 
-def main() -> None:
-    parser = argparse.ArgumentParser()
-    parser.add_argument("--quick", action="store_true")
-    parser.add_argument("--sweep", action="store_true")
-    parser.add_argument("--out", default="docs/results")
-    arguments = parser.parse_args()
-    quick, out = arguments.quick, Path(arguments.out)
-    told: dict = {}
-    if arguments.sweep:
-        rows = sweep_days(quick)
-        (out / "sweep.json").write_text(json.dumps(rows, indent=1))
-        show_sweep(rows)
-        return
-    with ProcessPoolExecutor(max_workers=7) as pool:
-        orders = [pool.submit(every_order, bounds) for bounds in SMALL[: 2 if quick else None]]
-        told["schedules"] = list(pool.map(schedule, range(400 if quick else 3000), chunksize=10))
-        jobs = [(ttl, seed) for ttl in (5.0, 15.0) for seed in range(50 if quick else 200)]
-        told["crash"] = list(pool.map(crash, jobs, chunksize=10))
-        told["load"] = list(pool.map(load, (0, 1, 10, 100)))
-        told["orders"] = [order.result() for order in orders]
-    with ProcessPoolExecutor(max_workers=5) as pool:
-        rigs = [
-            (seed, 3 if seed % 2 else 5, 1 if quick else 4) for seed in range(2 if quick else 5)
+def faults_table(rows: list[dict[str, Any]]) -> str:
+    """Return what the ledger of each cluster of dispatchers shows."""
+    header = (
+        "rig",
+        "voters",
+        "schedules",
+        "acts",
+        "holders",
+        "refused",
+        "next act, s: median",
+        "most",
+        "faults",
+    )
+    cells = []
+    for row in rows:
+        seconds = quantiles_of(row["next_act_s"])
+        counts = [row[key] for key in ("seed", "voters", "played", "acts", "holders", "refused")]
+        verdict = row["faults"] or row.get("broken") or "none"
+        cells.append((*counts, f"{seconds.median:.2f}", f"{seconds.greatest:.2f}", verdict))
+    return markdown_table(header, cells)
+
+
+def cpu_table(rows: list[dict[str, float]]) -> str:
+    """Return the CPU by number of leases held."""
+    cells = [
+        (row["leases"], f"{row['holder']:.1f}", f"{row['voter']:.1f}", f"{row['neither']:.1f}")
+        for row in rows
+    ]
+    return markdown_table(("leases held", "holder, % of a core", "voter", "neither"), cells)
+
+
+def measure(sizes: Sizes) -> dict[str, Any]:
+    """Run all parts; the keys are those of the kept results."""
+    results: dict[str, Any] = {}
+    with ProcessPoolExecutor(max_workers=SIMULATION_PROCESSES) as pool:
+        # The searches take longest; they begin first and run beside the rest.
+        searches = [
+            pool.submit(search_configuration, bounds)
+            for bounds in SMALL_CONFIGURATIONS[: sizes.configurations]
         ]
-        told["processes"] = list(pool.map(processes, rigs))
-    told["cpu"] = [held_at_once(many, 20.0) for many in (1, 100, 1000)]
-    out.mkdir(parents=True, exist_ok=True)
-    (out / "leases.json").write_text(json.dumps(told, indent=1))
-    show(told)
+        schedules = pool.map(play_schedule, range(sizes.schedules), chunksize=SIMULATION_CHUNK)
+        results["schedules"] = list(schedules)
+        crash_jobs = [(ttl, seed) for ttl in TTLS_SECONDS for seed in range(sizes.crashes_per_ttl)]
+        results["crash"] = list(pool.map(measure_crash, crash_jobs, chunksize=SIMULATION_CHUNK))
+        results["load"] = list(pool.map(measure_load, WAITING_MEMBERS))
+        results["orders"] = [search.result() for search in searches]
+    fault_jobs = [
+        FaultRounds(seed, 3 if seed % 2 else 5, sizes.rounds_of_faults)
+        for seed in range(sizes.dispatcher_clusters)
+    ]
+    results["processes"] = run_in_processes(measure_faults, fault_jobs, DISPATCHER_CLUSTERS_AT_ONCE)
+    results["cpu"] = [measure_cpu(lease_count) for lease_count in LEASES_AT_ONCE]
+    return results
 
 
-def show(told: dict) -> None:
-    good = [row for row in told["schedules"] if "settled" in row]
-    print(
-        f"schedules {len(told['schedules'])}, broken {[x for x in told['schedules'] if 'broken' in x]}"
-    )
-    settled = [f"{x:.2f}" for x in quantiles([row["settled"] for row in good])]
-    print(f"held again after the last fault, s: median, p99, most: {settled}")
-    for key in ("grants", "acts", "refused"):
-        print(f"{key}: {sum(row[key] for row in good)}")
-    print("\n| bounds | situations | with a holder | s | |\n| --- | --- | --- | --- | --- |")
-    for row in told["orders"]:
-        verdict = row.get("broken") or ("all tried" if row["whole"] else "unfinished")
-        print(f"| {row['bounds']} | {row['states']:,} | {row['held']:,} | {row['s']} | {verdict} |")
-    print("\n| time to live, s | plays | crash to the next act, s: median | p99 | most |")
-    print("| --- | --- | --- | --- | --- |")
-    for ttl in sorted({row["ttl"] for row in told["crash"]}):
-        rows = [row["s"] for row in told["crash"] if row["ttl"] == ttl]
-        print(
-            f"| {ttl:g} | {len(rows)} | " + " | ".join(f"{x:.2f}" for x in quantiles(rows)) + " |"
-        )
-    for row in told["load"]:
-        print(
-            f"waiting {row['waiting']}: {row['letters_s']:.1f} letters, {row['bodies_s']:.1f} bodies a second"
-        )
-    print(
-        "\n| rig | voters | schedules | acts | holders | refused | next act, s: median | most | faults |"
-    )
-    print("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-    for row in told["processes"]:
-        middle, _, most = quantiles(row["next_act_s"])
-        print(
-            f"| {row['seed']} | {row['voters']} | {row['played']} | {row['acts']} | {row['holders']} | "
-            f"{row['refused']} | {middle:.2f} | {most:.2f} | {row['faults'] or row.get('broken') or 'none'} |"
-        )
-    print("\n| leases held | holder, % of a core | voter | neither |\n| --- | --- | --- | --- |")
-    for row in told["cpu"]:
-        print(
-            f"| {row['leases']} | {row['holder']:.1f} | {row['voter']:.1f} | {row['neither']:.1f} |"
-        )
+def main() -> None:
+    """Run the benchmark with the options of the command line."""
+    arguments = docopt(__doc__)
+    results = measure(QUICK if arguments["--quick"] else FULL)
+    write_json(Path(arguments["--out"]), "leases.json", results)
+    print(schedules_summary(results["schedules"]))
+    print(f"\n{search_table(results['orders'])}")
+    print(f"\n{crash_table(results['crash'])}")
+    print(load_lines(results["load"]))
+    print(f"\n{faults_table(results['processes'])}")
+    print(f"\n{cpu_table(results['cpu'])}")
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/benchmarks/membership.py
@@ -0,0 +1,475 @@
+"""Measure membership, in simulated time and on twenty dispatchers.
+
+Usage:
+  membership [--quick] [--out DIR] [--no-processes]
+
+Options:
+  --quick         Fewer runs and shorter ones.
+  --out DIR       Where fleet.json and the chart fleet.png are kept [default: docs/results].
+  --no-processes  Leave out the part with real dispatchers.
+
+Simulated, by cluster size: the seconds until all members know of a crash, and until they agree
+after a healed cut; datagrams and bytes a member and second without faults; members wrongly believed
+dead a member and hour, with Lifeguard and with SWIM's fixed suspicion only; fault schedules drawn
+by seeds; the exhaustive search. On processes: the CPU of a dispatcher without faults, in percent of
+a core, and the seconds until a crash, a cut and a maintenance record are known. Tables go to
+standard output as Markdown.
+"""
+
+import statistics
+import time
+from collections.abc import Iterable
+from dataclasses import asdict, dataclass
+from pathlib import Path
+from typing import Any, cast
+
+import matplotlib
+from docopt import docopt
+
+from benchmarks.harness import (
+    markdown_table,
+    process_cpu_seconds,
+    quantiles_of,
+    run_in_processes,
+    write_json,
+)
+from stepstream.lab.faults.schedule import draw
+from stepstream.lab.processes.dispatcher_cluster import Dispatcher, DispatcherCluster
+from stepstream.lab.search.membership_search import Search
+from stepstream.lab.simulation.membership_cluster import InvariantError, MembershipCluster
+from stepstream.membership.messages import MemberState
+from stepstream.membership.protocol_settings import ProtocolSettings
+
+PROCESSES = 6
+RUNS_BY_SIZE = {5: 200, 20: 200, 50: 60, 200: 8, 1000: 2}
+QUICK_RUNS_BY_SIZE = {5: 60, 20: 60, 50: 24, 200: 4}
+FALSE_DEATHS_SECONDS = 1800.0
+QUICK_FALSE_DEATHS_SECONDS = 600.0
+FALSE_DEATHS_MEMBERS = 20
+SCHEDULES_BY_SIZE = {5: 900, 20: 100}
+SCHEDULE_SECONDS = 25.0
+SCHEDULE_LINK_FAULT_FRACTION = 0.05  # of the datagrams: duplicated, and delayed
+SETTLE_SECONDS = 60.0  # longest wait for one membership list after the last fault
+SEARCH_DEPTH = 5
+JOIN_SECONDS = 120.0
+LOAD_SECONDS = 10.0
+SECONDS_PER_HOUR = 3600
+MAX_BROKEN_SHOWN = 10
+
+DEFAULT_SETTINGS = ProtocolSettings()
+# Without Lifeguard's extensions: one fixed suspicion timeout.
+SWIM_SETTINGS = ProtocolSettings(
+    max_local_health_score=0, suspicion_confirmations=0, suspicion_max_multiplier=1.0
+)
+SETTINGS_BY_NAME = {"Lifeguard": DEFAULT_SETTINGS, "SWIM": SWIM_SETTINGS}
+LOSS_AND_STALLS = ((0.0, False), (0.1, False), (0.3, False), (0.0, True))
+
+# -- simulated clusters ----------------------------------------------------------------------------
+
+
+def joined_cluster(seed: int, members: int, settings: ProtocolSettings) -> MembershipCluster:
+    """Return a cluster whose members all agree; InvariantError if they do not join in time."""
+    cluster = MembershipCluster(seed, members, settings)
+    cluster.start_all()
+    if not cluster.run(JOIN_SECONDS, cluster.agreed):
+        raise InvariantError(f"{members} members, seed {seed}: not joined")
+    return cluster
+
+
+@dataclass(frozen=True)
+class CrashAndCut:
+    """One run: seconds until a crash is known and a cut is healed; load by member and second."""
+
+    members: int
+    known: float
+    healed: float
+    sent: float  # datagrams
+    bytes: float
+
+
+def measure_crash_and_cut(job: tuple[int, int]) -> CrashAndCut:
+    """Measure a calm time, a crash and a cut of a cluster of a size and seed."""
+    members, seed = job
+    cluster = joined_cluster(seed, members, DEFAULT_SETTINGS)
+    cluster.run(3.0 + seed % 7 * 0.13)  # another phase of the probe interval for each seed
+    sent_before = cluster.sent
+    bytes_before = cluster.bytes
+    cluster.run(LOAD_SECONDS)
+    sent = (cluster.sent - sent_before) / members / LOAD_SECONDS
+    sent_bytes = (cluster.bytes - bytes_before) / members / LOAD_SECONDS
+    known_seconds = measure_crash(cluster)
+    healed_seconds = measure_cut(cluster, members)
+    if healed_seconds is None:
+        raise InvariantError(f"{members} members, seed {seed}: not healed")
+    return CrashAndCut(members, known_seconds, healed_seconds, sent, sent_bytes)
+
+
+def measure_crash(cluster: MembershipCluster) -> float:
+    """Crash a member; return the seconds until all others believe it dead. Start it again."""
+    crashed_at = cluster.now
+    cluster.crash("n1")
+    cluster.run(SETTLE_SECONDS, lambda: cluster.known("n1", (MemberState.DEAD,)))
+    known_seconds = cluster.now - crashed_at
+    cluster.start("n1")
+    cluster.run(30.0, cluster.agreed)
+    return known_seconds
+
+
+def measure_cut(cluster: MembershipCluster, members: int) -> float | None:
+    """Cut the cluster in halves for 20 s; return the seconds until all agree after that."""
+    half = [f"n{number}" for number in range(members // 2)]
+    cluster.links.cut(half, [name for name in cluster.names if name not in half])
+    cluster.run(20.0)
+    cluster.links.heal()
+    healed_at = cluster.now
+    return cluster.now - healed_at if cluster.run(JOIN_SECONDS, cluster.agreed) else None
+
+
+@dataclass(frozen=True)
+class FalseDeathsJob:
+    """What one run of false deaths is played with."""
+
+    settings_name: str
+    loss: float
+    has_stalls: bool
+    seed: int
+    seconds: float
+
+
+def measure_false_deaths(job: FalseDeathsJob) -> dict[str, Any]:
+    """Count members believed dead while they ran, by others that did not stall, by hour."""
+    settings = SETTINGS_BY_NAME[job.settings_name]
+    cluster = joined_cluster(job.seed, FALSE_DEATHS_MEMBERS, settings)
+    cluster.links.loss = job.loss
+    deaths_before = len(cluster.deaths)
+    for _ in range(int(job.seconds)):
+        if job.has_stalls:
+            cluster.stall("n0", cluster.draw.uniform(0.2, 0.9))
+        cluster.run(1.0)
+    # Several observers of one death count once.
+    wrong = {(name, round(at / 10)) for at, _, name, runs in cluster.deaths[deaths_before:] if runs}
+    of_stalled = [name for name, _ in wrong if job.has_stalls and name == "n0"]
+    hours = job.seconds / SECONDS_PER_HOUR
+    return {
+        "which": job.settings_name,
+        "loss": job.loss,
+        "stalled": job.has_stalls,
+        "wrong": (len(wrong) - len(of_stalled)) / FALSE_DEATHS_MEMBERS / hours,
+        "of the stalled": len(of_stalled) / hours,
+    }
+
+
+def play_schedule(job: tuple[int, int]) -> dict[str, Any]:
+    """Play a drawn fault schedule on a cluster of a size and seed."""
+    members, seed = job
+    cluster = MembershipCluster(seed, members, DEFAULT_SETTINGS)
+    cluster.links.doubled = SCHEDULE_LINK_FAULT_FRACTION
+    cluster.links.late = SCHEDULE_LINK_FAULT_FRACTION
+    cluster.start_all()
+    cluster.run(3.0)
+    outcome: dict[str, Any] = {"members": members, "seed": seed}
+    try:
+        schedule = draw(seed, cluster.names, SCHEDULE_SECONDS)
+        outcome["settled"] = cluster.play(schedule, SETTLE_SECONDS)
+    except InvariantError as error:
+        outcome["broken"] = str(error)
+    return outcome
+
+
+def run_search() -> dict[str, Any]:
+    """Search every order of events to the depth; InvariantError if one breaks an invariant."""
+    search = Search(depth=SEARCH_DEPTH)
+    started_seconds = time.monotonic()
+    search.run()
+    return {
+        "depth": SEARCH_DEPTH,
+        "states": search.states,
+        "settled": search.settled,
+        "s": round(time.monotonic() - started_seconds, 1),
+    }
+
+
+# -- processes -------------------------------------------------------------------------------------
+
+CLUSTER_SIZE = 20
+CALM_SECONDS = 20.0
+ENDPOINT_LIST = {
+    "version": 3,
+    "full": True,
+    "servers": [{"id": "s-1", "addr": "127.0.0.1:9", "state": "ready"}],
+}
+
+
+class ProcessBenchmark:
+    """Measure twenty dispatchers without faults and through a crash, a cut and a suspension."""
+
+    def __init__(self, cluster: DispatcherCluster) -> None:
+        self.cluster = cluster
+        self.everyone = set(cluster.members)
+        self.figures: dict[str, float] = {}
+
+    def run(self) -> dict[str, float]:
+        """Return the figures by name; the part of each name behind the last `_` is its unit."""
+        self.figures["joined_s"] = self.wait_for_agreement("one view")
+        time.sleep(5.0)  # the start's own work must not count as calm
+        self.measure_calm_cpu()
+        self.measure_crash()
+        self.measure_cut()
+        self.measure_maintenance_end()
+        self.measure_suspension()
+        return self.figures
+
+    def wait_for_agreement(self, expectation: str) -> float:
+        """Wait until all members agree; return the seconds that it took."""
+        return self.cluster.wait_for(
+            lambda: self.cluster.agreed(self.everyone), SETTLE_SECONDS, expectation
+        )
+
+    def measure_calm_cpu(self) -> None:
+        """Measure the CPU of the processes and of their membership threads without faults."""
+        before = self.cpu_seconds()
+        time.sleep(CALM_SECONDS)
+        after = self.cpu_seconds()
+        for index, part in enumerate(("process", "fleet_thread")):
+            used = [after[name][index] - before[name][index] for name in self.everyone]
+            self.figures[f"{part}_cpu_percent"] = statistics.median(used) / CALM_SECONDS * 100
+
+    def cpu_seconds(self) -> dict[str, tuple[float, float]]:
+        """Return by member the CPU seconds of the process and of its membership thread."""
+        return {
+            name: (process_cpu_seconds(pid_of(member)), membership_of(member)["counts"]["cpu_s"])
+            for name, member in self.cluster.members.items()
+        }
+
+    def measure_crash(self) -> None:
+        """Kill a member, and start it again with an endpoint list."""
+        killed_seconds = time.monotonic()
+        self.cluster.kill("n3")
+        others = self.everyone - {"n3"}
+        self.cluster.wait_for(
+            lambda: self.cluster.held(others, "n3", "dead"), SETTLE_SECONDS, "the death"
+        )
+        self.figures["crash_known_s"] = time.monotonic() - killed_seconds
+        self.cluster.members["n3"].known = ENDPOINT_LIST
+        self.cluster.start(["n3"])
+        self.wait_for_agreement("the return")
+
+    def measure_cut(self) -> None:
+        """Cut the cluster in halves, begin maintenance of a worker in one half, and heal."""
+        half = {f"n{number}" for number in range(CLUSTER_SIZE // 2)}
+        self.cluster.cut(half, self.everyone - half)
+        time.sleep(20.0)  # long enough for each half to believe the other dead
+        begun_seconds = time.monotonic()
+        self.cluster.members["n3"].call("/workers/s-1/maint", "PUT")
+        self.wait_for_maintenance(half, "the ban on its side")
+        self.figures["ban_on_its_side_s"] = time.monotonic() - begun_seconds
+        healed_seconds = time.monotonic()
+        self.cluster.heal()
+        self.wait_for_maintenance(self.everyone, "the ban everywhere")
+        self.figures["ban_everywhere_after_heal_s"] = time.monotonic() - healed_seconds
+        agreement_seconds = self.wait_for_agreement("the healing")
+        self.figures["healed_s"] = self.figures["ban_everywhere_after_heal_s"] + agreement_seconds
+
+    def wait_for_maintenance(self, names: Iterable[str], expectation: str) -> None:
+        """Wait until each of the members has a worker in maintenance."""
+        self.cluster.wait_for(
+            lambda: all(map(self.has_maintenance, names)), SETTLE_SECONDS, expectation
+        )
+
+    def has_maintenance(self, name: str) -> bool:
+        """Return whether a member has any worker in maintenance."""
+        membership = self.cluster.members[name].fleet()
+        return membership is not None and any(record["out"] for record in membership["words"])
+
+    def measure_maintenance_end(self) -> None:
+        """End the maintenance at one member."""
+        ended_seconds = time.monotonic()
+        self.cluster.members["n3"].call("/workers/s-1/ready", "PUT")
+        self.cluster.wait_for(
+            lambda: not any(map(self.has_maintenance, self.everyone)),
+            SETTLE_SECONDS,
+            "the return of the worker",
+        )
+        self.figures["word_everywhere_s"] = time.monotonic() - ended_seconds
+
+    def measure_suspension(self) -> None:
+        """Suspend a member for a minute; count whom it believes dead after it resumes."""
+        member = self.cluster.members["n5"]
+        last_change = membership_of(member)["number"]
+        self.cluster.freeze("n5")
+        time.sleep(60.0)
+        self.cluster.thaw("n5")
+        self.figures["settled_after_60s_stop_s"] = self.wait_for_agreement(
+            "the return of one that stood still"
+        )
+        _, body = member.call(f"/fleet/changes?after={last_change}")
+        changes = cast("dict[str, Any]", body)["changes"]
+        self.figures["held_dead_by_it"] = sum(
+            change["after"] == "dead" and change["name"] != "n5" for change in changes
+        )
+
+
+def pid_of(member: Dispatcher) -> int:
+    """Return the process id of a running dispatcher."""
+    if member.process is None:
+        raise RuntimeError(f"{member.name} does not run")
+    return member.process.pid
+
+
+def membership_of(member: Dispatcher) -> dict[str, Any]:
+    """Return what a running dispatcher says of the members."""
+    membership = member.fleet()
+    if membership is None:
+        raise RuntimeError(f"{member.name} does not answer")
+    return membership
+
+
+def measure_processes() -> dict[str, float]:
+    """Run the part with real dispatchers."""
+    with DispatcherCluster(CLUSTER_SIZE, 1) as cluster:
+        return ProcessBenchmark(cluster).run()
+
+
+# -- report ----------------------------------------------------------------------------------------
+
+
+def draw_chart(rows: list[CrashAndCut], path: Path) -> None:
+    """Draw the times by size, and the load."""
+    matplotlib.use("Agg")
+    from matplotlib import pyplot  # noqa: PLC0415  the backend is chosen first
+
+    sizes = sorted({row.members for row in rows})
+    figure, (times, load) = pyplot.subplots(1, 2, figsize=(9, 3.2))
+    draw_times(times, rows, sizes, "known", "crash known to all", "#abd9e9", -0.2)
+    draw_times(times, rows, sizes, "healed", "healed cut settled", "#fdae61", 0.2)
+    times.set_xticks(range(len(sizes)), sizes)
+    times.set_xlabel("members")
+    times.set_ylabel("seconds")
+    times.legend(fontsize=8)
+    means = [statistics.mean(row.bytes for row in rows if row.members == size) for size in sizes]
+    load.plot(sizes, means, marker="o")
+    load.set_xscale("log")
+    load.set_ylim(0)
+    load.set_xlabel("members")
+    load.set_ylabel("bytes a member and second, calm")
+    figure.tight_layout()
+    figure.savefig(path, dpi=110)
+
+
+def draw_times(  # noqa: PLR0913, PLR0917  one box plot: its data and its looks
+    axes: Any,  # noqa: ANN401  matplotlib has no types
+    rows: list[CrashAndCut],
+    sizes: list[int],
+    field: str,
+    label: str,
+    colour: str,
+    offset: float,
+) -> None:
+    """Draw one box for each size of the seconds in a field."""
+    axes.boxplot(
+        [[getattr(row, field) for row in rows if row.members == size] for size in sizes],
+        positions=[index + offset for index in range(len(sizes))],
+        widths=0.3,
+        label=label,
+        patch_artist=True,
+        boxprops={"facecolor": colour},
+    )
+
+
+def sizes_table(rows: list[CrashAndCut], runs_by_size: dict[int, int]) -> str:
+    """Return the times and the load by size."""
+    header = (
+        "members",
+        "plays",
+        "crash known, s: median",
+        "p99",
+        "healed, s: median",
+        "p99",
+        "datagrams",
+        "bytes",
+    )
+    return markdown_table(
+        header,
+        [
+            size_row(size, runs, [row for row in rows if row.members == size])
+            for size, runs in runs_by_size.items()
+        ],
+    )
+
+
+def size_row(size: int, runs: int, rows: list[CrashAndCut]) -> list[object]:
+    """Return one size's cells."""
+    known = quantiles_of([row.known for row in rows])
+    healed = quantiles_of([row.healed for row in rows])
+    seconds = (known.median, known.p99, healed.median, healed.p99)
+    sent = statistics.mean(row.sent for row in rows)
+    sent_bytes = statistics.mean(row.bytes for row in rows)
+    return [size, runs, *(f"{value:.1f}" for value in seconds), f"{sent:.1f}", f"{sent_bytes:.0f}"]
+
+
+def false_deaths_table(rows: list[dict[str, Any]]) -> str:
+    """Return the wrong deaths by settings, loss and stalls."""
+    header = (
+        "",
+        "loss",
+        "one stalls",
+        "wrong deaths a member and hour",
+        "of the stalled one an hour",
+    )
+    cells = []
+    for row in rows:
+        of_stalled = f"{row['of the stalled']:.1f}" if row["stalled"] else "-"
+        wrong = f"{row['wrong']:.2f}"
+        cells.append((row["which"], f"{row['loss']:.0%}", row["stalled"], wrong, of_stalled))
+    return markdown_table(header, cells)
+
+
+def schedules_summary(rows: list[dict[str, Any]]) -> str:
+    """Return the count of schedules, their times to settle and the first broken ones."""
+    settled = quantiles_of([row["settled"] for row in rows if "settled" in row])
+    broken = [row for row in rows if "broken" in row]
+    first = (
+        f"schedules: {len(rows)}, broken {len(broken)},"
+        f" settled {settled.median:.1f} | {settled.p99:.1f}"
+    )
+    return "\n".join([first, *(f"  {row}" for row in broken[:MAX_BROKEN_SHOWN])])
+
+
+def main() -> None:
+    """Run the benchmark with the options of the command line."""
+    arguments = docopt(__doc__)
+    quick = arguments["--quick"]
+    folder = Path(arguments["--out"])
+    runs_by_size = QUICK_RUNS_BY_SIZE if quick else RUNS_BY_SIZE
+    size_jobs = [(size, seed) for size, runs in runs_by_size.items() for seed in range(runs)]
+    sizes = run_in_processes(measure_crash_and_cut, size_jobs, PROCESSES)
+    seconds = QUICK_FALSE_DEATHS_SECONDS if quick else FALSE_DEATHS_SECONDS
+    false_death_jobs = [
+        FalseDeathsJob(name, loss, has_stalls, 1, seconds)
+        for name in SETTINGS_BY_NAME
+        for loss, has_stalls in LOSS_AND_STALLS
+    ]
+    false_deaths = run_in_processes(measure_false_deaths, false_death_jobs, PROCESSES)
+    schedule_jobs = [
+        (size, seed) for size, runs in SCHEDULES_BY_SIZE.items() for seed in range(runs)
+    ]
+    schedules = run_in_processes(play_schedule, schedule_jobs, PROCESSES)
+    # The keys are those of the kept results.
+    results: dict[str, Any] = {
+        "sizes": [asdict(row) for row in sizes],
+        "wrong": false_deaths,
+        "schedules": schedules,
+        "search": run_search(),
+    }
+    if not arguments["--no-processes"]:
+        results["twenty"] = measure_processes()
+    write_json(folder, "fleet.json", results)
+    draw_chart(sizes, folder / "fleet.png")
+    print(sizes_table(sizes, runs_by_size))
+    print(f"\n{false_deaths_table(false_deaths)}")
+    print(f"\n{schedules_summary(schedules)}")
+    print(f"search: {results['search']}\ntwenty processes: {results.get('twenty')}")
+
+
+if __name__ == "__main__":
+    main()
