--- a/stepstream/cli/__init__.py
+++ b/stepstream/cli/__init__.py
@@ -17,43 +17,45 @@
   stepstream (-h | --help)
 
 Commands:
-  serve         Run one dispatcher, as EDGE_CONFIG says, until SIGTERM.
-  check-config  Read EDGE_CONFIG, name the first faulty key or sum up what it sets.
-  keys          Make, rotate, revoke or list the keys that tokens are signed by.
-  token         Issue a token, or show what one says.
-  identity      Print the decision on a token for a class and tenant, and the rule behind it.
-  fleet         Ask a running dispatcher how it sees the others: stepstream fleet --help.
-  lab fleet     Play faults (drawn by the seed, or a file's) on a few dispatchers and check what must hold.
-  demo          Start a small fleet, a dispatcher and load on this machine, and show how they do.
+  serve         Run one dispatcher, configured by EDGE_CONFIG, until SIGTERM.
+  check-config  Read EDGE_CONFIG; name the first faulty key or print a summary.
+  keys          Create, rotate, revoke or list the keys that sign tokens.
+  token         Issue a token, or print the content of one.
+  identity      Print the access decision on a token for a class and tenant, and its rule.
+  fleet         Ask a running dispatcher for its membership list: stepstream fleet --help.
+  lab fleet     Inject faults (drawn from the seed, or of a file) into a cluster of dispatchers and check invariants.
+  demo          Run emulated workers and clients round a dispatcher on this machine, and print the outcome.
   version       Print the version.
 
 Options:
-  --operator FILE  The operator's own TOML file, which switches on more than the platform's dispatcher;
-                   STEPSTREAM_OPERATOR stands in for it. Without either nothing more is loaded.
+  --operator FILE  The operator's TOML file, which enables subsystems beyond the platform's dispatcher; by default
+                   STEPSTREAM_OPERATOR. Without either none is loaded.
   --dir DIR        The folder of keys.json and the private keys.
   --alg ALG        EdDSA, ES256 or RS256 [default: EdDSA].
-  --kid KID        A key's name; made up if it is left out.
+  --kid KID        The key's id; random by default.
   --state STATE    active or next [default: active].
-  --overlap S      For how long tokens of the retiring key stay good, in seconds [default: 3600].
-  --early          Rotate though the next key has hardly been published.
-  --subject SUB    Whom the token speaks of.
-  --issuer ISS     As identity.issuer has it.
-  --audience AUD   As identity.audience has it.
-  --ttl S          For how long it is good, in seconds [default: 900].
-  --token TOKEN    The token itself.
-  --class CLASS    What is asked for.
-  --tenant TENANT  For whom.
-  --site NAME      The fleet and its protocol: small (asked lists, no reports, keyed jobs) or probed (pushed
-                   lists, load reports from probes, jobs that must never run twice) [default: small].
-  --mix MIX        What clients and nodes speak: http, gearman or mixed [default: mixed].
-  --seconds N      For how long load is sent [default: 20].
-  --seed N         Of all that is drawn at random [default: 1].
-  --json FILE      Write the scores there too.
+  --overlap S      Seconds for which tokens of the retiring key stay valid [default: 3600].
+  --early          Rotate although verifiers may not have read the next key yet.
+  --subject SUB    The token's subject.
+  --issuer ISS     The token's issuer, as identity.issuer.
+  --audience AUD   The token's audience, as identity.audience.
+  --ttl S          Seconds for which the token is valid [default: 900].
+  --token TOKEN    The token to decide on.
+  --class CLASS    The job class of the request.
+  --tenant TENANT  The tenant of the request.
+  --site NAME      The emulated site: small (polled endpoint lists, no load reports, idempotency keys) or probed
+                   (pushed lists, load reports by health checks, jobs that must never run twice) [default: small].
+  --mix MIX        The protocols of clients and workers: http, gearman or mixed [default: mixed].
+  --seconds N      Length of the load in seconds [default: 20].
+  --seed N         Seed of all random draws [default: 1].
+  --json FILE      Write the results as JSON too.
   --members N      Dispatchers, 2 to 20 [default: 5].
-  --faults FILE    [[fault]] tables: docs/fleet.md.
+  --faults FILE    A schedule of [[fault]] tables: docs/membership.md.
   --out DIR        Write fleet.json and the chart fleet.png there.
-  --hold           Start fleet and dispatcher but no load: print one JSON line with the addresses and stay
-                   until stopped.
+  --hold           Start workers and dispatcher but no load: print their addresses as one JSON line and run until
+                   SIGTERM or SIGINT.
+
+Exit codes of all commands: docs/commands.md.
 """  # noqa: E501  printed as the usage, whose text is fixed
 
 import sys
--- a/stepstream/config/operator_sections.py
+++ b/stepstream/config/operator_sections.py
@@ -173,7 +173,7 @@
 
 
 class MembershipSection(Section, frozen=True, kw_only=True):
-    """`[fleet]`: the dispatchers' membership protocol (SWIM with Lifeguard); docs/fleet.md.
+    """`[fleet]`: the dispatchers' membership protocol (SWIM with Lifeguard); docs/membership.md.
 
     listen (required, IPv4:PORT): UDP address of this member.
     advertise (`listen`, IPv4:PORT): where the others send, if that is another address.
--- a/stepstream/identity/commands.py
+++ b/stepstream/identity/commands.py
@@ -20,6 +20,7 @@
 from stepstream.identity.key_rotation import SigningKeyStore
 from stepstream.identity.key_set import KeyState
 from stepstream.identity.permissions import Verdict
+from stepstream.identity.rotation_rules import state_of
 from stepstream.identity.tokens import decode_base64url, parse_json_object
 from stepstream.ports.access_control import Credential
 
@@ -46,7 +47,7 @@
     elif arguments["revoke"]:
         key_id = arguments["KID"]
         key_store.revoke(key_id)
-        print(f"{key_id} is revoked: no token of it is good from the next reading on")
+        print(f"{key_id} is revoked: its tokens are invalid once verifiers have reloaded the keys")
     else:
         for row in key_store.load_rows():
             print(key_line(row))
@@ -57,7 +58,7 @@
     """Return the line of `keys list` for a row of the key file."""
     end = f" until {format_time(row['not_after'])}" if row.get("not_after") else ""
     start = format_time(row.get("not_before", 0))
-    return f"{row['kid']} {row['alg']} {row['state']} since {start}{end}"
+    return f"{row['kid']} {row['alg']} {state_of(row).value} since {start}{end}"
 
 
 def token(arguments: dict[str, Any]) -> int:
@@ -88,9 +89,9 @@
         parts = text.encode().split(b".")
         header, claims = (parse_json_object(decode_base64url(part)) for part in parts[:2])
     except TokenError as error:
-        raise IdentityCommandError(f"TOKEN is none: {error.reason}") from error
+        raise IdentityCommandError(f"TOKEN is not a token: {error.reason}") from error
     except ValueError as error:
-        raise IdentityCommandError(f"TOKEN is none: {error}") from error
+        raise IdentityCommandError(f"TOKEN is not a token: {error}") from error
     for name in TIME_CLAIMS:
         value = claims.get(name)
         if isinstance(value, int | float) and not isinstance(value, bool):
--- a/stepstream/identity/key_rotation.py
+++ b/stepstream/identity/key_rotation.py
@@ -80,7 +80,7 @@
         rows = self.load_rows()
         is_taken = any(row["kid"] == key_id for row in rows)
         if is_taken or self.private_key_file(key_id).exists():
-            raise IdentityCommandError(f"--kid={key_id} is there already")
+            raise IdentityCommandError(f"--kid={key_id} exists already")
         private_key = generate_private_key(algorithm)
         pem = private_key.private_bytes(
             serialization.Encoding.PEM,
@@ -108,11 +108,11 @@
             )
         lines = retire_active(rows, overlap_seconds, now)
         next_row["state"] = KeyState.ACTIVE.value
-        lines.append(f"{next_row['kid']} signs from now on")
+        lines.append(f"{next_row['kid']} is active and signs from now on")
         lines += self._drop_ended(rows, now)
         self._save_rows(rows)
         key_id = self.create_key(next_row["alg"], None, KeyState.NEXT, now)
-        lines.append(f"{key_id} is next")
+        lines.append(f"{key_id} is the next key")
         return lines
 
     def revoke(self, key_id: str) -> None:
@@ -131,7 +131,9 @@
         try:
             pem = self.private_key_file(row["kid"]).read_bytes()
         except OSError as error:
-            raise IdentityCommandError(f"the private key of {row['kid']} is not here") from error
+            raise IdentityCommandError(
+                f"the private key of {row['kid']} is not in the folder"
+            ) from error
         return jwt.encode(claims, pem, algorithm=row["alg"], headers={"kid": row["kid"]})
 
     # -- steps ------------------------------------------------------------------------------------
@@ -151,7 +153,7 @@
         for row in ended:
             rows.remove(row)
             self.private_key_file(row["kid"]).unlink(missing_ok=True)
-        return [f"{row['kid']} is gone" for row in ended]
+        return [f"{row['kid']} is removed" for row in ended]
 
     def _save_rows(self, rows: list[JwkRow]) -> None:
         data = {"keys": rows}
--- a/stepstream/identity/rotation_rules.py
+++ b/stepstream/identity/rotation_rules.py
@@ -65,5 +65,5 @@
         if state_of(row) is KeyState.ACTIVE:
             row["state"] = KeyState.RETIRING.value
             row["not_after"] = now + overlap_seconds
-            lines.append(f"{row['kid']} retires, its tokens are good for {overlap_seconds} s more")
+            lines.append(f"{row['kid']} is retiring: its tokens stay valid for {overlap_seconds} s")
     return lines
--- a/stepstream/leases/command_runner.py
+++ b/stepstream/leases/command_runner.py
@@ -59,7 +59,7 @@
 )
 OVER_STATES = (LeaseState.LOST.value, LeaseState.RELEASED.value)
 NOT_RENEWED = "not renewed in time"
-TAKEN_BACK = "given back by an operator"
+REVOKED = "revoked by an operator"
 
 
 @dataclass(frozen=True, slots=True)
@@ -164,7 +164,10 @@
         self.release()
         if self.stop_signal:
             return EXIT_SIGNAL_BASE + self.stop_signal
-        print(f"stepstream: {self.name} was not had in {self.wait_seconds:g} s", file=sys.stderr)
+        print(
+            f"stepstream: {self.name} was not acquired within {self.wait_seconds:g} s",
+            file=sys.stderr,
+        )
         return EXIT_NOT_ACQUIRED
 
     # -- the dispatcher ---------------------------------------------------------------------------
@@ -271,7 +274,7 @@
     def answered_loss(self) -> str:
         """Return why the lease is lost by the dispatcher's last answer, or ""."""
         if self.answer.ending:
-            return TAKEN_BACK
+            return REVOKED
         return NOT_RENEWED if self.answer.state in OVER_STATES else ""
 
     def not_renewed_reason(self) -> str:
--- a/stepstream/leases/commands.py
+++ b/stepstream/leases/commands.py
@@ -1,4 +1,4 @@
-"""stepstream lease: leases on fleet-wide tasks, asked at a running dispatcher's admin listener.
+"""stepstream lease: leases of a running dispatcher, through its admin listener.
 
 Usage:
   stepstream lease list --at ADDRESS [--json]
@@ -8,23 +8,23 @@
   stepstream lease (-h | --help)
 
 Commands:
-  list          The leases that this dispatcher knows of: who holds them, who waits.
-  show          One of them.
-  release       Have whoever holds it through this dispatcher end, and give it back.
-  run           Wait for the lease, run the command while it is held, give it back.
+  list          Print the leases that this dispatcher knows: who holds them, who waits.
+  show          Print one lease.
+  release       Revoke a lease that is held through this dispatcher: its holder ends and releases it.
+  run           Acquire the lease, run the command while it is held, release it.
 
 Options:
   --at ADDRESS  HOST:PORT of the dispatcher's admin listener (`operator` in its configuration).
   --json        Print JSON.
-  --ttl S       Seconds that the lease is asked for each time [default: 15].
-  --wait S      Seconds to wait for it; without, for as long as it takes.
+  --ttl S       Time to live in seconds that each renewal requests [default: 15].
+  --wait S      Longest wait for the lease in seconds; unlimited by default.
 
-The command finds STEPSTREAM_LEASE and STEPSTREAM_FENCE, the lease's name and its fencing token, in its
-environment. If the lease cannot be renewed the command gets SIGTERM, then SIGKILL before another can hold it.
+The command has the lease's name and its fencing token in its environment, as STEPSTREAM_LEASE and STEPSTREAM_FENCE.
+If the lease cannot be renewed, the command gets SIGTERM, then SIGKILL before another process can hold the lease.
 
-Exit codes of run: the command's own (128 and the signal's number, if one ended it); 64 the call was bad;
-69 the lease was lost, and the command ended for it; 75 the lease was not had in time. Of the others: 0;
-1 no such lease; 2 the call could not be made.
+Exit codes of run: the command's own (128 and the signal's number if a signal ended it); 64 bad usage; 69 the lease
+was lost and the command was ended; 75 the lease was not acquired within --wait. Of the others: 0; 1 no such lease;
+2 the request failed.
 """  # noqa: E501  printed as the usage, whose text is fixed
 
 import os
@@ -96,7 +96,7 @@
     name = arguments["NAME"]
     if arguments["release"]:
         ending = answer["ending"]
-        console.print(f"{name}: {ending} told to end; the lease is given back when they have")
+        console.print(f"{name}: {ending} asked to end; the lease is released once they have ended")
     elif arguments["--json"]:
         print(ujson.dumps(answer, escape_forward_slashes=False))
     else:
@@ -106,7 +106,7 @@
 
 def lease_table(rows: list[Row], at: str) -> Table:
     """Return the leases as a table."""
-    table = Table(title=f"leases as {at} knows them", title_justify="left")
+    table = Table(title=f"leases known at {at}", title_justify="left")
     for column in ("name", "state", "holder", "token", "left", "waiting"):
         is_number = column in ("token", "left")
         table.add_column(column, justify="right" if is_number else "left", no_wrap=True)
--- a/stepstream/membership/__init__.py
+++ b/stepstream/membership/__init__.py
@@ -1,7 +1,7 @@
 """SWIM membership of the dispatchers: who is present, since when and in which state.
 
-Loaded only where the operator's file has `[fleet]`. docs/fleet.md says what the membership list
-guarantees and what it does not.
+Loaded only where the operator's file has `[fleet]`. docs/membership.md says what the membership
+list guarantees and what it does not.
 
     messages, member, member_list, member_status, maintenance_records, event_history
                                the data
--- a/stepstream/membership/commands.py
+++ b/stepstream/membership/commands.py
@@ -1,4 +1,4 @@
-"""stepstream fleet: how a running dispatcher sees the others, asked at its admin listener.
+"""stepstream fleet: the membership list of a running dispatcher, from its admin listener.
 
 Usage:
   stepstream fleet members --at ADDRESS [--json]
@@ -8,16 +8,17 @@
   stepstream fleet (-h | --help)
 
 Commands:
-  members       The members, their states and what each says of itself.
-  watch         Changes as they come, until stopped.
-  explain       Why a member is in its state, from whom that was heard, when.
-  leave         Have this dispatcher stop: it answers all that it has taken and says that it leaves.
+  members       Print the members with their states and status.
+  watch         Print changes as they happen, until interrupted.
+  explain       Print why a member is in its state, the source and the time of that.
+  leave         Shut the dispatcher down gracefully; it answers all requests, then leaves.
 
 Options:
   --at ADDRESS  HOST:PORT of the dispatcher's admin listener (`operator` in its configuration).
   --json        Print JSON.
 
-Exit codes: 0; 1 unsettled (members) or no such member (explain); 2 the call could not be made.
+Exit codes: 0; 1 the members do not agree yet (members) or no such member (explain); 2 the request
+failed.
 """
 
 import sys
@@ -109,7 +110,7 @@
         for record in answer["words"]:
             if record["out"]:
                 console.print(
-                    f"worker {record['worker']} is out for maintenance, told at {record['by']}"
+                    f"worker {record['worker']} is in maintenance, requested at {record['by']}"
                 )
     return EXIT_OK if answer["settled"] else EXIT_NEGATIVE
 
@@ -118,7 +119,7 @@
     """Return a table with one row for each member."""
     state = "settled" if answer["settled"] else "unsettled"
     table = Table(
-        title=f"{answer['cluster']} as {answer['self']} sees it: {state}, "
+        title=f"{answer['cluster']}, membership list of {answer['self']}: {state}, "
         f"{answer['counted']} counted, digest {answer['digest']}",
         title_justify="left",
     )
@@ -148,7 +149,7 @@
     while is_watching():
         answer = call(at, f"/fleet/changes?after={number}")
         if answer["number"] < number:
-            console.print("[dim]the dispatcher has started anew[/]")
+            console.print("[dim]the dispatcher has restarted[/]")
         if answer["lost"]:
             console.print(f"[dim]{answer['lost']} changes are no longer kept[/]")
         print_events(answer["changes"], console)
@@ -165,13 +166,13 @@
         return EXIT_OK
     console.print(
         f"{answer['name']} at {answer['address']}: {answer['state']} for "
-        f"{answer['since_s']:.1f} s, heard from {answer['by']}; "
+        f"{answer['since_s']:.1f} s, source {answer['by']}; "
         f"generation {answer['generation']}, incarnation {answer['incarnation']}"
     )
     suspicion = answer["suspicion"]
     if suspicion:
         accusers = ", ".join(suspicion["accusers"])
-        console.print(f"suspected by {accusers}; held dead in {suspicion['dead_in_s']:.1f} s")
+        console.print(f"suspected by {accusers}; declared dead in {suspicion['dead_in_s']:.1f} s")
     print_events(answer["history"], console)
     return EXIT_OK
 
@@ -179,7 +180,7 @@
 def leave(at: str, console: Console) -> int:
     """Have the dispatcher stop gracefully."""
     name = call(at, "/fleet/leave", "PUT")["leaving"]
-    console.print(f"{name} stops: it answers all that it has taken, then says that it leaves")
+    console.print(f"{name} shuts down: it answers all requests, then announces its leave")
     return EXIT_OK
 
 
--- a/stepstream/membership/member_count.py
+++ b/stepstream/membership/member_count.py
@@ -3,9 +3,9 @@
 The count divides what the dispatchers share: a cold worker's first load, calls to discovery. A
 membership list is no quorum: a member that is held dead may be alive behind a partition and
 sending. So a name counts from its first record on. It stops to count if the member left, or if the
-majority of all that count confirm its death. docs/fleet.md has the proof: while a partition lasts
-at most one side can shrink its count, members of a minority go on to take what they took, and both
-sides together take at most one and a half of the whole share.
+majority of all that count confirm its death. docs/membership.md has the proof: while a partition
+lasts at most one side can shrink its count, members of a minority go on to take what they took, and
+both sides together take at most one and a half of the whole share.
 
 Owned by the subsystem and touched only under the driver's lock.
 """
--- a/stepstream/membership/protocol.py
+++ b/stepstream/membership/protocol.py
@@ -3,7 +3,7 @@
 SWIM (Das, Gupta, Motivala 2002): direct and indirect probes, suspicion, incarnations, refutation,
 updates piggybacked on probes. Lifeguard (Dadgar, Phillips, Currey 2017): local health, suspicion
 that shrinks with confirmations, notified suspects. Anti-entropy repairs what these miss.
-docs/fleet.md has what is guaranteed.
+docs/membership.md has what is guaranteed.
 
 The protocol owns all its parts. With a driver any thread may call it that holds the driver's lock;
 in simulations only the caller's thread does. Times are the caller's monotonic seconds and never go
--- a/stepstream/membership/protocol_settings.py
+++ b/stepstream/membership/protocol_settings.py
@@ -1,6 +1,6 @@
 """Settings of the membership protocol; they hold no state.
 
-docs/fleet.md has each one's key, unit and default, and what a wrong value does.
+docs/membership.md has each one's key, unit and default, and what a wrong value does.
 """
 
 from dataclasses import dataclass
--- a/tests/identity/test_rotation_rules.py
+++ b/tests/identity/test_rotation_rules.py
@@ -28,7 +28,7 @@
 def test_a_retired_keys_tokens_are_good_for_the_overlap():
     row = dict(FIRST)
     assert retire_active([row], 3600, 1000) == [
-        "first retires, its tokens are good for 3600 s more"
+        "first is retiring: its tokens stay valid for 3600 s"
     ]
     assert row == {"kid": "first", "state": "retiring", "not_after": 4600}
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -8,7 +8,16 @@
 
 ROOT = Path(__file__).parents[1]
 PACKAGE = ROOT / "stepstream"
-PAGES = ("architecture.md", "glossary.md", "crossings.md")
+PAGES = (
+    "architecture.md",
+    "commands.md",
+    "event_ordering.md",
+    "gearman.md",
+    "glossary.md",
+    "identity.md",
+    "leases.md",
+    "membership.md",
+)
 FILE = re.compile(r"`((?:[a-z_]+/)*[a-z_]+\.(?:py|md))`")
 FOLDER = re.compile(r"`((?:[a-z_]+/)+)`")
 MEMBER = re.compile(r"`([A-Z]\w+)\.([a-z_]\w*|[A-Z][A-Z_]+)`")
@@ -57,3 +66,9 @@
         assert member in defined[owner], f"{owner}.{member}"
     for name in CLASS.findall(text):
         assert name in defined or name in FOREIGN, name
+
+
+def test_the_index_names_each_page_and_no_other():
+    index = (ROOT / "docs" / "README.md").read_text()
+    named = set(re.findall(r"^\| `([A-Za-z_]+\.md)` \|", index, re.MULTILINE))
+    assert named == {path.name for path in (ROOT / "docs").glob("*.md")} - {"README.md"}
