--- a/stepstream/admin/routing.py
+++ b/stepstream/admin/routing.py
@@ -35,14 +35,22 @@
     TAKE_NOTIFICATION = "news"  # forwarded by the sibling process of a hot restart
 
 
-# Path to action and methods; `*` stands for a worker's id.
+@dataclass(frozen=True, slots=True)
+class Route:
+    """What the requests to a path do, and the methods that they may have."""
+
+    action: AdminAction
+    methods: frozenset[str]
+
+
+# By path; `*` stands for a worker's id.
 ROUTES = {
-    "/healthcheck": (AdminAction.CHECK_HEALTH, READ_METHODS),
-    "/healthcheck/fail": (AdminAction.START_DRAIN, WRITE_METHODS),
-    "/healthcheck/ok": (AdminAction.CANCEL_DRAIN, WRITE_METHODS),
-    "/workers/*/maint": (AdminAction.START_MAINTENANCE, WRITE_METHODS),
-    "/workers/*/ready": (AdminAction.END_MAINTENANCE, WRITE_METHODS),
-    "/_jobs/news": (AdminAction.TAKE_NOTIFICATION, frozenset({"POST"})),
+    "/healthcheck": Route(AdminAction.CHECK_HEALTH, READ_METHODS),
+    "/healthcheck/fail": Route(AdminAction.START_DRAIN, WRITE_METHODS),
+    "/healthcheck/ok": Route(AdminAction.CANCEL_DRAIN, WRITE_METHODS),
+    "/workers/*/maint": Route(AdminAction.START_MAINTENANCE, WRITE_METHODS),
+    "/workers/*/ready": Route(AdminAction.END_MAINTENANCE, WRITE_METHODS),
+    "/_jobs/news": Route(AdminAction.TAKE_NOTIFICATION, frozenset({"POST"})),
 }
 WORKER_PATH = re.compile(r"/workers/([^/]*)(/.*)")
 WORKER_ID = re.compile(r"[A-Za-z0-9._:@~-]{1,128}")  # ids of discovery and of Gearman
@@ -97,12 +105,12 @@
     table_path = f"/workers/*{worker_path[2]}" if worker_path else path
     if table_path not in ROUTES:
         raise AdminRequestError(HTTP_NOT_FOUND, f"no such call: {path[:MAX_ECHOED_CHARACTERS]}")
-    action, methods = ROUTES[table_path]
+    table_route = ROUTES[table_path]
     worker_id = unquote(worker_path[1]) if worker_path else ""
     if worker_path and not WORKER_ID.fullmatch(worker_id):
         raise AdminRequestError(HTTP_BAD_REQUEST, "a worker's id is malformed")
-    _check_method(method, methods, action.value)
-    return OperatorRequest(action, worker_id)
+    _check_method(method, table_route.methods, table_route.action.value)
+    return OperatorRequest(table_route.action, worker_id)
 
 
 def _check_method(method: str, allowed: frozenset[str], what: str) -> None:
--- a/stepstream/gearman/connection.py
+++ b/stepstream/gearman/connection.py
@@ -25,8 +25,8 @@
 from stepstream.gearman.service import GearmanService
 from stepstream.gearman.session import Reply, Session, Step
 from stepstream.gearman.writer import Writer
-from stepstream.http.eviction import EvictionRank
 from stepstream.http.server import InboundServer
+from stepstream.ports.connections import EvictionState
 from stepstream.runtime import log_events
 from stepstream.runtime.transport import Transport
 
@@ -259,10 +259,10 @@
             self._view(), server_is_closing=self.server.state.closing
         )
 
-    def eviction_rank(self, now: float) -> tuple[EvictionRank, float]:
+    def eviction_state(self, now: float) -> EvictionState:
         """Return the rank for eviction, and the time since which the connection is quiet."""
         unproven_seconds = self.server.limits.timeouts.unproven_seconds
-        return connection_rules.eviction_rank(self._view(), now, unproven_seconds)
+        return connection_rules.eviction_state(self._view(), now, unproven_seconds)
 
     def evict(self) -> bool:
         """End the connection at once, unless it is in use; return whether it was ended."""
--- a/stepstream/gearman/connection_rules.py
+++ b/stepstream/gearman/connection_rules.py
@@ -12,7 +12,7 @@
 from stepstream.gearman.codec import Kind, Line, Packet
 from stepstream.gearman.job_admission import SUBMISSIONS
 from stepstream.gearman.session import Step
-from stepstream.http.eviction import EvictionRank
+from stepstream.ports.connections import EvictionRank, EvictionState
 
 REGISTRATION_CHANGES = frozenset(
     (Kind.CAN_DO, Kind.CAN_DO_TIMEOUT, Kind.CANT_DO, Kind.RESET_ABILITIES, Kind.SET_CLIENT_ID)
@@ -70,23 +70,23 @@
     return TimeoutAction.CLOSE if has_expired else TimeoutAction.KEEP
 
 
-def eviction_rank(
+def eviction_state(
     view: ConnectionView, now_seconds: float, unproven_seconds: float
-) -> tuple[EvictionRank, float]:
+) -> EvictionState:
     """Return a connection's rank for eviction, and the time since which it is quiet.
 
     A connection that has sent nothing for `unproven_seconds` is evicted before an idle client: it
     may never send anything.
     """
     if view.is_in_use or view.has_unsent_bytes:
-        return EvictionRank.NEVER, math.inf
+        return EvictionState(EvictionRank.NEVER, math.inf)
     if view.session_closed:
-        return EvictionRank.DONE, view.last_activity_at_seconds
+        return EvictionState(EvictionRank.DONE, view.last_activity_at_seconds)
     if view.has_sent_work:
-        return EvictionRank.IDLE, view.last_activity_at_seconds
+        return EvictionState(EvictionRank.IDLE, view.last_activity_at_seconds)
     is_unused = now_seconds - view.phase_started_at_seconds >= unproven_seconds
     rank = EvictionRank.UNUSED if is_unused else EvictionRank.NEW
-    return rank, view.phase_started_at_seconds
+    return EvictionState(rank, view.phase_started_at_seconds)
 
 
 def delays_shutdown(view: ConnectionView, *, server_is_closing: bool) -> bool:
--- a/stepstream/http/client_connection.py
+++ b/stepstream/http/client_connection.py
@@ -35,10 +35,10 @@
 )
 from stepstream.core.requests import Request
 from stepstream.http.codec import ProtocolError
-from stepstream.http.eviction import EvictionRank, rank_without_open_request
+from stepstream.http.eviction import rank_without_open_request
 from stepstream.http.server_state import ServerState
 from stepstream.http.session import HttpSession, Reply, SessionEvent, SessionPhase
-from stepstream.ports.connections import Connection
+from stepstream.ports.connections import Connection, EvictionRank, EvictionState
 from stepstream.runtime import log_events
 from stepstream.runtime.clock import Clock
 from stepstream.runtime.sockets import set_socket_timeout
@@ -289,12 +289,12 @@
             self.server.limits.shutdown.arrivals_seconds,
         )
 
-    def eviction_rank(self, now_seconds: float) -> tuple[EvictionRank, float]:
+    def eviction_state(self, now_seconds: float) -> EvictionState:
         """Return the rank, and since when the connection has been quiet (monotonic seconds)."""
         with self.lock:
             session = self.session
             if session.has_open_request or self.slow_writer_active:
-                return EvictionRank.NEVER, math.inf
+                return EvictionState(EvictionRank.NEVER, math.inf)
             # A closed session is quiet from the last byte on: a peer that still sends must not lose
             # the error that is on its way by a reset.
             quiet_since_seconds = (
@@ -308,7 +308,7 @@
                 quiet_seconds=now_seconds - quiet_since_seconds,
                 unproven_seconds=self.server.limits.timeouts.unproven_seconds,
             )
-            return rank, quiet_since_seconds
+            return EvictionState(rank, quiet_since_seconds)
 
     def evict(self) -> bool:
         """End the connection at once, unless an answer is owed; return whether it was ended.
--- a/stepstream/http/eviction.py
+++ b/stepstream/http/eviction.py
@@ -4,24 +4,9 @@
 """
 
 from collections.abc import Iterator, Sequence
-from enum import IntEnum
 
 from stepstream.config.limits import Limits
-from stepstream.ports.connections import Connection
-
-
-class EvictionRank(IntEnum):
-    """The order of eviction: connections of the lowest rank first.
-
-    Eviction costs an idle client only a new connection for its next request. Eviction of a new
-    connection may cost a slow client its first request.
-    """
-
-    DONE = 1  # its last answer is written
-    UNUSED = 2  # open for some time without a request or a notification
-    IDLE = 3  # between requests
-    NEW = 4  # opened a moment ago, without a complete message yet
-    NEVER = 5  # a request is open
+from stepstream.ports.connections import Connection, EvictionRank, EvictionState
 
 
 def evict_connections(
@@ -34,11 +19,11 @@
     stay open, because there is room and their eviction costs their clients more. `now_seconds` is
     monotonic.
     """
-    ranks = [connection.eviction_rank(now_seconds) for connection in connections]
+    states = [connection.eviction_state(now_seconds) for connection in connections]
     evicted_rank = None
     evicted_count = 0
-    for index in eviction_order(ranks, now_seconds, limits.timeouts.evictable_idle_seconds):
-        rank, _ = ranks[index]
+    for index in eviction_order(states, now_seconds, limits.timeouts.evictable_idle_seconds):
+        rank = states[index].rank
         if evicted_count == limits.connections.evictions_at_once:
             return
         if evicted_rank is not None and rank > evicted_rank:
@@ -50,21 +35,20 @@
 
 
 def eviction_order(
-    ranks: Sequence[tuple[int, float]], now_seconds: float, min_quiet_seconds: float
+    states: Sequence[EvictionState], now_seconds: float, min_quiet_seconds: float
 ) -> list[int]:
     """Decide which connections may be evicted, and in which order; return their indexes.
 
-    `ranks` has for each connection its `EvictionRank` and since when it has been quiet, in
-    monotonic seconds. The lowest rank comes first and, within a rank, the connection that has been
+    The lowest rank comes first and, within a rank, the connection that has been
     quiet for the longest time. A connection that was active within `min_quiet_seconds` is not
     evicted: its peer may be about to send or to read.
     """
     quiet_enough = [
-        (rank, quiet_since_seconds, index)
-        for index, (rank, quiet_since_seconds) in enumerate(ranks)
-        if now_seconds - quiet_since_seconds >= min_quiet_seconds
+        index
+        for index, state in enumerate(states)
+        if now_seconds - state.quiet_since_seconds >= min_quiet_seconds
     ]
-    return [index for _, _, index in sorted(quiet_enough)]
+    return sorted(quiet_enough, key=states.__getitem__)
 
 
 def rank_without_open_request(
--- a/stepstream/model/state.py
+++ b/stepstream/model/state.py
@@ -28,8 +28,8 @@
         self.eligible: list[Worker] = []  # the active ones, in the order of their ids
         self.by_key: dict[str, list[Worker]] = {}  # eligible ones, in the order of each key
         self.warm_count = 0.0  # eligible workers, each counted by its slow-start factor
-        # Since the waiting jobs were last tried: new headroom was measured, or a period began.
-        self.headroom_changed = False  # or time has passed: waiting jobs are to be retried
+        # Whether to try the waiting jobs again: headroom was freed or measured, or a period began.
+        self.waiting_jobs_due = False
 
 
 class JobTable:
--- a/stepstream/policy/capacity.py
+++ b/stepstream/policy/capacity.py
@@ -104,7 +104,7 @@
     worker.change_busy(state.now_us, slots)
     worker.pool.busy_slots += slots
     if slots < 0 and headroom(state, worker) >= MIN_USEFUL_HEADROOM_SLOTS:
-        state.workers.headroom_changed = True
+        state.workers.waiting_jobs_due = True
 
 
 def learn_from_load_report(state: PolicyState, worker: Worker, reported_headroom: float) -> None:
@@ -117,7 +117,7 @@
     worker.headroom = reported_headroom - report_lag.unreported_slots(worker, state.now_us)
     worker.headroom_at_us = state.now_us
     if worker.headroom >= MIN_USEFUL_HEADROOM_SLOTS:
-        state.workers.headroom_changed = True
+        state.workers.waiting_jobs_due = True
 
 
 def learn_from_full(state: PolicyState, worker: Worker, busy_slots: float) -> None:
--- a/stepstream/policy/endpoint_updates.py
+++ b/stepstream/policy/endpoint_updates.py
@@ -25,7 +25,7 @@
         if worker.endpoint.state is EndpointState.ACTIVE
     ]
     workers.by_key = {}
-    workers.headroom_changed = True
+    workers.waiting_jobs_due = True
     slow_start.count_warm_workers(state)
 
 
--- a/stepstream/policy/load_balancer.py
+++ b/stepstream/policy/load_balancer.py
@@ -112,7 +112,7 @@
         state = self.state
         outliers.update_slow_ejections(state, spare_capacity=pools.has_spare_capacity(state))
         capacity.measure_common_cap(state)
-        state.workers.headroom_changed = True  # time has passed
+        state.workers.waiting_jobs_due = True
         state.measurements.job_mix.forget_old_jobs()
         slow_start.count_warm_workers(state)
         pools.resize(state)
--- a/stepstream/policy/retries.py
+++ b/stepstream/policy/retries.py
@@ -69,12 +69,12 @@
 
 def retry_waiting_jobs(state: PolicyState) -> None:
     """Give new headroom to waiting jobs, priority jobs first; give up those that are too late."""
-    headroom_changed = waiting.take_headroom_change(state)
+    is_due = waiting.take_waiting_jobs_due(state)
     # Priority and class of jobs for which no worker has headroom.
     stuck_categories = set()
     for job in waiting.take_waiting_jobs(state):
         category = (job.priority, job.request.job_class)
-        may_start = headroom_changed and category not in stuck_categories
+        may_start = is_due and category not in stuck_categories
         if not may_start and state.now_us < waiting.latest_start_us(state, job):
             state.jobs.waiting_for_headroom.append(job)
         elif not attempt_or_wait(state, job):
--- a/stepstream/policy/waiting.py
+++ b/stepstream/policy/waiting.py
@@ -56,8 +56,8 @@
     return waiting
 
 
-def take_headroom_change(state: PolicyState) -> bool:
-    """Return whether headroom or time has changed since the last call."""
-    changed = state.workers.headroom_changed
-    state.workers.headroom_changed = False
-    return changed
+def take_waiting_jobs_due(state: PolicyState) -> bool:
+    """Return whether to try the waiting jobs again, and reset that."""
+    is_due = state.workers.waiting_jobs_due
+    state.workers.waiting_jobs_due = False
+    return is_due
--- a/stepstream/ports/connections.py
+++ b/stepstream/ports/connections.py
@@ -7,11 +7,33 @@
 import socket
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Protocol
+from enum import IntEnum
+from typing import NamedTuple, Protocol
 
 from stepstream.model.records import record
 
 
+class EvictionRank(IntEnum):
+    """The order of eviction: connections of the lowest rank first.
+
+    Eviction costs an idle client only a new connection for its next request. Eviction of a new
+    connection may cost a slow client its first request.
+    """
+
+    DONE = 1  # its last answer is written
+    UNUSED = 2  # open for some time without a request or a notification
+    IDLE = 3  # between requests
+    NEW = 4  # opened a moment ago, without a complete message yet
+    NEVER = 5  # a request is open
+
+
+class EvictionState(NamedTuple):
+    """What decides when a connection is evicted; states sort in the order of eviction."""
+
+    rank: EvictionRank
+    quiet_since_seconds: float  # monotonic
+
+
 class Connection(Protocol):
     """An inbound connection of a front.
 
@@ -35,8 +57,8 @@
         It must while the peer is owed something or a client may still use the connection.
         """
 
-    def eviction_rank(self, now: float) -> tuple[int, float]:
-        """Return its rank for eviction, the lowest first, and the time since which it is idle."""
+    def eviction_state(self, now: float) -> EvictionState:
+        """Return its rank for eviction, and since when it has been quiet."""
 
     def evict(self) -> bool:
         """Close it to make room; return False, and leave it open, if the peer is owed something."""
--- a/tests/gearman/test_connection_rules.py
+++ b/tests/gearman/test_connection_rules.py
@@ -13,12 +13,12 @@
     closes_when_idle,
     costs_registration_credit,
     delays_shutdown,
-    eviction_rank,
+    eviction_state,
     timeout_action,
     waits_for_core,
 )
 from stepstream.gearman.session import Reply
-from stepstream.http.eviction import EvictionRank
+from stepstream.ports.connections import EvictionRank
 
 NOW = 1000.0
 CLIENT = ConnectionView(False, False, False, False, True, True, NOW, NOW, NOW)
@@ -64,7 +64,7 @@
     ],
 )
 def test_a_connection_in_use_is_never_evicted_and_a_new_one_last(view, quiet_seconds, rank):
-    assert eviction_rank(view, NOW + quiet_seconds, unproven_seconds=1.0)[0] is rank
+    assert eviction_state(view, NOW + quiet_seconds, unproven_seconds=1.0).rank is rank
 
 
 def test_a_shutdown_waits_for_what_is_owed_and_for_clients_until_the_server_closes():
--- a/tests/http/test_eviction.py
+++ b/tests/http/test_eviction.py
@@ -3,7 +3,8 @@
 import pytest
 
 from stepstream.config.limits import ConnectionLimits, Limits, Timeouts
-from stepstream.http.eviction import EvictionRank, evict_connections, rank_without_open_request
+from stepstream.http.eviction import evict_connections, rank_without_open_request
+from stepstream.ports.connections import EvictionRank, EvictionState
 
 LIMITS = Limits(
     connections=ConnectionLimits(evictions_at_once=2),
@@ -22,9 +23,9 @@
         self.quiet_since_seconds = NOW_SECONDS - quiet_seconds
         self.evictable = evictable
 
-    def eviction_rank(self, now_seconds):
+    def eviction_state(self, now_seconds):
         assert now_seconds == NOW_SECONDS
-        return self.rank, self.quiet_since_seconds
+        return EvictionState(self.rank, self.quiet_since_seconds)
 
     def evict(self):
         return self.evictable
