--- a/stepstream/admin/subsystem.py
+++ b/stepstream/admin/subsystem.py
@@ -119,6 +119,7 @@
 
     @on_change.setter
     def on_change(self, callback: Callable[[str, bool], None] | None) -> None:
+        """Set the callback; None for no callback."""
         self.service.on_maintenance_change = callback
 
     def apply_remote_change(
--- a/stepstream/gearman/codec.py
+++ b/stepstream/gearman/codec.py
@@ -15,7 +15,7 @@
 from typing import ClassVar, NoReturn
 
 from stepstream.config.limits import Limits
-from stepstream.gearman.errors import FramingError, RequestError
+from stepstream.gearman.errors import FramingError, PacketArgumentError, RequestError
 
 HEADER = struct.Struct(">4sII")  # magic, type, size
 REQ = b"\0REQ"
@@ -304,14 +304,14 @@
 def write(magic: bytes, kind: Kind, *args: bytes) -> bytes:
     """Return the bytes of a packet.
 
-    Raise ValueError for a wrong number of arguments, and for a NUL in any but the last: the packet
-    could not be split again.
+    Raise PacketArgumentError for a wrong number of arguments, and for a NUL in any but the last:
+    the packet could not be split again.
     """
     argument_names = ANSWERS if magic is RES else REQUESTS
     if len(args) != len(argument_names[kind]):
-        raise ValueError(f"{kind.name} takes {len(argument_names[kind])} arguments")
+        raise PacketArgumentError(f"{kind.name} takes {len(argument_names[kind])} arguments")
     if any(b"\0" in argument for argument in args[:-1]):
-        raise ValueError(f"an argument of {kind.name} holds a NUL")
+        raise PacketArgumentError(f"an argument of {kind.name} holds a NUL")
     body = b"\0".join(args)
     return HEADER.pack(magic, kind, len(body)) + body
 
--- a/stepstream/gearman/errors.py
+++ b/stepstream/gearman/errors.py
@@ -28,3 +28,7 @@
         super().__init__(
             "JOB_QUEUE_FULL", f"refused retry-after={retry_after_seconds:.3f} {reason}"
         )
+
+
+class PacketArgumentError(ValueError):
+    """Our own code asked for a packet that the protocol cannot express."""
--- a/stepstream/model/job_records.py
+++ b/stepstream/model/job_records.py
@@ -10,7 +10,7 @@
 from stepstream.model.worker_records import Worker
 
 # The index of a job class that the settings no longer name.
-GONE_CLASS = -1
+REMOVED_CLASS = -1
 
 
 @dataclass(eq=False, slots=True)
@@ -62,9 +62,9 @@
         return self.attempts[number] if 0 <= number < len(self.attempts) else None
 
     def reclassify(self, class_names: tuple[str, ...]) -> None:
-        """Find its class among replaced settings by name, `GONE_CLASS` if they do not name it."""
+        """Find its class among replaced settings by name, `REMOVED_CLASS` if they do not name it."""
         name = self.class_settings.name
-        index = class_names.index(name) if name in class_names else GONE_CLASS
+        index = class_names.index(name) if name in class_names else REMOVED_CLASS
         self.request = replace(self.request, job_class=index)
 
 
--- a/stepstream/policy/lost_attempts.py
+++ b/stepstream/policy/lost_attempts.py
@@ -1,6 +1,6 @@
 """Lost attempts: those that a worker has accepted but will never start."""
 
-from stepstream.model.job_records import GONE_CLASS, Attempt
+from stepstream.model.job_records import REMOVED_CLASS, Attempt
 from stepstream.model.settings import Effect
 from stepstream.model.state import PolicyState
 from stepstream.model.worker_records import MAX_REPORT_LAG_US, Worker
@@ -25,7 +25,7 @@
     ]
     for job, attempt in lost:
         attempt.presumed_lost = True
-        if job.request.job_class != GONE_CLASS:
+        if job.request.job_class != REMOVED_CLASS:
             outliers.eject_class(worker, job.request.job_class, attempt.sent_us, state.now_us)
         if job.class_settings.effect is Effect.IDEMPOTENT and not job.ended:
             attempts.cancel_attempts(state, job, [attempt])
