--- a/stepstream/model/job_records.py
+++ b/stepstream/model/job_records.py
@@ -62,7 +62,7 @@
         return self.attempts[number] if 0 <= number < len(self.attempts) else None
 
     def reclassify(self, class_names: tuple[str, ...]) -> None:
-        """Find its class among replaced settings by name, `REMOVED_CLASS` if they do not name it."""
+        """Find its class in new settings by name, `REMOVED_CLASS` if they lack it."""
         name = self.class_settings.name
         index = class_names.index(name) if name in class_names else REMOVED_CLASS
         self.request = replace(self.request, job_class=index)
