--- /dev/null
+++ b/stepstream/lab/faults/injector.py
@@ -0,0 +1,161 @@
+"""Apply a fault schedule to a cluster, step by step.
+
+Each fault becomes a step that begins it and, unless it is a restart, one that ends it; a flap has
+further steps between. The caller waits for the time of each step, then calls `apply`. Process
+faults act at once. Link faults add up: after each step, the cut links and the loss of all faults in
+force replace what the cluster had.
+"""
+
+from enum import StrEnum
+from typing import NamedTuple, Protocol
+
+from stepstream.lab.emulator.links import LinkPair
+from stepstream.lab.faults.schedule import (
+    FLAP_HALF_SECONDS,
+    PROCESS_FAULTS,
+    Fault,
+    FaultKind,
+    Schedule,
+)
+
+
+class Transition(StrEnum):
+    """Which end of a fault a step applies; the value is what the command prints."""
+
+    BEGIN = "begin"
+    END = "end"
+
+
+class Step(NamedTuple):
+    """One change to the cluster, `at_seconds` after the start of the schedule.
+
+    Steps sort by time, then by the fault's number in the schedule, then begin before end.
+    """
+
+    at_seconds: float
+    fault_number: int
+    transition: Transition
+    fault: Fault
+
+
+class FaultTarget(Protocol):
+    """A cluster that a schedule can be applied to."""
+
+    @property
+    def names(self) -> tuple[str, ...]:
+        """The names of all members, running or not."""
+
+    def is_running(self, name: str) -> bool:
+        """Return whether the member's process exists; a suspended one does."""
+
+    def start(self, name: str) -> None:
+        """Start the member, which is not running."""
+
+    def kill(self, name: str) -> None:
+        """End the member at once, without notice to the others."""
+
+    def leave(self, name: str) -> None:
+        """Stop the member gracefully."""
+
+    def stall(self, name: str) -> None:
+        """Suspend the member until `resume`."""
+
+    def resume(self, name: str) -> None:
+        """Resume the member; do nothing if it is not suspended."""
+
+    def set_link_faults(self, cut_pairs: set[LinkPair], loss_probability: float) -> None:
+        """Replace the cut links and the probability that a datagram is lost."""
+
+
+class FaultInjector:
+    """One schedule applied to one cluster; it belongs to the one thread that applies it.
+
+    `steps` is what to apply, in order.
+    """
+
+    def __init__(self, target: FaultTarget, schedule: Schedule) -> None:
+        self.target = target
+        self.steps: list[Step] = []
+        self._link_faults: list[Fault] = []  # those in force now
+        for number, fault in enumerate(schedule.faults):
+            self.steps.extend(_steps_of(number, fault))
+        self.steps.sort(key=lambda step: step[:3])
+
+    def apply(self, transition: Transition, fault: Fault) -> None:
+        """Begin or end a fault; members that are in no state for it are passed over."""
+        if fault.kind in PROCESS_FAULTS:
+            if transition is Transition.BEGIN:
+                self._begin_process_fault(fault)
+            else:
+                self._end_process_fault(fault)
+            return
+        if transition is Transition.BEGIN:
+            self._link_faults.append(fault)
+        else:
+            # By identity: two equal faults may be in force at once.
+            self._link_faults = [other for other in self._link_faults if other is not fault]
+        self._apply_link_faults()
+
+    def end_all(self) -> None:
+        """Heal all links, start every member that is not running, resume every suspended one."""
+        self._link_faults = []
+        self._apply_link_faults()
+        for name in self.target.names:
+            if not self.target.is_running(name):
+                self.target.start(name)
+            self.target.resume(name)
+
+    def _begin_process_fault(self, fault: Fault) -> None:
+        target = self.target
+        for name in filter(target.is_running, fault.members):
+            match fault.kind:
+                case FaultKind.CRASH:
+                    target.kill(name)
+                case FaultKind.RESTART:
+                    target.kill(name)
+                    target.start(name)
+                case FaultKind.LEAVE:
+                    target.leave(name)
+                case FaultKind.STALL:
+                    target.stall(name)
+
+    def _end_process_fault(self, fault: Fault) -> None:
+        target = self.target
+        for name in fault.members:
+            if fault.kind is FaultKind.STALL:
+                if target.is_running(name):
+                    target.resume(name)
+            elif not target.is_running(name):
+                target.start(name)
+
+    def _apply_link_faults(self) -> None:
+        cut_pairs: set[LinkPair] = set()
+        losses: list[float] = []
+        for fault in self._link_faults:
+            if fault.kind is FaultKind.LOSS:
+                losses.append(fault.loss_fraction)
+            else:
+                cut_pairs |= self._cut_pairs_of(fault)
+        self.target.set_link_faults(cut_pairs, max(losses, default=0.0))
+
+    def _cut_pairs_of(self, fault: Fault) -> set[LinkPair]:
+        """Return the directions that a cut, a flap or a one-way cut closes."""
+        others = [name for name in self.target.names if name not in fault.members]
+        outgoing = {(member, other) for member in fault.members for other in others}
+        incoming = {(other, member) for member in fault.members for other in others}
+        return outgoing if fault.kind is FaultKind.ONE_WAY else outgoing | incoming
+
+
+def _steps_of(fault_number: int, fault: Fault) -> list[Step]:
+    """Return the steps of one fault, in no particular order."""
+    begin_seconds = fault.begin_seconds
+    steps = [Step(begin_seconds, fault_number, Transition.BEGIN, fault)]
+    if fault.kind is not FaultKind.RESTART:
+        end_seconds = begin_seconds + fault.duration_seconds
+        steps.append(Step(end_seconds, fault_number, Transition.END, fault))
+    if fault.kind is FaultKind.FLAP:
+        for half in range(1, int(fault.duration_seconds / FLAP_HALF_SECONDS)):
+            transition = Transition.END if half % 2 else Transition.BEGIN
+            at_seconds = begin_seconds + half * FLAP_HALF_SECONDS
+            steps.append(Step(at_seconds, fault_number, transition, fault))
+    return steps
--- a/stepstream/lab/processes/dispatcher_cluster.py
+++ b/stepstream/lab/processes/dispatcher_cluster.py
@@ -7,7 +7,6 @@
 import subprocess
 import sys
 import tempfile
-import threading
 import time
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
@@ -15,7 +14,8 @@
 
 import ujson
 
-from stepstream.lab.emulator.links import Links, Relay
+from stepstream.lab.emulator.links import Links
+from stepstream.lab.emulator.udp_relay import UdpRelay
 
 START_S = 30.0
 LOOK_S = 0.05
@@ -94,7 +94,7 @@
 
     def __init__(self, members: int, seed: int, more: str = "", links: Links | None = None) -> None:
         self.folder = tempfile.TemporaryDirectory(prefix="stepstream-fleet-")
-        self.relay, self.more = Relay(seed, links), more
+        self.relay, self.more = UdpRelay(seed, links), more
         self.program = ["-m", "stepstream"]
         self.environment: dict[str, str] = {}  # more of it, for all
         self.members: dict[str, Dispatcher] = {}
@@ -104,10 +104,10 @@
             host = f"127.{64 + (number >> 8)}.{number & 255}.{k + 1}"
             name = f"n{k}"
             ports = {what: free_port(host) for what in ("clients", "admin", "fleet")}
-            advertise = self.relay.add(name, host, (host, ports["fleet"]))
+            advertise = self.relay.add_member(name, host, (host, ports["fleet"]))
             self.members[name] = Dispatcher(name, host, ports, advertise, Path(self.folder.name))
         self.seeds = [member.advertise for member in list(self.members.values())[:2]]
-        threading.Thread(target=self.relay.run, name="relay", daemon=True).start()
+        self.relay.start()
 
     def __enter__(self) -> "DispatcherCluster":
         self.start(self.members)
@@ -121,7 +121,7 @@
             if member.process is not None:
                 member.process.wait()
                 member.log.close()
-        self.relay.closed = True
+        self.relay.close()
         self.folder.cleanup()
 
     # -- processes ----------------------------------------------------------------------------------------
--- a/stepstream/lab/processes/lease_cluster.py
+++ b/stepstream/lab/processes/lease_cluster.py
@@ -136,7 +136,7 @@
             with contextlib.suppress(ConnectionError):  # a restart ends a drain as well
                 self.members[name].call("/healthcheck/ok", "PUT")
         self.drained.clear()
-        set_links(self, loss=0.0, late=0.0, doubled=0.0)
+        set_links(self, loss_probability=0.0, reorder_probability=0.0, duplicate_probability=0.0)
         for name, member in self.members.items():
             if member.running():
                 self.thaw(name)
@@ -255,9 +255,16 @@
     Fault(
         "messages later than a lease, doubled",
         2.5,
-        lambda rig, _holder: set_links(rig, late=0.4, late_s=2 * TTL, doubled=0.3),
+        lambda rig, _holder: set_links(
+            rig,
+            reorder_probability=0.4,
+            reorder_delay_seconds=2 * TTL,
+            duplicate_probability=0.3,
+        ),
+    ),
+    Fault(
+        "three in ten messages lost", 2.0, lambda rig, _holder: set_links(rig, loss_probability=0.3)
     ),
-    Fault("three in ten messages lost", 2.0, lambda rig, _holder: set_links(rig, loss=0.3)),
     Fault("the ledger answers late", 1.5, lambda rig, _holder: rig.signal_ledger(signal.SIGSTOP)),
     Fault("two members stopped", 2.0, stop_two),
 )
--- a/stepstream/lab/reports/fault_run.py
+++ b/stepstream/lab/reports/fault_run.py
@@ -12,7 +12,9 @@
 from rich.table import Table
 
 from stepstream.config.errors import ConfigurationError
-from stepstream.lab.faults.schedule import Fault, FaultInjector, Schedule, draw, read
+from stepstream.lab.faults.injector import FaultInjector
+from stepstream.lab.faults.random_schedule import draw_schedule
+from stepstream.lab.faults.schedule import Fault, FaultKind, Schedule, read_schedule
 from stepstream.lab.processes.dispatcher_cluster import DispatcherCluster
 
 LOOK_S = 0.1
@@ -35,32 +37,33 @@
     def names(self) -> tuple[str, ...]:
         return tuple(self.rig.members)
 
-    def up(self, name: str) -> bool:
+    def is_running(self, name: str) -> bool:
         return self.rig.members[name].running()
 
     def start(self, name: str) -> None:
         self.rig.start([name], wait=False)
 
     def kill(self, name: str) -> None:
-        self.go_on(name)
+        self.resume(name)
         self.rig.kill(name)
 
     def leave(self, name: str) -> None:
-        self.go_on(name)
+        self.resume(name)
         self.rig.stop(name)
 
     def stall(self, name: str) -> None:
         self.frozen.add(name)
         self.rig.freeze(name)
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         if name in self.frozen:
             self.frozen.discard(name)
             self.rig.thaw(name)
 
-    def link(self, pairs: set[tuple[str, str]], loss: float) -> None:
+    def set_link_faults(self, cut_pairs: set[tuple[str, str]], loss_probability: float) -> None:
         with self.rig.relay.lock:
-            self.rig.relay.links.cuts, self.rig.relay.links.loss = pairs, loss
+            self.rig.relay.links.cut_pairs = cut_pairs
+            self.rig.relay.links.loss_probability = loss_probability
 
 
 @dataclass
@@ -161,11 +164,11 @@
             time.sleep(min(left, LOOK_S))
         if fault is None:
             break
-        steps.do(what, fault)
+        steps.apply(what, fault)
         console.print(f"{at:7.1f} s  {what} of {describe(fault)}", highlight=False)
-        if fault.kind == "crash" and what == "begin":
-            waits += [(time.monotonic(), name) for name in fault.who]
-    steps.end()
+        if fault.kind is FaultKind.CRASH and what == "begin":
+            waits += [(time.monotonic(), name) for name in fault.members]
+    steps.end_all()
     whole, settled = time.monotonic(), None
     while time.monotonic() - whole < 60.0:
         look(watch, rig, fleet, waits, detected)
@@ -188,8 +191,10 @@
     watch.look(rig, fleet.frozen)
     for wait in list(waits):
         begun, name = wait
-        others = [n for n in fleet.names if n != name and fleet.up(n) and n not in fleet.frozen]
-        if fleet.up(name):
+        others = [
+            n for n in fleet.names if n != name and fleet.is_running(n) and n not in fleet.frozen
+        ]
+        if fleet.is_running(name):
             waits.remove(wait)  # started again before all knew
         elif others and rig.held(others, name, "dead"):
             waits.remove(wait)
@@ -197,8 +202,8 @@
 
 
 def describe(fault: Fault) -> str:
-    size = f" {fault.size:.0%}" if fault.kind == "loss" else ""
-    return f"{fault.kind}{size} {' '.join(fault.who)}".strip()
+    size = f" {fault.loss_fraction:.0%}" if fault.kind is FaultKind.LOSS else ""
+    return f"{fault.kind}{size} {' '.join(fault.members)}".strip()
 
 
 def chart(watch: InvariantMonitor, schedule: Schedule, path: str) -> None:
@@ -217,9 +222,16 @@
         place = observers.index(span.observer) * (len(names) + 1) + names.index(span.name)
         width = max(span.ended - span.begun, LOOK_S)
         axes.barh(place, width, left=span.begun, height=1.0, color=COLOURS.get(span.state, "black"))
-    for fault in schedule.fault:
-        axes.axvspan(fault.at, fault.at + max(fault.length, LOOK_S), color="#4575b4", alpha=0.12)
-        axes.text(fault.at, -1.5, describe(fault)[:24], rotation=60, fontsize=6, va="bottom")
+    for fault in schedule.faults:
+        axes.axvspan(
+            fault.begin_seconds,
+            fault.begin_seconds + max(fault.duration_seconds, LOOK_S),
+            color="#4575b4",
+            alpha=0.12,
+        )
+        axes.text(
+            fault.begin_seconds, -1.5, describe(fault)[:24], rotation=60, fontsize=6, va="bottom"
+        )
     axes.set_yticks(
         [k * (len(names) + 1) + len(names) / 2 for k in range(len(observers))], observers
     )
@@ -241,7 +253,7 @@
         raise ConfigurationError(f"--members={members} is not between 2 and 20")
     console = Console(width=120)
     names = tuple(f"n{k}" for k in range(members))
-    schedule = read(faults, names) if faults else draw(seed, names, seconds)
+    schedule = read_schedule(faults, names) if faults else draw_schedule(seed, names, seconds)
     with DispatcherCluster(members, seed) as rig:
         watch, outcome = play(rig, schedule, seconds, console)
     outcome.seed = seed
@@ -251,14 +263,14 @@
     known = " ".join(f"{x:.1f}" for x in outcome.detected_s) or "-"
     settled = "never" if outcome.settled_s is None else f"{outcome.settled_s:.1f}"
     made.add_row(
-        str(members), str(seed), str(len(schedule.fault)), known, settled, str(len(outcome.broken))
+        str(members), str(seed), str(len(schedule.faults)), known, settled, str(len(outcome.broken))
     )
     console.print(made)
     for line in outcome.broken[:20]:
         console.print(line, style="red", highlight=False)
     if out:
         Path(out).mkdir(parents=True, exist_ok=True)
-        told = {**msgspec.to_builtins(outcome), "faults": msgspec.to_builtins(schedule.fault)}
+        told = {**msgspec.to_builtins(outcome), "faults": msgspec.to_builtins(schedule.faults)}
         told["spans"] = msgspec.to_builtins(watch.spans)
         (Path(out) / "fleet.json").write_text(json.dumps(told, indent=1))
         chart(watch, schedule, str(Path(out) / "fleet.png"))
--- a/stepstream/lab/search/lease_search.py
+++ b/stepstream/lab/search/lease_search.py
@@ -1,27 +1,33 @@
 """Search every order of events of a small configuration of leases: three acceptors, two proposers.
 
-The acceptors and proposers are the program's own. Every message ever sent may be delivered at any
-later time, any number of times, or never: that covers loss, unbounded delay, duplicates and every
-order. Time moves on by steps; acceptors restart; proposers prepare (with the next ballot number or
-one that skips a number), propose again and release whenever they could, however early or late.
-Ballots, renewals, restarts and time are bounded. Answers that only move a proposer's next attempt
-(Busy, StaleBallot, Recovering, LeaseAvailable) are left out, as every attempt is tried anyhow.
-
-A `Search` owns its situations; only the thread that runs it may touch them.
+The acceptors and proposers are the program's own. An event is one of these:
+
+- a delivery: every message ever sent may arrive at any later time, any number of times, or never;
+  that covers loss, unbounded delay, duplicates and every order;
+- a step of time, at which leases expire on either side;
+- the restart of an acceptor, which loses all state;
+- a proposer that prepares (with the next ballot number or one that skips a number), proposes again
+  or releases, whenever it could, however early or late.
+
+`Bounds` limits ballots, renewals, restarts and time. Answers that only move a proposer's next
+attempt (Busy, StaleBallot, Recovering, LeaseAvailable) are left out, as every attempt is tried
+anyhow.
 """
 
 import random
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, field
 
-from stepstream.lab.search.lease_situation import (
+from stepstream.lab.search.explorer import Node, Path, Search
+from stepstream.lab.search.lease_state import (
     ACCEPTORS,
     LEASE,
-    Situation,
+    LeaseState,
     acceptor_state,
     copy_acceptor,
     copy_proposer,
 )
+from stepstream.lab.simulation.errors import TwoHoldersError
 from stepstream.leases.acceptor import Acceptor
 from stepstream.leases.ballots import BallotSequence
 from stepstream.leases.configuration import LeaseConfiguration
@@ -40,80 +46,96 @@
 ROUND_TIMEOUT_SECONDS = TTL_SECONDS / 4
 TIME_STEP_SECONDS = 1.0
 PROPOSERS = ("a", "b")
-# Of each proposer's clock, in units of the drift. The acceptors' is 1: a holder whose clock runs
-# slow among acceptors whose clocks run fast is the dangerous case.
+
 CLOCK_RATES = {"a": -1, "b": 0}
-ACCEPTORS_STARTED_AT = -1e6  # so long ago that they answer at once
-ANSWERS = (Promise, Accepted)  # those that are searched; as a tuple, quicker than a union
+"""Error of each proposer's clock, in units of the drift.
 
-# The names of a path's events, as pairs of the path before and the last name: cheap to extend.
-Path = tuple["Path", str] | tuple[()]
+The acceptors' is 1: a holder whose clock runs slow among acceptors whose clocks run fast is the
+dangerous case.
+"""
 
+ACCEPTORS_STARTED_AT = -1e6
+"""Local time of the acceptors' start: so long ago that they answer at once."""
 
-class TwoHoldersError(Exception):
-    """Report that two proposers hold the lease; the text is the path of events that led there."""
+SEARCHED_ANSWERS = (Promise, Accepted)  # as a tuple, quicker than a union
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """Bound what a path may hold; `ballots` is by proposer."""
+    """Bound what a path may hold.
+
+    Attributes:
+        ballots: by proposer, in the order of `PROPOSERS`.
+        renewals: proposals after the first one, of both proposers together.
+        restarts: of acceptors.
+        time_steps: how long a path may last, in steps of `TIME_STEP_SECONDS`.
+        max_clock_drift: largest error of a clock's rate, as a fraction.
+        releases: whether proposers may release.
+
+    """
 
     ballots: tuple[int, int] = (1, 1)
     renewals: int = 1
     restarts: int = 1
-    steps: int = 3  # of a second: how long a path may last
-    drift: float = 0.125  # largest error of a clock's rate
+    time_steps: int = 3
+    max_clock_drift: float = 0.125
     releases: bool = True
 
 
 @dataclass
-class Search:
-    """Search all paths within the bounds; `most`: states after which it gives up, unfinished."""
+class LeaseSearch(Search[LeaseState]):
+    """Search all paths within the bounds.
+
+    Attributes:
+        bounds: of every path.
+        held_states: states in which a proposer holds the lease.
+        messages: every message ever sent, in both directions, with the index of its proposer.
+        message_numbers: their indexes in `messages`.
+
+    """
 
     bounds: Bounds
-    most: int = 10_000_000
-    seen: set[int] = field(default_factory=set)  # keys of situations
-    held: int = 0  # states in which somebody holds the lease
-    # Every message ever sent, in both directions, with its proposer's index.
-    messages: list[tuple[int, Message]] = field(default_factory=list)
-    numbers: dict[tuple[int, Message], int] = field(default_factory=dict)  # indexes of `messages`
-
-    @property
-    def states(self) -> int:
-        """Return how many different states were seen."""
-        return len(self.seen)
-
-    def run(self) -> bool:
-        """Search depth first; return whether everything was tried.
-
-        TwoHoldersError with the path to it if two proposers hold the lease at one instant.
+    max_states: int | None = field(default=10_000_000, kw_only=True)
+    held_states: int = field(default=0, init=False)
+    messages: list[tuple[int, Message]] = field(default_factory=list, init=False)
+    message_numbers: dict[tuple[int, Message], int] = field(default_factory=dict, init=False)
+
+    def expand(self, node: Node[LeaseState]) -> Iterator[Node[LeaseState]]:
+        """Return the new states after each event, the last one first.
+
+        All of them are marked and checked before the first is expanded.
         """
-        pending: list[tuple[Situation, Path]] = [(self.first(), ())]
-        while pending:
-            situation, path = pending.pop()
-            for name, successor in self.successors(situation):
-                key = successor.key()
-                if key in self.seen:
-                    continue
-                self.seen.add(key)
-                if len(self.seen) >= self.most:
-                    return False
-                holders = sum(
-                    proposer.is_held(self.proposer_clock(successor, index))
-                    for index, proposer in enumerate(successor.proposers)
-                )
-                if holders > 0:
-                    self.held += 1
-                if holders > 1:
-                    raise TwoHoldersError(" / ".join(event_names((path, name))))
-                pending.append((successor, (path, name)))
-        return True
-
-    def first(self) -> Situation:
-        """Return the situation in which nothing was sent yet."""
+        new_nodes: list[Node[LeaseState]] = []
+        for name, successor in self.successors(node.state):
+            if not self.mark_explored(successor.key()):
+                continue
+            if self.is_exhausted:
+                break
+            path = Path(name, node.path)
+            self.check_one_holder(successor, path)
+            new_nodes.append(Node(successor, path, node.depth + 1))
+        return reversed(new_nodes)
+
+    def check_one_holder(self, state: LeaseState, path: Path) -> None:
+        """Check that at most one proposer holds the lease, each by its own clock.
+
+        This guards against quorums that share no acceptor, and against a grant that an acceptor
+        forgets before its holder does. TwoHoldersError with the path if there are two.
+        """
+        holders = sum(
+            proposer.is_held(self.proposer_clock(state, proposer_index))
+            for proposer_index, proposer in enumerate(state.proposers)
+        )
+        if holders > 0:
+            self.held_states += 1
+        if holders > 1:
+            raise TwoHoldersError(str(path))
+
+    def first(self) -> LeaseState:
+        """Return the state in which nothing was sent yet."""
         configuration = LeaseConfiguration(
             ACCEPTORS,
-            max_clock_drift=self.bounds.drift,
+            max_clock_drift=self.bounds.max_clock_drift,
             max_ttl_seconds=TTL_SECONDS,
             round_timeout_seconds=ROUND_TIMEOUT_SECONDS,
             head_start_seconds=0.0,
@@ -132,83 +154,106 @@
             for name in PROPOSERS
         )
         acceptors = {name: Acceptor(configuration, ACCEPTORS_STARTED_AT) for name in ACCEPTORS}
-        return Situation(0.0, acceptors, dict.fromkeys(ACCEPTORS, frozenset()), proposers)
+        return LeaseState(0.0, acceptors, dict.fromkeys(ACCEPTORS, frozenset()), proposers)
 
-    def proposer_clock(self, situation: Situation, index: int) -> float:
+    def proposer_clock(self, state: LeaseState, proposer_index: int) -> float:
         """Return what a proposer's clock shows, in seconds."""
-        return situation.now * (1.0 + self.bounds.drift * CLOCK_RATES[PROPOSERS[index]])
+        return state.now * (
+            1.0 + self.bounds.max_clock_drift * CLOCK_RATES[PROPOSERS[proposer_index]]
+        )
 
-    def acceptor_clock(self, situation: Situation) -> float:
+    def acceptor_clock(self, state: LeaseState) -> float:
         """Return what every acceptor's clock shows, in seconds."""
-        return situation.now * (1.0 + self.bounds.drift)
+        return state.now * (1.0 + self.bounds.max_clock_drift)
 
     # -- events -----------------------------------------------------------------------------------
 
-    def successors(self, situation: Situation) -> Iterator[tuple[str, Situation]]:
-        """Yield each event that may come next, by name, and the situation after it."""
-        if situation.now < self.bounds.steps:
-            yield "time", self.after_time_step(situation)
-        for name in ACCEPTORS:
-            for number in situation.mailboxes[name]:
-                index, message = self.messages[number]
-                successor = self.after_delivery(situation, name, index, message)
+    def successors(self, state: LeaseState) -> Iterator[tuple[str, LeaseState]]:
+        """Yield each event that may come next, by name, and the state after it."""
+        if state.now < self.bounds.time_steps:
+            yield "time", self.after_time_step(state)
+        for acceptor_name in ACCEPTORS:
+            for number in state.mailboxes[acceptor_name]:
+                proposer_index, message = self.messages[number]
+                successor = self.after_delivery(state, acceptor_name, proposer_index, message)
                 if successor is not None:
-                    yield f"{type(message).__name__} {name} {PROPOSERS[index]}", successor
-            if situation.restarts < self.bounds.restarts:
-                yield f"{name} restarts", self.after_restart(situation, name)
-        for index, proposer in enumerate(situation.proposers):
+                    yield (
+                        f"{type(message).__name__} {acceptor_name} {PROPOSERS[proposer_index]}",
+                        successor,
+                    )
+            if state.restarts < self.bounds.restarts:
+                yield f"{acceptor_name} restarts", self.after_restart(state, acceptor_name)
+        for proposer_index, proposer in enumerate(state.proposers):
             if not proposer.is_over:
-                yield from self.proposer_events(situation, index, proposer)
+                yield from self.proposer_events(state, proposer_index, proposer)
 
     def proposer_events(
-        self, situation: Situation, index: int, proposer: Proposer
-    ) -> Iterator[tuple[str, Situation]]:
-        """Yield what a proposer may do next of its own accord, and the situation after it."""
+        self, state: LeaseState, proposer_index: int, proposer: Proposer
+    ) -> Iterator[tuple[str, LeaseState]]:
+        """Yield what a proposer may do next of its own accord, and the state after it."""
         bounds = self.bounds
-        name = PROPOSERS[index]
-        if situation.ballots_begun[index] < bounds.ballots[index]:
+        name = PROPOSERS[proposer_index]
+        if state.ballots_begun[proposer_index] < bounds.ballots[proposer_index]:
             for skipped_numbers in (0, 1):
-                successor, changed = self.with_own_proposer(situation, index)
-                changed.ballots.highest += skipped_numbers
-                begun = list(situation.ballots_begun)
-                begun[index] += 1
-                successor.ballots_begun = tuple(begun)
-                now = self.proposer_clock(successor, index)
-                self.send(successor, index, changed.begin_ballot(now))
-                yield f"{name} prepares {changed.current_ballot().number}", successor
-        if (
-            proposer.rounds
-            and proposer.configuration.is_quorum(proposer.promised_by)
-            and situation.renewals < bounds.renewals
-        ):
-            successor, changed = self.with_own_proposer(situation, index)
-            successor.renewals += 1
-            self.send(successor, index, changed.propose(self.proposer_clock(successor, index)))
-            yield f"{name} proposes again", successor
+                number, successor = self.after_prepare(state, proposer_index, skipped_numbers)
+                yield f"{name} prepares {number}", successor
+        may_propose = proposer.rounds and proposer.configuration.is_quorum(proposer.promised_by)
+        if may_propose and state.renewals < bounds.renewals:
+            yield f"{name} proposes again", self.after_renewal(state, proposer_index)
         if bounds.releases and proposer.token:
-            successor, changed = self.with_own_proposer(situation, index)
-            self.send(successor, index, changed.release())
-            yield f"{name} releases", successor
-
-    def with_own_proposer(self, situation: Situation, index: int) -> tuple[Situation, Proposer]:
-        """Return a copy of a situation, and the one proposer in it that may be changed."""
-        successor = situation.copy()
-        changed = copy_proposer(situation.proposers[index])
-        proposers = list(situation.proposers)
-        proposers[index] = changed
+            yield f"{name} releases", self.after_release(state, proposer_index)
+
+    def after_prepare(
+        self, state: LeaseState, proposer_index: int, skipped_numbers: int
+    ) -> tuple[int, LeaseState]:
+        """Return the number of a proposer's next ballot, and the state after it was prepared."""
+        successor, changed = self.with_own_proposer(state, proposer_index)
+        changed.ballots.highest += skipped_numbers
+        begun = list(state.ballots_begun)
+        begun[proposer_index] += 1
+        successor.ballots_begun = tuple(begun)
+        now = self.proposer_clock(successor, proposer_index)
+        self.send(successor, proposer_index, changed.begin_ballot(now))
+        return changed.current_ballot().number, successor
+
+    def after_renewal(self, state: LeaseState, proposer_index: int) -> LeaseState:
+        """Return the state after a proposer proposed once more in its ballot."""
+        successor, changed = self.with_own_proposer(state, proposer_index)
+        successor.renewals += 1
+        self.send(
+            successor,
+            proposer_index,
+            changed.propose(self.proposer_clock(successor, proposer_index)),
+        )
+        return successor
+
+    def after_release(self, state: LeaseState, proposer_index: int) -> LeaseState:
+        """Return the state after a proposer released the lease."""
+        successor, changed = self.with_own_proposer(state, proposer_index)
+        self.send(successor, proposer_index, changed.release())
+        return successor
+
+    def with_own_proposer(
+        self, state: LeaseState, proposer_index: int
+    ) -> tuple[LeaseState, Proposer]:
+        """Return a copy of a state, and the one proposer in it that may be changed."""
+        successor = state.copy()
+        changed = copy_proposer(state.proposers[proposer_index])
+        proposers = list(state.proposers)
+        proposers[proposer_index] = changed
         successor.proposers = tuple(proposers)
         return successor, changed
 
-    def after_time_step(self, situation: Situation) -> Situation:
-        """Return the situation a step of time later: leases expire on either side."""
-        successor = situation.copy()
+    def after_time_step(self, state: LeaseState) -> LeaseState:
+        """Return the state a step of time later: leases expire on either side."""
+        successor = state.copy()
         successor.now += TIME_STEP_SECONDS
-        for index in range(len(PROPOSERS)):
-            proposer = successor.proposers[index]
-            now = self.proposer_clock(successor, index)
+        for proposer_index in range(len(PROPOSERS)):
+            proposer = successor.proposers[proposer_index]
+            now = self.proposer_clock(successor, proposer_index)
             if proposer.token and not proposer.is_over and now >= proposer.expires_at:
-                successor, changed = self.with_own_proposer(successor, index)
-                self.send(successor, index, changed.tick(now))
+                successor, changed = self.with_own_proposer(successor, proposer_index)
+                self.send(successor, proposer_index, changed.tick(now))
         successor.acceptors = {
             name: copy_acceptor(acceptor) for name, acceptor in successor.acceptors.items()
         }
@@ -216,79 +261,81 @@
             acceptor.tick(self.acceptor_clock(successor))
         return successor
 
-    def after_restart(self, situation: Situation, name: str) -> Situation:
-        """Return the situation after an acceptor lost all state."""
-        successor = situation.copy()
+    def after_restart(self, state: LeaseState, acceptor_name: str) -> LeaseState:
+        """Return the state after an acceptor lost all state."""
+        successor = state.copy()
         successor.restarts += 1
-        configuration = situation.acceptors[name].configuration
-        restarted = Acceptor(configuration, self.acceptor_clock(situation))
-        successor.acceptors = {**situation.acceptors, name: restarted}
+        configuration = state.acceptors[acceptor_name].configuration
+        restarted = Acceptor(configuration, self.acceptor_clock(state))
+        successor.acceptors = {**state.acceptors, acceptor_name: restarted}
         return successor
 
     # -- messages ---------------------------------------------------------------------------------
 
     def after_delivery(
-        self, situation: Situation, name: str, index: int, message: Message
-    ) -> Situation | None:
-        """Return the situation after a message between an acceptor and a proposer was delivered.
+        self, state: LeaseState, acceptor_name: str, proposer_index: int, message: Message
+    ) -> LeaseState | None:
+        """Return the state after a message between an acceptor and a proposer was delivered.
 
         None if it changes nothing.
         """
-        if isinstance(message, ANSWERS):
-            return self.after_answer(situation, name, index, message)
+        if isinstance(message, SEARCHED_ANSWERS):
+            return self.after_answer(state, acceptor_name, proposer_index, message)
         if isinstance(message, PROPOSER_MESSAGES):
-            return self.after_request(situation, name, index, message)
+            return self.after_request(state, acceptor_name, proposer_index, message)
         raise TypeError(f"{type(message).__name__} is not searched")
 
     def after_request(
-        self, situation: Situation, name: str, index: int, message: ProposerMessage
-    ) -> Situation | None:
-        """Return the situation after an acceptor received a request; None if it changes nothing."""
-        before = situation.acceptors[name]
+        self, state: LeaseState, acceptor_name: str, proposer_index: int, message: ProposerMessage
+    ) -> LeaseState | None:
+        """Return the state after an acceptor received a request; None if it changes nothing."""
+        before = state.acceptors[acceptor_name]
         acceptor = copy_acceptor(before)
-        answers = acceptor.handle(self.acceptor_clock(situation), PROPOSERS[index], message)
-        mailbox = situation.mailboxes[name] | {
-            self.message_number(index, answer)
+        answers = acceptor.handle(self.acceptor_clock(state), PROPOSERS[proposer_index], message)
+        mailbox = state.mailboxes[acceptor_name] | {
+            self.message_number(proposer_index, answer)
             for _, answer in answers
-            if isinstance(answer, ANSWERS)
+            if isinstance(answer, SEARCHED_ANSWERS)
         }
         is_same_state = acceptor_state(acceptor) == acceptor_state(before)
-        if is_same_state and mailbox == situation.mailboxes[name]:
+        if is_same_state and mailbox == state.mailboxes[acceptor_name]:
             return None
-        successor = situation.copy()
-        successor.acceptors = {**situation.acceptors, name: acceptor}
-        successor.mailboxes = {**situation.mailboxes, name: mailbox}
+        successor = state.copy()
+        successor.acceptors = {**state.acceptors, acceptor_name: acceptor}
+        successor.mailboxes = {**state.mailboxes, acceptor_name: mailbox}
         return successor
 
     def after_answer(
-        self, situation: Situation, name: str, index: int, answer: Promise | Accepted
-    ) -> Situation | None:
-        """Return the situation after a proposer received an answer; None if it ignores it."""
-        proposer = situation.proposers[index]
+        self, state: LeaseState, acceptor_name: str, proposer_index: int, answer: Promise | Accepted
+    ) -> LeaseState | None:
+        """Return the state after a proposer received an answer; None if it ignores it."""
+        proposer = state.proposers[proposer_index]
         if proposer.is_over or answer.ballot != proposer.ballot:
             return None
-        if isinstance(answer, Promise) and name in proposer.promised_by:
+        if isinstance(answer, Promise) and acceptor_name in proposer.promised_by:
             return None
-        successor, changed = self.with_own_proposer(situation, index)
-        now = self.proposer_clock(successor, index)
-        self.send(successor, index, changed.handle(now, name, answer))
+        successor, changed = self.with_own_proposer(state, proposer_index)
+        now = self.proposer_clock(successor, proposer_index)
+        self.send(successor, proposer_index, changed.handle(now, acceptor_name, answer))
         return successor
 
-    def message_number(self, index: int, message: Message) -> int:
+    def message_number(self, proposer_index: int, message: Message) -> int:
         """Return a message's number, a new one for a message that was never sent before."""
-        key = (index, message)
-        if key not in self.numbers:
-            self.numbers[key] = len(self.messages)
+        key = (proposer_index, message)
+        if key not in self.message_numbers:
+            self.message_numbers[key] = len(self.messages)
             self.messages.append(key)
-        return self.numbers[key]
+        return self.message_numbers[key]
 
-    def send(self, situation: Situation, index: int, messages: Sequence[ProposerMessage]) -> None:
+    def send(
+        self, state: LeaseState, proposer_index: int, messages: Sequence[ProposerMessage]
+    ) -> None:
         """Put a proposer's messages into every acceptor's mailbox."""
         if messages:
-            sent = {self.message_number(index, without_wait(message)) for message in messages}
-            situation.mailboxes = {
-                name: mailbox | sent for name, mailbox in situation.mailboxes.items()
+            sent = {
+                self.message_number(proposer_index, without_wait(message)) for message in messages
             }
+            state.mailboxes = {name: mailbox | sent for name, mailbox in state.mailboxes.items()}
 
 
 def without_wait(message: ProposerMessage) -> ProposerMessage:
@@ -296,12 +343,3 @@
     if isinstance(message, Prepare):
         return Prepare(message.lease, message.ballot, message.ttl_ms, 0)
     return message
-
-
-def event_names(path: Path) -> list[str]:
-    """Return the names of a path's events, first to last."""
-    names: list[str] = []
-    while path:
-        path, name = path
-        names.append(name)
-    return names[::-1]
--- a/stepstream/lab/search/lease_situation.py
+++ b/stepstream/lab/search/lease_state.py
@@ -1,7 +1,7 @@
-"""Hold one state of a small configuration of leases, and compare and copy such states.
+"""One state of a small configuration of leases, and how such states are compared and copied.
 
 `lease_search` makes hundreds of thousands of them: copies are shallow, and two states are compared
-by the parts that decide what may follow. Whoever made a `Situation` owns it; nothing changes one
+by the parts that decide what may follow. Whoever made a `LeaseState` owns it; nothing changes one
 once its successors have been made from it.
 """
 
@@ -18,11 +18,19 @@
 
 
 @dataclass
-class Situation:
-    """Hold the state of all acceptors and proposers, and the messages sent so far.
+class LeaseState:
+    """The state of all acceptors and proposers, and the messages sent so far.
+
+    Whatever an event does not change is shared with the state before it.
+
+    Attributes:
+        now: seconds since the first state.
+        acceptors: by name.
+        mailboxes: by acceptor, the numbers of all messages ever sent between it and the proposers.
+        proposers: in the order of `lease_search.PROPOSERS`.
+        renewals: on the path to this state; so are `restarts` of acceptors and `ballots_begun`,
+            by proposer.
 
-    Whatever an event does not change is shared with the situation before it. `mailboxes` has, by
-    acceptor, the numbers of all messages ever sent between it and the proposers.
     """
 
     now: float
@@ -31,18 +39,18 @@
     proposers: tuple[Proposer, ...]
     renewals: int = 0
     restarts: int = 0
-    ballots_begun: tuple[int, ...] = (0, 0)  # by proposer
+    ballots_begun: tuple[int, ...] = (0, 0)
 
-    def copy(self) -> "Situation":
+    def copy(self) -> "LeaseState":
         """Return a shallow copy, without the cost of the constructor."""
-        copied = Situation.__new__(Situation)
+        copied = LeaseState.__new__(LeaseState)
         copied.__dict__.update(self.__dict__)
         return copied
 
     def key(self) -> int:
-        """Return a hash that is equal for situations that differ only in the acceptors' names.
+        """Return a hash that is equal for states that differ only in the acceptors' names.
 
-        All acceptors start alike and have the same clock, so such situations have like successors.
+        All acceptors start alike and have the same clock, so such states have like successors.
         """
         acceptors = sorted(
             hash((self.acceptor_key(name), self.mailboxes[name])) for name in ACCEPTORS
@@ -94,7 +102,7 @@
 def proposer_key(proposer: Proposer) -> object:
     """Return what tells a proposer's state from others, as a hashable value.
 
-    Of the acceptors that answered it has the number alone; `Situation.acceptor_key` says which.
+    Of the acceptors that answered it has the number alone; `LeaseState.acceptor_key` says which.
     """
     rounds = tuple(
         (number, proposal.sent_at, len(proposal.accepted_by))
--- /dev/null
+++ b/stepstream/lab/simulation/cluster.py
@@ -0,0 +1,258 @@
+"""Simulate the processes of a cluster and the links between them, for any protocol.
+
+`SimulatedCluster` is what the clusters of membership and of leases have in common. One seed replays
+a whole run: it owns the only random generator, and the order of its draws is part of the run.
+
+A process is in one of three states:
+
+- stopped: it has no protocol, and packets to it are lost.
+- running: it receives packets and ticks when its protocol asks for it.
+- stalled: as after SIGSTOP. Packets wait in its socket's queue, up to what that holds, and its
+  tick waits. When it resumes, it works off both.
+
+`start` leads to running; `kill` and `leave` to stopped; `stall` and `resume` from running to
+stalled and back. A process may be killed while it is stalled.
+
+A cluster owns all state of its run. Only the thread that runs its timeline may touch it.
+"""
+
+import random
+from abc import ABC, abstractmethod
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+from functools import partial
+from typing import ClassVar, Generic, TypeVar
+
+from stepstream.lab.emulator.links import LinkPair, Links
+from stepstream.lab.faults.injector import FaultInjector
+from stepstream.lab.faults.schedule import Schedule
+from stepstream.lab.simulation.errors import NotRecoveredError
+from stepstream.lab.simulation.timeline import Timeline
+
+STALL_FOREVER_SECONDS = 1e9
+MAX_TICK_AT_SECONDS = 1e12
+"""Bounds the time of a tick that is never due, which a protocol gives as infinity."""
+
+SOCKET_QUEUE_PACKETS = 256
+"""What the socket of a stalled process holds; the rest is lost."""
+
+
+@dataclass(frozen=True, slots=True)
+class Packet:
+    """An encoded message on a link; `address` is the receiver's."""
+
+    sender: str
+    address: str
+    data: bytes
+
+
+@dataclass(eq=False)
+class SimulatedProcess(ABC):
+    """The simulated process of one member; times are in seconds of the timeline."""
+
+    name: str
+    stalled_until: float = 0.0
+    tick_number: int = 0  # of the scheduled tick that counts; earlier ones are void
+    socket_queue: list[Packet] = field(default_factory=list)  # received while stalled
+
+    @property
+    @abstractmethod
+    def is_running(self) -> bool:
+        """Whether the process exists; a stalled one does."""
+
+    @abstractmethod
+    def discard_state(self) -> None:
+        """Drop all state that a process loses when it ends."""
+
+
+ProcessT = TypeVar("ProcessT", bound=SimulatedProcess)
+
+
+class SimulatedCluster(Timeline, ABC, Generic[ProcessT]):
+    """Simulate a cluster; a subclass plugs in the protocol. It is a `FaultTarget`.
+
+    Attributes:
+        rng: the source of every random number of the run.
+        links: the properties of all links; they may change while the cluster runs.
+        processes: all processes by member name, running or not.
+        packets_sent: packets that processes sent, also those that were lost.
+        bytes_sent: the sum of their lengths.
+
+    """
+
+    tick_margin_seconds: ClassVar[float] = 0.0
+    """Delay of a tick past its time, where the rounding of clocks could make it too early."""
+
+    def __init__(
+        self, seed: int, processes: Iterable[ProcessT], links: Links | None = None
+    ) -> None:
+        super().__init__()
+        self.rng = random.Random(seed)
+        self.links = links or Links()
+        self.processes = {process.name: process for process in processes}
+        self.packets_sent = 0
+        self.bytes_sent = 0
+
+    # -- what a protocol plugs in -----------------------------------------------------------------
+
+    @abstractmethod
+    def start(self, name: str) -> None:
+        """Start a member's process."""
+
+    @abstractmethod
+    def announce_leave(self, process: ProcessT) -> None:
+        """Send what a process sends before it stops gracefully."""
+
+    @abstractmethod
+    def next_tick_at(self, process: ProcessT) -> float:
+        """Return when a running process wants its next tick; infinity if never."""
+
+    @abstractmethod
+    def tick_protocol(self, process: ProcessT) -> None:
+        """Let a process do what is due now, and send what follows."""
+
+    @abstractmethod
+    def handle_packet(self, process: ProcessT, packet: Packet) -> None:
+        """Hand a packet to a process that runs and is not stalled."""
+
+    @abstractmethod
+    def work_off_stall(self, process: ProcessT) -> None:
+        """Let a process that has just resumed do what it missed."""
+
+    @abstractmethod
+    def process_at(self, address: str) -> ProcessT | None:
+        """Return the process that listens at an address."""
+
+    @abstractmethod
+    def check_invariants(self, process: ProcessT) -> None:
+        """Check what must hold after a step of this process; InvariantError if it does not."""
+
+    @abstractmethod
+    def has_recovered(self) -> bool:
+        """Return whether the cluster is as it must be some time after the last fault."""
+
+    def after_fault_step(self) -> None:
+        """Do what a protocol needs right after a fault begins or ends; nothing by default."""
+
+    # -- faults.injector.FaultTarget --------------------------------------------------------------
+
+    @property
+    def names(self) -> tuple[str, ...]:
+        """Return the names of all members, running or not."""
+        return tuple(self.processes)
+
+    def is_running(self, name: str) -> bool:
+        """Return whether a member's process exists; a stalled one does."""
+        return self.processes[name].is_running
+
+    def start_all(self) -> None:
+        """Start every member, in the order of `names`."""
+        for name in self.processes:
+            self.start(name)
+
+    def kill(self, name: str) -> None:
+        """End a member's process as SIGKILL does, without notice to the others."""
+        process = self.processes[name]
+        process.discard_state()
+        process.tick_number += 1
+
+    def leave(self, name: str) -> None:
+        """End a member's process as SIGTERM does, after it told the others."""
+        self.announce_leave(self.processes[name])
+        self.kill(name)
+
+    def stall(self, name: str, seconds: float = STALL_FOREVER_SECONDS) -> None:
+        """Suspend a process as SIGSTOP does, and resume it after `seconds` unless it is forever."""
+        process = self.processes[name]
+        process.stalled_until = self.now + seconds
+        if seconds < STALL_FOREVER_SECONDS:
+            self.call_later(seconds, partial(self._end_stall, process))
+
+    def resume(self, name: str) -> None:
+        """Resume a member's process, as SIGCONT does, if it is stalled."""
+        process = self.processes[name]
+        if self.is_stalled(process):
+            process.stalled_until = self.now
+            self._end_stall(process)
+
+    def set_link_faults(self, cut_pairs: set[LinkPair], loss_probability: float) -> None:
+        """Replace the cut links and the probability that a packet is lost."""
+        self.links.cut_pairs = cut_pairs
+        self.links.loss_probability = loss_probability
+
+    def play(self, schedule: Schedule, max_recovery_seconds: float) -> float:
+        """Play a fault schedule from now on, then end all faults.
+
+        Return the seconds from there until the cluster has recovered.
+
+        Raises:
+            NotRecoveredError: it has not recovered after `max_recovery_seconds`.
+            InvariantError: an invariant did not hold meanwhile.
+
+        """
+        started_at = self.now
+        injector = FaultInjector(self, schedule)
+        for at_seconds, _, transition, fault in injector.steps:
+            self.run(max(started_at + at_seconds - self.now, 0.0))
+            injector.apply(transition, fault)
+            self.after_fault_step()
+        injector.end_all()
+        faults_ended_at = self.now
+        if not self.run(max_recovery_seconds, self.has_recovered):
+            raise NotRecoveredError(
+                f"{self.now:.3f} s: not recovered {max_recovery_seconds} s after the last fault"
+            )
+        return self.now - faults_ended_at
+
+    # -- ticks and stalls -------------------------------------------------------------------------
+
+    def is_stalled(self, process: ProcessT) -> bool:
+        """Return whether a process is stalled now."""
+        return self.now < process.stalled_until
+
+    def schedule_tick(self, process: ProcessT) -> None:
+        """Schedule a process's next tick; it replaces the one that was scheduled before."""
+        process.tick_number += 1
+        wanted_at = max(self.next_tick_at(process), self.now, process.stalled_until)
+        due_at = min(wanted_at, MAX_TICK_AT_SECONDS) + self.tick_margin_seconds
+        self.call_at(due_at, partial(self._tick_if_current, process, process.tick_number))
+
+    def _tick_if_current(self, process: ProcessT, number: int) -> None:
+        """Tick a process unless this tick was replaced, or the process ended or stalls."""
+        is_current = process.tick_number == number
+        if process.is_running and is_current and not self.is_stalled(process):
+            self.tick(process)
+
+    def tick(self, process: ProcessT) -> None:
+        """Let a process do what is due, check the invariants, and schedule its next tick."""
+        self.tick_protocol(process)
+        self.check_invariants(process)
+        self.schedule_tick(process)
+
+    def _end_stall(self, process: ProcessT) -> None:
+        """Resume a process, unless it ended meanwhile or was stalled for longer."""
+        if process.is_running and not self.is_stalled(process):
+            self.work_off_stall(process)
+
+    # -- links ------------------------------------------------------------------------------------
+
+    def transmit(self, sender: ProcessT, address: str, data: bytes) -> None:
+        """Put a packet on the link to an address; it arrives never, once or twice."""
+        self.packets_sent += 1
+        self.bytes_sent += len(data)
+        receiver = self.process_at(address)
+        if receiver is None or (sender.name, receiver.name) in self.links.cut_pairs:
+            return
+        packet = Packet(sender.name, address, data)
+        for delay_seconds in self.links.draw_delays(self.rng):
+            self.call_later(delay_seconds, partial(self.deliver, packet))
+
+    def deliver(self, packet: Packet) -> None:
+        """Deliver a packet to the process at its address; queue it while that stalls."""
+        process = self.process_at(packet.address)
+        if process is None or not process.is_running:
+            return
+        if not self.is_stalled(process):
+            self.handle_packet(process, packet)
+        elif len(process.socket_queue) < SOCKET_QUEUE_PACKETS:
+            process.socket_queue.append(packet)
--- /dev/null
+++ b/stepstream/lab/simulation/guarded_resource.py
@@ -0,0 +1,91 @@
+"""Simulate the resource that a lease guards, and check from its side what leases promise.
+
+The resource admits the beginning and the end of an operation only with a fencing token that its
+guard accepts. Times are in seconds of the timeline.
+"""
+
+from dataclasses import dataclass, field
+from math import inf
+
+from stepstream.lab.simulation.errors import OperationOrderError
+from stepstream.leases.fencing import FencingGuard
+
+CLOCK_TOLERANCE_SECONDS = 1e-9
+"""By how much the float sums of two clocks may differ."""
+
+
+@dataclass
+class Operation:
+    """One operation on a resource; `is_completed` if the resource admitted both its ends."""
+
+    token: int
+    proposer_id: str
+    begun_at: float
+    ended_at: float = inf
+    is_completed: bool = False
+
+
+@dataclass
+class GuardedResource:
+    """A resource and all operations that it admitted; those not completed changed nothing."""
+
+    guard: FencingGuard = field(default_factory=FencingGuard)
+    operations: list[Operation] = field(default_factory=list)
+
+    def begin(self, now: float, token: int, proposer_id: str) -> Operation:
+        """Admit the beginning of an operation.
+
+        Raises:
+            FencedError: the guard rejects the token.
+            OperationOrderError: the guard admits a smaller token than before.
+
+        """
+        self.guard.admit(token)
+        self.check_tokens_never_fall(now, token)
+        operation = Operation(token, proposer_id, now)
+        self.operations.append(operation)
+        return operation
+
+    def end(self, now: float, operation: Operation) -> None:
+        """Admit the end of an operation.
+
+        Raises:
+            FencedError: the guard rejects its token.
+            OperationOrderError: it overlaps a completed operation of another proposer.
+
+        """
+        self.guard.admit(operation.token)
+        operation.ended_at = now
+        operation.is_completed = True
+        self.check_no_overlap(now, operation)
+
+    def completed_operations(self) -> int:
+        """Return how many operations were completed."""
+        return sum(operation.is_completed for operation in self.operations)
+
+    def check_tokens_never_fall(self, now: float, token: int) -> None:
+        """Check that a new operation's token is not below that of the operation before it.
+
+        This guards against a guard that lets an earlier holder write after a later one.
+        """
+        if self.operations and token < self.operations[-1].token:
+            raise OperationOrderError(
+                f"{now:.3f} s: an operation with token {token} after {self.operations[-1].token}"
+            )
+
+    def check_no_overlap(self, now: float, operation: Operation) -> None:
+        """Check that a completed operation overlaps none that another proposer completed.
+
+        This guards against two holders that both change the resource, each by its own clock.
+        """
+        for other in self.operations:
+            if (
+                other.is_completed
+                and other.proposer_id != operation.proposer_id
+                and other.ended_at > operation.begun_at + CLOCK_TOLERANCE_SECONDS
+                and other.begun_at < operation.ended_at - CLOCK_TOLERANCE_SECONDS
+            ):
+                raise OperationOrderError(
+                    f"{now:.3f} s: operations of {other.proposer_id} and"
+                    f" {operation.proposer_id} overlap"
+                )
--- a/stepstream/lab/simulation/lease_process.py
+++ b/stepstream/lab/simulation/lease_process.py
@@ -1,44 +1,57 @@
-"""Simulate the process of one member that uses leases: its clocks, its stalls, its participant.
+"""Simulate the process of one member that uses leases: its clocks and its participant.
 
 A `LeaseCluster` owns the processes; only the thread that runs its timeline may touch them.
 """
 
-from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from stepstream.lab.simulation.cluster import SimulatedProcess
+from stepstream.lab.simulation.errors import NotRunningError
+from stepstream.lab.simulation.timeline import Step
 from stepstream.leases.participant import Participant
 
 
 @dataclass(eq=False)
-class Process:
-    """Hold the simulated process of one member.
+class LeaseProcess(SimulatedProcess):
+    """The simulated process of one member.
+
+    Attributes:
+        clock_rate: local seconds per second of the timeline, of its monotonic clock.
+        clock_offset_seconds: by how much its time of day is ahead.
+        clock_origin: the time of the timeline at which its monotonic clock showed zero.
+        participant: None while the process does not run.
+        starts: how often it was started.
+        stalled_steps: steps of its tasks that came due during a stall.
 
-    `rate`: local seconds per second of the timeline, of its monotonic clock. `ahead`: seconds by
-    which its time of day is ahead. `origin`: when that monotonic clock showed zero.
     """
 
-    name: str
-    rate: float = 1.0
-    ahead: float = 0.0
-    origin: float = 0.0
-    core: Participant | None = None  # None: not running
+    clock_rate: float = 1.0
+    clock_offset_seconds: float = 0.0
+    clock_origin: float = 0.0
+    participant: Participant | None = None
     starts: int = 0
-    stalled_until: float = 0.0
-    tick_number: int = 0  # of the scheduled tick that counts; earlier ones are void
-    socket_queue: list[tuple[str, bytes]] = field(default_factory=list)  # received while stalled
-    stalled_steps: list[Callable[[], None]] = field(default_factory=list)  # its tasks'
+    stalled_steps: list[Step] = field(default_factory=list)
+
+    @property
+    def is_running(self) -> bool:
+        """Whether the process exists; a stalled one does."""
+        return self.participant is not None
 
     @property
-    def running_core(self) -> Participant:
-        """Return the participant of a running process; RuntimeError if it does not run."""
-        if self.core is None:
-            raise RuntimeError(f"member {self.name} is not running")
-        return self.core
+    def running_participant(self) -> Participant:
+        """The participant of a running process; NotRunningError if it does not run."""
+        if self.participant is None:
+            raise NotRunningError(self.name)
+        return self.participant
+
+    def discard_state(self) -> None:
+        """Drop the participant: all leases and promises of the process."""
+        self.participant = None
 
-    def local(self, now: float) -> float:
+    def to_local_time(self, now: float) -> float:
         """Return what its monotonic clock shows at a time of the timeline."""
-        return (now - self.origin) * self.rate
+        return (now - self.clock_origin) * self.clock_rate
 
-    def real(self, local: float) -> float:
-        """Return the time of the timeline at which its monotonic clock shows `local`."""
-        return self.origin + local / self.rate
+    def to_timeline(self, local_time: float) -> float:
+        """Return the time of the timeline at which its monotonic clock shows `local_time`."""
+        return self.clock_origin + local_time / self.clock_rate
--- a/stepstream/lab/simulation/membership_cluster.py
+++ b/stepstream/lab/simulation/membership_cluster.py
@@ -1,28 +1,22 @@
-"""Simulate a membership cluster without sockets or threads; a seed replays a whole run.
+"""Simulate a membership cluster: every member runs the program's own `MembershipProtocol`.
 
-Every member runs the program's own `MembershipProtocol`. Links lose, delay, duplicate and reorder
-datagrams and are cut by ordered pair; members stall, crash and restart. The invariants are checked
-after every step of a member.
-
-A `MembershipCluster` owns all state of its run. Only the thread that runs its timeline may touch
-it.
+`cluster` has the states of a process and the links. After a stall, a member first does what is due,
+then handles what waits in its socket: it can notice by the late tick that it stalled. After every
+step of a member, `membership_invariants` checks what must hold.
 """
 
-import heapq
 import random
-from collections.abc import Callable
-from dataclasses import dataclass, field
 from functools import partial
 
 from stepstream.lab.emulator.links import Links
-from stepstream.lab.faults.schedule import FaultInjector, Schedule
-from stepstream.lab.simulation.timeline import Timeline
-from stepstream.membership import record_precedence
+from stepstream.lab.simulation.cluster import Packet, SimulatedCluster
+from stepstream.lab.simulation.errors import InvariantError
+from stepstream.lab.simulation.membership_invariants import DeclaredDeath, MembershipInvariants
+from stepstream.lab.simulation.membership_process import SimulatedMember
 from stepstream.membership.member_count import MemberCount, observe
 from stepstream.membership.messages import (
     MAX_CONFIRMED_DEATHS,
     MAX_DATAGRAM_BYTES,
-    PRESENT,
     MemberRecord,
     MemberState,
     MemberStatus,
@@ -34,358 +28,194 @@
 from stepstream.membership.protocol import MembershipProtocol
 from stepstream.membership.protocol_settings import ProtocolSettings
 
-CLUSTER = "lab"
-FALSE_DEATH_CHECK_SECONDS = 0.1  # between two checks of one member; the bound is 200 of these
-MAX_FALSE_DEATH_PERIODS = 40  # probe intervals for which a reachable member may be believed dead
-COUNT_INTERVAL_SECONDS = 0.5  # between two counts of the members, as in the program
-STALL_FOREVER_SECONDS = 1e9
-MAX_TICK_AT_SECONDS = 1e12  # bounds a tick that is never due, which the protocol gives as infinity
-SOCKET_QUEUE_DATAGRAMS = 256  # what the socket of a stalled process holds; the rest is lost
-MAX_BROADCASTS_PER_MEMBER = 3
+CLUSTER_NAME = "lab"
 SEED_MEMBERS = 3
-FIRST_START_SECONDS = 1_000_000  # time of day at the start of a run
-
-Claim = tuple[int, str, int]  # generation, address, incarnation
-
+FIRST_START_SECONDS = 1_000_000
+"""Time of day at the start of a run, from which the members' generations follow."""
 
-class InvariantError(Exception):
-    """Report an invariant that does not hold: which one, at what time and for which member."""
+COUNT_INTERVAL_SECONDS = 0.5
+"""Time between two counts of the members, as in the program."""
 
+MILLISECONDS = 1000
 
-@dataclass(eq=False)
-class SimulatedMember:
-    """Hold the simulated process of one member; times are in seconds of the timeline."""
 
-    name: str
-    address: str
-    view: MembershipProtocol | None = None  # None: not running
-    started: float = 0.0
-    stalled_until: float = 0.0
-    tick_number: int = 0  # of the scheduled tick that counts; earlier ones are void
-    socket_queue: list[tuple[bytes, str]] = field(default_factory=list)  # received while stalled
-    checked_event: int = 0  # number of the newest membership event that was checked
-    member_count: MemberCount | None = None
-    false_deaths_checked_at: float = -1.0
-    # By name and start of a running, reachable member: since when this one believes it dead.
-    false_deaths: dict[tuple[str, float], float] = field(default_factory=dict)
-
-    @property
-    def running_view(self) -> MembershipProtocol:
-        """Return the protocol of a running process; RuntimeError if it does not run."""
-        if self.view is None:
-            raise RuntimeError(f"member {self.name} is not running")
-        return self.view
+class MembershipCluster(SimulatedCluster[SimulatedMember]):
+    """Simulate members `n0`, `n1`, ... and the links between them.
 
+    Attributes:
+        settings: the protocol's, for every member.
+        seeds: addresses of the members that a new one contacts first.
+        process_by_address: who listens where.
+        invariants: what is checked, and the deaths that members declared.
 
-class MembershipCluster(Timeline):
-    """Simulate members `n0`, `n1`, ... and the links between them."""
+    """
 
     def __init__(
-        self, seed: int, members: int, times: ProtocolSettings, links: Links | None = None
+        self, seed: int, members: int, settings: ProtocolSettings, links: Links | None = None
     ) -> None:
-        super().__init__()
-        self.draw = random.Random(seed)
-        self.times = times
-        self.links = links or Links()
-        self.sims: dict[str, SimulatedMember] = {}
-        for number in range(members):
-            name = f"n{number}"
-            self.sims[name] = SimulatedMember(name, f"127.1.{number >> 8}.{number & 255}:7946")
-        self.at = {sim.address: sim for sim in self.sims.values()}
-        self.seeds = tuple(sim.address for sim in list(self.sims.values())[:SEED_MEMBERS])
-        # By observer's start and member: the greatest claim that the observer saw end.
-        self.ended_claims: dict[tuple[str, str], Claim] = {}
-        self.sent = 0  # datagrams
-        self.bytes = 0
-        # Time, observer, member believed dead, whether that was running.
-        self.deaths: list[tuple[float, str, str, bool]] = []
-        self.clock_offset: dict[str, float] = {}  # by member, seconds of its time of day
-        self.check_step: Callable[[MembershipCluster, SimulatedMember], None] = check
-
-    # -- members ----------------------------------------------------------------------------------
+        processes = [
+            SimulatedMember(f"n{number}", address=f"127.1.{number >> 8}.{number & 255}:7946")
+            for number in range(members)
+        ]
+        super().__init__(seed, processes, links)
+        self.settings = settings
+        self.seeds = tuple(process.address for process in processes[:SEED_MEMBERS])
+        self.process_by_address = {process.address: process for process in processes}
+        self.invariants = MembershipInvariants(self)
+
+    # -- processes --------------------------------------------------------------------------------
+
+    def add_process(self, key: str, process: SimulatedMember) -> None:
+        """Add a process that does not run; it takes over its address if another had it.
+
+        `key` is its key in `processes`: its name, unless it contends for that of another.
+        """
+        self.processes[key] = process
+        self.process_by_address[process.address] = process
 
     def start(
         self, name: str, seeds: tuple[str, ...] | None = None, generation: int | None = None
     ) -> None:
         """Start a member's process; its generation is by default its time of day in ms."""
-        sim = self.sims[name]
+        process = self.processes[name]
         if generation is None:
-            time_of_day = FIRST_START_SECONDS + self.now + self.clock_offset.get(name, 0.0)
-            generation = int(time_of_day * 1000)
-        record = MemberRecord(name, sim.address, generation, 0, MemberState.ALIVE)
-        rng = random.Random(self.draw.random())
-        sim.view = MembershipProtocol(
-            record, CLUSTER, self.seeds if seeds is None else seeds, self.times, rng, self.now
+            time_of_day = FIRST_START_SECONDS + self.now + process.clock_offset_seconds
+            generation = int(time_of_day * MILLISECONDS)
+        record = MemberRecord(name, process.address, generation, 0, MemberState.ALIVE)
+        rng = random.Random(self.rng.random())
+        if seeds is None:
+            seeds = self.seeds
+        process.protocol = MembershipProtocol(
+            record, CLUSTER_NAME, seeds, self.settings, rng, self.now
         )
-        sim.started = self.now
-        sim.stalled_until = 0.0
-        sim.socket_queue = []
-        sim.checked_event = 0
-        sim.false_deaths = {}
-        self.schedule(sim)
-
-    def start_all(self) -> None:
-        """Start every member, in the order of their numbers."""
-        for name in self.sims:
-            self.start(name)
-
-    def crash(self, name: str) -> None:
-        """End a member's process without notice to the others."""
-        sim = self.sims[name]
-        sim.view = None
-        sim.member_count = None
-        sim.tick_number += 1
-
-    def leave(self, name: str) -> None:
-        """Let a member announce its leave, then end its process."""
-        sim = self.sims[name]
-        self.send(sim, sim.running_view.leave(self.now))
-        self.crash(name)
-
-    def stall(self, name: str, seconds: float = STALL_FOREVER_SECONDS) -> None:
-        """Stop a process as SIGSTOP does, and continue it after that time unless it is forever.
-
-        Datagrams wait in its socket meanwhile, up to what that holds.
-        """
-        sim = self.sims[name]
-        sim.stalled_until = self.now + seconds
-        if seconds < STALL_FOREVER_SECONDS:
-            self.call(seconds, partial(self.wake, sim))
-
-    def wake(self, sim: SimulatedMember) -> None:
-        """Continue a stalled process: first its timers, then what waited in its socket."""
-        if sim.view is None or self.now < sim.stalled_until:
-            return
-        self.tick(sim)
-        queued = sim.socket_queue
-        sim.socket_queue = []
-        sim.false_deaths = {}
-        for data, address in queued:
-            self.receive(data, address)
-
-    def count_all(self, hold: float) -> None:
-        """Let each member count the members and confirm deaths from now on.
+        process.started_at = self.now
+        process.stalled_until = 0.0
+        process.socket_queue = []
+        self.invariants.on_start(process)
+        self.schedule_tick(process)
 
-        `membership.subsystem` does so in the program. `hold`: `MemberCount`'s, in seconds.
-        """
-        for sim in self.sims.values():
-            self.call(self.draw.uniform(0, COUNT_INTERVAL_SECONDS), partial(self.count, sim, hold))
+    def announce_leave(self, process: SimulatedMember) -> None:
+        """Let a member announce that it leaves."""
+        self.send(process, process.running_protocol.leave(self.now))
 
-    def count(self, sim: SimulatedMember, hold: float) -> None:
-        """Count the members as one member sees them, and schedule its next count."""
-        self.call(COUNT_INTERVAL_SECONDS, partial(self.count, sim, hold))
-        view = sim.view
-        if view is None:
-            sim.member_count = None
-        elif self.now >= sim.stalled_until:
-            sim.member_count = sim.member_count or MemberCount(sim.name, hold)
-            observed = observe(view.members, self.now)
-            view.context.now = self.now
-            deaths = tuple(sim.member_count.confirmed_deaths(observed)[:MAX_CONFIRMED_DEATHS])
-            status = MemberStatus(sim.name, 0, 0, Phase.SERVING, 0, "", 0, 0, "", deaths)
-            view.statuses.publish(status)
-            confirmations = {
-                name: frozenset(status.confirmed_deaths)
-                for name, status in view.statuses.by_owner.items()
-            }
-            sim.member_count.update(observed, confirmations)
-
-    def counted(self, name: str) -> int:
-        """Return how many members this one counts; 0 if it does not count."""
-        member_count = self.sims[name].member_count
-        return len(member_count.names) if member_count is not None else 0
+    def process_at(self, address: str) -> SimulatedMember | None:
+        """Return the process that listens at an address."""
+        return self.process_by_address.get(address)
 
     def running(self) -> list[SimulatedMember]:
         """Return the members whose processes run, stalled ones included."""
-        return [sim for sim in self.sims.values() if sim.view is not None]
-
-    # -- faults.schedule.FaultTarget ---------------------------------------------------------------
-
-    @property
-    def names(self) -> tuple[str, ...]:
-        """Return the names of all members, running or not."""
-        return tuple(self.sims)
-
-    def up(self, name: str) -> bool:
-        """Return whether a member's process runs."""
-        return self.sims[name].view is not None
-
-    def kill(self, name: str) -> None:
-        """End a member's process as SIGKILL does."""
-        self.crash(name)
-
-    def go_on(self, name: str) -> None:
-        """Continue a member's process, as SIGCONT does, if it is stalled."""
-        sim = self.sims[name]
-        if sim.stalled_until > self.now:
-            sim.stalled_until = self.now
-            self.wake(sim)
-
-    def link(self, pairs: set[tuple[str, str]], loss: float) -> None:
-        """Set which ordered pairs are cut, and the probability of loss, from now on."""
-        self.links.cuts = pairs
-        self.links.loss = loss
-
-    def play(self, schedule: Schedule, settle: float) -> float:
-        """Play a fault schedule from now on, then end all faults.
-
-        Return the seconds from there until all members agree; BrokenError if they do not within
-        `settle` seconds or if an invariant broke.
-        """
-        started = self.now
-        play = FaultInjector(self, schedule)
-        for at, _, what, fault in play.steps:
-            self.run(max(started + at - self.now, 0.0))
-            play.do(what, fault)
-        play.end()
-        faults_ended = self.now
-        if not self.run(settle, self.agreed):
-            raise InvariantError(f"not settled {settle} s after the last fault")
-        return self.now - faults_ended
-
-    # -- time -------------------------------------------------------------------------------------
-
-    def schedule(self, sim: SimulatedMember) -> None:
-        """Schedule a member's next tick; it replaces the one that was scheduled before."""
-        sim.tick_number += 1
-        due_at = max(sim.running_view.next_tick_at(), self.now, sim.stalled_until)
-        step: Callable[[], None] = partial(self.tick_if, sim, sim.tick_number)
-        heapq.heappush(self.queue, (min(due_at, MAX_TICK_AT_SECONDS), next(self.serial), step))
-
-    def tick_if(self, sim: SimulatedMember, number: int) -> None:
-        """Tick a member unless this tick was replaced, or its process ended or stalls."""
-        if sim.view is not None and sim.tick_number == number and self.now >= sim.stalled_until:
-            self.tick(sim)
-
-    def tick(self, sim: SimulatedMember) -> None:
-        """Let a member do what is due, check it, and schedule its next tick."""
-        self.send(sim, sim.running_view.tick(self.now))
-        self.check_step(self, sim)
-        self.schedule(sim)
-
-    # -- links ------------------------------------------------------------------------------------
-
-    def send(self, sim: SimulatedMember, datagrams: list[OutgoingDatagram]) -> None:
-        """Put a member's datagrams on the links; BrokenError if one is too long."""
+        return [process for process in self.processes.values() if process.is_running]
+
+    # -- the protocol's steps ---------------------------------------------------------------------
+
+    def next_tick_at(self, process: SimulatedMember) -> float:
+        """Return when a member wants its next tick; infinity if never."""
+        return process.running_protocol.next_tick_at()
+
+    def tick_protocol(self, process: SimulatedMember) -> None:
+        """Let a member do what is due now, and send what follows."""
+        self.send(process, process.running_protocol.tick(self.now))
+
+    def handle_packet(self, process: SimulatedMember, packet: Packet) -> None:
+        """Hand a datagram to a member."""
+        protocol = process.running_protocol
+        tick_at_before = protocol.next_tick_at()
+        self.send(process, protocol.handle(self.now, decode(packet.data, CLUSTER_NAME)))
+        self.check_invariants(process)
+        if protocol.next_tick_at() < tick_at_before:
+            self.schedule_tick(process)
+
+    def work_off_stall(self, process: SimulatedMember) -> None:
+        """Tick a member, then hand it what waited in its socket."""
+        self.tick(process)
+        queued = process.socket_queue
+        process.socket_queue = []
+        self.invariants.on_stall_ended(process)
+        for packet in queued:
+            self.deliver(packet)
+
+    def send(self, process: SimulatedMember, datagrams: list[OutgoingDatagram]) -> None:
+        """Put a member's datagrams on the links; InvariantError if one is too long."""
         for outgoing in datagrams:
             data = encode(outgoing.datagram)
             if len(data) > MAX_DATAGRAM_BYTES:
                 raise InvariantError(
-                    f"{self.now:.3f} s: a datagram of {len(data)} bytes from {sim.name}"
+                    f"{self.now:.3f} s: a datagram of {len(data)} bytes from {process.name}"
                 )
-            self.sent += 1
-            self.bytes += len(data)
-            receiver = self.at.get(outgoing.address)
-            if receiver is None or (sim.name, receiver.name) in self.links.cuts:
-                continue
-            for delay in self.links.fate(self.draw):
-                self.call(delay, partial(self.receive, data, outgoing.address))
+            self.transmit(process, outgoing.address, data)
 
-    def receive(self, data: bytes, address: str) -> None:
-        """Hand a datagram to the member at this address; queue it while that stalls."""
-        sim = self.at.get(address)
-        if sim is None or sim.view is None:
+    def check_invariants(self, process: SimulatedMember) -> None:
+        """Check what must hold after a step of this member; InvariantError if it does not."""
+        self.invariants.check(process)
+
+    @property
+    def declared_deaths(self) -> list[DeclaredDeath]:
+        """All deaths that members declared, oldest first."""
+        return self.invariants.declared_deaths
+
+    # -- counts of members ------------------------------------------------------------------------
+
+    def start_counting(self, hold_seconds: float) -> None:
+        """Let each member count the members and confirm deaths from now on.
+
+        `membership.subsystem` does so in the program. `hold_seconds` is `MemberCount`'s.
+        """
+        for process in self.processes.values():
+            delay_seconds = self.rng.uniform(0, COUNT_INTERVAL_SECONDS)
+            self.call_later(delay_seconds, partial(self._count, process, hold_seconds))
+
+    def _count(self, process: SimulatedMember, hold_seconds: float) -> None:
+        """Count the members as one member sees them, and schedule its next count."""
+        self.call_later(COUNT_INTERVAL_SECONDS, partial(self._count, process, hold_seconds))
+        protocol = process.protocol
+        if protocol is None:
+            process.member_count = None
             return
-        if self.now < sim.stalled_until:
-            if len(sim.socket_queue) < SOCKET_QUEUE_DATAGRAMS:
-                sim.socket_queue.append((data, address))
+        if self.is_stalled(process):
             return
-        tick_at_before = sim.view.next_tick_at()
-        self.send(sim, sim.view.handle(self.now, decode(data, CLUSTER)))
-        self.check_step(self, sim)
-        if sim.view.next_tick_at() < tick_at_before:
-            self.schedule(sim)
+        if process.member_count is None:
+            process.member_count = MemberCount(process.name, hold_seconds)
+        observed = observe(protocol.members, self.now)
+        protocol.context.now = self.now
+        deaths = tuple(process.member_count.confirmed_deaths(observed)[:MAX_CONFIRMED_DEATHS])
+        status = MemberStatus(process.name, 0, 0, Phase.SERVING, 0, "", 0, 0, "", deaths)
+        protocol.statuses.publish(status)
+        confirmations = {
+            name: frozenset(status.confirmed_deaths)
+            for name, status in protocol.statuses.by_owner.items()
+        }
+        process.member_count.update(observed, confirmations)
+
+    def counted_members(self, name: str) -> int:
+        """Return how many members this one counts; 0 if it does not count."""
+        member_count = self.processes[name].member_count
+        return len(member_count.names) if member_count is not None else 0
 
     # -- queries ----------------------------------------------------------------------------------
 
-    def agreed(self) -> bool:
+    def has_recovered(self) -> bool:
+        """Return whether all running members agree."""
+        return self.has_converged()
+
+    def has_converged(self) -> bool:
         """Return whether all running members hold one list: each other alive, and nobody else."""
-        views = [sim.running_view for sim in self.running()]
-        if len({view.digest for view in views}) != 1:
+        running = self.running()
+        protocols = [process.running_protocol for process in running]
+        if len({protocol.digest for protocol in protocols}) != 1:
             return False
-        running = {sim.name for sim in self.running()}
         alive = {
             name
-            for name, member in views[0].members.by_name.items()
+            for name, member in protocols[0].members.by_name.items()
             if member.record.state is MemberState.ALIVE
         }
-        return alive == running
+        return alive == {process.name for process in running}
 
-    def known(self, name: str, states: tuple[MemberState, ...]) -> bool:
+    def is_known_as(self, name: str, states: tuple[MemberState, ...]) -> bool:
         """Return whether all other running members hold this one in one of these states."""
-        for sim in self.running():
-            if sim.name == name:
+        for process in self.running():
+            if process.name == name:
                 continue
-            member = sim.running_view.members.by_name.get(name)
+            member = process.running_protocol.members.by_name.get(name)
             if member is None or member.record.state not in states:
                 return False
         return True
-
-
-def check(world: MembershipCluster, sim: SimulatedMember) -> None:
-    """Check the invariants after a step of a member; BrokenError if one does not hold.
-
-    No ended member comes back on the same claim, no running and reachable member is believed dead
-    for long, and all state is bounded.
-    """
-    view = sim.running_view
-    check_false_deaths(world, sim)
-    max_members = world.times.max_members
-    max_broadcasts = MAX_BROADCASTS_PER_MEMBER * max_members
-    if (
-        len(view.members.by_name) > max_members
-        or len(view.outbox.broadcasts.queued) > max_broadcasts
-    ):
-        raise InvariantError(f"{world.now:.3f} s: {sim.name} holds more than its bound")
-    events = view.members.events
-    if events.last_number > sim.checked_event:
-        unchecked = min(events.last_number - sim.checked_event, len(events.recent))
-        sim.checked_event = events.last_number
-        for event in list(events.recent)[-unchecked:]:
-            member = view.members.by_name.get(event.name)
-            if member is not None:
-                check_claim(world, sim, member.record)
-
-
-def check_claim(world: MembershipCluster, sim: SimulatedMember, record: MemberRecord) -> None:
-    """Check a changed record against the claims that its observer saw end; note a new end."""
-    key = (f"{sim.name}@{sim.started}", record.name)
-    claim = record_precedence.member_precedence(record)[:3]  # without the state
-    ended = world.ended_claims.get(key)
-    if record.state in PRESENT:
-        if ended is not None and claim <= ended:
-            raise InvariantError(
-                f"{world.now:.3f} s: {sim.name} has {record.name} back on an old claim"
-            )
-    elif ended is None or claim > ended:
-        world.ended_claims[key] = claim
-        if record.state is MemberState.DEAD:
-            is_running = record.name in world.sims and world.up(record.name)
-            world.deaths.append((world.now, sim.name, record.name, is_running))
-
-
-def check_false_deaths(world: MembershipCluster, sim: SimulatedMember) -> None:
-    """Check that a member believes no running and reachable one dead for too long."""
-    if world.now < sim.false_deaths_checked_at + FALSE_DEATH_CHECK_SECONDS:
-        return
-    sim.false_deaths_checked_at = world.now
-    max_seconds = MAX_FALSE_DEATH_PERIODS * world.times.probe_interval_seconds
-    members = sim.running_view.members
-    false_deaths = {}
-    for name in members.by_name.keys() - members.present:
-        other = world.sims.get(name)
-        if (
-            other is None
-            or other.view is None
-            or other.stalled_until > world.now
-            or members.by_name[name].record.state is not MemberState.DEAD
-            or {(sim.name, name), (name, sim.name)} & world.links.cuts
-        ):
-            continue
-        key = (name, other.started)
-        since = false_deaths[key] = sim.false_deaths.get(key, world.now)
-        if world.now - since > max_seconds:
-            raise InvariantError(
-                f"{world.now:.3f} s: {sim.name} has held {name} dead since {since:.3f} s"
-            )
-    sim.false_deaths = false_deaths
--- a/stepstream/lab/simulation/timeline.py
+++ b/stepstream/lab/simulation/timeline.py
@@ -8,6 +8,8 @@
 from collections.abc import Callable
 from itertools import count
 
+Step = Callable[[], None]
+
 CHECK_INTERVAL_SECONDS = 0.1
 """Least simulated time between two evaluations of the condition that ends a run."""
 
@@ -17,12 +19,16 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.serial = count()
+        self._queue: list[tuple[float, int, Step]] = []
+        self._serial = count()
+
+    def call_at(self, due_at: float, step: Step) -> None:
+        """Schedule a step to run at a time, which must not lie in the past."""
+        heapq.heappush(self._queue, (due_at, next(self._serial), step))
 
-    def call(self, after: float, step: Callable[[], None]) -> None:
-        """Schedule a step to run `after` seconds from now."""
-        heapq.heappush(self.queue, (self.now + after, next(self.serial), step))
+    def call_later(self, delay_seconds: float, step: Step) -> None:
+        """Schedule a step to run `delay_seconds` from now."""
+        self.call_at(self.now + delay_seconds, step)
 
     def run(self, seconds: float, until: Callable[[], bool] | None = None) -> bool:
         """Run the steps that are due within `seconds`, or until a condition holds.
@@ -32,13 +38,13 @@
         """
         end = self.now + seconds
         next_check = self.now
-        while self.queue and self.queue[0][0] <= end:
-            due, _, step = heapq.heappop(self.queue)
-            self.now = due
+        while self._queue and self._queue[0][0] <= end:
+            due_at, _, step = heapq.heappop(self._queue)
+            self.now = due_at
             step()
-            if until is not None and due >= next_check:
+            if until is not None and due_at >= next_check:
                 if until():
                     return True
-                next_check = due + CHECK_INTERVAL_SECONDS
+                next_check = due_at + CHECK_INTERVAL_SECONDS
         self.now = end
         return until() if until is not None else False
--- a/tests/leases/test_lease_acceptor.py
+++ b/tests/leases/test_lease_acceptor.py
@@ -1,6 +1,6 @@
 """The acceptor: promises, acceptances, releases and bounds."""
 
-from lease_helpers import ACCEPTORS, CONFIGURATION
+from lease_builders import ACCEPTORS, CONFIGURATION
 
 from stepstream.leases.acceptor import Acceptor
 from stepstream.leases.configuration import LeaseConfiguration
--- a/tests/leases/test_lease_cluster.py
+++ b/tests/leases/test_lease_cluster.py
@@ -1,108 +1,117 @@
 """Hard cases of several members in simulated time."""
 
 import pytest
-from lease_helpers import ACCEPTORS, CONFIGURATION, no_drift_margin, recovered_world
+from lease_builders import ACCEPTORS, CONFIGURATION, member_names, recovered_cluster
+from planted_lease_faults import no_drift_margin
 
+from stepstream.lab.simulation.errors import TwoHoldersError
 from stepstream.lab.simulation.lease_cluster import LeaseCluster
-from stepstream.lab.simulation.lease_workload import Task, TwoHoldersError
+from stepstream.lab.simulation.lease_tasks import Task
 from stepstream.leases.configuration import LeaseConfiguration
 
-FOREVER = 1e6  # seconds
+FOREVER_SECONDS = 1e6
 
 
-def world_with_a_slow_holder():
+def cluster_with_a_slow_holder():
     """n3, whose clock runs slow among fast ones, holds the lease and is cut off; n4 waits for it."""
     configuration = LeaseConfiguration(ACCEPTORS, max_ttl_seconds=6.0, max_clock_drift=0.05)
-    world = LeaseCluster(1, [f"n{k}" for k in range(5)], configuration)
-    for name, process in world.processes.items():
-        process.rate = 0.95 if name == "n3" else 1.05
-    world.tasks["n3"] = [Task("x", hold=FOREVER)]
-    world.start_all()
-    world.run(12.0)
-    world.work(world.processes["n4"], Task("x", hold=FOREVER))
-    world.run(5.0)
-    assert world.holders("x") == ["n3@1.1"]
-    world.links.cut(["n3"], ["n0", "n1", "n2", "n4"])
-    return world
+    cluster = LeaseCluster(1, member_names(5), configuration)
+    for name, process in cluster.processes.items():
+        process.clock_rate = 0.95 if name == "n3" else 1.05
+    cluster.tasks["n3"] = [Task("x", hold_seconds=FOREVER_SECONDS)]
+    cluster.start_all()
+    cluster.run(12.0)
+    cluster.start_task("n4", Task("x", hold_seconds=FOREVER_SECONDS))
+    cluster.run(5.0)
+    assert cluster.holders("x") == ["n3@1.1"]
+    cluster.links.cut(["n3"], ["n0", "n1", "n2", "n4"])
+    return cluster
 
 
 def test_a_slow_clock_among_fast_ones_hands_over_safely():
-    world = world_with_a_slow_holder()
-    world.run(12.0)
-    assert world.holders("x") == ["n4@1.1"]
+    cluster = cluster_with_a_slow_holder()
+    cluster.run(12.0)
+    assert cluster.holders("x") == ["n4@1.1"]
 
 
 def test_a_slow_clock_among_fast_ones_needs_the_drift_margin(monkeypatch):
     no_drift_margin(monkeypatch)
-    world = world_with_a_slow_holder()
+    cluster = cluster_with_a_slow_holder()
     with pytest.raises(TwoHoldersError):
-        world.run(12.0)
+        cluster.run(12.0)
 
 
 def test_a_healthy_holder_keeps_lease_and_token_through_the_restart_of_each_acceptor_in_turn():
-    world = recovered_world(tasks=[("n4", Task("x", hold=FOREVER))])
-    world.run(3.0)
-    world.work(world.processes["n3"], Task("x"))
-    (holder,) = world.holders("x")
+    cluster = recovered_cluster(tasks=[("n4", Task("x", hold_seconds=FOREVER_SECONDS))])
+    cluster.run(3.0)
+    cluster.start_task("n3", Task("x"))
+    (holder,) = cluster.holders("x")
     for name in ACCEPTORS:
-        world.kill(name)
-        world.run(0.2)
-        world.start(name)
-        world.run(CONFIGURATION.recovery_seconds + 2.0)
-    assert world.holders("x") == [holder]
-    assert len(world.grants) == 1
-    assert world.grants[0].token == min(act.token for act in world.resources["x"].acts)
+        cluster.kill(name)
+        cluster.run(0.2)
+        cluster.start(name)
+        cluster.run(CONFIGURATION.recovery_seconds + 2.0)
+    assert cluster.holders("x") == [holder]
+    assert len(cluster.grants) == 1
+    tokens = [operation.token for operation in cluster.resources["x"].operations]
+    assert cluster.grants[0].token == min(tokens)
 
 
 def test_after_a_restart_of_all_acceptors_nothing_is_granted_for_the_longest_time_to_live():
-    world = recovered_world(tasks=[("n4", Task("x", hold=FOREVER)), ("n3", Task("x"))])
-    world.run(3.0)
+    tasks = [("n4", Task("x", hold_seconds=FOREVER_SECONDS)), ("n3", Task("x"))]
+    cluster = recovered_cluster(tasks=tasks)
+    cluster.run(3.0)
     for name in ACCEPTORS:
-        world.kill(name)
-        world.start(name)
-    restarted_at, grants_before = world.now, len(world.grants)
-    world.run(CONFIGURATION.recovery_seconds * 0.98)
-    assert len(world.grants) == grants_before
-    assert world.run(3.0, lambda: len(world.grants) > grants_before)
-    assert world.grants[-1].since - restarted_at >= 6.0
+        cluster.kill(name)
+        cluster.start(name)
+    restarted_at = cluster.now
+    grants_before = len(cluster.grants)
+    cluster.run(CONFIGURATION.recovery_seconds * 0.98)
+    assert len(cluster.grants) == grants_before
+    assert cluster.run(3.0, lambda: len(cluster.grants) > grants_before)
+    assert cluster.grants[-1].observed_at - restarted_at >= 6.0
 
 
 @pytest.mark.parametrize("clock_change_seconds", [-3600.0, 0.0])
 def test_tokens_grow_past_a_restart_of_all_members_with_clocks_set_back(clock_change_seconds):
-    world = recovered_world(tasks=[(f"n{k}", Task("x")) for k in range(5)])
-    world.run(5.0)
-    token_before = world.resources["x"].guard.highest_token
-    for name, process in world.processes.items():
-        process.ahead = clock_change_seconds
-        world.kill(name)
-        world.start(name)
-    acts = world.resources["x"].acts
-    assert world.run(30.0, lambda: acts[-1].token > token_before and acts[-1].taken)
+    cluster = recovered_cluster(tasks=[(name, Task("x")) for name in member_names(5)])
+    cluster.run(5.0)
+    token_before = cluster.resources["x"].guard.highest_token
+    for name, process in cluster.processes.items():
+        process.clock_offset_seconds = clock_change_seconds
+        cluster.kill(name)
+        cluster.start(name)
+    operations = cluster.resources["x"].operations
+    assert cluster.run(
+        30.0, lambda: operations[-1].token > token_before and operations[-1].is_completed
+    )
     # It costs a rejection by the guard and another ballot, never safety.
-    assert (world.fenced > 0) == (clock_change_seconds < 0)
+    assert (cluster.fenced_operations > 0) == (clock_change_seconds < 0)
 
 
 def test_a_release_lets_the_next_waiter_in_at_once_and_a_hundred_waiters_all_get_the_lease():
-    tasks = [(f"n{k % 10}", Task("x", act=0.3, hold=0.1, think=1e5)) for k in range(100)]
-    world = recovered_world(members=10, tasks=tasks)
-    messages_before = world.bodies
-    begun_at = world.now
-    assert world.run(300.0, lambda: len(world.grants) >= 100)
-    assert len({grant.proposer for grant in world.grants}) == 100  # nobody twice before all once
-    gaps = [
-        later.since - earlier.since
-        for earlier, later in zip(world.grants, world.grants[1:], strict=False)
+    task = Task("x", max_operation_seconds=0.3, hold_seconds=0.1, think_seconds=1e5)
+    tasks = [(f"n{number % 10}", task) for number in range(100)]
+    cluster = recovered_cluster(members=10, tasks=tasks)
+    messages_before = cluster.messages_sent
+    begun_at = cluster.now
+    assert cluster.run(300.0, lambda: len(cluster.grants) >= 100)
+    # Nobody holds it twice before all have held it once.
+    assert len({grant.proposer_id for grant in cluster.grants}) == 100
+    gaps_seconds = [
+        later.observed_at - earlier.observed_at
+        for earlier, later in zip(cluster.grants, cluster.grants[1:], strict=False)
     ]
-    assert sorted(gaps)[50] < 1.0
-    messages_per_second = (world.bodies - messages_before) / (world.now - begun_at)
+    assert sorted(gaps_seconds)[50] < 1.0
+    messages_per_second = (cluster.messages_sent - messages_before) / (cluster.now - begun_at)
     assert messages_per_second < 1_000  # for a hundred waiters
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_two_proposers_in_step_get_out_of_it(seed):
-    tasks = [("n3", Task("x", hold=FOREVER)), ("n4", Task("x", hold=FOREVER))]
-    world = recovered_world(seed, tasks=tasks)
-    assert world.run(CONFIGURATION.recovery_seconds + 5.0, lambda: bool(world.holders("x")))
+    task = Task("x", hold_seconds=FOREVER_SECONDS)
+    cluster = recovered_cluster(seed, tasks=[("n3", task), ("n4", task)])
+    assert cluster.run(CONFIGURATION.recovery_seconds + 5.0, lambda: bool(cluster.holders("x")))
 
 
 OLD, NEW = ACCEPTORS, ("n3", "n4", "n5")
@@ -111,31 +120,38 @@
 NEW_ONLY = LeaseConfiguration(NEW, max_ttl_seconds=2.0)
 
 
-def world_after_reconfiguration(steps):
+def cluster_after_reconfiguration(configurations):
     """Every member takes one configuration, acceptors first, before any goes on to the next."""
-    world = LeaseCluster(3, [f"n{k}" for k in range(8)], steps[0])
-    for name in world.names:
-        world.tasks[name] = [Task("x", ttl=2.0, act=0.4, hold=FOREVER, think=0.5)]
-    world.start_all()
-    world.run(5.0)
-    for configuration in steps[1:]:
-        world.rules = configuration
-        others = [name for name in world.names if name not in configuration.acceptors]
+    cluster = LeaseCluster(3, member_names(8), configurations[0])
+    task = Task(
+        "x",
+        ttl_seconds=2.0,
+        max_operation_seconds=0.4,
+        hold_seconds=FOREVER_SECONDS,
+        think_seconds=0.5,
+    )
+    for name in cluster.names:
+        cluster.tasks[name] = [task]
+    cluster.start_all()
+    cluster.run(5.0)
+    for configuration in configurations[1:]:
+        cluster.configuration = configuration
+        others = [name for name in cluster.names if name not in configuration.acceptors]
         for names in (configuration.acceptors, others):
             for name in names:
-                world.kill(name)
-                world.start(name)
-                world.run(0.4)
-            world.run(5.0)
-    return world
+                cluster.kill(name)
+                cluster.start(name)
+                cluster.run(0.4)
+            cluster.run(5.0)
+    return cluster
 
 
 def test_acceptors_are_changed_by_way_of_both_sets():
-    world = world_after_reconfiguration([OLD_ONLY, BOTH, NEW_ONLY])
-    assert world.holders("x")
-    assert world.grants[-1].since > world.now - 30
+    cluster = cluster_after_reconfiguration([OLD_ONLY, BOTH, NEW_ONLY])
+    assert cluster.holders("x")
+    assert cluster.grants[-1].observed_at > cluster.now - 30
 
 
 def test_a_change_of_acceptors_without_the_step_of_both_sets_is_caught():
     with pytest.raises(TwoHoldersError):
-        world_after_reconfiguration([OLD_ONLY, NEW_ONLY])
+        cluster_after_reconfiguration([OLD_ONLY, NEW_ONLY])
--- a/tests/leases/test_lease_configuration.py
+++ b/tests/leases/test_lease_configuration.py
@@ -1,7 +1,7 @@
 """The bounds on a lease's times."""
 
 import pytest
-from lease_helpers import CONFIGURATION
+from lease_builders import CONFIGURATION
 
 from stepstream.leases.configuration import LeaseTimesError, check_lease_times
 
--- a/tests/leases/test_lease_messages.py
+++ b/tests/leases/test_lease_messages.py
@@ -3,7 +3,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from lease_helpers import CONFIGURATION, recovered_participant
+from lease_builders import CONFIGURATION, recovered_participant
 
 from stepstream.leases.messages import (
     PROTOCOL_VERSION,
--- a/tests/leases/test_lease_orders.py
+++ b/tests/leases/test_lease_orders.py
@@ -1,16 +1,17 @@
 """A small configuration of leases in every order of events; larger ones are in benchmarks/leases.py."""
 
-import lease_helpers as planted
+import planted_lease_faults as planted
 import pytest
 
-from stepstream.lab.search.lease_search import Bounds, Search, TwoHoldersError
+from stepstream.lab.search.lease_search import Bounds, LeaseSearch
+from stepstream.lab.simulation.errors import TwoHoldersError
 
 
 def test_three_acceptors_and_two_proposers_have_one_holder_in_every_order():
-    search = Search(Bounds(renewals=0, restarts=0, releases=False, steps=1))
+    search = LeaseSearch(Bounds(renewals=0, restarts=0, releases=False, time_steps=1))
     assert search.run()
     assert search.states > 5_000
-    assert search.held > 500
+    assert search.held_states > 500
 
 
 @pytest.mark.parametrize(
@@ -25,6 +26,13 @@
 )
 def test_the_search_catches_a_planted_fault(plant, monkeypatch):
     plant(monkeypatch)
-    search = Search(Bounds(renewals=0, restarts=1, releases=False, steps=2), most=400_000)
+    bounds = Bounds(renewals=0, restarts=1, releases=False, time_steps=2)
+    search = LeaseSearch(bounds, max_states=400_000)
     with pytest.raises(TwoHoldersError, match="Accepted"):
         search.run()
+
+
+def test_a_search_that_reaches_its_bound_on_states_is_not_complete():
+    search = LeaseSearch(Bounds(), max_states=100)
+    assert not search.run()
+    assert search.states == 100
--- a/tests/leases/test_lease_participant.py
+++ b/tests/leases/test_lease_participant.py
@@ -2,7 +2,7 @@
 
 import random
 
-from lease_helpers import recovered_participant
+from lease_builders import recovered_participant
 
 from stepstream.leases.configuration import LeaseConfiguration
 from stepstream.leases.messages import PROTOCOL_VERSION, ConfigurationMismatch, Envelope, Prepare
--- a/tests/leases/test_lease_proposer.py
+++ b/tests/leases/test_lease_proposer.py
@@ -2,7 +2,7 @@
 
 import random
 
-from lease_helpers import CONFIGURATION
+from lease_builders import CONFIGURATION
 
 from stepstream.leases.ballots import BallotSequence
 from stepstream.leases.lease_state import LeaseState
--- a/tests/leases/test_lease_rules.py
+++ b/tests/leases/test_lease_rules.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from lease_helpers import CONFIGURATION
+from lease_builders import CONFIGURATION
 
 from stepstream.leases.acceptor_rules import (
     blocking_grant,
--- a/tests/leases/test_lease_schedules.py
+++ b/tests/leases/test_lease_schedules.py
@@ -1,36 +1,40 @@
 """Leases in simulated time, under drawn schedules of faults; thousands are in benchmarks/leases.py."""
 
-import lease_helpers as planted
+import planted_lease_faults as planted
 import pytest
-from lease_helpers import play_schedule
+from lease_builders import cluster_after_faults
 
-from stepstream.lab.simulation.lease_workload import Resource, TwoHoldersError
+from stepstream.lab.simulation.errors import InvariantError
+from stepstream.lab.simulation.guarded_resource import GuardedResource
+
+SEEDS = 40
+SEEDS_OF_A_PLANTED_FAULT = 120  # within which it must be caught
 
 
 def test_under_any_faults_a_lease_has_one_holder_and_is_held_again_afterwards():
     operations = 0
-    for seed in range(40):
+    for seed in range(SEEDS):
         try:
-            resource = play_schedule(seed).resources.get("x", Resource())
-        except TwoHoldersError as error:
+            cluster = cluster_after_faults(seed)
+        except InvariantError as error:
             raise AssertionError(f"seed {seed}: {error}") from None
-        operations += sum(act.taken for act in resource.acts)
+        operations += cluster.resources.get("x", GuardedResource()).completed_operations()
     assert operations > 500
 
 
 def test_one_seed_replays_everything():
-    first, second = play_schedule(5), play_schedule(5)
-    assert first.sent == second.sent > 0
+    first, second = cluster_after_faults(5), cluster_after_faults(5)
+    assert first.packets_sent == second.packets_sent > 0
     assert first.grants == second.grants
 
 
-def play_many(drift):
-    for seed in range(120):
-        play_schedule(seed, drift)
+def play_seeds(max_clock_drift):
+    for seed in range(SEEDS_OF_A_PLANTED_FAULT):
+        cluster_after_faults(seed, max_clock_drift)
 
 
 @pytest.mark.parametrize(
-    ("plant", "drift"),
+    ("plant", "max_clock_drift"),
     [
         (planted.no_recovery_wait, 0.01),
         (planted.no_drift_margin, 0.1),
@@ -41,7 +45,7 @@
     ],
     ids=lambda value: getattr(value, "__name__", ""),
 )
-def test_schedules_catch_a_planted_fault(plant, drift, monkeypatch):
+def test_schedules_catch_a_planted_fault(plant, max_clock_drift, monkeypatch):
     plant(monkeypatch)
-    with pytest.raises(TwoHoldersError):
-        play_many(drift)
+    with pytest.raises(InvariantError):
+        play_seeds(max_clock_drift)
--- a/tests/membership/test_dissemination.py
+++ b/tests/membership/test_dissemination.py
@@ -1,7 +1,7 @@
 """Piggybacked updates: order, limits and sizes."""
 
 import pytest
-from membership_helpers import record
+from membership_builders import record
 
 from stepstream.membership.dissemination import (
     MAX_PIGGYBACKED_STATUSES,
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -1,7 +1,7 @@
 """Probes, indirect probes, nacks and local health of one member, datagram by datagram."""
 
 import pytest
-from membership_helpers import SETTINGS, protocol, record
+from membership_builders import SETTINGS, protocol, record
 
 from stepstream.membership.local_health import LocalHealth
 from stepstream.membership.messages import (
--- a/tests/membership/test_membership_messages.py
+++ b/tests/membership/test_membership_messages.py
@@ -3,9 +3,9 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from membership_helpers import protocol
+from membership_builders import protocol
 
-from stepstream.lab.simulation.membership_cluster import CLUSTER
+from stepstream.lab.simulation.membership_cluster import CLUSTER_NAME
 from stepstream.membership.messages import (
     MAX_DATAGRAM_BYTES,
     PROTOCOL_VERSION,
@@ -28,7 +28,7 @@
     encoded = encode(
         Datagram(
             PROTOCOL_VERSION,
-            CLUSTER,
+            CLUSTER_NAME,
             LOCAL,
             PingRequest(3, "n1", "127.0.0.1:5"),
             member_records=(LOCAL,) * 3,
@@ -40,12 +40,12 @@
             part[data.draw(st.integers(0, len(part) - 1))] = data.draw(st.integers(0, 255))
     target = protocol(name="n1")
     try:
-        datagram = decode(bytes(part), CLUSTER)
+        datagram = decode(bytes(part), CLUSTER_NAME)
     except InvalidDatagramError:
         return
     target.handle(1.0, datagram)
     assert len(target.members.by_name) <= 1 + 4
-    assert datagram.cluster == CLUSTER
+    assert datagram.cluster == CLUSTER_NAME
 
 
 @pytest.mark.parametrize(
@@ -53,19 +53,24 @@
     [
         (b"\xc1" * 10, "unreadable"),
         (b"x" * (MAX_DATAGRAM_BYTES + 1), "over"),
-        (encode(Datagram(2, CLUSTER, LOCAL, Ack(1))), "version 2"),
+        (encode(Datagram(2, CLUSTER_NAME, LOCAL, Ack(1))), "version 2"),
         (encode(Datagram(1, "other", LOCAL, Ack(1))), "cluster 'other'"),
         (
             encode(
                 Datagram(
-                    1, CLUSTER, MemberRecord("a b", "127.0.0.1:1", 1, 0, MemberState.ALIVE), Ack(1)
+                    1,
+                    CLUSTER_NAME,
+                    MemberRecord("a b", "127.0.0.1:1", 1, 0, MemberState.ALIVE),
+                    Ack(1),
                 )
             ),
             "unreadable",
         ),
         (
             encode(
-                Datagram(1, CLUSTER, MemberRecord("a", "host:1", 1, 0, MemberState.ALIVE), Ack(1))
+                Datagram(
+                    1, CLUSTER_NAME, MemberRecord("a", "host:1", 1, 0, MemberState.ALIVE), Ack(1)
+                )
             ),
             "unreadable",
         ),
@@ -73,7 +78,7 @@
             encode(
                 Datagram(
                     1,
-                    CLUSTER,
+                    CLUSTER_NAME,
                     MemberRecord("a", "127.0.0.1:1", 2**60, 0, MemberState.ALIVE),
                     Ack(1),
                 )
@@ -84,4 +89,4 @@
 )
 def test_an_invalid_datagram_is_dropped_with_its_reason(data, reason):
     with pytest.raises(InvalidDatagramError, match=reason):
-        decode(data, CLUSTER)
+        decode(data, CLUSTER_NAME)
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -47,7 +47,7 @@
 def fleet(rig):
     """All up, linked and agreed before each test; what a test leaves behind must heal as well."""
     rig.heal()
-    rig.relay.links.loss = 0.0
+    rig.relay.links.loss_probability = 0.0
     rig.start([name for name, member in rig.members.items() if not member.running()])
     rig.wait_for(lambda: rig.agreed(rig.members), PATIENCE_SECONDS, "one view again")
     return rig
@@ -180,10 +180,10 @@
 
 
 def test_members_agree_where_each_link_loses_thirty_percent(fleet):
-    fleet.relay.links.loss = 0.3
+    fleet.relay.links.loss_probability = 0.3
     fleet.kill("n1")
     fleet.wait_for(lambda: fleet.held(ALL - {"n1"}, "n1", "dead"), PATIENCE_SECONDS, "the death")
-    fleet.relay.links.loss = 0.0
+    fleet.relay.links.loss_probability = 0.0
     fleet.start(["n1"])
     fleet.wait_for(lambda: fleet.agreed(ALL), PATIENCE_SECONDS, "the return")
 
@@ -257,7 +257,7 @@
     twin = DispatcherCluster(1, seed=2, more=SHORT_INTERVALS)
     made = twin.members["n0"]
     made.name, twin.members = "n3", {"n3": made}
-    made.advertise = fleet.relay.add("twin", made.host, (made.host, made.ports["fleet"]))
+    made.advertise = fleet.relay.add_member("twin", made.host, (made.host, made.ports["fleet"]))
     twin.seeds = fleet.seeds
     with twin:
         words = fleet.members["n3"].words
--- a/tests/membership/test_membership_rules.py
+++ b/tests/membership/test_membership_rules.py
@@ -1,7 +1,7 @@
 """Rules of the membership protocol that no longer scenario forces by itself."""
 
 import pytest
-from membership_helpers import SETTINGS, protocol, record
+from membership_builders import SETTINGS, protocol, record
 
 from stepstream.membership.anti_entropy import is_page_pause_over
 from stepstream.membership.local_health import failed_probe_penalty, is_stall, stall_penalty
--- a/tests/membership/test_record_merge.py
+++ b/tests/membership/test_record_merge.py
@@ -3,7 +3,7 @@
 import msgspec
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from membership_helpers import protocol, record
+from membership_builders import protocol, record
 
 from stepstream.membership.messages import (
     MaintenanceRecord,
--- a/tests/membership/test_record_precedence.py
+++ b/tests/membership/test_record_precedence.py
@@ -1,7 +1,7 @@
 """The order of records and of claims about the local name."""
 
 import pytest
-from membership_helpers import record
+from membership_builders import record
 
 from stepstream.membership.messages import MaintenanceRecord, MemberState, MemberStatus, Phase
 from stepstream.membership.record_precedence import (
