--- /dev/null
+++ b/stepstream/lab/emulator/http_worker.py
@@ -0,0 +1,186 @@
+"""Emulate a worker that speaks the platform's HTTP protocol."""
+
+import asyncio
+from dataclasses import dataclass, field
+from http import HTTPStatus
+
+import ujson
+
+from stepstream.http.codec import Message, Parser, ProtocolError, write_answer, write_request
+from stepstream.lab.emulator.clock import US_PER_MS
+from stepstream.lab.emulator.streams import LIMITS, READ_BYTES, read_response
+from stepstream.lab.emulator.worker_driver import WorkerDriver
+from stepstream.lab.emulator.worker_model import OfferResult, TaskEvent, TaskState
+
+NOTIFICATION_PATH = "/_jobs/news"  # the platform's path for job notifications
+NOTIFICATION_ATTEMPTS = 10
+NOTIFICATION_BACKOFF_SECONDS = 0.1
+AGENT_DETECTION_SECONDS = 0.05  # until a machine's agent reports a dead process's jobs as lost
+
+
+@dataclass(eq=False)
+class HttpWorker(WorkerDriver):
+    """Emulate an HTTP worker: respond 202 at once, then send notifications of the job."""
+
+    host: str = "127.0.0.1"
+    port: int = 0  # 0: chosen when the listener first opens
+    dispatcher_address: tuple[str, int] = ("127.0.0.1", 0)
+    server: asyncio.Server | None = None
+    connections: set[asyncio.StreamWriter] = field(default_factory=set)  # open
+    # Notifications to deliver to the dispatcher, in order.
+    notifications: asyncio.Queue[dict[str, object]] = field(default_factory=asyncio.Queue)
+    health_check_count: int = 0
+    load_sampled_at_us: int = 0
+    sampled_load: dict[str, int] = field(default_factory=dict)  # reported until the next sample
+    # Listener of the message that `on_message` handles, where a worker has several.
+    listener_index: int = 0
+
+    async def start(self) -> None:
+        """Open the listener; start to play the model and to deliver notifications."""
+        await self.open_listener()
+        self.run_in_background(self.run_model())
+        self.run_in_background(self.deliver_notifications())
+
+    async def open_listener(self) -> None:
+        """Open the listener, after a restart on the same port."""
+        self.server = await asyncio.start_server(self.serve, self.host, self.port)
+        self.port = self.server.sockets[0].getsockname()[1]
+
+    async def serve(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, listener_index: int = 0
+    ) -> None:
+        """Serve the requests of a connection until it ends or the worker is down."""
+        parser = Parser(LIMITS)
+        self.connections.add(writer)
+        try:
+            while data := await reader.read(READ_BYTES):
+                parser.feed(data)
+                while (message := parser.next()) is not None:
+                    self.listener_index = listener_index
+                    response = self.on_message(message)
+                    if response is None:
+                        return
+                    writer.write(response)
+        except (OSError, ProtocolError, asyncio.CancelledError):
+            pass
+        finally:
+            self.connections.discard(writer)
+            writer.close()
+
+    def on_message(self, message: Message) -> bytes | None:
+        """Return the response to a request; None to close the connection without one."""
+        if message.method == "DELETE":
+            self.cancel(message.target.rpartition("/")[2])
+            return write_answer(HTTPStatus.OK)
+        if message.method == "GET":
+            return self.respond_to_health_check(message.target)
+        result, _ = self.offer(message.headers["request-id"], message.body)
+        match result:
+            case OfferResult.ACCEPTED:
+                return write_answer(HTTPStatus.ACCEPTED)
+            case OfferResult.FULL:
+                return write_answer(
+                    HTTPStatus.SERVICE_UNAVAILABLE,
+                    headers={"Not-Started": "1", **self.load_header()},
+                )
+            case OfferResult.ERROR:
+                return write_answer(HTTPStatus.INTERNAL_SERVER_ERROR, headers=self.load_header())
+        return None
+
+    def respond_to_health_check(self, path: str) -> bytes:
+        """Respond to a health check, which costs work; 404 where the site's settings have none."""
+        site = self.verifier.scenario.site
+        if site.load_reports == "none" or path not in ("/-/healthy", "/-/load"):
+            return write_answer(HTTPStatus.NOT_FOUND)
+        self.health_check_count += 1
+        now_us = self.clock.now_us()
+        self.model.advance(now_us)
+        self.model.add_side_work(int(site.health_check_work_ms * US_PER_MS))
+        self.model_changed.set()
+        return write_answer(HTTPStatus.OK, self.load_text().encode() if path == "/-/load" else b"")
+
+    def current_load_report(self) -> dict[str, int]:
+        """Return the load report, sampled anew at the site's report interval."""
+        now_us = self.clock.now_us()
+        interval_us = self.verifier.scenario.site.load_report_interval_ms * US_PER_MS
+        if now_us - self.load_sampled_at_us >= interval_us:
+            self.load_sampled_at_us = now_us
+            self.sampled_load = self.model.load_report(now_us)
+        return self.sampled_load
+
+    def load_text(self) -> str:
+        """Return the load report in the platform's text form."""
+        report = self.current_load_report()
+        return "TEXT " + ", ".join(f"{name}={value}" for name, value in report.items())
+
+    def load_header(self) -> dict[str, str]:
+        """Return the load report's header; empty unless the site's responses carry reports."""
+        if self.verifier.scenario.site.load_reports != "answers":
+            return {}
+        return {"Server-Load": self.load_text()}
+
+    def cancel(self, task_id: str) -> None:
+        """Cancel a task by its request id."""
+        now_us = self.clock.now_us()
+        self.model.advance(now_us)
+        for task in (*self.model.running.values(), *self.model.waiting):
+            if task.id == task_id:
+                task.context.attempt.open = False
+        self.model.cancel(now_us, task_id)
+        self.model_changed.set()
+
+    def notify(self, event: TaskEvent) -> None:
+        """Queue a job notification; its field names are the platform's."""
+        task = event.task
+        notification: dict[str, object] = {
+            "id": task.id,
+            "from": self.name,
+            "state": event.state.value,
+        }
+        if event.state is TaskState.RUNNING:
+            notification["share"] = task.completed_fraction()
+        elif event.state is TaskState.DONE:
+            notification["result"] = self.result_of(task)
+        if event.state in (TaskState.DONE, TaskState.FAILED) and self.load_header():
+            notification["load"] = self.current_load_report()
+        self.notifications.put_nowait(notification)
+
+    async def deliver_notifications(self) -> None:
+        """Send each notification until it is acknowledged, in order and on one connection.
+
+        After `NOTIFICATION_ATTEMPTS` failures a notification is dropped.
+        """
+        connection = None
+        while True:
+            notification = ujson.dumps(await self.notifications.get()).encode()
+            data = write_request("POST", NOTIFICATION_PATH, {"Host": "d"}, notification)
+            for _ in range(NOTIFICATION_ATTEMPTS):
+                try:
+                    connection = connection or await asyncio.open_connection(
+                        *self.dispatcher_address
+                    )
+                    reader, writer = connection
+                    writer.write(data)
+                    await read_response(reader)
+                    break
+                except (OSError, EOFError):
+                    if connection:
+                        connection[1].close()
+                    connection = None
+                    await asyncio.sleep(NOTIFICATION_BACKOFF_SECONDS)
+
+    def crash(self) -> None:
+        """Close the listener and every connection, and lose the tasks; an agent reports them."""
+        if self.server is not None:
+            self.server.close()
+        for connection in list(self.connections):
+            connection.transport.abort()
+        loop = asyncio.get_running_loop()
+        for task in self.terminate():
+            notification: dict[str, object] = {"id": task.id, "from": self.name, "state": "lost"}
+            loop.call_later(AGENT_DETECTION_SECONDS, self.notifications.put_nowait, notification)
+
+    async def restart(self) -> None:
+        """Start a new process, in slow start, on the same port."""
+        self.model.start(self.clock.now_us())
+        await self.open_listener()
--- a/stepstream/lab/emulator/worker_model.py
+++ b/stepstream/lab/emulator/worker_model.py
@@ -1,8 +1,8 @@
-"""Emulate a pricing node: slots, a FIFO queue, speed, slow start and overload while cold.
+"""Emulate a worker: slots, a FIFO queue, speed, slow start and overload while warming up.
 
 The model does no I/O and reads no clock: its owner, a loopback driver or simulated time, passes the
-time to each call. Times are whole microseconds; work is microseconds on a core of speed 1. A node's
-state belongs to the one thread (or event loop) of its owner.
+time to each call. Times are whole microseconds; work is microseconds on a core of speed 1. A model
+belongs to the one thread (or event loop) of its owner.
 """
 
 from collections import deque
@@ -13,13 +13,13 @@
 
 import numpy as np
 
-COLD_STEP_US = 10_000  # a warming node's speed is taken as constant for so long
-FINISHED_BELOW_US = 0.5  # remaining work that counts as none: rounding of times to microseconds
+SLOW_START_STEP_US = 10_000  # the capacity of a worker in slow start is constant for this step
+FINISHED_BELOW_US = 0.5  # less remaining work is none: times are rounded to microseconds
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerSpec:
-    """The properties of a node that no fault and no restart changes."""
+    """The properties of a worker that no fault and no restart changes."""
 
     name: str
     zone: str
@@ -27,13 +27,15 @@
     cell: int
     cores: int
     speed: float  # of a core, relative to the reference core's 1
-    queue: int  # jobs that may wait beyond those that run
-    cold_share: float  # part of its capacity at its start, 0 to 1
-    warm_us: int  # from its start to full capacity
-    error_rate: float = 0.0  # part of the jobs that fail at their end, 0 to 1
-    progress_us: int = 2_000_000  # between two progress events of a job
-    fall_multiple: float = 4.0  # offered work over capacity that a cold node does not survive
-    fall_span_us: int = 2_000_000  # window over which offered work is summed
+    queue_capacity: int  # jobs that may wait beyond those that run
+    initial_capacity_fraction: float  # fraction of its capacity at its start, 0 to 1
+    slow_start_us: int  # from its start to full capacity
+    error_rate: float = 0.0  # fraction of the jobs that fail at their end, 0 to 1
+    progress_interval_us: int = 2_000_000  # between two progress events of a job
+    overload_multiple: float = (
+        4.0  # offered work over capacity that a worker in slow start does not survive
+    )
+    overload_window_us: int = 2_000_000  # window over which offered work is summed
 
     @property
     def slots(self) -> int:
@@ -42,28 +44,28 @@
 
     @property
     def weight(self) -> float:
-        """Return the weight for the endpoint list: roughly the node's capacity."""
+        """Return the weight for the endpoint list: roughly the worker's capacity."""
         return round(self.cores * self.speed, 1)
 
 
 @dataclass(eq=False, slots=True)
 class Task:
-    """One attempt at a job on the node. `about` belongs to the driver; the model never reads it."""
+    """One attempt at a job on the worker. The driver owns `context`; the model never reads it."""
 
     id: str
     work_us: int
     slots: int = 1
-    about: Any = None
+    context: Any = None
     remaining_us: float = 0.0  # work that is still to do
     progress_sent_at_us: int = 0
 
     def completed_fraction(self) -> float:
-        """Return the part of the work that is done, 0 to 1."""
+        """Return the fraction of the work that is done, 0 to 1."""
         return 1.0 - max(self.remaining_us, 0.0) / self.work_us
 
 
 class TaskState(Enum):
-    """What happened to a task; the values are the states of the platform's job notifications."""
+    """A change of a task's state; the values are the states of the platform's job notifications."""
 
     STARTED = "started"
     RUNNING = "running"  # progress
@@ -72,65 +74,66 @@
 
 
 class OfferResult(Enum):
-    """The node's answer to an offered task."""
+    """The worker's answer to an offered task."""
 
-    TAKEN = "taken"
+    ACCEPTED = "accepted"
     FULL = "full"
     ERROR = "error"  # the task may have run
     DOWN = "down"
 
 
 class Health(Enum):
-    """Whether the node's process runs."""
+    """Whether the worker's process runs."""
 
     UP = "up"
     DOWN = "down"
-    TOPPLED = "toppled"  # overloaded while cold: down until the next start
+    OVERLOADED = "overloaded"  # failed under overload while warming up: down until the next start
 
 
 @dataclass(frozen=True, slots=True)
 class TaskEvent:
     """An event of one task."""
 
-    word: TaskState
+    state: TaskState
     task: Task
 
 
 @dataclass(eq=False)
 class WorkerModel:
-    """The model of one node. `rng` decides which jobs fail; nothing else is random."""
+    """The model of one worker. `rng` decides which jobs fail; nothing else is random."""
 
     spec: WorkerSpec
     rng: np.random.Generator
-    at_us: int  # the model is played up to here
-    started_us: int = 0  # 0: started long ago, so warm
+    advanced_to_us: int  # the state is that of this time
+    started_at_us: int = 0  # 0: started long ago, at full capacity
     health: Health = Health.UP
-    slow: float = 1.0  # fault: factor by which it is slower than usual
-    fails: float = 0.0  # fault: part of the offered tasks that fail at once, 0 to 1
+    slowdown_factor: float = 1.0  # fault: factor by which it is slower than usual
+    error_fraction: float = 0.0  # fault: fraction of the offered tasks that fail at once, 0 to 1
     running: dict[str, Task] = field(default_factory=dict)
     waiting: deque[Task] = field(default_factory=deque)
-    # Time and work of the tasks offered while cold, within the spec's `fall_span_us`.
-    offered_while_cold: deque[tuple[int, float]] = field(default_factory=deque)
-    events: list[TaskEvent] = field(default_factory=list)  # not yet taken by the driver
+    # Time and work of the tasks offered while warming up, within the spec's `overload_window_us`.
+    offered_while_warming_up: deque[tuple[int, float]] = field(default_factory=deque)
+    events: list[TaskEvent] = field(default_factory=list)  # not yet returned by `take_events`
 
     # -- capacity --
 
     def slow_start_factor(self, now_us: int) -> float:
-        """Return the part of its capacity that the node has: linear from its start until warm."""
-        age_us = now_us - self.started_us
-        if not self.started_us or age_us >= self.spec.warm_us:
+        """Return the fraction of its capacity that the worker has: linear during slow start."""
+        age_us = now_us - self.started_at_us
+        if not self.started_at_us or age_us >= self.spec.slow_start_us:
             return 1.0
         return (
-            self.spec.cold_share + (1 - self.spec.cold_share) * max(age_us, 0) / self.spec.warm_us
+            self.spec.initial_capacity_fraction
+            + (1 - self.spec.initial_capacity_fraction) * max(age_us, 0) / self.spec.slow_start_us
         )
 
-    def is_cold(self, now_us: int) -> bool:
-        """Return whether the node is still warming up."""
+    def is_warming_up(self, now_us: int) -> bool:
+        """Return whether the worker is still warming up."""
         return self.slow_start_factor(now_us) < 1.0
 
     def work_rate(self, now_us: int) -> float:
         """Return the work done in a microsecond on each running task."""
-        return self.spec.speed * self.slow_start_factor(now_us) / self.slow
+        return self.spec.speed * self.slow_start_factor(now_us) / self.slowdown_factor
 
     @property
     def busy_slots(self) -> int:
@@ -145,15 +148,15 @@
     # -- process life cycle --
 
     def start(self, now_us: int) -> None:
-        """Start a new process, cold and without faults."""
-        self.started_us = now_us
-        self.at_us = now_us
+        """Start a new process, in slow start and without faults."""
+        self.started_at_us = now_us
+        self.advanced_to_us = now_us
         self.health = Health.UP
-        self.slow = 1.0
-        self.fails = 0.0
-        self.offered_while_cold.clear()
+        self.slowdown_factor = 1.0
+        self.error_fraction = 0.0
+        self.offered_while_warming_up.clear()
 
-    def die(self, now_us: int, health: Health = Health.DOWN) -> list[Task]:
+    def terminate(self, now_us: int, health: Health = Health.DOWN) -> list[Task]:
         """End the process; return the running and waiting tasks, which are lost."""
         self.advance(now_us)
         lost = [*self.running.values(), *self.waiting]
@@ -165,37 +168,37 @@
     # -- tasks --
 
     def offer(self, now_us: int, task: Task) -> OfferResult:
-        """Offer a task; it runs or waits if the answer is `TAKEN`."""
+        """Offer a task; it runs or waits if the answer is `ACCEPTED`."""
         self.advance(now_us)
         if self.health is not Health.UP:
             return OfferResult.DOWN
-        if self.overloads_while_cold(now_us, task.work_us):
+        if self.overloads_while_warming_up(now_us, task.work_us):
             return OfferResult.DOWN
-        if self.fails and self.rng.random() < self.fails:
+        if self.error_fraction and self.rng.random() < self.error_fraction:
             return OfferResult.ERROR
-        if len(self.waiting) >= self.spec.queue and not self.fits(task):
+        if len(self.waiting) >= self.spec.queue_capacity and not self.fits(task):
             return OfferResult.FULL
         task.remaining_us = float(task.work_us)
         self.waiting.append(task)
         self.start_waiting(now_us)
-        return OfferResult.TAKEN
+        return OfferResult.ACCEPTED
 
-    def overloads_while_cold(self, now_us: int, work_us: int) -> bool:
-        """Record work offered to a cold node; return whether its window exceeds the limit."""
-        if not self.is_cold(now_us):
+    def overloads_while_warming_up(self, now_us: int, work_us: int) -> bool:
+        """Record work offered during slow start; return whether its window exceeds the limit."""
+        if not self.is_warming_up(now_us):
             return False
-        self.offered_while_cold.append((now_us, work_us))
-        while self.offered_while_cold[0][0] <= now_us - self.spec.fall_span_us:
-            self.offered_while_cold.popleft()
+        self.offered_while_warming_up.append((now_us, work_us))
+        while self.offered_while_warming_up[0][0] <= now_us - self.spec.overload_window_us:
+            self.offered_while_warming_up.popleft()
         limit_us = (
-            self.spec.fall_multiple
+            self.spec.overload_multiple
             * self.spec.cores
             * self.work_rate(now_us)
-            * self.spec.fall_span_us
+            * self.spec.overload_window_us
         )
-        offered_us = sum(work for _, work in self.offered_while_cold)
+        offered_us = sum(work for _, work in self.offered_while_warming_up)
         # A few long tasks are chance, not overload: it takes more than two tasks a core.
-        return offered_us > limit_us and len(self.offered_while_cold) > 2 * self.spec.cores
+        return offered_us > limit_us and len(self.offered_while_warming_up) > 2 * self.spec.cores
 
     def fits(self, task: Task) -> bool:
         """Return whether the task could start at once."""
@@ -204,7 +207,7 @@
     def start_waiting(self, now_us: int) -> None:
         """Start waiting tasks in order; the first one holds back the others until it fits.
 
-        A task that wants more slots than the node has starts once all of them are free.
+        A task that needs more slots than the worker has starts once all of them are free.
         """
         while (
             self.waiting
@@ -215,11 +218,11 @@
             self.running[task.id] = task
             self.events.append(TaskEvent(TaskState.STARTED, task))
 
-    def cancel(self, now_us: int, name: str) -> bool:
-        """Remove a running or waiting task; return whether the node had it."""
+    def cancel(self, now_us: int, task_id: str) -> bool:
+        """Remove a running or waiting task; return whether the worker had it."""
         self.advance(now_us)
-        found = self.running.pop(name, None) is not None
-        remaining = deque(task for task in self.waiting if task.id != name)
+        found = self.running.pop(task_id, None) is not None
+        remaining = deque(task for task in self.waiting if task.id != task_id)
         found = found or len(remaining) < len(self.waiting)
         self.waiting = remaining
         self.start_waiting(now_us)
@@ -232,41 +235,42 @@
 
     # -- time --
 
-    def next_us(self) -> float:
+    def next_event_us(self) -> float:
         """Return the time of the next event if nothing is offered before; infinity for never."""
         if not self.running or self.health is not Health.UP:
             return inf
-        rate = self.work_rate(self.at_us)
+        rate = self.work_rate(self.advanced_to_us)
         first_end_us = min(task.remaining_us for task in self.running.values()) / rate
         next_progress_us = (
-            min(task.progress_sent_at_us for task in self.running.values()) + self.spec.progress_us
+            min(task.progress_sent_at_us for task in self.running.values())
+            + self.spec.progress_interval_us
         )
-        due_us = min(self.at_us + max(ceil(first_end_us), 1), next_progress_us)
-        if self.is_cold(self.at_us):
-            return min(due_us, self.at_us + COLD_STEP_US)
+        due_us = min(self.advanced_to_us + max(ceil(first_end_us), 1), next_progress_us)
+        if self.is_warming_up(self.advanced_to_us):
+            return min(due_us, self.advanced_to_us + SLOW_START_STEP_US)
         return due_us
 
     def advance(self, now_us: int) -> None:
-        """Play the model up to `now_us`; `take_events` returns what happened."""
-        while (due_us := self.next_us()) <= now_us:
-            self.step(int(due_us))
-        self.step(now_us)
-
-    def step(self, to_us: int) -> None:
-        """Play up to `to_us` at the present rate of work, without regard to events on the way."""
-        elapsed_us = max(to_us - self.at_us, 0)
-        done_us = elapsed_us * self.work_rate(self.at_us)
-        self.at_us = max(to_us, self.at_us)
+        """Advance the model to `now_us`; `take_events` returns the events."""
+        while (due_us := self.next_event_us()) <= now_us:
+            self._advance_at_constant_rate(int(due_us))
+        self._advance_at_constant_rate(now_us)
+
+    def _advance_at_constant_rate(self, to_us: int) -> None:
+        """Advance to `to_us` at the present rate of work; the caller excludes events in between."""
+        elapsed_us = max(to_us - self.advanced_to_us, 0)
+        done_us = elapsed_us * self.work_rate(self.advanced_to_us)
+        self.advanced_to_us = max(to_us, self.advanced_to_us)
         for task in list(self.running.values()):
             task.remaining_us -= done_us
             if task.remaining_us <= FINISHED_BELOW_US:
                 del self.running[task.id]
                 failed = self.spec.error_rate and self.rng.random() < self.spec.error_rate
                 self.events.append(TaskEvent(TaskState.FAILED if failed else TaskState.DONE, task))
-            elif self.at_us - task.progress_sent_at_us >= self.spec.progress_us:
-                task.progress_sent_at_us = self.at_us
+            elif self.advanced_to_us - task.progress_sent_at_us >= self.spec.progress_interval_us:
+                task.progress_sent_at_us = self.advanced_to_us
                 self.events.append(TaskEvent(TaskState.RUNNING, task))
-        self.start_waiting(self.at_us)
+        self.start_waiting(self.advanced_to_us)
 
     def take_events(self) -> list[TaskEvent]:
         """Return the events since the last call, oldest first."""
--- a/stepstream/lab/processes/cluster_load_test.py
+++ b/stepstream/lab/processes/cluster_load_test.py
@@ -18,13 +18,18 @@
 
 from stepstream.http.codec import Message, write_request
 from stepstream.lab.emulator.discovery import DiscoveryEmulator
-from stepstream.lab.emulator.worker_drivers import HttpWorker, read_answer
+from stepstream.lab.emulator.http_worker import HttpWorker
+from stepstream.lab.emulator.streams import read_response
 from stepstream.lab.emulator.worker_model import Task, TaskEvent, WorkerModel
-from stepstream.lab.load.clients import Clients, ReceivedResponse, received_http_response
-from stepstream.lab.load.site import Fault, Scenario, draw_scenario, read_site, settings_of
+from stepstream.lab.load.clients import Clients
+from stepstream.lab.load.dispatcher_settings import dispatcher_settings
+from stepstream.lab.load.response import ReceivedResponse, received_http_response
+from stepstream.lab.load.scenario import Fault, PlannedRequest, Scenario, draw_scenario
+from stepstream.lab.load.site import read_site
 from stepstream.lab.processes.dispatcher_cluster import free_port
 from stepstream.lab.processes.load_test import PATIENCE_S, START_S, LoadTest
-from stepstream.lab.verification.verifier import Figures, FinalOutcome
+from stepstream.lab.verification.observations import FinalOutcome
+from stepstream.lab.verification.score import Figures
 
 NOTICE_S = 1.0  # the front goes on sending to a dead dispatcher for so long
 HOLD_S = 3  # of `fleet.hold_s`: shorter than its default, as the day is short
@@ -40,30 +45,30 @@
     doors: list[asyncio.Server] = field(default_factory=list)
     queues: list[asyncio.Queue] = field(default_factory=list)
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         self.ports = [0] * len(self.dispatchers)
         self.queues = [asyncio.Queue() for _ in self.dispatchers]
-        await self.open_door()
-        self.spawn(self.live())
+        await self.open_listener()
+        self.run_in_background(self.run_model())
         for k in range(len(self.dispatchers)):
-            self.spawn(self.bring_news_to(k))
+            self.run_in_background(self.bring_news_to(k))
 
-    async def open_door(self) -> None:
+    async def open_listener(self) -> None:
         self.doors = [
-            await asyncio.start_server(partial(self.serve, door=k), self.host, port)
+            await asyncio.start_server(partial(self.serve, listener_index=k), self.host, port)
             for k, port in enumerate(self.ports)
         ]
         self.ports = [door.sockets[0].getsockname()[1] for door in self.doors]
 
     def offer(self, name: str, body: bytes, handle: bytes = b"") -> tuple:
-        return super().offer(name, body, bytes([self.door]))
+        return super().offer(name, body, bytes([self.listener_index]))
 
-    def say(self, happening: TaskEvent) -> None:
-        super().say(happening)
-        self.pass_on(happening.task)
+    def notify(self, event: TaskEvent) -> None:
+        super().notify(event)
+        self.pass_on(event.task)
 
     def pass_on(self, task: Task) -> None:
-        self.queues[task.about.handle[0]].put_nowait(self.news.get_nowait())
+        self.queues[task.context.handle[0]].put_nowait(self.notifications.get_nowait())
 
     async def bring_news_to(self, k: int) -> None:
         """Each piece until it is answered, ten times at the most."""
@@ -74,7 +79,7 @@
                 with contextlib.suppress(OSError, EOFError):
                     reader, writer = await asyncio.open_connection(*self.dispatchers[k])
                     writer.write(data)
-                    await read_answer(reader)
+                    await read_response(reader)
                     writer.close()
                     break
                 await asyncio.sleep(0.1)
@@ -82,11 +87,11 @@
     def crash(self) -> None:
         for door in self.doors:
             door.close()
-        for peer in list(self.peers):
+        for peer in list(self.connections):
             peer.transport.abort()
-        for task in self.fall():
+        for task in self.terminate():
             news = {"id": task.id, "from": self.name, "state": "lost"}
-            self.queues[task.about.handle[0]].put_nowait(news)
+            self.queues[task.context.handle[0]].put_nowait(news)
 
 
 @dataclass(eq=False)
@@ -103,24 +108,24 @@
         self.turn += 1
         return usable[self.turn % len(usable)]
 
-    async def by_http(
-        self, ask: object, workload: bytes, left_us: int, again: bool
+    async def send_by_http(
+        self, planned: PlannedRequest, workload: bytes, remaining_us: int, *, is_retry: bool
     ) -> ReceivedResponse:
-        part, k = self.day.site.job[ask.job_class], self.next_front()
+        part, k = self.scenario.site.job_classes[planned.class_index], self.next_front()
         headers = {
             "Host": "lab",
             "Request-Id": os.urandom(8).hex(),
-            "Tenant": self.day.site.tenant[ask.tenant].name,
-            "Request-Timeout-Ms": str(max(left_us // 1000, 1)),
-            "Request-Info": f"cores_needed={ask.slots}",
+            "Tenant": self.scenario.site.tenants[planned.tenant_index].name,
+            "Request-Timeout-Ms": str(max(remaining_us // 1000, 1)),
+            "Request-Info": f"cores_needed={planned.slots}",
             "Connection": "close",
         }
         if part.effect == "token":
-            headers["Idempotency-Key"] = f"key-{ask.number}"
+            headers["Idempotency-Key"] = f"key-{planned.number}"
         try:
             reader, writer = await asyncio.open_connection(*self.fronts[k])
             writer.write(write_request("POST", f"/{part.name}", headers, workload))
-            message: Message = await read_answer(reader)
+            message: Message = await read_response(reader)
             writer.close()
             return received_http_response(message)
         except (OSError, EOFError):
@@ -149,17 +154,17 @@
 
     def node(self, k: int) -> MultiListenerWorker:
         model = WorkerModel(
-            self.day.specs[k], self.day.streams["nodes"].spawn(1)[0], self.clock.now_us()
+            self.day.worker_specs[k], self.day.streams["nodes"].spawn(1)[0], self.clock.now_us()
         )
         return MultiListenerWorker(
             model, self.clock, self.verifier, host=self.host, dispatchers=self.fronts
         )
 
     async def start(self) -> None:
-        ports = [await catalogue.begin() for catalogue in self.catalogues]
-        self.nodes = [self.node(k) for k in range(len(self.day.specs))]
+        ports = [await catalogue.start() for catalogue in self.catalogues]
+        self.nodes = [self.node(k) for k in range(len(self.day.worker_specs))]
         for node in self.nodes:
-            await node.begin()
+            await node.start()
             await self.put(node, "ready")
         for k, port in enumerate(ports):
             await self.spawn_one(k, port)
@@ -177,15 +182,17 @@
     async def put(self, node: MultiListenerWorker, state: str) -> None:
         for k, catalogue in enumerate(self.catalogues):
             row = {**self.row(node, state), "addr": f"{self.host}:{node.ports[k]}"}
-            await catalogue.put(row)
+            await catalogue.update(row)
 
     async def announce(self, node: MultiListenerWorker, state: str) -> None:
-        await asyncio.sleep(self.day.streams["discovery"].uniform(*self.day.site.notice_ms) / 1000)
+        await asyncio.sleep(
+            self.day.streams["discovery"].uniform(*self.day.site.discovery_delay_ms) / 1000
+        )
         await self.put(node, state)
 
     async def spawn_one(self, k: int, discovery: int) -> None:
         folder, (host, port) = Path(self.folder.name), self.fronts[k]
-        settings = {**settings_of(self.day), "fleet_size": self.dispatchers}
+        settings = {**dispatcher_settings(self.day), "fleet_size": self.dispatchers}
         config = {
             "name": f"n{k}",
             "listen": f"{host}:{port}",
@@ -222,7 +229,7 @@
         await clients.run()
         for task in (*faults, killer):
             task.cancel()
-        self.late_ms = clients.late_us / 1000
+        self.late_ms = clients.max_start_delay_us / 1000
         return self.verifier.figures()
 
     async def kill_two(self, clients: FrontClients) -> None:
@@ -247,7 +254,7 @@
         harm = asyncio.ensure_future(self.harm_sweeper(clients))
         await clients.run()
         harm.cancel()
-        self.late_ms = clients.late_us / 1000
+        self.late_ms = clients.max_start_delay_us / 1000
         return self.verifier.figures()
 
     async def harm_sweeper(self, clients: FrontClients) -> None:
@@ -274,7 +281,7 @@
 
 
 async def swept(seed: int, sweep: bool, dispatchers: int, seconds: int, harm: str) -> dict:
-    site = msgspec.structs.replace(read_site(name="probed"), nodes=8, fault=(), load=LOAD)
+    site = msgspec.structs.replace(read_site(name="probed"), worker_count=8, faults=(), load=LOAD)
     rig = ClusterLoadTest(
         draw_scenario(site, seed, seconds, "http"),
         seed,
@@ -284,9 +291,9 @@
     )
     try:
         await rig.start()
-        before = sum(node.probes for node in rig.nodes)
+        before = sum(node.health_check_count for node in rig.nodes)
         figures = await rig.day_of_sweep()
-        probes = sum(node.probes for node in rig.nodes) - before
+        probes = sum(node.health_check_count for node in rig.nodes) - before
         return {
             "seed": seed,
             "sweep": sweep,
@@ -294,7 +301,7 @@
             "harm": harm,
             "sweepers": rig.sweepers(),
             "probes_a_worker_s": probes / len(rig.nodes) / seconds,
-            "probes_a_request": probes / max(len(rig.day.asks), 1),
+            "probes_a_request": probes / max(len(rig.day.requests), 1),
             "score": figures.score,
             "whole": figures.whole,
             "breaches": figures.breaches,
@@ -311,7 +318,7 @@
 
 def day_of(seed: int, seconds: int) -> Scenario:
     """The small site's, with more nodes, and one fault: a quarter of them dies and comes back cold."""
-    site = msgspec.structs.replace(read_site(), nodes=NODES, fault=(), load=LOAD)
+    site = msgspec.structs.replace(read_site(), worker_count=NODES, faults=(), load=LOAD)
     day = draw_scenario(site, seed, seconds, "http")
     hit = tuple(int(k) for k in day.streams["faults"].choice(NODES, size=NODES // 4, replace=False))
     crash = Fault("crash", int(0.4e6 * seconds), int(0.6e6 * seconds), hit, 1.0)
--- a/stepstream/lab/processes/lease_cluster.py
+++ b/stepstream/lab/processes/lease_cluster.py
@@ -18,7 +18,7 @@
 
 from stepstream.lab.processes.dispatcher_cluster import DispatcherCluster, free_port
 from stepstream.lab.processes.lease_member import LEASE, LEDGER, TASKS
-from stepstream.lab.verification import ledger
+from stepstream.lab.verification import ledger_record
 
 TTL = 1.2
 """A lease's time to live in seconds."""
@@ -104,9 +104,9 @@
 
     # -- what the ledger recorded -----------------------------------------------------------------
 
-    def rows(self) -> list[dict[str, Any]]:
+    def rows(self) -> list[ledger_record.LedgerEntry]:
         """Read the operations that the ledger recorded."""
-        return ledger.rows(self.ledger_file)
+        return ledger_record.read_entries(self.ledger_file)
 
     def holder(self) -> str | None:
         """Return the member whose operation was admitted last; None if that is over a TTL ago."""
--- a/stepstream/lab/processes/load_test.py
+++ b/stepstream/lab/processes/load_test.py
@@ -21,12 +21,16 @@
 
 import ujson
 
+from stepstream.lab.emulator.clock import Clock
 from stepstream.lab.emulator.discovery import DiscoveryEmulator
-from stepstream.lab.emulator.worker_drivers import Clock, GearmanWorker, HttpWorker
+from stepstream.lab.emulator.gearman_worker import GearmanWorker
+from stepstream.lab.emulator.http_worker import HttpWorker
 from stepstream.lab.emulator.worker_model import WorkerModel
 from stepstream.lab.load.clients import Clients
-from stepstream.lab.load.site import Fault, Scenario, WireProtocol, settings_of
-from stepstream.lab.verification.verifier import Figures, Verifier
+from stepstream.lab.load.dispatcher_settings import dispatcher_settings
+from stepstream.lab.load.scenario import Fault, Scenario, WireProtocol
+from stepstream.lab.verification.score import Figures
+from stepstream.lab.verification.verifier import Verifier
 
 START_S = 20.0  # limit for the dispatcher's start, and for its shutdown
 PATIENCE_S = 0.02  # between two attempts to connect to a dispatcher that starts
@@ -122,26 +126,26 @@
 
         Raises RigError with the end of the dispatcher's log if it does not listen in time.
         """
-        discovery_port = await self.catalogue.begin()
-        self.nodes = [self.node(index) for index in range(len(self.day.specs))]
+        discovery_port = await self.catalogue.start()
+        self.nodes = [self.node(index) for index in range(len(self.day.worker_specs))]
         for node in self.nodes:
             if isinstance(node, HttpWorker):
-                await node.begin()
-                await self.catalogue.put(self.row(node, "ready"))
+                await node.start()
+                await self.catalogue.update(self.row(node, "ready"))
         await self.start_dispatcher(discovery_port)
         for node in self.nodes:
             if isinstance(node, GearmanWorker):
-                await node.begin()
+                await node.start()
 
     def node(self, index: int) -> EmulatedNode:
         """Build the emulated node with this index; it does not run yet."""
         seeds = self.day.streams["nodes"].spawn(1)
-        model = WorkerModel(self.day.specs[index], seeds[0], self.clock.now_us())
-        if self.day.speeches[index] is WireProtocol.HTTP:
+        model = WorkerModel(self.day.worker_specs[index], seeds[0], self.clock.now_us())
+        if self.day.worker_protocols[index] is WireProtocol.HTTP:
             return HttpWorker(
-                model, self.clock, self.verifier, host=self.host, dispatcher=self.http
+                model, self.clock, self.verifier, host=self.host, dispatcher_address=self.http
             )
-        names = tuple(job_class.name for job_class in self.day.site.job)
+        names = tuple(job_class.name for job_class in self.day.site.job_classes)
         return GearmanWorker(
             model, self.clock, self.verifier, address=self.gearman, functions=names
         )
@@ -157,7 +161,7 @@
             "cell": spec.cell,
             "state": state,
             "weight": spec.weight,
-            "started_ms": node.model.started_us // 1000,
+            "started_ms": node.model.started_at_us // 1000,
         }
 
     async def start_dispatcher(self, discovery_port: int) -> None:
@@ -169,13 +173,13 @@
             "discovery": f"127.0.0.1:{discovery_port}",
             "seed": f"{self.seed:x}",
             "limits": LIMITS,
-            "settings": settings_of(self.day),
+            "settings": dispatcher_settings(self.day),
         }
         (folder / "config.json").write_text(ujson.dumps(config))
         arguments = [sys.executable, "-m", "stepstream", "serve"]
         if self.with_gearman:
             text = OPERATOR.format(
-                host=self.host, port=self.gearman[1], tenant=self.day.site.tenant[0].name
+                host=self.host, port=self.gearman[1], tenant=self.day.site.tenants[0].name
             )
             (folder / "operator.toml").write_text(text)
             arguments += ["--operator", str(folder / "operator.toml")]
@@ -271,7 +275,7 @@
             self.verifier.breach(self.clock.now_us(), f"the dispatcher ended: {self.log_tail()}")
         after = self.cost()
         cost = Cost(after.cpu_s - before.cpu_s, after.rss_mb)
-        return Result(self.verifier.figures(), cost, clients.late_us / 1000)
+        return Result(self.verifier.figures(), cost, clients.max_start_delay_us / 1000)
 
     async def report_progress(
         self, clients: Clients, on_progress: Callable[[Clients], None]
@@ -297,7 +301,9 @@
     async def fault(self, fault: Fault) -> None:
         """Wait for the fault's time and inject it into each of its nodes."""
         await asyncio.sleep(fault.at_us / US_PER_SECOND)
-        await asyncio.gather(*(self.inject(fault, self.nodes[index]) for index in fault.nodes))
+        await asyncio.gather(
+            *(self.inject(fault, self.nodes[index]) for index in fault.worker_indexes)
+        )
 
     async def inject(self, fault: Fault, node: EmulatedNode) -> None:
         """Put one node at fault, and back in order when the fault's time is over."""
@@ -306,15 +312,15 @@
             case "slow":
                 # Work done so far counts at the speed that it was done with.
                 node.model.advance(self.clock.now_us())
-                node.model.slow = fault.size
+                node.model.slowdown_factor = fault.size
                 await asyncio.sleep(duration_s)
                 node.model.advance(self.clock.now_us())
-                node.model.slow = 1.0
-                node.stirred.set()
+                node.model.slowdown_factor = 1.0
+                node.model_changed.set()
             case "errors":
-                node.model.fails = fault.size
+                node.model.error_fraction = fault.size
                 await asyncio.sleep(duration_s)
-                node.model.fails = 0.0
+                node.model.error_fraction = 0.0
             case "crash":
                 node.crash()
                 await self.announce(node, "gone")
@@ -346,7 +352,7 @@
     async def bring_back(self, node: EmulatedNode) -> None:
         """Start the node's process anew and announce it."""
         await node.restart()
-        self.verifier.ready_again(node.name)
+        self.verifier.on_worker_ready(node.name)
         await self.announce(node, "ready")
 
     async def announce(self, node: EmulatedNode, state: str) -> None:
@@ -356,6 +362,6 @@
         """
         if isinstance(node, HttpWorker):
             row = self.row(node, state)
-            notice_ms = self.day.streams["discovery"].uniform(*self.day.site.notice_ms)
+            notice_ms = self.day.streams["discovery"].uniform(*self.day.site.discovery_delay_ms)
             await asyncio.sleep(notice_ms / MS_PER_SECOND)
-            await self.catalogue.put(row)
+            await self.catalogue.update(row)
--- a/stepstream/lab/reports/demo.py
+++ b/stepstream/lab/reports/demo.py
@@ -19,9 +19,10 @@
 
 from stepstream.config.errors import ConfigurationError
 from stepstream.lab.load.clients import Clients
-from stepstream.lab.load.site import Scenario, draw_scenario, read_site
+from stepstream.lab.load.scenario import Scenario, draw_scenario
+from stepstream.lab.load.site import read_site
 from stepstream.lab.processes.load_test import LoadTest, Result
-from stepstream.lab.verification.verifier import Figures
+from stepstream.lab.verification.score import Figures
 
 WIDTH = 120  # columns of the table, at least
 MAX_LATE_MS = 100.0  # a lab later than this says so: its figures are the machine's as well
@@ -65,8 +66,8 @@
         "mix": mix,
         "seed": seed,
         "seconds": day.seconds,
-        "nodes": len(day.specs),
-        "jobs": len(day.asks),
+        "nodes": len(day.worker_specs),
+        "jobs": len(day.requests),
     }
     figures = asdict(result.figures)
     return {**head, **figures, **asdict(result.cost), "late_ms": result.late_ms}
@@ -98,9 +99,9 @@
     with contextlib.ExitStack() as stack:
         on_progress: Callable[[Clients], None]
         if console.is_terminal:
-            on_progress = stack.enter_context(progress_bar(console, len(day.asks)))
+            on_progress = stack.enter_context(progress_bar(console, len(day.requests)))
         else:
-            on_progress = ProgressLines(len(day.asks)).show
+            on_progress = ProgressLines(len(day.requests)).show
         try:
             await rig.start()
             return await rig.play(on_progress)
@@ -121,7 +122,7 @@
         bar = progress.add_task("jobs", total=total)
 
         def move_bar(clients: Clients) -> None:
-            progress.update(bar, completed=clients.over)
+            progress.update(bar, completed=clients.finished_count)
 
         yield move_bar
 
@@ -135,10 +136,10 @@
 
     def show(self, clients: Clients) -> None:
         """Print a line if another tenth of the jobs is complete."""
-        tenths = 10 * clients.over // max(self.total, 1)
+        tenths = 10 * clients.finished_count // max(self.total, 1)
         if tenths > self.tenths:
             self.tenths = tenths
-            print(f"{clients.over} of {self.total} jobs", file=sys.stderr, flush=True)
+            print(f"{clients.finished_count} of {self.total} jobs", file=sys.stderr, flush=True)
 
 
 def show(console: Console, day: Scenario, mix: str, seed: int, result: Result) -> None:
@@ -146,7 +147,7 @@
     figures = result.figures
     console.print(class_table(day, mix, seed, figures))
     console.print(summary(figures))
-    cpu_us = US_PER_SECOND * result.cost.cpu_s / max(len(day.asks), 1)
+    cpu_us = US_PER_SECOND * result.cost.cpu_s / max(len(day.requests), 1)
     console.print(f"dispatcher: {cpu_us:.0f} us of CPU a job, {result.cost.rss_mb:.0f} MB resident")
     if result.late_ms > MAX_LATE_MS:
         console.print(
@@ -161,8 +162,8 @@
 
 def class_table(day: Scenario, mix: str, seed: int, figures: Figures) -> Table:
     """Return the table with a row for each job class."""
-    jobs = f"{len(day.asks)} jobs in {day.seconds} s"
-    table = Table(title=f"{mix}: {jobs} on {len(day.specs)} nodes, seed {seed}")
+    jobs = f"{len(day.requests)} jobs in {day.seconds} s"
+    table = Table(title=f"{mix}: {jobs} on {len(day.worker_specs)} nodes, seed {seed}")
     for name in TABLE_COLUMNS:
         table.add_column(name, justify="left" if name == "class" else "right")
     for name, row in figures.by_class.items():
--- a/tests/golden/state_answers.py
+++ b/tests/golden/state_answers.py
@@ -34,12 +34,14 @@
 from stepstream.hot_restart.process import ProcessRecord
 from stepstream.http import discovery_api, worker_api
 from stepstream.http.destination_set import DestinationSet
-from stepstream.lab.emulator import worker_drivers as nodes
+from stepstream.lab.emulator.workload import Workload
 from stepstream.lab.faults import schedule as fleet_faults
 from stepstream.lab.processes import load_test as rig
 from stepstream.lab.reports import demo
 from stepstream.lab.reports import fault_run as fleet_play
-from stepstream.lab.verification import ledger, verifier
+from stepstream.lab.verification.ledger_record import Ledger
+from stepstream.lab.verification.observations import FinalOutcome, RequestKey
+from stepstream.lab.verification.verifier import Verifier
 from stepstream.leases import messages as lease_messages
 from stepstream.leases import participant as lease_participant
 from stepstream.leases import subsystem as lease_plug
@@ -682,15 +684,15 @@
 
 def played_figures(day: object) -> object:
     """Figures of a day whose jobs end in each way in turn, one of them against the rules."""
-    made, finals = verifier.Verifier(day), list(verifier.FinalOutcome)
-    for ask in day.asks:
-        key, at_us = (ask.number, 0), ask.at_us + 100_000
-        made.asked(ask)
+    made, finals = Verifier(day), list(FinalOutcome)
+    for ask in day.requests:
+        key, at_us = RequestKey(ask.number, 0), ask.at_us + 100_000
+        made.on_submission(ask.number)
         if ask.number == 5:
-            made.drain_told(0, "node-1")
-        made.arrived(at_us, key, f"node-{ask.number % 3}", 0)
-        made.made(key, "result")
-        made.answered(at_us + 1_000 * ask.number, key, finals[ask.number % 17 % 4], "result")
+            made.on_drain_known(0, "node-1")
+        made.on_arrival(at_us, key, f"node-{ask.number % 3}", 0)
+        made.on_result(key, "result")
+        made.on_response(at_us + 1_000 * ask.number, key, finals[ask.number % 17 % 4], "result")
     return made.figures()
 
 
@@ -752,14 +754,14 @@
     ]
     with clock.in_force(), tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "ledger.jsonl"
-        made = ledger.Ledger(path)
-        told = [made.do(call) for call in calls]
+        made = Ledger(path)
+        told = [made.admit(call) for call in calls]
         made.file.close()
         return {"answers": told, "file": path.read_text(encoding="utf-8")}
 
 
 def workload() -> list[str]:
-    return [nodes.Workload(7, 1, 250_000, 2).dump().decode()]
+    return [Workload(7, 1, 250_000, 2).serialize().decode()]
 
 
 TRANSCRIPTS = {
--- /dev/null
+++ b/tests/lab/emulator/test_worker_model.py
@@ -0,0 +1,133 @@
+"""The worker model: speed, queue, slow start, overload, crash and restart."""
+
+import pytest
+
+from stepstream.lab.emulator.worker_model import Health, OfferResult, Task, TaskState
+
+
+@pytest.fixture
+def play(start_us):
+    """A function that plays a model for a time and returns its events as (state, task, time)."""
+
+    def play_for(model, duration_us):
+        until_us = start_us + duration_us
+        events = []
+        while (due_us := model.next_event_us()) <= until_us:
+            model.advance(int(due_us))
+            events += [
+                (event.state, event.task.id, model.advanced_to_us - start_us)
+                for event in model.take_events()
+            ]
+        model.advance(until_us)
+        last = [(event.state, event.task.id, duration_us) for event in model.take_events()]
+        return events + last
+
+    return play_for
+
+
+@pytest.fixture
+def two_core_events(make_worker_model, start_us, play):
+    """The events of four tasks, one of them with two slots, on two cores of twice the speed."""
+    model = make_worker_model(speed=2.0)
+    tasks = [
+        Task("a", 400_000, slots=1),
+        Task("b", 200_000, slots=1),
+        Task("c", 200_000, slots=2),
+        Task("d", 100_000, slots=1),
+    ]
+    for task in tasks:
+        assert model.offer(start_us, task) is OfferResult.ACCEPTED
+    return play(model, 1_000_000)
+
+
+def test_tasks_run_at_the_workers_speed(two_core_events):
+    ends = {task: time_us for state, task, time_us in two_core_events if state is TaskState.DONE}
+    assert ends == {"b": 100_000, "a": 200_000, "c": 300_000, "d": 350_000}
+
+
+def test_waiting_tasks_start_in_order(two_core_events):
+    assert [(state, task) for state, task, _ in two_core_events] == [
+        (TaskState.STARTED, "a"),
+        (TaskState.STARTED, "b"),
+        (TaskState.DONE, "b"),
+        (TaskState.DONE, "a"),  # c needs both slots, and d must not pass it
+        (TaskState.STARTED, "c"),
+        (TaskState.DONE, "c"),
+        (TaskState.STARTED, "d"),
+        (TaskState.DONE, "d"),
+    ]
+
+
+def test_a_task_beyond_the_queue_is_rejected_as_full(make_worker_model, start_us):
+    model = make_worker_model()
+    results = [model.offer(start_us, Task(str(number), 500_000)) for number in range(5)]
+    assert results == [OfferResult.ACCEPTED] * 4 + [OfferResult.FULL]
+
+
+def test_a_cancelled_task_makes_room_in_the_queue(make_worker_model, start_us):
+    model = make_worker_model()
+    for number in range(4):
+        model.offer(start_us, Task(str(number), 500_000))
+    assert model.cancel(start_us, "3")
+    assert model.offer(start_us, Task("5", 500_000)) is OfferResult.ACCEPTED
+
+
+def test_a_task_is_cancelled_once(make_worker_model, start_us):
+    model = make_worker_model()
+    for number in range(4):
+        model.offer(start_us, Task(str(number), 500_000))
+    assert model.cancel(start_us, "3")
+    assert not model.cancel(start_us, "3")
+
+
+def test_a_worker_in_slow_start_works_more_slowly(make_worker_model, start_us, play):
+    model = make_worker_model()
+    model.start(start_us)
+    model.offer(start_us, Task("a", 600_000))
+    events = play(model, 2_000_000)
+    (end_us,) = [time_us for state, _, time_us in events if state is TaskState.DONE]
+    # Capacity rises from 0.5 to 1 within a second; its integral reaches 0.6 s of work.
+    assert 800_000 < end_us < 860_000
+
+
+def test_a_running_task_reports_progress(make_worker_model, start_us, play):
+    model = make_worker_model(progress_interval_us=100_000)
+    model.start(start_us)
+    model.offer(start_us, Task("a", 600_000))
+    events = play(model, 2_000_000)
+    assert sum(state is TaskState.RUNNING for state, _, _ in events) >= 6
+
+
+def test_overload_while_warming_up_takes_the_worker_down(make_worker_model, start_us):
+    model = make_worker_model(queue_capacity=100, overload_multiple=2.0)
+    model.start(start_us)
+    results = [model.offer(start_us, Task(str(number), 500_000)) for number in range(12)]
+    assert OfferResult.ACCEPTED in results
+    assert results[-1] is OfferResult.DOWN
+
+
+def test_the_same_load_does_not_take_a_warm_worker_down(make_worker_model, start_us):
+    model = make_worker_model(queue_capacity=100, overload_multiple=2.0)
+    results = {model.offer(start_us, Task(str(number), 500_000)) for number in range(12)}
+    assert results == {OfferResult.ACCEPTED}
+
+
+def test_a_terminated_worker_loses_its_tasks(make_worker_model, start_us):
+    model = make_worker_model()
+    model.offer(start_us, Task("a", 500_000))
+    assert [task.id for task in model.terminate(start_us + 10)] == ["a"]
+    assert model.next_event_us() == float("inf")
+
+
+def test_a_terminated_worker_takes_no_task(make_worker_model, start_us):
+    model = make_worker_model()
+    model.terminate(start_us + 10)
+    assert model.offer(start_us + 20, Task("b", 1)) is OfferResult.DOWN
+
+
+def test_a_restarted_worker_is_warming_up(make_worker_model, start_us):
+    model = make_worker_model()
+    model.terminate(start_us + 10)
+    model.start(start_us + 30)
+    assert model.health is Health.UP
+    assert model.is_warming_up(start_us + 40)
--- /dev/null
+++ b/tests/lab/load/test_dispatcher_settings.py
@@ -0,0 +1,41 @@
+"""The settings that a scenario gives the dispatcher are settings that the dispatcher reads."""
+
+import pytest
+
+from stepstream.config.fields import SettingsFields, flatten
+from stepstream.config.settings_reader import read_settings
+from stepstream.lab.load.dispatcher_settings import dispatcher_settings
+from stepstream.lab.load.scenario import draw_scenario
+from stepstream.lab.load.site import read_site
+from stepstream.model.settings import Effect
+
+
+def read_settings_of(site_name):
+    scenario = draw_scenario(read_site(name=site_name), 1, 5, "http")
+    return read_settings(SettingsFields.from_pairs(flatten(dispatcher_settings(scenario), "", {})))
+
+
+@pytest.fixture(scope="module")
+def small_settings():
+    return read_settings_of("small")
+
+
+@pytest.fixture(scope="module")
+def probed_settings():
+    return read_settings_of("probed")
+
+
+def test_the_dispatcher_reads_the_job_classes(small_settings):
+    assert small_settings.class_names == ("revalue", "price-check", "nav-publish")
+
+
+def test_workers_report_the_start_of_a_job(small_settings):
+    assert small_settings.reports_start
+
+
+def test_a_pushed_endpoint_list_is_not_polled(probed_settings):
+    assert not probed_settings.polls_endpoints
+
+
+def test_a_side_effect_is_not_idempotent(probed_settings):
+    assert probed_settings.classes[-1].effect is Effect.NOT_IDEMPOTENT
--- /dev/null
+++ b/tests/lab/reports/test_demo.py
@@ -0,0 +1,88 @@
+"""`stepstream demo` as a process: a run of each site, a held cluster, and rejected options."""
+
+import json
+import socket
+import subprocess
+import sys
+
+import pytest
+from node_helpers import PATIENCE, ROOT, ask
+
+from stepstream.http.codec import write_request
+
+
+def demo_command(*options):
+    return [sys.executable, "-m", "stepstream", "demo", *options]
+
+
+def run_demo(*options):
+    return subprocess.run(
+        demo_command(*options), cwd=ROOT, capture_output=True, text=True, timeout=120
+    )
+
+
+@pytest.mark.parametrize(
+    "options",
+    [
+        pytest.param(["--site", "small"], id="small"),
+        pytest.param(["--site", "probed", "--mix", "http"], id="probed"),
+    ],
+)
+def test_the_demo_plays_each_site_and_keeps_the_rules(tmp_path, options):
+    path = tmp_path / "out.json"
+    run = run_demo(*options, "--seconds", "4", "--json", str(path))
+    figures = json.loads(path.read_text())
+    assert figures["breaches"] == [], run.stdout + run.stderr
+    assert run.returncode == 0, run.stdout + run.stderr
+    # The score depends on the machine as well; that every job has ended does not.
+    assert sum(figures["finals"].values()) == figures["jobs"] > 50
+    assert figures["finals"]["served"] > 0
+    assert "all four rules kept" in run.stdout
+
+
+@pytest.fixture
+def held_demo():
+    """The HTTP address of a demo that holds its cluster; at the end it must stop with code 0."""
+    process = subprocess.Popen(
+        demo_command("--hold", "--mix", "mixed"),
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.DEVNULL,
+        text=True,
+    )
+    try:
+        addresses = json.loads(process.stdout.readline())
+        host, _, port = addresses["http"].rpartition(":")
+        yield host, int(port)
+    finally:
+        process.terminate()
+        assert process.wait(PATIENCE * 2) == 0
+
+
+def test_a_held_demo_serves_requests_of_other_clients(held_demo):
+    headers = {
+        "Host": "x",
+        "Request-Id": "0a",
+        "Tenant": "north-fund",
+        "Request-Timeout-Ms": "4000",
+    }
+    for body in (b"[0,0,1000,1]", b"what others send"):
+        with socket.create_connection(held_demo, timeout=PATIENCE) as connection:
+            response = ask(0, write_request("POST", "/revalue", headers, body), connection)
+        assert response.status == 200
+        assert response.body.startswith(b"price ")
+
+
+@pytest.mark.parametrize(
+    "options",
+    [
+        pytest.param(["--mix", "x"], id="mix"),
+        pytest.param(["--site", "x"], id="site"),
+        pytest.param(["--seconds", "x"], id="seconds-no-number"),
+        pytest.param(["--seconds", "0"], id="seconds-out-of-range"),
+    ],
+)
+def test_a_wrong_option_is_named(options):
+    run = run_demo(*options)
+    assert run.returncode == 2
+    assert options[0] in run.stderr
--- /dev/null
+++ b/tests/lab/verification/test_delivery_rules.py
@@ -0,0 +1,125 @@
+"""The rules of delivery: each breach is found, and what the rules allow is no breach.
+
+A case of `BREACHES` plays one job of the class `nav-publish`, which is idempotent with a key for
+6 s within a cell, at a site with 500 ms of drain grace. To test a new rule, add a function and its
+case.
+"""
+
+import pytest
+
+from stepstream.lab.load.scenario import draw_scenario
+from stepstream.lab.load.site import read_site
+from stepstream.lab.verification.observations import FinalOutcome, RequestKey
+from stepstream.lab.verification.verifier import Verifier
+
+
+def serve_unknown_result(verifier, key):
+    verifier.on_response(5, key, FinalOutcome.SERVED, "x")
+
+
+def lose_connection(verifier, key):
+    verifier.on_response(5, key, FinalOutcome.LOST)
+
+
+def respond_twice(verifier, key):
+    verifier.on_response(5, key, FinalOutcome.FAILED)
+    verifier.on_response(5, key, FinalOutcome.FAILED)
+
+
+def reject_after_arrival(verifier, key):
+    verifier.on_arrival(1, key, "a", 0)
+    verifier.on_response(5, key, FinalOutcome.REJECTED)
+
+
+def arrive_twice_at_one_worker(verifier, key):
+    verifier.on_arrival(1, key, "a", 0)
+    verifier.on_arrival(1, key, "a", 0)
+
+
+def repeat_in_another_cell(verifier, key):
+    verifier.on_arrival(1, key, "a", 0)
+    verifier.on_arrival(1, key, "b", 1)
+
+
+def repeat_after_the_window(verifier, key):
+    verifier.on_arrival(1, key, "a", 0)
+    verifier.on_arrival(10_000_000, key, "b", 0)
+
+
+def arrive_after_the_drain_grace(verifier, key):
+    verifier.on_drain_known(1, "a")
+    verifier.on_arrival(600_000, key, "a", 0)
+
+
+def overload_a_worker_in_slow_start(verifier, _key):
+    verifier.on_overload_failure(1, "a")
+
+
+BREACHES = [
+    pytest.param(serve_unknown_result, "served with what no node made", id="unknown-result"),
+    pytest.param(lose_connection, "lost", id="lost-connection"),
+    pytest.param(respond_twice, "second final answer", id="second-response"),
+    pytest.param(
+        reject_after_arrival, "refused though it may have run", id="rejected-after-arrival"
+    ),
+    pytest.param(arrive_twice_at_one_worker, "a second open call", id="second-open-attempt"),
+    pytest.param(repeat_in_another_cell, "outside its cell", id="repeated-in-another-cell"),
+    pytest.param(repeat_after_the_window, "past its window", id="repeated-after-the-window"),
+    pytest.param(arrive_after_the_drain_grace, "new work after the drain", id="after-drain"),
+    pytest.param(overload_a_worker_in_slow_start, "pushed over", id="overload-in-slow-start"),
+]
+
+
+@pytest.mark.parametrize(("play", "text"), BREACHES)
+def test_a_breach_is_recorded_once(verifier, submit, play, text):
+    play(verifier, submit("nav-publish"))
+    (breach,) = verifier.breaches
+    assert text in breach
+
+
+def test_a_request_served_by_its_worker_is_no_breach(verifier, submit):
+    key = submit("nav-publish")
+    verifier.on_arrival(10, key, "s-1", 0).open = False
+    verifier.on_result(key, "r")
+    verifier.on_response(1000, key, FinalOutcome.SERVED, "r")
+    assert not verifier.breaches
+
+
+def test_a_repetition_in_another_cell_is_allowed_if_the_first_attempt_never_ran(verifier, submit):
+    key = submit("nav-publish")
+    first = verifier.on_arrival(1, key, "a", 0)
+    first.open = False
+    first.never_ran = True
+    verifier.on_arrival(2, key, "b", 1)
+    assert not verifier.breaches
+
+
+def test_new_work_within_the_drain_grace_is_allowed(verifier, submit):
+    key = submit("nav-publish")
+    verifier.on_arrival(2, key, "b", 1)
+    verifier.on_drain_known(3, "c")
+    verifier.on_arrival(400_000, key, "c", 1)
+    assert not verifier.breaches
+
+
+def test_an_idempotent_job_may_run_twice_and_be_rejected(verifier, submit):
+    key = submit("revalue")
+    verifier.on_arrival(5, key, "a", 0)
+    verifier.on_arrival(5, key, "b", 0)
+    verifier.on_response(9, key, FinalOutcome.REJECTED)
+    assert not verifier.breaches
+
+
+def test_a_repetition_without_idempotency_is_a_breach():
+    scenario = draw_scenario(read_site(name="probed"), seed=1, seconds=5, mix="http")
+    effects = [job_class.effect for job_class in scenario.site.job_classes]
+    number = next(
+        request.number
+        for request in scenario.requests
+        if effects[request.class_index] == "side_effect"
+    )
+    verifier = Verifier(scenario)
+    verifier.on_arrival(1, RequestKey(number, 0), "a", 0)
+    verifier.on_arrival(2, RequestKey(number, 0), "b", 0)
+    (breach,) = verifier.breaches
+    assert "sent again though it may have run" in breach
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -17,7 +17,7 @@
 
 from stepstream.lab.processes.cluster_load_test import play_swept
 from stepstream.lab.processes.lease_cluster import TROUBLES, TTL, LeaseDispatcherCluster, trouble
-from stepstream.lab.verification import ledger
+from stepstream.lab.verification import ledger_record
 from stepstream.leases.commands import run
 
 TIMEOUT_SECONDS = 40.0
@@ -28,7 +28,7 @@
     with LeaseDispatcherCluster(5, 3, seed=1) as made:
         made.wait_for(made.holder, TIMEOUT_SECONDS, "a first holder")
         yield made
-        assert not ledger.faults(made.rows())
+        assert not ledger_record.find_breaches(made.rows())
 
 
 @pytest.fixture
@@ -46,7 +46,7 @@
     rows_before = len(fleet.rows())
     outcome = trouble(fleet, fault, TIMEOUT_SECONDS)
     rows = fleet.rows()
-    assert not ledger.faults(rows)
+    assert not ledger_record.find_breaches(rows)
     assert len(rows) > rows_before
     # Each time without an operation meets the fault, or is as short as a handover.
     ends = [row["at"] for row in rows[rows_before:] if row["what"] == "end"]
@@ -62,7 +62,7 @@
         fault.begin(fleet, fleet.holder() or "n0")
         time.sleep(fleet.draw.uniform(0.1, 1.0) * TTL)
     trouble(fleet, fleet.draw.choice(TROUBLES), TIMEOUT_SECONDS)
-    assert not ledger.faults(fleet.rows())
+    assert not ledger_record.find_breaches(fleet.rows())
 
 
 def test_the_check_of_a_ledger_finds_two_holders():
@@ -73,7 +73,7 @@
         {"at": 4.0, "what": "end", "token": 7, "holder": "b", "act": 1},
         {"at": 5.0, "what": "begin", "token": 7, "holder": "c", "act": 2},
     ]
-    found = " / ".join(ledger.faults(rows))
+    found = " / ".join(ledger_record.find_breaches(rows))
     assert "token 5 taken after 7" in found
     assert "of b and of c" in found
     assert "a and b overlap" in found
@@ -81,7 +81,7 @@
         {**row, "at": at}
         for row, at in zip((rows[0], rows[2], rows[1], rows[3]), (1, 2, 3, 4), strict=True)
     ]
-    assert not ledger.faults(one_after_the_other)
+    assert not ledger_record.find_breaches(one_after_the_other)
 
 
 # -- programs outside ---------------------------------------------------------------------------------------
