--- a/stepstream/lab/emulator/discovery.py
+++ b/stepstream/lab/emulator/discovery.py
@@ -17,6 +17,7 @@
 from stepstream.http.codec import Message, Parser, ProtocolError, write_answer
 from stepstream.lab.emulator.clock import MS_PER_SECOND, Clock
 from stepstream.lab.emulator.streams import LIMITS, READ_BYTES
+from stepstream.lab.load.site import EndpointSource
 from stepstream.lab.verification.verifier import Verifier
 
 EndpointJson = dict[str, Any]
@@ -46,7 +47,7 @@
         self.version += 1
         self.endpoints[endpoint["id"]] = endpoint
         self.changed_in[endpoint["id"]] = self.version
-        if self.verifier.scenario.site.endpoint_source == "pushed":
+        if self.verifier.scenario.site.endpoint_source is EndpointSource.PUSHED:
             # The dispatcher counts as informed once its local agent holds the change.
             self._note_dispatcher_informed([endpoint])
         async with self.version_raised:
--- a/stepstream/lab/emulator/http_worker.py
+++ b/stepstream/lab/emulator/http_worker.py
@@ -11,6 +11,7 @@
 from stepstream.lab.emulator.streams import LIMITS, READ_BYTES, read_response
 from stepstream.lab.emulator.worker_driver import WorkerDriver
 from stepstream.lab.emulator.worker_model import OfferResult, TaskEvent, TaskState
+from stepstream.lab.load.site import LoadReports
 
 NOTIFICATION_PATH = "/_jobs/news"  # the platform's path for job notifications
 NOTIFICATION_ATTEMPTS = 10
@@ -90,7 +91,7 @@
     def respond_to_health_check(self, path: str) -> bytes:
         """Respond to a health check, which costs work; 404 where the site's settings have none."""
         site = self.verifier.scenario.site
-        if site.load_reports == "none" or path not in ("/-/healthy", "/-/load"):
+        if site.load_reports is LoadReports.NONE or path not in ("/-/healthy", "/-/load"):
             return write_answer(HTTPStatus.NOT_FOUND)
         self.health_check_count += 1
         now_us = self.clock.now_us()
@@ -115,7 +116,7 @@
 
     def load_header(self) -> dict[str, str]:
         """Return the load report's header; empty unless the site's responses carry reports."""
-        if self.verifier.scenario.site.load_reports != "answers":
+        if self.verifier.scenario.site.load_reports is not LoadReports.RESPONSES:
             return {}
         return {"Server-Load": self.load_text()}
 
--- a/stepstream/lab/load/clients.py
+++ b/stepstream/lab/load/clients.py
@@ -15,6 +15,7 @@
 from stepstream.lab.load.gearman_connection import GearmanConnection
 from stepstream.lab.load.response import ReceivedResponse, received_http_response
 from stepstream.lab.load.scenario import PlannedRequest, Scenario, WireProtocol
+from stepstream.lab.load.site import JobEffect
 from stepstream.lab.verification.observations import FinalOutcome, RequestKey
 from stepstream.lab.verification.verifier import Verifier
 
@@ -67,6 +68,7 @@
         """
         self.verifier.on_submission(planned.number)
         job_class = self.scenario.site.job_classes[planned.class_index]
+        is_not_idempotent = job_class.effect is JobEffect.NOT_IDEMPOTENT
         deadline_us = self.clock.now_us() + int(job_class.deadline_ms * US_PER_MS)
         for attempt in range(self.scenario.site.retries + 1):
             key = RequestKey(planned.number, attempt)
@@ -77,7 +79,7 @@
             self.verifier.on_response(self.clock.now_us(), key, response.outcome, response.result)
             if response.outcome is FinalOutcome.SERVED:
                 break
-            if response.outcome is FinalOutcome.FAILED and job_class.effect == "side_effect":
+            if response.outcome is FinalOutcome.FAILED and is_not_idempotent:
                 break
             follows_retry_after = planned.retry_after_draw < RETRY_AFTER_FRACTION
             advised_seconds = response.retry_after_seconds if follows_retry_after else 0.0
@@ -137,7 +139,7 @@
         }
         if is_retry and site.marks_retries:
             headers["Client-Retry"] = "1"
-        if job_class.effect == "token":
+        if job_class.effect is JobEffect.IDEMPOTENT_WITH_KEY:
             headers["Idempotency-Key"] = f"key-{planned.number}"
         return write_request("POST", f"/{job_class.name}", headers, workload)
 
@@ -147,6 +149,8 @@
         slots = f"+{planned.slots}" if planned.slots > 1 else ""
         tenant = self.scenario.site.tenants[planned.tenant_index]
         function = f"{tenant.name}/{job_class.name}{slots}"
-        unique = f"key-{planned.number}" if job_class.effect == "token" else ""
+        unique = (
+            f"key-{planned.number}" if job_class.effect is JobEffect.IDEMPOTENT_WITH_KEY else ""
+        )
         connection = self.gearman_connections[planned.number % len(self.gearman_connections)]
         return await connection.submit(function, unique, workload)
--- a/stepstream/lab/load/dispatcher_settings.py
+++ b/stepstream/lab/load/dispatcher_settings.py
@@ -4,7 +4,7 @@
 
 from stepstream.lab.emulator.clock import US_PER_MS
 from stepstream.lab.load.scenario import Scenario
-from stepstream.lab.load.site import JobClassTable, Site
+from stepstream.lab.load.site import EndpointSource, JobClassTable, LoadReports, Site
 
 # Settings of the dispatcher that are the same for each site.
 QUOTA_FACTOR = 1.5  # a tenant's quota over its expected request rate
@@ -21,6 +21,7 @@
 def dispatcher_settings(scenario: Scenario) -> dict[str, Any]:
     """Return the dispatcher's settings for a run, as nested JSON."""
     site = scenario.site
+    polls = site.endpoint_source is EndpointSource.POLLED
     rate_per_second = len(scenario.requests) / scenario.seconds
     return {
         "services": [_service_settings(table) for table in site.job_classes],
@@ -43,13 +44,13 @@
         "zones": list(site.zones),
         "zone": 0,
         "kinds": [kind.name for kind in site.worker_kinds],
-        "discovery": "subscribe" if site.endpoint_source == "asked" else "automatic",
-        "worth_by": site.weight_by,
+        "discovery": "subscribe" if polls else "automatic",
+        "worth_by": site.weight_by.value,
         "limits": _limit_settings(site),
         "safety": _safety_settings(site),
         "load_report": {
-            "how": site.load_reports,
-            "columns": [] if site.load_reports == "none" else ["queue", "x0"],
+            "how": site.load_reports.value,
+            "columns": [] if site.load_reports is LoadReports.NONE else ["queue", "x0"],
         },
         "quantum_us": QUANTUM_US,
     }
@@ -61,7 +62,7 @@
         "name": table.name,
         "goal_time_us": int(table.latency_objective_ms * US_PER_MS),
         "deadline_us": int(table.deadline_ms * US_PER_MS),
-        "effect": table.effect,
+        "effect": table.effect.value,
         "key_scope": "cell",
         "window_us": table.window_ms * US_PER_MS,
         "worth": table.priority_weight,
@@ -75,7 +76,7 @@
         "try_limit": site.max_attempts,
         "cancelling": True,
         "may_duplicate": site.may_hedge,
-        "probing": site.load_reports != "none",
+        "probing": site.load_reports is not LoadReports.NONE,
         "retry_after": True,
         "max_retry_after_us": MAX_RETRY_AFTER_US,
         "conn_idle_us": CONNECTION_IDLE_US,
--- a/stepstream/lab/load/scenario.py
+++ b/stepstream/lab/load/scenario.py
@@ -16,7 +16,7 @@
 from stepstream.config.errors import ConfigurationError
 from stepstream.lab.emulator.clock import US_PER_MS, US_PER_SECOND
 from stepstream.lab.emulator.worker_model import WorkerSpec
-from stepstream.lab.load.site import FaultTable, Site
+from stepstream.lab.load.site import FaultKind, FaultTable, Site
 
 MIXES = ("http", "gearman", "mixed")  # of protocols
 MIXED_GEARMAN_FRACTION = 0.5  # of the requests in a mixed run
@@ -59,10 +59,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
-    """A fault of the schedule; times count from the start of the run."""
+class WorkerFault:
+    """A fault that hits some of the workers; times count from the start of the run."""
 
-    kind: str  # as FaultTable.kind
+    kind: FaultKind
     at_us: int
     end_us: int
     worker_indexes: tuple[int, ...]  # in Scenario.worker_specs
@@ -78,7 +78,7 @@
     worker_specs: tuple[WorkerSpec, ...]
     worker_protocols: tuple[WireProtocol, ...]  # in the order of `worker_specs`
     requests: tuple[PlannedRequest, ...]  # by `at_us`
-    faults: tuple[Fault, ...]
+    faults: tuple[WorkerFault, ...]
     streams: dict[str, np.random.Generator]  # by purpose, for draws during the run
 
 
@@ -195,7 +195,9 @@
     return WireProtocol.HTTP
 
 
-def sample_fault(site: Site, table: FaultTable, seconds: int, rng: np.random.Generator) -> Fault:
+def sample_fault(
+    site: Site, table: FaultTable, seconds: int, rng: np.random.Generator
+) -> WorkerFault:
     """Draw the workers that a fault hits, at least one."""
     count = min(max(1, round(table.worker_fraction * site.worker_count)), site.worker_count)
     worker_indexes = tuple(
@@ -203,4 +205,4 @@
     )
     at_us = int(table.start_fraction * seconds * US_PER_SECOND)
     end_us = at_us + int(table.duration_fraction * seconds * US_PER_SECOND)
-    return Fault(table.kind, at_us, end_us, worker_indexes, table.size)
+    return WorkerFault(table.kind, at_us, end_us, worker_indexes, table.size)
--- a/stepstream/lab/load/site.py
+++ b/stepstream/lab/load/site.py
@@ -1,14 +1,16 @@
 """Read a site file: the ranges and settings of the workers, the load and the faults of a run.
 
-The keys of a site file have the platform's spelling. Each table below is one table of the file; a
-field whose name differs from its key says so with `name=`. `scenario.draw_scenario` draws a run
-from a `Site`, and `dispatcher_settings.dispatcher_settings` derives what the dispatcher reads.
+The keys of a site file, and the values of its enumerations, have the platform's spelling. Each
+table below is one table of the file; a field whose name differs from its key says so with `name=`.
+`scenario.draw_scenario` draws a run from a `Site`, and `dispatcher_settings.dispatcher_settings`
+derives what the dispatcher reads.
 """
 
 import tomllib
+from enum import Enum
 from importlib.resources import files
 from pathlib import Path
-from typing import Annotated, Literal
+from typing import Annotated
 
 import msgspec
 
@@ -22,6 +24,45 @@
 NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 
 
+class JobEffect(Enum):
+    """What a repetition of a job does."""
+
+    IDEMPOTENT = "pure"
+    IDEMPOTENT_WITH_KEY = "token"  # within the class's window and one cell
+    NOT_IDEMPOTENT = "side_effect"
+
+
+class FaultKind(Enum):
+    """A kind of fault of a worker."""
+
+    CRASH = "crash"  # the process ends at once, and restarts at the end of the fault
+    DRAIN = "drain"  # the process drains and ends, and restarts after the fault's duration
+    SLOW = "slow"
+    ERRORS = "errors"
+
+
+class EndpointSource(Enum):
+    """Where the dispatcher gets its endpoint list."""
+
+    POLLED = "asked"  # the dispatcher polls discovery
+    PUSHED = "pushed"  # an agent beside the dispatcher holds the list
+
+
+class LoadReports(Enum):
+    """Where workers report their load."""
+
+    NONE = "none"
+    HEALTH_CHECKS = "probe"
+    RESPONSES = "answers"
+
+
+class WeightBasis(Enum):
+    """What the priority weight of a job class applies to."""
+
+    REQUEST = "request"  # each request alike
+    WORK = "work"  # each request in proportion to its work
+
+
 class SiteTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Base of the tables of a site file."""
 
@@ -40,8 +81,6 @@
     """A class of jobs: its share of the load, its work, and its settings at the dispatcher.
 
     The latency objective of a job is `latency_objective_ms` plus `stretch` times its own work.
-    `effect` says what a repetition does: "pure" is idempotent, "token" is idempotent with an
-    idempotency key within `window_ms`, "side_effect" is not idempotent.
     """
 
     name: str
@@ -52,8 +91,8 @@
     stretch: float = 0.0
     deadline_ms: Positive
     priority_weight: Positive = msgspec.field(name="worth")
-    effect: Literal["pure", "token", "side_effect"]
-    window_ms: int = 0
+    effect: JobEffect
+    window_ms: int = 0  # of the idempotency key
     two_slots_fraction: Fraction = msgspec.field(default=0.0, name="two_slots")
 
 
@@ -67,11 +106,11 @@
 class FaultTable(SiteTable, frozen=True, kw_only=True):
     """A fault that hits a random part of the workers at a given time."""
 
-    kind: Literal["crash", "drain", "slow", "errors"]
+    kind: FaultKind
     start_fraction: Fraction = msgspec.field(name="at")  # of the run
     duration_fraction: Fraction = msgspec.field(name="length")  # of the run
     worker_fraction: Fraction = msgspec.field(name="part")
-    size: float = 1.0  # "slow": factor of slowness; "errors": fraction of tasks that fail
+    size: float = 1.0  # SLOW: factor of slowness; ERRORS: fraction of tasks that fail
 
 
 class Site(SiteTable, frozen=True, kw_only=True):
@@ -97,19 +136,15 @@
     job_classes: tuple[JobClassTable, ...] = msgspec.field(name="job")
     tenants: tuple[TenantTable, ...] = msgspec.field(name="tenant")
     faults: tuple[FaultTable, ...] = msgspec.field(default=(), name="fault")
-    # "asked": the dispatcher polls discovery; "pushed": an agent beside it holds the endpoint list.
-    endpoint_source: Literal["asked", "pushed"] = msgspec.field(default="asked", name="lists")
-    load_reports: Literal["none", "probe", "answers"] = msgspec.field(
-        default="none", name="reports"
-    )
+    endpoint_source: EndpointSource = msgspec.field(default=EndpointSource.POLLED, name="lists")
+    load_reports: LoadReports = msgspec.field(default=LoadReports.NONE, name="reports")
     load_report_interval_ms: NonNegative = msgspec.field(default=50.0, name="report_ms")
     # Cost of a health check, on a core of speed 1.
     health_check_work_ms: NonNegative = msgspec.field(default=0.0, name="probe_work_ms")
     max_attempts: Annotated[int, msgspec.Meta(ge=1)] = msgspec.field(default=4, name="attempts")
     may_hedge: bool = msgspec.field(default=True, name="second_copies")
     marks_retries: bool = False  # whether clients mark a request as a retry
-    # What the priority weight applies to: each request alike, or in proportion to its work.
-    weight_by: Literal["request", "work"] = msgspec.field(default="request", name="worth_by")
+    weight_by: WeightBasis = msgspec.field(default=WeightBasis.REQUEST, name="worth_by")
 
 
 def read_site(path: str | None = None, name: str = BUNDLED_SITES[0]) -> Site:
--- a/stepstream/lab/processes/cluster_load_test.py
+++ b/stepstream/lab/processes/cluster_load_test.py
@@ -24,8 +24,8 @@
 from stepstream.lab.load.clients import Clients
 from stepstream.lab.load.dispatcher_settings import dispatcher_settings
 from stepstream.lab.load.response import ReceivedResponse, received_http_response
-from stepstream.lab.load.scenario import Fault, PlannedRequest, Scenario, draw_scenario
-from stepstream.lab.load.site import read_site
+from stepstream.lab.load.scenario import PlannedRequest, Scenario, WorkerFault, draw_scenario
+from stepstream.lab.load.site import FaultKind, JobEffect, read_site
 from stepstream.lab.processes.dispatcher_cluster import free_port
 from stepstream.lab.processes.load_test import PATIENCE_S, START_S, LoadTest
 from stepstream.lab.verification.observations import FinalOutcome
@@ -120,7 +120,7 @@
             "Request-Info": f"cores_needed={planned.slots}",
             "Connection": "close",
         }
-        if part.effect == "token":
+        if part.effect is JobEffect.IDEMPOTENT_WITH_KEY:
             headers["Idempotency-Key"] = f"key-{planned.number}"
         try:
             reader, writer = await asyncio.open_connection(*self.fronts[k])
@@ -321,7 +321,7 @@
     site = msgspec.structs.replace(read_site(), worker_count=NODES, faults=(), load=LOAD)
     day = draw_scenario(site, seed, seconds, "http")
     hit = tuple(int(k) for k in day.streams["faults"].choice(NODES, size=NODES // 4, replace=False))
-    crash = Fault("crash", int(0.4e6 * seconds), int(0.6e6 * seconds), hit, 1.0)
+    crash = WorkerFault(FaultKind.CRASH, int(0.4e6 * seconds), int(0.6e6 * seconds), hit, 1.0)
     return replace(day, faults=(crash,))
 
 
--- a/stepstream/lab/processes/load_test.py
+++ b/stepstream/lab/processes/load_test.py
@@ -28,7 +28,8 @@
 from stepstream.lab.emulator.worker_model import WorkerModel
 from stepstream.lab.load.clients import Clients
 from stepstream.lab.load.dispatcher_settings import dispatcher_settings
-from stepstream.lab.load.scenario import Fault, Scenario, WireProtocol
+from stepstream.lab.load.scenario import Scenario, WireProtocol, WorkerFault
+from stepstream.lab.load.site import FaultKind
 from stepstream.lab.verification.score import Figures
 from stepstream.lab.verification.verifier import Verifier
 
@@ -298,18 +299,18 @@
 
     # -- faults -------------------------------------------------------------------------------
 
-    async def fault(self, fault: Fault) -> None:
+    async def fault(self, fault: WorkerFault) -> None:
         """Wait for the fault's time and inject it into each of its nodes."""
         await asyncio.sleep(fault.at_us / US_PER_SECOND)
         await asyncio.gather(
             *(self.inject(fault, self.nodes[index]) for index in fault.worker_indexes)
         )
 
-    async def inject(self, fault: Fault, node: EmulatedNode) -> None:
+    async def inject(self, fault: WorkerFault, node: EmulatedNode) -> None:
         """Put one node at fault, and back in order when the fault's time is over."""
         duration_s = (fault.end_us - fault.at_us) / US_PER_SECOND
         match fault.kind:
-            case "slow":
+            case FaultKind.SLOW:
                 # Work done so far counts at the speed that it was done with.
                 node.model.advance(self.clock.now_us())
                 node.model.slowdown_factor = fault.size
@@ -317,16 +318,16 @@
                 node.model.advance(self.clock.now_us())
                 node.model.slowdown_factor = 1.0
                 node.model_changed.set()
-            case "errors":
+            case FaultKind.ERRORS:
                 node.model.error_fraction = fault.size
                 await asyncio.sleep(duration_s)
                 node.model.error_fraction = 0.0
-            case "crash":
+            case FaultKind.CRASH:
                 node.crash()
                 await self.announce(node, "gone")
                 await asyncio.sleep(duration_s)
                 await self.bring_back(node)
-            case "drain":
+            case FaultKind.DRAIN:
                 await self.drain(node)
                 await asyncio.sleep(duration_s)
                 await self.bring_back(node)
--- a/stepstream/lab/verification/rules.py
+++ b/stepstream/lab/verification/rules.py
@@ -13,15 +13,16 @@
 
 To add a rule: write a function here that takes the observation (`Arrival`, `Response` or
 `OverloadFailure`), append it to the tuple of that observation at the end of this module, and add a
-case to `tests/lab/verification/test_rules.py`. If the rule needs more than the observation holds,
-add a field to it and fill the field in `Verifier`, which builds each observation in one place.
+case to `tests/lab/verification/test_delivery_rules.py`. If the rule needs more than the observation
+holds, add a field to it and fill the field in `Verifier`, which builds each observation in one
+place.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
 from stepstream.lab.emulator.clock import US_PER_MS, US_PER_SECOND
-from stepstream.lab.load.site import JobClassTable
+from stepstream.lab.load.site import JobClassTable, JobEffect
 from stepstream.lab.verification.observations import Attempt, ClientRequest, FinalOutcome
 
 SOCKET_TOLERANCE_US = 50_000
@@ -103,7 +104,7 @@
     Observes an attempt's arrival, against the earlier attempts of its request. No tolerance. Guards
     against a side effect that happens twice.
     """
-    if arrival.earlier and arrival.job_class.effect == "side_effect":
+    if arrival.earlier and arrival.job_class.effect is JobEffect.NOT_IDEMPOTENT:
         return f"sent again though it may have run: {arrival.label}"
     return None
 
@@ -115,7 +116,7 @@
     tolerance. Guards against a side effect that happens twice: only the workers of one cell share
     the record of keys.
     """
-    if not arrival.earlier or arrival.job_class.effect != "token":
+    if not arrival.earlier or arrival.job_class.effect is not JobEffect.IDEMPOTENT_WITH_KEY:
         return None
     if arrival.earlier[0].cell != arrival.attempt.cell:
         return f"repeated outside its cell: {arrival.label}"
@@ -129,7 +130,7 @@
     Tolerance: `SOCKET_TOLERANCE_US` beyond the class's `window_ms`. Guards against a side effect
     that happens twice: workers forget a key after the window.
     """
-    if not arrival.earlier or arrival.job_class.effect != "token":
+    if not arrival.earlier or arrival.job_class.effect is not JobEffect.IDEMPOTENT_WITH_KEY:
         return None
     window_us = arrival.job_class.window_ms * US_PER_MS
     if arrival.attempt.at_us > arrival.earlier[0].at_us + window_us + SOCKET_TOLERANCE_US:
@@ -180,8 +181,11 @@
     Observes a response, against the attempts of its request. No tolerance. Guards against a
     rejection that invites the client to retry a job that a worker has already accepted.
     """
-    is_rejected = response.outcome is FinalOutcome.REJECTED
-    if is_rejected and response.job_class.effect != "pure" and response.request.may_have_run():
+    if response.outcome is not FinalOutcome.REJECTED:
+        return None
+    if response.job_class.effect is JobEffect.IDEMPOTENT:
+        return None
+    if response.request.may_have_run():
         return f"refused though it may have run: {response.label}"
     return None
 
--- a/stepstream/lab/verification/score.py
+++ b/stepstream/lab/verification/score.py
@@ -12,7 +12,7 @@
 
 from stepstream.lab.emulator.clock import US_PER_MS, US_PER_SECOND
 from stepstream.lab.load.scenario import PlannedRequest, Scenario
-from stepstream.lab.load.site import Site
+from stepstream.lab.load.site import Site, WeightBasis
 from stepstream.lab.verification.observations import FinalOutcome, JobRecord
 
 WINDOW_US = 10_000_000
@@ -132,7 +132,7 @@
 def priority_weight(site: Site, planned: PlannedRequest) -> float:
     """Return a job's weight: its class's, times the job's work if the site says so."""
     weight = site.job_classes[planned.class_index].priority_weight
-    if site.weight_by == "work":
+    if site.weight_by is WeightBasis.WORK:
         return weight * planned.work_us * planned.slots
     return weight
 
--- a/tests/lab/emulator/test_http_worker.py
+++ b/tests/lab/emulator/test_http_worker.py
@@ -13,14 +13,16 @@
 from stepstream.lab.emulator.worker_model import Task
 from stepstream.lab.load.dispatcher_settings import dispatcher_settings
 from stepstream.lab.load.scenario import draw_scenario
-from stepstream.lab.load.site import read_site
+from stepstream.lab.load.site import LoadReports, read_site
 from stepstream.lab.verification.verifier import Verifier
 
 FULL = {"queue": 1.0, "free_slots": 0.0}
 """The load report of a worker of two slots with three tasks."""
 
 
-@pytest.fixture(params=["probe", "answers"])
+@pytest.fixture(
+    params=[LoadReports.HEALTH_CHECKS, LoadReports.RESPONSES], ids=["health-checks", "responses"]
+)
 def reporting(request, make_worker_model):
     """A full worker at a site that reports load in this way, and the dispatcher's reader."""
     site = msgspec.structs.replace(
@@ -34,7 +36,7 @@
     return SimpleNamespace(
         worker=worker,
         reader=LoadReportReader(read_settings(fields), pytest.fail),
-        report_in_responses=FULL if request.param == "answers" else None,
+        report_in_responses=FULL if request.param is LoadReports.RESPONSES else None,
     )
 
 
--- a/tests/lab/verification/test_delivery_rules.py
+++ b/tests/lab/verification/test_delivery_rules.py
@@ -8,7 +8,7 @@
 import pytest
 
 from stepstream.lab.load.scenario import draw_scenario
-from stepstream.lab.load.site import read_site
+from stepstream.lab.load.site import JobEffect, read_site
 from stepstream.lab.verification.observations import FinalOutcome, RequestKey
 from stepstream.lab.verification.verifier import Verifier
 
@@ -116,7 +116,7 @@
     number = next(
         request.number
         for request in scenario.requests
-        if effects[request.class_index] == "side_effect"
+        if effects[request.class_index] is JobEffect.NOT_IDEMPOTENT
     )
     verifier = Verifier(scenario)
     verifier.on_arrival(1, RequestKey(number, 0), "a", 0)
