--- /dev/null
+++ b/stepstream/lab/processes/addresses.py
@@ -0,0 +1,50 @@
+"""Choose loopback addresses and ports for the processes of one lab run."""
+
+import os
+import socket
+
+Address = tuple[str, int]
+"""Host and port."""
+
+LOAD_TEST_HOSTS = 2**16
+"""Addresses in 127.77.0.0/16, from which a load test takes one by its process id."""
+
+CLUSTER_NETWORKS = 2**14
+"""Networks 127.64.0.0/24 to 127.127.255.0/24, of which a cluster takes one by its process id."""
+
+BYTE_BITS = 8
+BYTE_MASK = 255
+
+
+def load_test_host() -> str:
+    """Return a loopback address that no other load test uses.
+
+    Connections leave from 127.0.0.1, so none of them takes a port of this address between the
+    choice of the port and its use.
+    """
+    number = os.getpid() % LOAD_TEST_HOSTS
+    return f"127.77.{number >> BYTE_BITS}.{number & BYTE_MASK}"
+
+
+def cluster_host(member_index: int) -> str:
+    """Return a loopback address for one member, from the network of this process.
+
+    Each member has an address of its own, so no port is taken by another's outgoing connection.
+    """
+    network = os.getpid() % CLUSTER_NETWORKS
+    return f"127.{64 + (network >> BYTE_BITS)}.{network & BYTE_MASK}.{member_index + 1}"
+
+
+def free_port(host: str) -> int:
+    """Return a port that is free on `host` at this moment, for TCP and UDP alike."""
+    while True:
+        with (
+            socket.create_server((host, 0)) as tcp_socket,
+            socket.socket(type=socket.SOCK_DGRAM) as udp_socket,
+        ):
+            port: int = tcp_socket.getsockname()[1]
+            try:
+                udp_socket.bind((host, port))
+            except OSError:
+                continue
+            return port
--- /dev/null
+++ b/stepstream/lab/processes/cluster_member.py
@@ -0,0 +1,135 @@
+"""A member of a cluster of dispatchers: its addresses, its process and its admin listener."""
+
+import http.client
+import subprocess
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from http import HTTPStatus
+from pathlib import Path
+from typing import Any, NotRequired, Self, TypedDict
+
+import ujson
+
+from stepstream.lab.processes.addresses import free_port
+from stepstream.lab.processes.dispatcher_process import STEPSTREAM_PROGRAM, DispatcherProcess
+
+ADMIN_TIMEOUT_SECONDS = 5.0
+
+
+class MemberStatus(TypedDict, total=False):
+    """What a member reports of itself: `facts` of a row, as far as the lab reads them."""
+
+    started_ms: int
+    count: int  # revision of the status
+
+
+class MemberRow(TypedDict):
+    """A member in the answer to `GET /fleet`, as far as the lab reads it."""
+
+    name: str
+    state: str
+    generation: int
+    incarnation: int
+    facts: MemberStatus
+
+
+class MembershipList(TypedDict):
+    """The answer to `GET /fleet`, as far as the lab reads it."""
+
+    self_generation: int
+    settled: bool
+    digest: str
+    members: list[MemberRow]
+    number: NotRequired[int]  # of the latest change
+    counted: NotRequired[int]  # dispatchers that share the workers
+    counts: NotRequired[dict[str, Any]]
+    words: NotRequired[list[dict[str, Any]]]  # maintenance records
+
+
+@dataclass(frozen=True)
+class MemberPorts:
+    """The ports of one dispatcher's listeners."""
+
+    http: int
+    admin: int
+    membership: int  # UDP
+
+    @classmethod
+    def choose(cls, host: str) -> Self:
+        """Return ports that are free on `host` at this moment."""
+        return cls(free_port(host), free_port(host), free_port(host))
+
+
+@dataclass(frozen=True)
+class MemberProgram:
+    """What each member runs: the interpreter's arguments, and additions to its environment."""
+
+    arguments: tuple[str, ...] = STEPSTREAM_PROGRAM
+    environment: Mapping[str, str] = field(default_factory=dict)
+
+
+class ClusterMember(DispatcherProcess):
+    """A dispatcher with all its listeners on `host`; `advertised_address` is the relay's for it."""
+
+    def __init__(
+        self, name: str, host: str, ports: MemberPorts, advertised_address: str, folder: Path
+    ) -> None:
+        super().__init__(name, folder)
+        self.host = host
+        self.ports = ports
+        self.advertised_address = advertised_address
+        # The endpoint list that it starts with, in the form of discovery's answers.
+        self.persisted_endpoints: dict[str, Any] = {}
+
+    @property
+    def admin_address(self) -> str:
+        """Address of the admin listener."""
+        return f"{self.host}:{self.ports.admin}"
+
+    def spawn_program(self, program: MemberProgram) -> subprocess.Popen[bytes]:
+        """Start a process with a $TMPDIR of this member's own, which a hot restart shares."""
+        private_folder = self.folder / f"{self.name}.tmp"
+        private_folder.mkdir(exist_ok=True)
+        variables = {**program.environment, "TMPDIR": str(private_folder)}
+        return self.spawn(program.arguments, variables)
+
+    # -- admin listener ---------------------------------------------------------------------------
+
+    def call(self, path: str, method: str = "GET") -> tuple[int, Any]:
+        """Return the status and the body of an answer, decoded if it is JSON.
+
+        Raise ConnectionError if there is no answer.
+        """
+        connection = http.client.HTTPConnection(
+            self.host, self.ports.admin, timeout=ADMIN_TIMEOUT_SECONDS
+        )
+        try:
+            connection.request(method, path)
+            answer = connection.getresponse()
+            body = answer.read()
+        except (OSError, http.client.HTTPException) as error:
+            raise ConnectionError(f"{self.name}: {error}") from None
+        finally:
+            connection.close()
+        try:
+            return answer.status, ujson.loads(body)
+        except ValueError:
+            return answer.status, body.decode()
+
+    def membership_list(self) -> MembershipList | None:
+        """Return the member's own membership list; None if it does not answer with one."""
+        try:
+            status, body = self.call("/fleet")
+        except ConnectionError:
+            return None
+        if status != HTTPStatus.OK:
+            return None
+        membership_list: MembershipList = body
+        return membership_list
+
+    def member_states(self) -> dict[str, str]:
+        """Return the state of each member by name as this one has it; empty without an answer."""
+        membership_list = self.membership_list()
+        if membership_list is None:
+            return {}
+        return {row["name"]: row["state"] for row in membership_list["members"]}
--- /dev/null
+++ b/stepstream/lab/processes/cluster_scenarios.py
@@ -0,0 +1,201 @@
+"""The measured scenarios of a `ClusterLoadTest`: crashes, and health checks by a leader.
+
+Each function that plays one runs an event loop of its own, so a pool of processes can call it.
+"""
+
+import asyncio
+from dataclasses import dataclass, replace
+from enum import StrEnum
+from typing import TypedDict
+
+import msgspec
+
+from stepstream.lab.load.site import Fault, Scenario, draw_scenario, read_site
+from stepstream.lab.processes.cluster_load_test import ClusterLoadTest, Disturbance
+from stepstream.lab.processes.multi_listener_worker import MultiListenerWorker
+from stepstream.lab.processes.round_robin_clients import RoundRobinClients
+from stepstream.lab.verification.verifier import Figures
+
+LOAD = 0.6  # requested work as a fraction of what the workers can do
+CRASH_WORKERS = 12
+CRASHED_WORKERS_DIVISOR = 4  # one in four crashes
+CRASHED_DISPATCHERS = (1, 3)
+LEADER_WORKERS = 8
+FAULT_BEGIN = 0.4  # fractions of the scenario's time
+CRASH_END = 0.6
+SUSPENSION = 0.25
+US_PER_SECOND = 1e6
+
+
+@dataclass(frozen=True)
+class CrashRun:
+    """A run in which two of four dispatchers, and a quarter of the workers, crash together."""
+
+    seed: int
+    shares_membership: bool
+    seconds: int
+
+
+class CrashRunResult(TypedDict):
+    """The figures of one crash run; the keys are those of stored results."""
+
+    seed: int
+    viewed: bool
+    score: float
+    whole: float
+    worst_window: float
+    finals: dict[str, int]
+    breaches: list[str]
+    late_ms: float
+
+
+class LeaderFault(StrEnum):
+    """What happens to the health-check leader; the values are those of stored results."""
+
+    NONE = ""
+    KILL = "kill"
+    SUSPEND = "stop"
+
+
+@dataclass(frozen=True)
+class HealthCheckRun:
+    """A run in which one dispatcher checks the workers for all, or each does it itself."""
+
+    seed: int
+    is_delegated: bool
+    dispatcher_count: int
+    seconds: int
+    leader_fault: LeaderFault = LeaderFault.NONE
+
+
+class HealthCheckRunResult(TypedDict):
+    """The figures of one health-check run; the keys are those of stored results."""
+
+    seed: int
+    sweep: bool
+    dispatchers: int
+    harm: str
+    sweepers: list[int]  # the leaders, in order
+    probes_a_worker_s: float
+    probes_a_request: float
+    score: float
+    whole: float
+    breaches: list[str]
+    late_ms: float
+
+
+# -- crashes --------------------------------------------------------------------------------------
+
+
+def crash_scenario(seed: int, seconds: int) -> Scenario:
+    """Draw the small site with more workers, of which a quarter crashes and comes back cold."""
+    site = msgspec.structs.replace(read_site(), nodes=CRASH_WORKERS, fault=(), load=LOAD)
+    scenario = draw_scenario(site, seed, seconds, "http")
+    crashed = scenario.streams["faults"].choice(
+        CRASH_WORKERS, size=CRASH_WORKERS // CRASHED_WORKERS_DIVISOR, replace=False
+    )
+    crash = Fault(
+        "crash",
+        int(FAULT_BEGIN * US_PER_SECOND * seconds),
+        int(CRASH_END * US_PER_SECOND * seconds),
+        tuple(int(index) for index in crashed),
+        1.0,
+    )
+    return replace(scenario, faults=(crash,))
+
+
+def crash_dispatchers(test: ClusterLoadTest) -> Disturbance:
+    """Return the disturbance that kills two dispatchers when the workers crash."""
+
+    async def disturb(clients: RoundRobinClients) -> None:
+        await asyncio.sleep(FAULT_BEGIN * test.scenario.seconds)
+        for index in CRASHED_DISPATCHERS:
+            clients.mark_failed(index)
+            test.kill_dispatcher(index)
+
+    return disturb
+
+
+async def run_crash_test(test: ClusterLoadTest) -> Figures:
+    """Start the test, play its scenario with the crashes of dispatchers, and stop it."""
+    async with test:
+        return await test.play_with(crash_dispatchers(test))
+
+
+def play_crash_run(run: CrashRun) -> CrashRunResult:
+    """Play one crash run and return its figures."""
+    scenario = crash_scenario(run.seed, run.seconds)
+    test = ClusterLoadTest(scenario, run.seed, shares_membership=run.shares_membership)
+    figures = asyncio.run(run_crash_test(test))
+    return {
+        "seed": run.seed,
+        "viewed": run.shares_membership,
+        "score": figures.score,
+        "whole": figures.whole,
+        "worst_window": figures.worst_window,
+        "finals": figures.finals,
+        "breaches": figures.breaches,
+        "late_ms": test.late_ms,
+    }
+
+
+# -- health checks by a leader --------------------------------------------------------------------
+
+
+def disturb_leader(test: ClusterLoadTest, fault: LeaderFault) -> Disturbance:
+    """Return the disturbance that kills or suspends the present health-check leader."""
+
+    async def disturb(clients: RoundRobinClients) -> None:
+        if fault is LeaderFault.NONE:
+            return
+        await asyncio.sleep(FAULT_BEGIN * test.scenario.seconds)
+        leader = (test.health_check_leaders() or [0])[-1]
+        clients.mark_failed(leader)
+        if fault is LeaderFault.KILL:
+            test.kill_dispatcher(leader)
+            return
+        test.dispatchers[leader].suspend()
+        await asyncio.sleep(SUSPENSION * test.scenario.seconds)
+        test.dispatchers[leader].resume()
+
+    return disturb
+
+
+def health_checks_answered(test: ClusterLoadTest) -> int:
+    """Return how many health checks the workers have answered so far."""
+    return sum(worker.probes for worker in test.workers if isinstance(worker, MultiListenerWorker))
+
+
+async def run_health_check_test(test: ClusterLoadTest, run: HealthCheckRun) -> HealthCheckRunResult:
+    """Start the test, play its scenario with the fault of the leader, and stop it."""
+    async with test:
+        answered_before = health_checks_answered(test)
+        figures = await test.play_with(disturb_leader(test, run.leader_fault))
+        health_checks = health_checks_answered(test) - answered_before
+        return {
+            "seed": run.seed,
+            "sweep": run.is_delegated,
+            "dispatchers": run.dispatcher_count,
+            "harm": run.leader_fault.value,
+            "sweepers": test.health_check_leaders(),
+            "probes_a_worker_s": health_checks / len(test.workers) / run.seconds,
+            "probes_a_request": health_checks / max(len(test.scenario.asks), 1),
+            "score": figures.score,
+            "whole": figures.whole,
+            "breaches": figures.breaches,
+            "late_ms": test.late_ms,
+        }
+
+
+def play_health_check_run(run: HealthCheckRun) -> HealthCheckRunResult:
+    """Play one health-check run and return its figures."""
+    site = msgspec.structs.replace(
+        read_site(name="probed"), nodes=LEADER_WORKERS, fault=(), load=LOAD
+    )
+    test = ClusterLoadTest(
+        draw_scenario(site, run.seed, run.seconds, "http"),
+        run.seed,
+        dispatcher_count=run.dispatcher_count,
+        delegates_health_checks=run.is_delegated,
+    )
+    return asyncio.run(run_health_check_test(test, run))
--- a/stepstream/lab/processes/dispatcher_cluster.py
+++ b/stepstream/lab/processes/dispatcher_cluster.py
@@ -1,33 +1,38 @@
-"""Several dispatchers in processes of their own and the relay between them: to be cut, stopped, killed."""
+"""Several dispatchers in processes of their own, with a relay on every link between them.
+
+A `DispatcherCluster` is a context manager: it owns the processes, the relay's thread and sockets,
+and a temporary folder. All calls come from one thread; the relay's thread shares only its links.
+"""
 
-import http.client
-import os
-import signal
-import socket
 import subprocess
-import sys
 import tempfile
 import threading
 import time
-from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
+from collections.abc import Callable, Iterable, Iterator, Sequence
+from contextlib import ExitStack, contextmanager
 from pathlib import Path
-
-import ujson
+from typing import Any, Self
 
 from stepstream.lab.emulator.links import Links, Relay
-
-START_S = 30.0
-LOOK_S = 0.05
-# The program with its time of day set off by some nanoseconds.
-OFF = """
-import sys, time
-real_ns, real = time.time_ns, time.time
-time.time_ns, time.time = (lambda: real_ns() + {0}), (lambda: real() + {0} / 1e9)
-from stepstream.cli import main
-sys.exit(main(sys.argv[1:]))
-"""
-SETTINGS = {
+from stepstream.lab.processes.addresses import cluster_host
+from stepstream.lab.processes.cluster_member import (
+    ClusterMember,
+    MemberPorts,
+    MemberProgram,
+    MembershipList,
+)
+from stepstream.lab.processes.configuration_files import FleetSection, NodeConfiguration
+
+START_TIMEOUT_SECONDS = 30.0
+POLL_INTERVAL_SECONDS = 0.05
+SEED_MEMBERS = 2
+"""The first members, whose addresses are the seeds of all."""
+
+CLUSTER_NAME = "lab"
+DISCOVERY_PORT = 9
+"""Nothing listens there: the endpoint list comes from the configuration, if at all."""
+
+SETTINGS: dict[str, Any] = {
     "services": [
         {"name": "revalue", "deadline_us": 3_000_000, "goal_time_us": 200_000, "effect": "pure"},
     ],
@@ -36,228 +41,210 @@
 }
 
 
-@dataclass(eq=False)
-class Dispatcher:
-    """One `stepstream serve`."""
+class ConditionTimeoutError(AssertionError):
+    """A condition of the cluster did not hold within the time for it."""
 
-    name: str
-    host: str  # all its addresses are there
-    ports: dict[str, int]  # clients, admin, fleet
-    advertise: str
-    folder: Path
-    process: subprocess.Popen | None = None
-    log: object = None
-    settings: dict = field(default_factory=lambda: SETTINGS)
-    known: dict = field(default_factory=dict)  # the list that it starts with, in discovery's form
-
-    @property
-    def admin(self) -> str:
-        return f"{self.host}:{self.ports['admin']}"
-
-    def call(self, path: str, method: str = "GET") -> tuple[int, object]:
-        """The status and what was told; ConnectionError if nobody answers."""
-        connection = http.client.HTTPConnection(self.host, self.ports["admin"], timeout=5.0)
-        try:
-            connection.request(method, path)
-            answer = connection.getresponse()
-            body = answer.read()
-        except (OSError, http.client.HTTPException) as error:
-            raise ConnectionError(f"{self.name}: {error}") from None
-        finally:
-            connection.close()
-        try:
-            return answer.status, ujson.loads(body)
-        except ValueError:
-            return answer.status, body.decode()
-
-    def fleet(self) -> dict | None:
-        """Its view, or None if it does not answer."""
-        try:
-            status, told = self.call("/fleet")
-        except ConnectionError:
-            return None
-        return told if status == 200 else None
-
-    def states(self) -> dict[str, str]:
-        told = self.fleet()
-        return {row["name"]: row["state"] for row in told["members"]} if told else {}
-
-    def running(self) -> bool:
-        return self.process is not None and self.process.poll() is None
-
-    def words(self) -> str:
-        return (self.folder / f"{self.name}.log").read_text()
+
+@contextmanager
+def running_relay(relay: Relay) -> Iterator[None]:
+    """Run a relay in a thread of its own; at the block's end, join it and close its sockets."""
+    thread = threading.Thread(target=relay.run, name="relay", daemon=True)
+    thread.start()
+    try:
+        yield
+    finally:
+        relay.closed = True
+        thread.join()
 
 
 class DispatcherCluster:
-    """`more`: further lines of `[fleet]`, for all. As a context it ends every process that it started."""
-
-    def __init__(self, members: int, seed: int, more: str = "", links: Links | None = None) -> None:
-        self.folder = tempfile.TemporaryDirectory(prefix="stepstream-fleet-")
-        self.relay, self.more = Relay(seed, links), more
-        self.program = ["-m", "stepstream"]
-        self.environment: dict[str, str] = {}  # more of it, for all
-        self.members: dict[str, Dispatcher] = {}
-        number = os.getpid() % 2**14
-        for k in range(members):
-            # A host of its own for each: no port is taken by another's outgoing connection.
-            host = f"127.{64 + (number >> 8)}.{number & 255}.{k + 1}"
-            name = f"n{k}"
-            ports = {what: free_port(host) for what in ("clients", "admin", "fleet")}
-            advertise = self.relay.add(name, host, (host, ports["fleet"]))
-            self.members[name] = Dispatcher(name, host, ports, advertise, Path(self.folder.name))
-        self.seeds = [member.advertise for member in list(self.members.values())[:2]]
-        threading.Thread(target=self.relay.run, name="relay", daemon=True).start()
-
-    def __enter__(self) -> "DispatcherCluster":
-        self.start(self.members)
-        return self
+    """Members n0, n1, ... that run from the context's begin to its end.
 
-    def __exit__(self, *_: object) -> None:
-        for member in self.members.values():
-            if member.running():
-                member.process.send_signal(signal.SIGCONT)
-                member.process.kill()
-            if member.process is not None:
-                member.process.wait()
-                member.log.close()
-        self.relay.closed = True
-        self.folder.cleanup()
-
-    # -- processes ----------------------------------------------------------------------------------------
-
-    def start(self, names: Iterable[str], wait: bool = True) -> None:
-        names = list(names)
-        for name in names:
-            self.spawn(self.members[name])
-        if wait:
-            self.wait_for(
-                lambda: all(self.members[name].fleet() for name in names), START_S, "a start"
-            )
-
-    def files(
-        self, member: Dispatcher, seeds: list[str] | None = None, more: str | None = None
+    `fleet_settings` are further lines of every member's `[fleet]`, and sections after it.
+    `program` may be replaced before the context begins. `folder` and `members` are there from the
+    begin on.
+    """
+
+    folder: Path
+
+    def __init__(
+        self, member_count: int, seed: int, fleet_settings: str = "", links: Links | None = None
     ) -> None:
-        """Writes its configuration and its operator's file."""
-        config = {
-            "name": member.name,
-            "listen": f"{member.host}:{member.ports['clients']}",
-            "discovery": f"{member.host}:9",
-            "operator": member.admin,
-            "settings": member.settings,
-            "known": member.known,
-        }
-        (member.folder / f"{member.name}.json").write_text(ujson.dumps(config))
-        seeds = ujson.dumps(self.seeds if seeds is None else seeds, escape_forward_slashes=False)
-        more = self.more if more is None else more
-        (member.folder / f"{member.name}.toml").write_text(
-            f'[fleet]\nlisten = "{member.host}:{member.ports["fleet"]}"\nadvertise = "{member.advertise}"\n'
-            f'seeds = {seeds}\ncluster = "lab"\nshare_maintenance = true\n{more}\n'
+        self.member_count = member_count
+        self.fleet_settings = fleet_settings
+        self.relay = Relay(seed, links)
+        self.program = MemberProgram()
+        self.members: dict[str, ClusterMember] = {}
+        self.seeds: list[str] = []
+        self._resources = ExitStack()
+
+    def __enter__(self) -> Self:
+        with ExitStack() as stack:  # ends what was begun if a step fails
+            self.acquire_resources(stack)
+            self.start(self.members)
+            self._resources = stack.pop_all()
+        return self
+
+    def __exit__(self, *exception: object) -> None:
+        self._resources.close()
+
+    def acquire_resources(self, stack: ExitStack) -> None:
+        """Make all that the members need before they start; `stack` ends it."""
+        self.folder = Path(
+            stack.enter_context(tempfile.TemporaryDirectory(prefix="stepstream-fleet-"))
         )
+        stack.enter_context(running_relay(self.relay))
+        for index in range(self.member_count):
+            member = self._create_member(f"n{index}", cluster_host(index))
+            self.members[member.name] = stack.enter_context(member)
+        self.seeds = [member.advertised_address for member in self.members.values()][:SEED_MEMBERS]
+
+    def _create_member(self, name: str, host: str) -> ClusterMember:
+        ports = MemberPorts.choose(host)
+        advertised_address = self.relay.add(name, host, (host, ports.membership))
+        return ClusterMember(name, host, ports, advertised_address, self.folder)
+
+    # -- processes --------------------------------------------------------------------------------
+
+    def start(self, names: Iterable[str]) -> None:
+        """Start members and wait until each of them answers.
 
-    def spawn(
-        self, member: Dispatcher, beside: bool = False, clock_s: float = 0.0
-    ) -> subprocess.Popen:
-        """Its process; `beside`: one more on the same addresses, for a hot restart, with $TMPDIR shared.
-        `clock_s`: by how much its time of day is off, the monotonic one is not.
+        Raise DispatcherProcessError if a process ends before that, and ConditionTimeoutError after
+        `START_TIMEOUT_SECONDS`.
         """
-        if not beside:
-            self.files(member)
-        private = member.folder / f"{member.name}.tmp"
-        private.mkdir(exist_ok=True)
-        log = open(member.folder / f"{member.name}.log", "a", encoding="utf-8")
-        operator = str(member.folder / f"{member.name}.toml")
-        environment = {**os.environ, "EDGE_CONFIG": str(member.folder / f"{member.name}.json")}
-        program = ["-c", OFF.format(int(clock_s * 1e9))] if clock_s else self.program
-        made = subprocess.Popen(
-            [sys.executable, *program, "serve", "--operator", operator],
-            env={**environment, **self.environment, "TMPDIR": str(private)},
-            stderr=log,
+        members = [self.members[name] for name in names]
+        for member in members:
+            self.spawn(member)
+        self.wait_for(lambda: all_ready(members), START_TIMEOUT_SECONDS, "a start")
+
+    def spawn(self, member: ClusterMember) -> subprocess.Popen[bytes]:
+        """Write a member's files and start its process, without waiting until it answers."""
+        self.write_files(member)
+        return member.spawn_program(self.program)
+
+    def spawn_with_shifted_clock(self, member: ClusterMember, offset_seconds: float) -> None:
+        """Start a member whose time of day is off, and whose monotonic clock is not."""
+        self.write_files(member)
+        module = "stepstream.lab.processes.shifted_clock"
+        arguments = ("-m", module, str(offset_seconds), "stepstream")
+        member.spawn_program(MemberProgram(arguments, self.program.environment))
+
+    def write_files(
+        self,
+        member: ClusterMember,
+        seeds: list[str] | None = None,
+        fleet_settings: str | None = None,
+    ) -> None:
+        """Write a member's configuration and operator's file, with the cluster's values or these.
+
+        The next start or reload reads them.
+        """
+        configuration: NodeConfiguration = {
+            "name": member.name,
+            "listen": f"{member.host}:{member.ports.http}",
+            "discovery": f"{member.host}:{DISCOVERY_PORT}",
+            "operator": member.admin_address,
+            "settings": SETTINGS,
+            "known": member.persisted_endpoints,
+        }
+        further_lines = self.fleet_settings if fleet_settings is None else fleet_settings
+        section = FleetSection(
+            listen=f"{member.host}:{member.ports.membership}",
+            seeds=self.seeds if seeds is None else seeds,
+            cluster=CLUSTER_NAME,
+            advertise=member.advertised_address,
+            further_lines=f"share_maintenance = true\n{further_lines}",
         )
-        member.process, member.log = made, log
-        return made
+        member.write_files(configuration, section.render())
 
     def kill(self, name: str) -> None:
-        member = self.members[name]
-        member.process.kill()
-        member.process.wait()
+        """Kill a member's process and wait for its end."""
+        self.members[name].kill()
 
     def stop(self, name: str) -> int:
-        """SIGTERM, and its exit code."""
-        member = self.members[name]
-        member.process.send_signal(signal.SIGTERM)
-        return member.process.wait(START_S)
+        """Stop a member gracefully and return its exit code."""
+        return self.members[name].stop()
 
-    def freeze(self, name: str) -> None:
-        self.members[name].process.send_signal(signal.SIGSTOP)
+    def suspend(self, name: str) -> None:
+        """Suspend a member's process."""
+        self.members[name].suspend()
 
-    def thaw(self, name: str) -> None:
-        self.members[name].process.send_signal(signal.SIGCONT)
+    def resume(self, name: str) -> None:
+        """Resume a member's process."""
+        self.members[name].resume()
 
-    # -- links --------------------------------------------------------------------------------------------
+    # -- links ------------------------------------------------------------------------------------
 
-    def cut(self, one: Iterable[str], other: Iterable[str], both: bool = True) -> None:
+    def cut(self, senders: Iterable[str], receivers: Iterable[str], *, both: bool = True) -> None:
+        """Cut the links from each sender to each receiver, and back if `both`."""
         with self.relay.lock:
-            self.relay.links.cut(one, other, both)
+            self.relay.links.cut(senders, receivers, both)
 
     def heal(self) -> None:
+        """Restore all links that were cut."""
         with self.relay.lock:
             self.relay.links.heal()
 
-    # -- what is seen -------------------------------------------------------------------------------------
+    # -- what the members answer ------------------------------------------------------------------
+
+    def wait_for(
+        self, condition: Callable[[], object], timeout_seconds: float, description: str
+    ) -> float:
+        """Wait until a condition holds and return how many seconds that took.
 
-    def wait_for(self, seen: Callable[[], object], seconds: float, what: str) -> float:
-        """How long it took; AssertionError with every view if it has not come by then."""
-        begun = time.monotonic()
-        while not seen():
-            if time.monotonic() - begun > seconds:
-                views = {
-                    name: member.states()
+        Raise ConditionTimeoutError, with the running members' lists, if it does not hold in time.
+        """
+        begun_at_seconds = time.monotonic()
+        while not condition():
+            if time.monotonic() - begun_at_seconds > timeout_seconds:
+                states = {
+                    name: member.member_states()
                     for name, member in self.members.items()
-                    if member.running()
+                    if member.is_running()
                 }
-                raise AssertionError(f"{what} did not come in {seconds} s: {views}")
-            time.sleep(LOOK_S)
-        return time.monotonic() - begun
-
-    def agreed(self, names: Iterable[str]) -> bool:
-        """These members are settled on one view in which just these are alive."""
-        names, digests = set(names), set()
+                text = f"{description} did not come in {timeout_seconds} s: {states}"
+                raise ConditionTimeoutError(text)
+            time.sleep(POLL_INTERVAL_SECONDS)
+        return time.monotonic() - begun_at_seconds
+
+    def has_converged(self, names: Iterable[str]) -> bool:
+        """Return whether these members share one settled list that has just them alive."""
+        expected = set(names)
+        lists = self._settled_lists(expected)
+        return bool(lists) and all(alive_names(found) == expected for found in lists)
+
+    def has_converged_among(self, names: Iterable[str]) -> bool:
+        """Return whether these members share one settled list that has them, and maybe others."""
+        expected = set(names)
+        lists = self._settled_lists(expected)
+        return bool(lists) and all(expected <= alive_names(found) for found in lists)
+
+    def _settled_lists(self, names: Iterable[str]) -> list[MembershipList]:
+        """Return these members' lists; none if one is missing or unsettled, or two differ."""
+        lists: list[MembershipList] = []
         for name in names:
-            told = self.members[name].fleet()
-            if told is None or not told["settled"]:
-                return False
-            if {row["name"] for row in told["members"] if row["state"] == "alive"} != names:
-                return False
-            digests.add(told["digest"])
-        return len(digests) == 1
-
-    def agreed_among(self, names: Iterable[str]) -> bool:
-        """These are settled on one view in which they are all alive, whoever else is not."""
-        told = [self.members[name].fleet() for name in names]
-        if not all(view is not None and view["settled"] for view in told):
-            return False
-        alive = [
-            {row["name"] for row in view["members"] if row["state"] == "alive"} for view in told
-        ]
-        return len({view["digest"] for view in told}) == 1 and set(names) <= set.intersection(
-            *alive
+            found = self.members[name].membership_list()
+            if found is None or not found["settled"]:
+                return []
+            lists.append(found)
+        if len({found["digest"] for found in lists}) != 1:
+            return []
+        return lists
+
+    def all_observe(self, observers: Iterable[str], name: str, state: str) -> bool:
+        """Return whether each of these members has `name` in this state."""
+        return all(
+            self.members[observer].member_states().get(name) == state for observer in observers
         )
 
-    def held(self, by: Iterable[str], name: str, state: str) -> bool:
-        return all(self.members[one].states().get(name) == state for one in by)
-
-
-def free_port(host: str) -> int:
-    """For TCP and UDP alike."""
-    while True:
-        with (
-            socket.create_server((host, 0)) as probe,
-            socket.socket(type=socket.SOCK_DGRAM) as other,
-        ):
-            port = probe.getsockname()[1]
-            try:
-                other.bind((host, port))
-            except OSError:
-                continue
-            return port
+
+def all_ready(members: Sequence[ClusterMember]) -> bool:
+    """Return whether each member answers; raise DispatcherProcessError if a process has ended."""
+    for member in members:
+        member.require_running()
+    return all(member.membership_list() is not None for member in members)
+
+
+def alive_names(membership_list: MembershipList) -> set[str]:
+    """Return the names of the members that a list has alive."""
+    return {row["name"] for row in membership_list["members"] if row["state"] == "alive"}
--- a/stepstream/lab/processes/load_test.py
+++ b/stepstream/lab/processes/load_test.py
@@ -1,68 +1,55 @@
-"""Test harness of a lab run on loopback: worker nodes, discovery, clients and the real dispatcher.
+"""Load test on loopback: emulated workers, discovery, clients and the real dispatcher.
 
-`LoadTest` starts emulated worker nodes and a discovery service in this process, the dispatcher in a
+`LoadTest` starts emulated workers and a discovery service in this process, the dispatcher in a
 process of its own, plays the request and fault schedules of a `Scenario`, and measures what the
 dispatcher used. It owns the child process, its log and a temporary folder; all of its state
-belongs to the event loop thread that calls `start`.
+belongs to the event loop's thread.
 """
 
 import asyncio
 import contextlib
-import os
-import signal
-import socket
-import sys
 import tempfile
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any, TextIO
-
-import ujson
+from typing import Any, Self
 
 from stepstream.lab.emulator.discovery import DiscoveryEmulator
 from stepstream.lab.emulator.worker_drivers import Clock, GearmanWorker, HttpWorker
 from stepstream.lab.emulator.worker_model import WorkerModel
 from stepstream.lab.load.clients import Clients
 from stepstream.lab.load.site import Fault, Scenario, WireProtocol, settings_of
+from stepstream.lab.processes.addresses import Address, free_port, load_test_host
+from stepstream.lab.processes.configuration_files import NodeConfiguration, render_gearman_section
+from stepstream.lab.processes.dispatcher_process import (
+    STEPSTREAM_PROGRAM,
+    DispatcherProcess,
+    DispatcherProcessError,
+)
+from stepstream.lab.processes.process_cost import Cost, read_cost
 from stepstream.lab.verification.verifier import Figures, Verifier
 
-START_S = 20.0  # limit for the dispatcher's start, and for its shutdown
-PATIENCE_S = 0.02  # between two attempts to connect to a dispatcher that starts
-DRAIN_STEP_S = 0.05  # between two looks at a draining node
-DRAIN_MARGIN_S = 0.2  # beyond the site's drain grace
-PROGRESS_STEP_S = 0.5  # between two progress reports
-LOG_TAIL_CHARACTERS = 2000
+START_TIMEOUT_SECONDS = 20.0
+SHUTDOWN_TIMEOUT_SECONDS = 20.0
+POLL_INTERVAL_SECONDS = 0.02  # until a dispatcher accepts connections, or has ended
+DRAIN_POLL_INTERVAL_SECONDS = 0.05
+DRAIN_MARGIN_SECONDS = 0.2  # beyond the site's drain grace
+PROGRESS_INTERVAL_SECONDS = 0.5
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}  # of the dispatcher's process
-LOOPBACK_NUMBERS = 2**16  # addresses in 127.77.0.0/16
+DISCOVERY_HOST = "127.0.0.1"
 US_PER_SECOND = 1e6
 MS_PER_SECOND = 1000
-BYTES_PER_MB = 1e6
-# Fields of /proc/PID/stat, counted from the state (field 3 in proc(5)), which follows the name.
-STAT_USER_TICKS = 11
-STAT_SYSTEM_TICKS = 12
-STAT_RESIDENT_PAGES = 21
-OPERATOR = """[gearman]
-listen = "{host}:{port}"
-tenant = "{tenant}"
-"""
 
-EmulatedNode = HttpWorker | GearmanWorker
+EmulatedWorker = HttpWorker | GearmanWorker
+EndpointEntry = dict[str, Any]
+"""A worker in the form of the discovery service's JSON."""
 
 
 class LoadTestError(RuntimeError):
     """The dispatcher's process did not start, or is not there."""
 
 
-@dataclass(slots=True)
-class Cost:
-    """What the dispatcher's process used: CPU in seconds, resident memory in megabytes."""
-
-    cpu_s: float = 0.0
-    rss_mb: float = 0.0
-
-
 @dataclass(slots=True)
 class Result:
     """Outcome of a run."""
@@ -72,178 +59,177 @@
     late_ms: float  # the longest delay by which the lab itself sent a request late
 
 
-def own_host() -> str:
-    """Return a loopback address that no other process of the lab uses.
-
-    Connections leave from 127.0.0.1, so none of them takes a port of this address between the
-    choice of the port and its use.
-    """
-    number = os.getpid() % LOOPBACK_NUMBERS
-    return f"127.77.{number >> 8}.{number & 255}"
-
-
-def free_port(host: str) -> int:
-    """Return a TCP port that is free on `host` at this moment."""
-    with socket.create_server((host, 0)) as probe:
-        port: int = probe.getsockname()[1]
-        return port
-
-
 @dataclass(eq=False)
 class LoadTest:
-    """A dispatcher process with the emulated fleet, discovery and clients around it.
+    """A dispatcher process with emulated workers, discovery and clients around it.
 
-    Call `start`, then `play` once, and `stop` in any case. `with_gearman` says whether the
-    dispatcher gets an operator file with a Gearman listener; without it, it runs as on the
-    platform.
+    As an asynchronous context manager it starts and ends all of them; `play` may be called once
+    meanwhile. `with_gearman` says whether the dispatcher gets an operator's file with a Gearman
+    listener; without it, it runs as on the platform.
     """
 
-    day: Scenario
+    scenario: Scenario
     seed: int  # of the dispatcher
     with_gearman: bool = True
     clock: Clock = field(default_factory=Clock)
-    nodes: list[EmulatedNode] = field(default_factory=list)
-    process: asyncio.subprocess.Process | None = None  # the dispatcher, once started
-    log: TextIO | None = None  # the dispatcher's standard error
+    workers: list[EmulatedWorker] = field(default_factory=list)
+    dispatchers: list[DispatcherProcess] = field(default_factory=list)  # once started
+    program: Sequence[str] = STEPSTREAM_PROGRAM  # that each dispatcher's process runs
 
     def __post_init__(self) -> None:
-        self.verifier = Verifier(self.day)
-        self.catalogue = DiscoveryEmulator(self.clock, self.verifier)
-        self.host = own_host()
-        self.http = (self.host, free_port(self.host))
-        self.gearman = (self.host, free_port(self.host))
-        self.folder = tempfile.TemporaryDirectory(prefix="stepstream-lab-")
+        self.verifier = Verifier(self.scenario)
+        self.host = load_test_host()
+        self.http_addresses = [(self.host, free_port(self.host))]  # one a dispatcher
+        self.gearman_address = (self.host, free_port(self.host))
+        self.discovery = [DiscoveryEmulator(self.clock, self.verifier)]  # one a dispatcher
+        self.temporary_folder = tempfile.TemporaryDirectory(prefix="stepstream-lab-")
+        self.folder = Path(self.temporary_folder.name)
         self.fault_tasks: list[asyncio.Task[None]] = []
 
-    # -- start and stop -----------------------------------------------------------------------
+    async def __aenter__(self) -> Self:
+        await self.start()
+        return self
+
+    async def __aexit__(self, *exception: object) -> None:
+        await self.stop()
+
+    # -- start and stop ---------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Start discovery, HTTP nodes, dispatcher and Gearman workers, in this order.
+        """Start discovery, HTTP workers, dispatchers and Gearman workers, in this order.
 
-        Raises RigError with the end of the dispatcher's log if it does not listen in time.
+        Raise LoadTestError with the end of the log if a dispatcher does not listen in time; nothing
+        runs after that.
         """
-        discovery_port = await self.catalogue.begin()
-        self.nodes = [self.node(index) for index in range(len(self.day.specs))]
-        for node in self.nodes:
-            if isinstance(node, HttpWorker):
-                await node.begin()
-                await self.catalogue.put(self.row(node, "ready"))
-        await self.start_dispatcher(discovery_port)
-        for node in self.nodes:
-            if isinstance(node, GearmanWorker):
-                await node.begin()
-
-    def node(self, index: int) -> EmulatedNode:
-        """Build the emulated node with this index; it does not run yet."""
-        seeds = self.day.streams["nodes"].spawn(1)
-        model = WorkerModel(self.day.specs[index], seeds[0], self.clock.now_us())
-        if self.day.speeches[index] is WireProtocol.HTTP:
-            return HttpWorker(
-                model, self.clock, self.verifier, host=self.host, dispatcher=self.http
-            )
-        names = tuple(job_class.name for job_class in self.day.site.job)
+        try:
+            await self._start_all()
+        except BaseException:
+            await self.stop()
+            raise
+
+    async def _start_all(self) -> None:
+        discovery_ports = [await discovery.begin() for discovery in self.discovery]
+        self.workers = [self.create_worker(index) for index in range(len(self.scenario.specs))]
+        for worker in self.workers:
+            if isinstance(worker, HttpWorker):
+                await worker.begin()
+                await self.publish(worker, "ready")
+        for index, discovery_port in enumerate(discovery_ports):
+            self.start_dispatcher(index, f"{DISCOVERY_HOST}:{discovery_port}")
+        await self.wait_for_ready()
+        for worker in self.workers:
+            if isinstance(worker, GearmanWorker):
+                await worker.begin()
+
+    def create_worker(self, index: int) -> EmulatedWorker:
+        """Build the emulated worker with this index; it does not run yet."""
+        seeds = self.scenario.streams["nodes"].spawn(1)
+        model = WorkerModel(self.scenario.specs[index], seeds[0], self.clock.now_us())
+        if self.scenario.speeches[index] is WireProtocol.HTTP:
+            return self.create_http_worker(model)
+        names = tuple(job_class.name for job_class in self.scenario.site.job)
         return GearmanWorker(
-            model, self.clock, self.verifier, address=self.gearman, functions=names
+            model, self.clock, self.verifier, address=self.gearman_address, functions=names
+        )
+
+    def create_http_worker(self, model: WorkerModel) -> HttpWorker:
+        """Build an HTTP worker with this model."""
+        return HttpWorker(
+            model, self.clock, self.verifier, host=self.host, dispatcher=self.http_addresses[0]
         )
 
-    def row(self, node: HttpWorker, state: str) -> dict[str, Any]:
-        """Return the node's entry in discovery's endpoint list, with the platform's keys."""
-        spec = node.model.spec
+    def endpoint_entry(self, worker: HttpWorker, state: str, port: int) -> EndpointEntry:
+        """Return the worker's entry in discovery's endpoint list, with the platform's keys."""
+        spec = worker.model.spec
         return {
             "id": spec.name,
-            "addr": f"{self.host}:{node.port}",
+            "addr": f"{self.host}:{port}",
             "zone": spec.zone,
             "kind": spec.kind,
             "cell": spec.cell,
             "state": state,
             "weight": spec.weight,
-            "started_ms": node.model.started_us // 1000,
+            "started_ms": worker.model.started_us // 1000,
         }
 
-    async def start_dispatcher(self, discovery_port: int) -> None:
-        """Start `stepstream serve` in a process of its own and wait until it listens."""
-        folder = Path(self.folder.name)
-        config = {
-            "name": "lab",
-            "listen": f"{self.http[0]}:{self.http[1]}",
-            "discovery": f"127.0.0.1:{discovery_port}",
+    async def publish(self, worker: HttpWorker, state: str) -> None:
+        """Change the worker's state in discovery at once."""
+        await self.discovery[0].put(self.endpoint_entry(worker, state, worker.port))
+
+    def start_dispatcher(self, index: int, discovery_address: str) -> None:
+        """Write a dispatcher's files and start its process, without waiting until it listens."""
+        dispatcher = DispatcherProcess(self.dispatcher_name(index), self.folder)
+        self.dispatchers.append(dispatcher)
+        configuration = self.node_configuration(index, discovery_address)
+        dispatcher.write_files(configuration, self.operator_text(index))
+        dispatcher.spawn(self.program)
+
+    def dispatcher_name(self, index: int) -> str:  # noqa: ARG002  there is one
+        """Return the name of a dispatcher."""
+        return "lab"
+
+    def node_configuration(self, index: int, discovery_address: str) -> NodeConfiguration:
+        """Return the content of a dispatcher's configuration file."""
+        host, port = self.http_addresses[index]
+        return {
+            "name": self.dispatcher_name(index),
+            "listen": f"{host}:{port}",
+            "discovery": discovery_address,
             "seed": f"{self.seed:x}",
             "limits": LIMITS,
-            "settings": settings_of(self.day),
+            "settings": settings_of(self.scenario),
         }
-        (folder / "config.json").write_text(ujson.dumps(config))
-        arguments = [sys.executable, "-m", "stepstream", "serve"]
-        if self.with_gearman:
-            text = OPERATOR.format(
-                host=self.host, port=self.gearman[1], tenant=self.day.site.tenant[0].name
-            )
-            (folder / "operator.toml").write_text(text)
-            arguments += ["--operator", str(folder / "operator.toml")]
-        self.log = open(  # noqa: SIM115  `stop` closes it after the process
-            folder / "log.txt", "w+", encoding="utf-8"
-        )
-        self.process = await asyncio.create_subprocess_exec(
-            *arguments,
-            env={**os.environ, "EDGE_CONFIG": str(folder / "config.json")},
-            stderr=self.log,
-        )
-        await self.wait_for_ready()
+
+    def operator_text(self, index: int) -> str | None:  # noqa: ARG002  there is one dispatcher
+        """Return the content of a dispatcher's operator's file; None if it gets no such file."""
+        if not self.with_gearman:
+            return None
+        host, port = self.gearman_address
+        return render_gearman_section(f"{host}:{port}", self.scenario.site.tenant[0].name)
 
     async def wait_for_ready(self) -> None:
-        """Wait until the dispatcher accepts connections on each of its listeners.
+        """Wait until each dispatcher accepts connections on all of its listeners.
 
-        Raises RigError if its process ends, or after `START_S`.
+        Raise LoadTestError if a process ends, or after `START_TIMEOUT_SECONDS`.
         """
-        deadline_s = time.monotonic() + START_S
-        addresses = [self.http]
+        deadline_seconds = time.monotonic() + START_TIMEOUT_SECONDS
+        for dispatcher, address in zip(self.dispatchers, self.http_addresses, strict=True):
+            await wait_for_listener(dispatcher, address, deadline_seconds)
         if self.with_gearman:
-            addresses.append(self.gearman)
-        for address in addresses:
-            while True:
-                has_ended = self.dispatcher().returncode is not None
-                if has_ended or time.monotonic() > deadline_s:
-                    raise LoadTestError(f"the dispatcher did not start: {self.log_tail()}")
-                with contextlib.suppress(OSError):
-                    _, writer = await asyncio.open_connection(*address)
-                    writer.close()
-                    break
-                await asyncio.sleep(PATIENCE_S)
-
-    def dispatcher(self) -> asyncio.subprocess.Process:
-        """Return the dispatcher's process; RigError if `start` has not started it."""
-        if self.process is None:
-            raise LoadTestError("the dispatcher's process is not started: call Rig.start first")
-        return self.process
-
-    def log_tail(self) -> str:
-        """Return the end of the dispatcher's log."""
-        if self.log is None:
-            return ""
-        self.log.flush()
-        self.log.seek(0)
-        return self.log.read()[-LOG_TAIL_CHARACTERS:].strip()
+            await wait_for_listener(self.dispatcher(), self.gearman_address, deadline_seconds)
 
-    async def stop(self) -> None:
-        """Stop faults, nodes and dispatcher, and remove the temporary folder.
+    def dispatcher(self) -> DispatcherProcess:
+        """Return the first dispatcher; raise LoadTestError if `start` has not started it."""
+        if not self.dispatchers:
+            raise LoadTestError("the dispatcher's process is not started: call LoadTest.start")
+        return self.dispatchers[0]
 
-        The dispatcher gets SIGTERM and, if it has not ended after `START_S`, SIGKILL.
-        """
+    async def stop(self) -> None:
+        """Stop faults, workers, dispatchers and discovery, and remove the temporary folder."""
         for task in self.fault_tasks:
             task.cancel()
-        for node in self.nodes:
-            node.stop()
-        if self.process is not None and self.process.returncode is None:
-            self.process.send_signal(signal.SIGTERM)
-            try:
-                await asyncio.wait_for(self.process.wait(), START_S)
-            except TimeoutError:
-                self.process.kill()
-                await self.process.wait()
-        if self.log is not None:
-            self.log.close()
-        self.folder.cleanup()
-
-    # -- run ----------------------------------------------------------------------------------
+        for worker in self.workers:
+            worker.stop()
+        with contextlib.ExitStack() as stack:
+            stack.callback(self.temporary_folder.cleanup)
+            for dispatcher in self.dispatchers:
+                stack.enter_context(dispatcher)  # kills the process if it still runs
+            await self.shut_down_dispatchers()
+        for worker in self.workers:
+            close_sockets(worker)
+        for discovery in self.discovery:
+            if discovery.server is not None:
+                discovery.server.close()
+
+    async def shut_down_dispatchers(self) -> None:
+        """Stop the dispatchers with SIGTERM; wait for `SHUTDOWN_TIMEOUT_SECONDS` at most."""
+        for dispatcher in self.dispatchers:
+            if dispatcher.is_running():
+                dispatcher.terminate()
+                with contextlib.suppress(TimeoutError):
+                    await asyncio.wait_for(wait_for_exit(dispatcher), SHUTDOWN_TIMEOUT_SECONDS)
+
+    # -- run --------------------------------------------------------------------------------------
 
     async def play(self, on_progress: Callable[[Clients], None] | None = None) -> Result:
         """Play the request schedule with its faults and return the outcome.
@@ -251,14 +237,20 @@
         `on_progress` is called twice a second. An end of the dispatcher before that of the
         schedule is a breach in the result; an error of the lab's own is raised.
         """
-        clients = Clients(self.day, self.clock, self.verifier, self.http, self.gearman)
+        clients = Clients(
+            self.scenario,
+            self.clock,
+            self.verifier,
+            self.http_addresses[0],
+            self.gearman_address,
+        )
         before = self.cost()
-        self.fault_tasks = [asyncio.ensure_future(self.fault(fault)) for fault in self.day.faults]
+        self.schedule_faults()
         reporting = None
         if on_progress:
             reporting = asyncio.ensure_future(self.report_progress(clients, on_progress))
         run = asyncio.ensure_future(clients.run())
-        ended = asyncio.ensure_future(self.dispatcher().wait())
+        ended = asyncio.ensure_future(wait_for_exit(self.dispatcher()))
         try:
             await asyncio.wait((run, ended), return_when=asyncio.FIRST_COMPLETED)
         finally:
@@ -268,7 +260,8 @@
         if run.done():
             run.result()  # raises an error of the lab's own, which is not the dispatcher's
         else:
-            self.verifier.breach(self.clock.now_us(), f"the dispatcher ended: {self.log_tail()}")
+            text = f"the dispatcher ended: {self.dispatcher().log_tail()}"
+            self.verifier.breach(self.clock.now_us(), text)
         after = self.cost()
         cost = Cost(after.cpu_s - before.cpu_s, after.rss_mb)
         return Result(self.verifier.figures(), cost, clients.late_us / 1000)
@@ -276,86 +269,124 @@
     async def report_progress(
         self, clients: Clients, on_progress: Callable[[Clients], None]
     ) -> None:
-        """Call `on_progress` every `PROGRESS_STEP_S` until cancelled."""
+        """Call `on_progress` every `PROGRESS_INTERVAL_SECONDS` until cancelled."""
         while True:
             on_progress(clients)
-            await asyncio.sleep(PROGRESS_STEP_S)
+            await asyncio.sleep(PROGRESS_INTERVAL_SECONDS)
 
     def cost(self) -> Cost:
-        """Return what the dispatcher's process used so far, by proc(5); zeros if it has gone."""
-        try:
-            stat = Path(f"/proc/{self.dispatcher().pid}/stat").read_text()
-        except OSError:
-            return Cost()
-        values = stat.rpartition(")")[2].split()  # the name before it may hold spaces
-        ticks = int(values[STAT_USER_TICKS]) + int(values[STAT_SYSTEM_TICKS])
-        resident_bytes = int(values[STAT_RESIDENT_PAGES]) * os.sysconf("SC_PAGE_SIZE")
-        return Cost(ticks / os.sysconf("SC_CLK_TCK"), resident_bytes / BYTES_PER_MB)
-
-    # -- faults -------------------------------------------------------------------------------
-
-    async def fault(self, fault: Fault) -> None:
-        """Wait for the fault's time and inject it into each of its nodes."""
+        """Return what the dispatcher's process used so far; zeros if it has gone."""
+        return read_cost(self.dispatcher().started_process().pid)
+
+    # -- faults -----------------------------------------------------------------------------------
+
+    def schedule_faults(self) -> None:
+        """Start a task for each fault of the scenario; `stop` ends them."""
+        self.fault_tasks = [
+            asyncio.ensure_future(self.apply_fault(fault)) for fault in self.scenario.faults
+        ]
+
+    async def apply_fault(self, fault: Fault) -> None:
+        """Wait for the fault's time and inject it into each of its workers."""
         await asyncio.sleep(fault.at_us / US_PER_SECOND)
-        await asyncio.gather(*(self.inject(fault, self.nodes[index]) for index in fault.nodes))
+        await asyncio.gather(*(self.inject(fault, self.workers[index]) for index in fault.nodes))
 
-    async def inject(self, fault: Fault, node: EmulatedNode) -> None:
-        """Put one node at fault, and back in order when the fault's time is over."""
-        duration_s = (fault.end_us - fault.at_us) / US_PER_SECOND
+    async def inject(self, fault: Fault, worker: EmulatedWorker) -> None:
+        """Put one worker at fault, and back in order when the fault's time is over."""
+        duration_seconds = (fault.end_us - fault.at_us) / US_PER_SECOND
         match fault.kind:
             case "slow":
                 # Work done so far counts at the speed that it was done with.
-                node.model.advance(self.clock.now_us())
-                node.model.slow = fault.size
-                await asyncio.sleep(duration_s)
-                node.model.advance(self.clock.now_us())
-                node.model.slow = 1.0
-                node.stirred.set()
+                worker.model.advance(self.clock.now_us())
+                worker.model.slow = fault.size
+                await asyncio.sleep(duration_seconds)
+                worker.model.advance(self.clock.now_us())
+                worker.model.slow = 1.0
+                worker.stirred.set()
             case "errors":
-                node.model.fails = fault.size
-                await asyncio.sleep(duration_s)
-                node.model.fails = 0.0
+                worker.model.fails = fault.size
+                await asyncio.sleep(duration_seconds)
+                worker.model.fails = 0.0
             case "crash":
-                node.crash()
-                await self.announce(node, "gone")
-                await asyncio.sleep(duration_s)
-                await self.bring_back(node)
+                worker.crash()
+                await self.announce(worker, "gone")
+                await asyncio.sleep(duration_seconds)
+                await self.bring_back(worker)
             case "drain":
-                await self.drain(node)
-                await asyncio.sleep(duration_s)
-                await self.bring_back(node)
-
-    async def drain(self, node: EmulatedNode) -> None:
-        """Announce that the node drains, let it finish its work, then end its process."""
-        if isinstance(node, GearmanWorker):
-            node.drain()
+                await self.drain(worker)
+                await asyncio.sleep(duration_seconds)
+                await self.bring_back(worker)
+
+    async def drain(self, worker: EmulatedWorker) -> None:
+        """Announce that the worker drains, let it finish its work, then end its process."""
+        if isinstance(worker, GearmanWorker):
+            worker.drain()
         else:
-            await self.announce(node, "draining")
-        await self.wait_until_idle(node)
+            await self.announce(worker, "draining")
+        await self.wait_until_idle(worker)
         # Jobs may still be sent within the drain grace: the process waits that long.
-        await asyncio.sleep(self.day.site.drain_grace_ms / MS_PER_SECOND + DRAIN_MARGIN_S)
-        await self.wait_until_idle(node)
-        node.crash()
-        await self.announce(node, "gone")
+        grace_seconds = self.scenario.site.drain_grace_ms / MS_PER_SECOND
+        await asyncio.sleep(grace_seconds + DRAIN_MARGIN_SECONDS)
+        await self.wait_until_idle(worker)
+        worker.crash()
+        await self.announce(worker, "gone")
+
+    async def wait_until_idle(self, worker: EmulatedWorker) -> None:
+        """Wait until the worker has neither running nor waiting jobs."""
+        while worker.model.running or worker.model.waiting:
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_SECONDS)
+
+    async def bring_back(self, worker: EmulatedWorker) -> None:
+        """Start the worker's process anew and announce it."""
+        await worker.restart()
+        self.verifier.ready_again(worker.name)
+        await self.announce(worker, "ready")
+
+    async def announce(self, worker: EmulatedWorker, state: str) -> None:
+        """Change the worker's state in discovery, with the site's delay.
 
-    async def wait_until_idle(self, node: EmulatedNode) -> None:
-        """Wait until the node has neither running nor waiting jobs."""
-        while node.model.running or node.model.waiting:
-            await asyncio.sleep(DRAIN_STEP_S)
+        Discovery does not list Gearman workers: their connection says that they are there.
+        """
+        if isinstance(worker, HttpWorker):
+            delays_ms = self.scenario.site.notice_ms
+            delay_ms = self.scenario.streams["discovery"].uniform(*delays_ms)
+            await asyncio.sleep(delay_ms / MS_PER_SECOND)
+            await self.publish(worker, state)
 
-    async def bring_back(self, node: EmulatedNode) -> None:
-        """Start the node's process anew and announce it."""
-        await node.restart()
-        self.verifier.ready_again(node.name)
-        await self.announce(node, "ready")
 
-    async def announce(self, node: EmulatedNode, state: str) -> None:
-        """Change the node's state in discovery, with the site's delay.
+async def wait_for_listener(
+    dispatcher: DispatcherProcess, address: Address, deadline_seconds: float
+) -> None:
+    """Wait until a dispatcher accepts connections at an address.
 
-        Discovery does not list Gearman workers: their connection says that they are there.
-        """
-        if isinstance(node, HttpWorker):
-            row = self.row(node, state)
-            notice_ms = self.day.streams["discovery"].uniform(*self.day.site.notice_ms)
-            await asyncio.sleep(notice_ms / MS_PER_SECOND)
-            await self.catalogue.put(row)
+    Raise LoadTestError if its process ends, or at this monotonic time.
+    """
+    while True:
+        try:
+            dispatcher.require_running()
+        except DispatcherProcessError as error:
+            raise LoadTestError(f"the dispatcher did not start: {error}") from error
+        if time.monotonic() > deadline_seconds:
+            raise LoadTestError(f"the dispatcher did not start: {dispatcher.log_tail()}")
+        with contextlib.suppress(OSError):
+            _, writer = await asyncio.open_connection(*address)
+            writer.close()
+            return
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
+
+
+async def wait_for_exit(dispatcher: DispatcherProcess) -> None:
+    """Wait until a dispatcher's process has ended."""
+    while dispatcher.is_running():
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
+
+
+def close_sockets(worker: EmulatedWorker) -> None:
+    """Close an emulated worker's listener and connections."""
+    if isinstance(worker, HttpWorker):
+        if worker.server is not None:
+            worker.server.close()
+        for peer in list(worker.peers):
+            peer.close()
+    elif worker.writer is not None:
+        worker.writer.close()
--- /dev/null
+++ b/stepstream/lab/processes/multi_listener_worker.py
@@ -0,0 +1,106 @@
+"""Emulate a worker that several dispatchers share, each of them by a listener of its own.
+
+The listener that a job came by says which dispatcher gets the job's notifications. A worker
+belongs to the event loop that starts it.
+"""
+
+import asyncio
+import contextlib
+from dataclasses import dataclass, field
+from functools import partial
+
+import ujson
+
+from stepstream.http.codec import write_request
+from stepstream.lab.emulator.worker_drivers import (
+    NOTIFICATION_ATTEMPTS,
+    NOTIFICATION_BACKOFF_SECONDS,
+    HttpWorker,
+    read_answer,
+)
+from stepstream.lab.emulator.worker_model import OfferResult, Task, TaskEvent
+from stepstream.lab.processes.addresses import Address
+
+Notification = dict[str, object]
+"""A job notification in the platform's form."""
+
+
+@dataclass(eq=False)
+class MultiListenerWorker(HttpWorker):
+    """A worker with a listener for each of `dispatchers`, in their order.
+
+    A task's `handle` holds the number of its dispatcher in one byte.
+    """
+
+    dispatchers: list[Address] = field(default_factory=list)
+    ports: list[int] = field(default_factory=list)  # of the listeners; 0 before the first start
+    listeners: list[asyncio.Server] = field(default_factory=list)
+    queues: list[asyncio.Queue[Notification]] = field(default_factory=list)  # one a dispatcher
+
+    async def begin(self) -> None:
+        """Open the listeners; start to play the model and to deliver notifications."""
+        self.ports = [0] * len(self.dispatchers)
+        self.queues = [asyncio.Queue() for _ in self.dispatchers]
+        await self.open_door()
+        self.spawn(self.live())
+        for index in range(len(self.dispatchers)):
+            self.spawn(self.deliver_notifications_to(index))
+
+    async def open_door(self) -> None:
+        """Open the listeners, after a restart on the same ports."""
+        self.listeners = [
+            await asyncio.start_server(partial(self.serve, door=index), self.host, port)
+            for index, port in enumerate(self.ports)
+        ]
+        self.ports = [listener.sockets[0].getsockname()[1] for listener in self.listeners]
+
+    def offer(self, name: str, body: bytes, handle: bytes = b"") -> tuple[OfferResult, Task]:  # noqa: ARG002  the listener's number is the handle
+        """Offer a received job to the model, with the number of the listener it came by."""
+        return super().offer(name, body, bytes([self.door]))
+
+    def say(self, happening: TaskEvent) -> None:
+        """Queue a job notification for the dispatcher that sent the job."""
+        super().say(happening)
+        self.notify(happening.task, self.news.get_nowait())
+
+    def notify(self, task: Task, notification: Notification) -> None:
+        """Queue a notification for the dispatcher that sent the task."""
+        dispatcher_index = task.about.handle[0]
+        self.queues[dispatcher_index].put_nowait(notification)
+
+    async def deliver_notifications_to(self, dispatcher_index: int) -> None:
+        """Send each notification until it is answered, in order, on a connection of its own.
+
+        After `NOTIFICATION_ATTEMPTS` failures a notification is dropped.
+        """
+        while True:
+            notification = ujson.dumps(await self.queues[dispatcher_index].get()).encode()
+            headers = {"Host": "d", "Connection": "close"}
+            data = write_request("POST", "/_jobs/news", headers, notification)
+            for _ in range(NOTIFICATION_ATTEMPTS):
+                with contextlib.suppress(OSError, EOFError):
+                    address = self.dispatchers[dispatcher_index]
+                    reader, writer = await asyncio.open_connection(*address)
+                    writer.write(data)
+                    await read_answer(reader)
+                    writer.close()
+                    break
+                await asyncio.sleep(NOTIFICATION_BACKOFF_SECONDS)
+
+    def crash(self) -> None:
+        """Close the listeners and every connection; lose the tasks and notify of each."""
+        self.close_listeners()
+        for peer in list(self.peers):
+            peer.transport.abort()
+        for task in self.fall():
+            self.notify(task, {"id": task.id, "from": self.name, "state": "lost"})
+
+    def close_listeners(self) -> None:
+        """Accept no further connections."""
+        for listener in self.listeners:
+            listener.close()
+
+    def stop(self) -> None:
+        """Cancel the background tasks and close the listeners."""
+        super().stop()
+        self.close_listeners()
--- /dev/null
+++ b/stepstream/lab/processes/process_controller.py
@@ -0,0 +1,51 @@
+"""Apply the faults of a schedule to the processes and links of a `DispatcherCluster`."""
+
+from stepstream.lab.processes.dispatcher_cluster import DispatcherCluster
+
+
+class ProcessController:
+    """A cluster of processes as the `FaultTarget` of a schedule."""
+
+    def __init__(self, cluster: DispatcherCluster) -> None:
+        self.cluster = cluster
+        self.suspended: set[str] = set()
+
+    @property
+    def names(self) -> tuple[str, ...]:
+        """The names of all members, running or not."""
+        return tuple(self.cluster.members)
+
+    def up(self, name: str) -> bool:
+        """Return whether the member's process exists; a suspended one does."""
+        return self.cluster.members[name].is_running()
+
+    def start(self, name: str) -> None:
+        """Start the member without waiting until it answers."""
+        self.cluster.spawn(self.cluster.members[name])
+
+    def kill(self, name: str) -> None:
+        """Kill the member, even a suspended one."""
+        self.suspended.discard(name)
+        self.cluster.kill(name)
+
+    def leave(self, name: str) -> None:
+        """Stop the member gracefully, after resuming it."""
+        self.go_on(name)
+        self.cluster.stop(name)
+
+    def stall(self, name: str) -> None:
+        """Suspend the member until `go_on`."""
+        self.suspended.add(name)
+        self.cluster.suspend(name)
+
+    def go_on(self, name: str) -> None:
+        """Resume the member; do nothing if it is not suspended."""
+        if name in self.suspended:
+            self.suspended.discard(name)
+            self.cluster.resume(name)
+
+    def link(self, pairs: set[tuple[str, str]], loss: float) -> None:
+        """Replace the cut links (sender, receiver) and the fraction of datagrams that is lost."""
+        with self.cluster.relay.lock:
+            self.cluster.relay.links.cuts = pairs
+            self.cluster.relay.links.loss = loss
--- /dev/null
+++ b/stepstream/lab/processes/round_robin_clients.py
@@ -0,0 +1,85 @@
+"""Clients behind a plain front that sends to each of several dispatchers in turn."""
+
+import asyncio
+import secrets
+import time
+from dataclasses import dataclass, field
+
+from stepstream.http.codec import write_request
+from stepstream.lab.emulator.worker_drivers import read_answer
+from stepstream.lab.load.clients import Clients, ReceivedResponse, received_http_response
+from stepstream.lab.load.site import PlannedRequest
+from stepstream.lab.processes.addresses import Address
+from stepstream.lab.verification.verifier import FinalOutcome
+
+FAILURE_NOTICE_SECONDS = 1.0
+"""How long the front goes on sending to a dispatcher that has failed."""
+
+REQUEST_ID_BYTES = 8
+MS_US = 1000
+
+
+@dataclass(eq=False)
+class RoundRobinClients(Clients):
+    """Clients whose front knows of a failed dispatcher after `FAILURE_NOTICE_SECONDS`."""
+
+    dispatchers: list[Address] = field(default_factory=list)
+    failed_at_seconds: dict[int, float] = field(default_factory=dict)  # monotonic, by dispatcher
+    request_count: int = 0
+
+    def mark_failed(self, dispatcher_index: int) -> None:
+        """Note that a dispatcher has failed just now."""
+        self.failed_at_seconds[dispatcher_index] = time.monotonic()
+
+    def next_dispatcher(self) -> int:
+        """Return the number of the dispatcher that gets the next request."""
+        now_seconds = time.monotonic()
+        usable = [
+            index
+            for index in range(len(self.dispatchers))
+            if now_seconds - self.failed_at_seconds.get(index, now_seconds) < FAILURE_NOTICE_SECONDS
+        ]
+        self.request_count += 1
+        return usable[self.request_count % len(usable)]
+
+    async def by_http(
+        self,
+        ask: PlannedRequest,
+        workload: bytes,
+        left_us: int,
+        again: bool,  # noqa: ARG002, FBT001  the base's signature; the front marks no retries
+    ) -> ReceivedResponse:
+        """Send a job to the next dispatcher on a connection of its own, and await the outcome."""
+        dispatcher_index = self.next_dispatcher()
+        job_class = self.day.site.job[ask.job_class]
+        data = write_request(
+            "POST", f"/{job_class.name}", self.request_headers(ask, left_us), workload
+        )
+        try:
+            address = self.dispatchers[dispatcher_index]
+            reader, writer = await asyncio.open_connection(*address)
+            writer.write(data)
+            message = await read_answer(reader)
+            writer.close()
+            return received_http_response(message)
+        except (OSError, EOFError):
+            # Nothing is known of what a failed dispatcher had accepted. With one that runs, the
+            # answer is lost.
+            if dispatcher_index in self.failed_at_seconds:
+                return ReceivedResponse(FinalOutcome.FAILED)
+            return ReceivedResponse(FinalOutcome.LOST)
+
+    def request_headers(self, ask: PlannedRequest, remaining_us: int) -> dict[str, str]:
+        """Return the headers of a job's HTTP request."""
+        site = self.day.site
+        headers = {
+            "Host": "lab",
+            "Request-Id": secrets.token_hex(REQUEST_ID_BYTES),
+            "Tenant": site.tenant[ask.tenant].name,
+            "Request-Timeout-Ms": str(max(remaining_us // MS_US, 1)),
+            "Request-Info": f"cores_needed={ask.slots}",
+            "Connection": "close",
+        }
+        if site.job[ask.job_class].effect == "token":
+            headers["Idempotency-Key"] = f"key-{ask.number}"
+        return headers
--- a/stepstream/lab/reports/demo.py
+++ b/stepstream/lab/reports/demo.py
@@ -46,66 +46,63 @@
     """
     if not 1 <= seconds <= MAX_SECONDS:
         raise ConfigurationError(f"--seconds={seconds} is not between 1 and {MAX_SECONDS}")
-    day = draw_scenario(read_site(name=site), seed, seconds, mix)
+    scenario = draw_scenario(read_site(name=site), seed, seconds, mix)
     if hold:
-        return asyncio.run(run_until_signal(day, seed))
-    result = asyncio.run(play_schedule(day, seed))
+        return asyncio.run(run_until_signal(scenario, seed))
+    result = asyncio.run(play_schedule(scenario, seed))
     console = Console()
     console.width = max(console.width, WIDTH)  # written to a file it would be cut at 80
-    show(console, day, mix, seed, result)
+    show(console, scenario, mix, seed, result)
     if json_path:
         with open(json_path, "w", encoding="utf-8") as file:
-            file.write(ujson.dumps(as_json(day, mix, seed, result), indent=1) + "\n")
+            file.write(ujson.dumps(as_json(scenario, mix, seed, result), indent=1) + "\n")
     return 1 if result.figures.breaches else 0
 
 
-def as_json(day: Scenario, mix: str, seed: int, result: Result) -> dict[str, Any]:
+def as_json(scenario: Scenario, mix: str, seed: int, result: Result) -> dict[str, Any]:
     """Return the content of the file of `--json`."""
     head = {
         "mix": mix,
         "seed": seed,
-        "seconds": day.seconds,
-        "nodes": len(day.specs),
-        "jobs": len(day.asks),
+        "seconds": scenario.seconds,
+        "nodes": len(scenario.specs),
+        "jobs": len(scenario.asks),
     }
     figures = asdict(result.figures)
     return {**head, **figures, **asdict(result.cost), "late_ms": result.late_ms}
 
 
-async def run_until_signal(day: Scenario, seed: int) -> int:
-    """Run fleet and dispatcher without load until SIGINT or SIGTERM; return the exit code.
+async def run_until_signal(scenario: Scenario, seed: int) -> int:
+    """Run workers and dispatcher without load until SIGINT or SIGTERM; return the exit code.
 
     The addresses of the dispatcher's listeners are printed as a line of JSON once they accept.
     """
-    rig = LoadTest(day, seed)
     stop = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
-    try:
-        await rig.start()
-        addresses = {"http": "{}:{}".format(*rig.http), "gearman": "{}:{}".format(*rig.gearman)}
+    async with LoadTest(scenario, seed) as test:
+        http_host, http_port = test.http_addresses[0]
+        gearman_host, gearman_port = test.gearman_address
+        addresses = {
+            "http": f"{http_host}:{http_port}",
+            "gearman": f"{gearman_host}:{gearman_port}",
+        }
         print(ujson.dumps(addresses), flush=True)
         await stop.wait()
-    finally:
-        await rig.stop()
     return 0
 
 
-async def play_schedule(day: Scenario, seed: int) -> Result:
+async def play_schedule(scenario: Scenario, seed: int) -> Result:
     """Play the request schedule, reporting progress on standard error, and return the outcome."""
     console = Console(stderr=True)
-    rig = LoadTest(day, seed)
     with contextlib.ExitStack() as stack:
         on_progress: Callable[[Clients], None]
         if console.is_terminal:
-            on_progress = stack.enter_context(progress_bar(console, len(day.asks)))
+            on_progress = stack.enter_context(progress_bar(console, len(scenario.asks)))
         else:
-            on_progress = ProgressLines(len(day.asks)).show
-        try:
-            await rig.start()
-            return await rig.play(on_progress)
-        finally:
-            await rig.stop()
+            on_progress = ProgressLines(len(scenario.asks)).show
+        async with LoadTest(scenario, seed) as test:
+            return await test.play(on_progress)
 
 
 @contextlib.contextmanager
@@ -141,12 +138,12 @@
             print(f"{clients.over} of {self.total} jobs", file=sys.stderr, flush=True)
 
 
-def show(console: Console, day: Scenario, mix: str, seed: int, result: Result) -> None:
+def show(console: Console, scenario: Scenario, mix: str, seed: int, result: Result) -> None:
     """Print the table of job classes, the score, the dispatcher's cost and all violations."""
     figures = result.figures
-    console.print(class_table(day, mix, seed, figures))
+    console.print(class_table(scenario, mix, seed, figures))
     console.print(summary(figures))
-    cpu_us = US_PER_SECOND * result.cost.cpu_s / max(len(day.asks), 1)
+    cpu_us = US_PER_SECOND * result.cost.cpu_s / max(len(scenario.asks), 1)
     console.print(f"dispatcher: {cpu_us:.0f} us of CPU a job, {result.cost.rss_mb:.0f} MB resident")
     if result.late_ms > MAX_LATE_MS:
         console.print(
@@ -159,10 +156,10 @@
         console.print("all four rules kept, as seen at the nodes and the clients")
 
 
-def class_table(day: Scenario, mix: str, seed: int, figures: Figures) -> Table:
+def class_table(scenario: Scenario, mix: str, seed: int, figures: Figures) -> Table:
     """Return the table with a row for each job class."""
-    jobs = f"{len(day.asks)} jobs in {day.seconds} s"
-    table = Table(title=f"{mix}: {jobs} on {len(day.specs)} nodes, seed {seed}")
+    jobs = f"{len(scenario.asks)} jobs in {scenario.seconds} s"
+    table = Table(title=f"{mix}: {jobs} on {len(scenario.specs)} nodes, seed {seed}")
     for name in TABLE_COLUMNS:
         table.add_column(name, justify="left" if name == "class" else "right")
     for name, row in figures.by_class.items():
--- a/stepstream/lab/reports/fault_run.py
+++ b/stepstream/lab/reports/fault_run.py
@@ -1,10 +1,12 @@
-"""`stepstream lab fleet`: a schedule of faults on real dispatchers, what they held of each other meanwhile,
-whether all that must hold did, and how long it took.
+"""`stepstream lab fleet`: apply a schedule of faults to real dispatchers and report the outcome.
+
+A run observes the members' lists meanwhile, checks the invariants of their records, and measures
+how long crashes stay undetected and how long the cluster needs to converge after the last fault.
 """
 
 import json
 import time
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from pathlib import Path
 
 import msgspec
@@ -12,255 +14,200 @@
 from rich.table import Table
 
 from stepstream.config.errors import ConfigurationError
-from stepstream.lab.faults.schedule import Fault, FaultInjector, Schedule, draw, read
+from stepstream.lab.faults.schedule import (
+    Fault,
+    FaultInjector,
+    Schedule,
+    Step,
+    Transition,
+    draw,
+    read,
+)
 from stepstream.lab.processes.dispatcher_cluster import DispatcherCluster
+from stepstream.lab.processes.process_controller import ProcessController
+from stepstream.lab.reports.invariant_monitor import (
+    OBSERVATION_INTERVAL_SECONDS,
+    InvariantMonitor,
+)
+from stepstream.lab.reports.observation_chart import describe, draw_chart
 
-LOOK_S = 0.1
-COLOURS = {
-    "alive": "#7fbf7b",
-    "suspect": "#fee08b",
-    "dead": "#d73027",
-    "left": "#bdbdbd",
-    "superseded": "#9970ab",
-}
-
-
-class ProcessController:
-    """A rig as a schedule's `FaultTarget`."""
-
-    def __init__(self, rig: DispatcherCluster) -> None:
-        self.rig, self.frozen = rig, set()
-
-    @property
-    def names(self) -> tuple[str, ...]:
-        return tuple(self.rig.members)
+MIN_MEMBERS = 2
+MAX_MEMBERS = 20
+CONVERGENCE_TIMEOUT_SECONDS = 60.0  # before the first fault, and after the last one
+CONSOLE_COLUMNS = 120
+MAX_PRINTED_VIOLATIONS = 20
+SECONDS_DIGITS = 2
 
-    def up(self, name: str) -> bool:
-        return self.rig.members[name].running()
 
-    def start(self, name: str) -> None:
-        self.rig.start([name], wait=False)
+class Outcome(msgspec.Struct):
+    """The figures of a run; the encoded names are the keys of `fleet.json`."""
 
-    def kill(self, name: str) -> None:
-        self.go_on(name)
-        self.rig.kill(name)
-
-    def leave(self, name: str) -> None:
-        self.go_on(name)
-        self.rig.stop(name)
-
-    def stall(self, name: str) -> None:
-        self.frozen.add(name)
-        self.rig.freeze(name)
-
-    def go_on(self, name: str) -> None:
-        if name in self.frozen:
-            self.frozen.discard(name)
-            self.rig.thaw(name)
-
-    def link(self, pairs: set[tuple[str, str]], loss: float) -> None:
-        with self.rig.relay.lock:
-            self.rig.relay.links.cuts, self.rig.relay.links.loss = pairs, loss
+    members: int
+    seed: int
+    # From the last fault's end until the lists agree; None if they did not in time.
+    settled_seconds: float | None = msgspec.field(name="settled_s")
+    # For each crash, until all running members had the crashed one dead.
+    detected_seconds: list[float] = msgspec.field(name="detected_s")
+    violations: list[str] = msgspec.field(name="broken")
 
 
-@dataclass
-class Span:
-    """One observer held one member in one state; seconds from the start of the play."""
+@dataclass(frozen=True)
+class UndetectedCrash:
+    """A crashed member that the others do not yet all have dead."""
 
-    observer: str
     name: str
-    state: str
-    begun: float
-    ended: float
-
-
-@dataclass
-class InvariantMonitor:
-    """What all members were seen to hold, and what of it may not be."""
+    crashed_at_seconds: float  # monotonic
 
-    began: float
-    open: dict[tuple[str, str], Span] = field(default_factory=dict)
-    spans: list[Span] = field(default_factory=list)
-    broken: list[str] = field(default_factory=list)
-    claims: dict[tuple[str, str, str], tuple[int, int, str]] = field(default_factory=dict)
-    # By observing process and member: the record's generation, the start that the status beside it
-    # is of, and the status's revision.
-    counts: dict[tuple[str, str], tuple[int, int, int]] = field(default_factory=dict)
-    # Starts of members whose status an observing process has replaced by that of another start.
-    past_starts: set[tuple[str, str, int]] = field(default_factory=set)
 
-    def look(self, rig: DispatcherCluster, frozen: set[str]) -> None:
-        now = time.monotonic() - self.began
-        for observer, member in rig.members.items():
-            told = member.fleet() if member.running() and observer not in frozen else None
-            for row in told["members"] if told else ():
-                self.saw(now, f"{observer}@{told['self_generation']}", observer, row)
+class FaultRun:
+    """One schedule applied to one started cluster."""
 
-    def saw(self, now: float, life: str, observer: str, row: dict) -> None:
-        key, name, state = (observer, row["name"]), row["name"], row["state"]
-        span = self.open.get(key)
-        if span is None or span.state != state or now - span.ended > 10 * LOOK_S:
-            span = self.open[key] = Span(observer, name, state, now, now)
-            self.spans.append(span)
-        span.ended = now
-        claim = row["generation"], row["incarnation"], state
-        before = self.claims.get((life, name, ""))
-        if before is not None:
-            if claim[:2] < before[:2]:
-                self.broken.append(f"{now:.1f} s: {observer} went back to an older claim of {name}")
-            if (
-                claim[:2] == before[:2]
-                and before[2] in ("dead", "left")
-                and state in ("alive", "suspect")
-            ):
-                self.broken.append(f"{now:.1f} s: {observer} has {name} back on an old claim")
-        self.claims[(life, name, "")] = claim
-        if "count" in row["facts"]:
-            self.check_counter(now, life, observer, row)
+    def __init__(self, cluster: DispatcherCluster, schedule: Schedule, console: Console) -> None:
+        self.cluster = cluster
+        self.schedule = schedule
+        self.console = console
+        self.controller = ProcessController(cluster)
+        self.monitor = InvariantMonitor(time.monotonic())
+        self.undetected_crashes: list[UndetectedCrash] = []
+        self.detected_seconds: list[float] = []
 
-    def check_counter(self, now: float, life: str, observer: str, row: dict) -> None:
-        """Check that a member's status never goes back to an older revision or an older start.
+    def play(self, seconds: float, seed: int) -> Outcome:
+        """Apply every fault, wait at least `seconds`, end all faults and wait for convergence.
 
-        A status is told apart by the start that it is of and not by the record beside it: right
-        after a restart the new record may stand beside the old process's status for a moment.
+        `seed` is only reported. Raise ConditionTimeoutError if the cluster does not converge at
+        first.
         """
-        name, generation, facts = row["name"], row["generation"], row["facts"]
-        started_ms, count = facts.get("started_ms", 0), facts["count"]
-        seen = generation, started_ms, count
-        last_generation, last_start, last_count = self.counts.get((life, name), seen)
-        if started_ms != last_start:
-            self.past_starts.add((life, name, last_start))
-        is_past = (life, name, started_ms) in self.past_starts
-        is_same_process = (generation, started_ms) == (last_generation, last_start)
-        is_older = is_same_process and count < last_count
-        if generation < last_generation or is_past or is_older:
-            self.broken.append(f"{now:.1f} s: {observer}: the counter of {name} went back")
-        self.counts[life, name] = seen
-
-
-@dataclass
-class Outcome:
-    members: int
-    seed: int
-    settled_s: float | None  # after the last fault; None if it never was
-    detected_s: list[float]  # for each crash: until all that were up held it dead
-    broken: list[str]
-
-
-def play(
-    rig: DispatcherCluster, schedule: Schedule, seconds: float, console: Console
-) -> tuple[InvariantMonitor, Outcome]:
-    fleet = ProcessController(rig)
-    rig.wait_for(lambda: rig.agreed(rig.members), 60.0, "one view at the start")
-    watch, steps = InvariantMonitor(time.monotonic()), FaultInjector(fleet, schedule)
-    waits: list[tuple[float, str]] = []
-    detected: list[float] = []
-    for at, _, what, fault in [*steps.steps, (max(seconds, 0.0), 0, "", None)]:
-        while (left := watch.began + at - time.monotonic()) > 0:
-            look(watch, rig, fleet, waits, detected)
-            time.sleep(min(left, LOOK_S))
-        if fault is None:
-            break
-        steps.do(what, fault)
-        console.print(f"{at:7.1f} s  {what} of {describe(fault)}", highlight=False)
-        if fault.kind == "crash" and what == "begin":
-            waits += [(time.monotonic(), name) for name in fault.who]
-    steps.end()
-    whole, settled = time.monotonic(), None
-    while time.monotonic() - whole < 60.0:
-        look(watch, rig, fleet, waits, detected)
-        if rig.agreed(rig.members):
-            settled = round(time.monotonic() - whole, 2)
-            break
-        time.sleep(LOOK_S)
-    if settled is None:
-        watch.broken.append("not settled 60 s after the last fault")
-    return watch, Outcome(len(rig.members), 0, settled, detected, watch.broken)
+        cluster = self.cluster
+        cluster.wait_for(
+            lambda: cluster.has_converged(cluster.members),
+            CONVERGENCE_TIMEOUT_SECONDS,
+            "one view at the start",
+        )
+        self.monitor.started_at_seconds = time.monotonic()
+        injector = FaultInjector(self.controller, self.schedule)
+        for step in injector.steps:
+            self._observe_until(step.at_seconds)
+            self._apply(injector, step)
+        self._observe_until(seconds)
+        injector.end()
+        settled_seconds = self._measure_convergence()
+        return Outcome(
+            len(cluster.members),
+            seed,
+            settled_seconds,
+            self.detected_seconds,
+            self.monitor.violations,
+        )
+
+    def _elapsed_seconds(self) -> float:
+        return time.monotonic() - self.monitor.started_at_seconds
+
+    def _observe_until(self, at_seconds: float) -> None:
+        """Observe until this time of the run."""
+        while (remaining_seconds := at_seconds - self._elapsed_seconds()) > 0:
+            self._observe()
+            time.sleep(min(remaining_seconds, OBSERVATION_INTERVAL_SECONDS))
+
+    def _apply(self, injector: FaultInjector, step: Step) -> None:
+        """Begin or end a fault, and say so."""
+        injector.do(step.transition, step.fault)
+        text = f"{step.at_seconds:7.1f} s  {step.transition} of {describe(step.fault)}"
+        self.console.print(text, highlight=False)
+        if step.fault.kind == "crash" and step.transition is Transition.BEGIN:
+            self._add_crashes(step.fault)
+
+    def _add_crashes(self, fault: Fault) -> None:
+        now_seconds = time.monotonic()
+        self.undetected_crashes += [UndetectedCrash(name, now_seconds) for name in fault.who]
+
+    def _measure_convergence(self) -> float | None:
+        """Return how long the lists need to agree; None, and a violation, if it is too long."""
+        begun_at_seconds = time.monotonic()
+        while time.monotonic() - begun_at_seconds < CONVERGENCE_TIMEOUT_SECONDS:
+            self._observe()
+            if self.cluster.has_converged(self.cluster.members):
+                return round(time.monotonic() - begun_at_seconds, SECONDS_DIGITS)
+            time.sleep(OBSERVATION_INTERVAL_SECONDS)
+        self.monitor.violations.append("not settled 60 s after the last fault")
+        return None
+
+    def _observe(self) -> None:
+        """Observe all lists once, and note the crashes that are detected by now."""
+        self.monitor.observe(self._elapsed_seconds(), self.cluster, self.controller.suspended)
+        still_undetected: list[UndetectedCrash] = []
+        for crash in self.undetected_crashes:
+            if self.controller.up(crash.name):
+                continue  # started again before all others detected the crash
+            if self._is_detected(crash.name):
+                elapsed_seconds = time.monotonic() - crash.crashed_at_seconds
+                self.detected_seconds.append(round(elapsed_seconds, SECONDS_DIGITS))
+            else:
+                still_undetected.append(crash)
+        self.undetected_crashes = still_undetected
+
+    def _is_detected(self, name: str) -> bool:
+        """Return whether there are others that run, and all of them have this member dead."""
+        others = [
+            other
+            for other in self.controller.names
+            if other != name
+            and self.controller.up(other)
+            and other not in self.controller.suspended
+        ]
+        return bool(others) and self.cluster.all_observe(others, name, "dead")
 
 
-def look(
-    watch: InvariantMonitor,
-    rig: DispatcherCluster,
-    fleet: ProcessController,
-    waits: list,
-    detected: list[float],
-) -> None:
-    watch.look(rig, fleet.frozen)
-    for wait in list(waits):
-        begun, name = wait
-        others = [n for n in fleet.names if n != name and fleet.up(n) and n not in fleet.frozen]
-        if fleet.up(name):
-            waits.remove(wait)  # started again before all knew
-        elif others and rig.held(others, name, "dead"):
-            waits.remove(wait)
-            detected.append(round(time.monotonic() - begun, 2))
-
-
-def describe(fault: Fault) -> str:
-    size = f" {fault.size:.0%}" if fault.kind == "loss" else ""
-    return f"{fault.kind}{size} {' '.join(fault.who)}".strip()
-
-
-def chart(watch: InvariantMonitor, schedule: Schedule, path: str) -> None:
-    """Each member's view of each other over time, faults marked."""
-    import matplotlib
+def run(members: int, seed: int, faults: str | None, seconds: int, out: str | None) -> int:
+    """Run the command; return 0 if all invariants held and 1 if one was violated.
+
+    `faults` is the path of a schedule; without it the seed draws one. `out` is the folder for the
+    JSON file and the chart. Raise ConfigurationError if an option or the schedule is at fault.
+    """
+    if not MIN_MEMBERS <= members <= MAX_MEMBERS:
+        text = f"--members={members} is not between {MIN_MEMBERS} and {MAX_MEMBERS}"
+        raise ConfigurationError(text)
+    console = Console(width=CONSOLE_COLUMNS)
+    names = tuple(f"n{index}" for index in range(members))
+    schedule = read(faults, names) if faults else draw(seed, names, seconds)
+    with DispatcherCluster(members, seed) as cluster:
+        fault_run = FaultRun(cluster, schedule, console)
+        outcome = fault_run.play(seconds, seed)
+    print_outcome(console, outcome, schedule)
+    if out:
+        write_results(Path(out), outcome, schedule, fault_run.monitor)
+        console.print(f"written: {out}/fleet.json, {out}/fleet.png", highlight=False)
+    return 1 if outcome.violations else 0
 
-    matplotlib.use("Agg")
-    from matplotlib import pyplot
-    from matplotlib.patches import Patch
 
-    observers = sorted({span.observer for span in watch.spans})
-    names = sorted({span.name for span in watch.spans})
-    height = max(len(observers) * len(names) * 0.09 + 1.5, 3.0)
-    figure, axes = pyplot.subplots(figsize=(11, min(height, 40)))
-    for span in watch.spans:
-        place = observers.index(span.observer) * (len(names) + 1) + names.index(span.name)
-        width = max(span.ended - span.begun, LOOK_S)
-        axes.barh(place, width, left=span.begun, height=1.0, color=COLOURS.get(span.state, "black"))
-    for fault in schedule.fault:
-        axes.axvspan(fault.at, fault.at + max(fault.length, LOOK_S), color="#4575b4", alpha=0.12)
-        axes.text(fault.at, -1.5, describe(fault)[:24], rotation=60, fontsize=6, va="bottom")
-    axes.set_yticks(
-        [k * (len(names) + 1) + len(names) / 2 for k in range(len(observers))], observers
-    )
-    axes.set_xlabel(
-        "seconds; one band an observer, one line in it a member, from the first name down"
+def print_outcome(console: Console, outcome: Outcome, schedule: Schedule) -> None:
+    """Print the table of the run's figures, and the first violations."""
+    table = Table(
+        "members", "seed", "faults", "crashes known after, s", "settled after, s", "broken"
     )
-    axes.invert_yaxis()
-    axes.legend(
-        handles=[Patch(color=c, label=s) for s, c in COLOURS.items()], loc="lower right", fontsize=7
+    detected = " ".join(f"{seconds:.1f}" for seconds in outcome.detected_seconds) or "-"
+    settled = "never" if outcome.settled_seconds is None else f"{outcome.settled_seconds:.1f}"
+    table.add_row(
+        str(outcome.members),
+        str(outcome.seed),
+        str(len(schedule.fault)),
+        detected,
+        settled,
+        str(len(outcome.violations)),
     )
-    figure.tight_layout()
-    figure.savefig(path, dpi=110)
-    pyplot.close(figure)
+    console.print(table)
+    for violation in outcome.violations[:MAX_PRINTED_VIOLATIONS]:
+        console.print(violation, style="red", highlight=False)
 
 
-def run(members: int, seed: int, faults: str | None, seconds: int, out: str | None) -> int:
-    """0 if all that must hold did, 1 if not."""
-    if not 2 <= members <= 20:
-        raise ConfigurationError(f"--members={members} is not between 2 and 20")
-    console = Console(width=120)
-    names = tuple(f"n{k}" for k in range(members))
-    schedule = read(faults, names) if faults else draw(seed, names, seconds)
-    with DispatcherCluster(members, seed) as rig:
-        watch, outcome = play(rig, schedule, seconds, console)
-    outcome.seed = seed
-    made = Table(
-        "members", "seed", "faults", "crashes known after, s", "settled after, s", "broken"
-    )
-    known = " ".join(f"{x:.1f}" for x in outcome.detected_s) or "-"
-    settled = "never" if outcome.settled_s is None else f"{outcome.settled_s:.1f}"
-    made.add_row(
-        str(members), str(seed), str(len(schedule.fault)), known, settled, str(len(outcome.broken))
-    )
-    console.print(made)
-    for line in outcome.broken[:20]:
-        console.print(line, style="red", highlight=False)
-    if out:
-        Path(out).mkdir(parents=True, exist_ok=True)
-        told = {**msgspec.to_builtins(outcome), "faults": msgspec.to_builtins(schedule.fault)}
-        told["spans"] = msgspec.to_builtins(watch.spans)
-        (Path(out) / "fleet.json").write_text(json.dumps(told, indent=1))
-        chart(watch, schedule, str(Path(out) / "fleet.png"))
-        console.print(f"written: {out}/fleet.json, {out}/fleet.png", highlight=False)
-    return 1 if outcome.broken else 0
+def write_results(
+    folder: Path, outcome: Outcome, schedule: Schedule, monitor: InvariantMonitor
+) -> None:
+    """Write `fleet.json` and the chart `fleet.png`; make the folder if it is missing."""
+    folder.mkdir(parents=True, exist_ok=True)
+    content = {
+        **msgspec.to_builtins(outcome),
+        "faults": msgspec.to_builtins(schedule.fault),
+        "spans": msgspec.to_builtins(monitor.observations),
+    }
+    (folder / "fleet.json").write_text(json.dumps(content, indent=1))
+    draw_chart(monitor.observations, schedule, folder / "fleet.png")
--- a/tests/golden/state_answers.py
+++ b/tests/golden/state_answers.py
@@ -714,7 +714,7 @@
     """fleet.json of `stepstream lab fleet --out`, the processes and the chart left out."""
     names = ("n0", "n1", "n2")
     schedule = fleet_faults.draw(3, names, 25.0)
-    watch = fleet_play.InvariantMonitor(0.0)
+    monitor = fleet_play.InvariantMonitor(0.0)
     facts = {"count": 4}
     steps = ((0.5, "alive", 5), (0.6, "suspect", 5), (0.7, "dead", 5), (0.8, "alive", 4))
     for now, state, generation in steps:
@@ -725,16 +725,19 @@
             "incarnation": 0,
             "facts": facts,
         }
-        watch.saw(now, "n0@5", "n0", told)
-    outcome = fleet_play.Outcome(3, 0, 1.25, [2.5, 3.0], watch.broken)
+        monitor.record(now, "n0@5", "n0", told)
+    fault_run = mock.Mock(monitor=monitor)
+    fault_run.play.side_effect = lambda _seconds, seed: fleet_play.Outcome(
+        3, seed, 1.25, [2.5, 3.0], monitor.violations
+    )
     folder = tempfile.TemporaryDirectory()
     with (
         folder as out,
         quiet(),
         mock.patch.object(fleet_play, "DispatcherCluster"),
         mock.patch.object(fleet_play, "draw", return_value=schedule),
-        mock.patch.object(fleet_play, "play", return_value=(watch, outcome)),
-        mock.patch.object(fleet_play, "chart"),
+        mock.patch.object(fleet_play, "FaultRun", return_value=fault_run),
+        mock.patch.object(fleet_play, "draw_chart"),
     ):
         fleet_play.run(3, 3, None, 25, out)
         return (Path(out) / "fleet.json").read_text(encoding="utf-8")
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -15,8 +15,13 @@
 from config_helpers import CONFIG
 from node_helpers import ROOT, free_port
 
-from stepstream.lab.processes.cluster_load_test import play_swept
-from stepstream.lab.processes.lease_cluster import TROUBLES, TTL, LeaseDispatcherCluster, trouble
+from stepstream.lab.processes.cluster_scenarios import (
+    HealthCheckRun,
+    LeaderFault,
+    play_health_check_run,
+)
+from stepstream.lab.processes.lease_cluster import TTL_SECONDS, LeaseDispatcherCluster
+from stepstream.lab.processes.lease_faults import LEASE_FAULTS, inject
 from stepstream.lab.verification import ledger
 from stepstream.leases.commands import run
 
@@ -28,41 +33,45 @@
     with LeaseDispatcherCluster(5, 3, seed=1) as made:
         made.wait_for(made.holder, TIMEOUT_SECONDS, "a first holder")
         yield made
-        assert not ledger.faults(made.rows())
+        assert not ledger.faults(made.ledger_rows())
 
 
 @pytest.fixture
 def fleet(rig):
-    rig.all_whole()
+    rig.end_all_faults()
     rig.wait_for(
-        lambda: all(member.fleet() for member in rig.members.values()), TIMEOUT_SECONDS, "all up"
+        lambda: all(member.membership_list() for member in rig.members.values()),
+        TIMEOUT_SECONDS,
+        "all up",
     )
     rig.wait_for(rig.holder, TIMEOUT_SECONDS, "a holder")
     return rig
 
 
-@pytest.mark.parametrize("fault", TROUBLES, ids=lambda fault: fault.name)
+@pytest.mark.parametrize("fault", LEASE_FAULTS, ids=lambda fault: fault.name)
 def test_under_a_fault_there_is_one_holder_at_a_time_and_another_afterwards(fleet, fault):
-    rows_before = len(fleet.rows())
-    outcome = trouble(fleet, fault, TIMEOUT_SECONDS)
-    rows = fleet.rows()
+    rows_before = len(fleet.ledger_rows())
+    outcome = inject(fleet, fault, TIMEOUT_SECONDS)
+    rows = fleet.ledger_rows()
     assert not ledger.faults(rows)
     assert len(rows) > rows_before
     # Each time without an operation meets the fault, or is as short as a handover.
     ends = [row["at"] for row in rows[rows_before:] if row["what"] == "end"]
     for earlier, later in zip(ends, ends[1:], strict=False):
-        meets_fault = earlier < outcome["whole"] + TTL and later > outcome["begun"]
+        meets_fault = (
+            earlier < outcome.ended_at_seconds + TTL_SECONDS and later > outcome.begun_at_seconds
+        )
         assert later - earlier < TIMEOUT_SECONDS / 4 or meets_fault, (earlier, later, outcome)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_under_overlapping_faults_there_is_one_holder_at_a_time(fleet, seed):
-    fleet.draw.seed(seed)
-    for fault in fleet.draw.sample(TROUBLES, 2):
+    fleet.rng.seed(seed)
+    for fault in fleet.rng.sample(LEASE_FAULTS, 2):
         fault.begin(fleet, fleet.holder() or "n0")
-        time.sleep(fleet.draw.uniform(0.1, 1.0) * TTL)
-    trouble(fleet, fleet.draw.choice(TROUBLES), TIMEOUT_SECONDS)
-    assert not ledger.faults(fleet.rows())
+        time.sleep(fleet.rng.uniform(0.1, 1.0) * TTL_SECONDS)
+    inject(fleet, fleet.rng.choice(LEASE_FAULTS), TIMEOUT_SECONDS)
+    assert not ledger.faults(fleet.ledger_rows())
 
 
 def test_the_check_of_a_ledger_finds_two_holders():
@@ -96,7 +105,7 @@
         "run",
         name,
         "--at",
-        fleet.members[at].admin,
+        fleet.members[at].admin_address,
     ]
     return subprocess.Popen(
         [*program, *options, "--", *command], cwd=ROOT, stderr=subprocess.PIPE, text=True
@@ -157,7 +166,7 @@
         begun = tmp_path / end
         script = f"touch {begun}; exec sleep 60"
         job = lease_run(fleet, "long", [*SHELL, script], "--ttl", "1.2", at="n2")
-        at = fleet.members["n2"].admin
+        at = fleet.members["n2"].admin_address
 
         def held(at=at):
             assert run(["lease", "list", "--at", at, "--json"]) == 0
@@ -172,9 +181,9 @@
             assert run(["lease", "release", "long", "--at", at]) == 0
             assert "told to end" in capsys.readouterr().out
         else:
-            fleet.members["n2"].process.send_signal(signal.SIGTERM)
+            fleet.members["n2"].terminate()
         assert job.wait(TIMEOUT_SECONDS) == 69
-    assert run(["lease", "show", "nobody", "--at", fleet.members["n0"].admin]) == 1
+    assert run(["lease", "show", "nobody", "--at", fleet.members["n0"].admin_address]) == 1
     assert run(["lease", "list", "--at", f"127.0.0.1:{free_port()}"]) == 2
 
 
@@ -191,7 +200,8 @@
     fleet.wait_for(is_rejected, TIMEOUT_SECONDS, "the 503")
     assert job.wait(TIMEOUT_SECONDS) == 75
     assert "of 3 voters answered" in job.stderr.read()
-    time.sleep(TTL)  # without heartbeats the session is withdrawn
+    # Time is the subject: without heartbeats the session is withdrawn after its time to live.
+    time.sleep(TTL_SECONDS)
     assert fleet.members["n4"].call("/leases/none/release?session=abcdefgh", "PUT")[0] == 404
 
 
@@ -287,15 +297,18 @@
 
 def test_a_reload_that_would_change_the_acceptors_is_refused_by_its_key(fleet):
     member = fleet.members["n1"]
-    fleet.files(member, more=fleet.more.replace('"n2"]', '"n4"]'))
-    member.process.send_signal(signal.SIGHUP)
+    fleet.write_files(member, fleet_settings=fleet.fleet_settings.replace('"n2"]', '"n4"]'))
+    member.send_signal(signal.SIGHUP)
     line = "leases.voters=('n0', 'n1', 'n4') changes only with a restart"
-    fleet.wait_for(lambda: line in member.words(), TIMEOUT_SECONDS, "the refusal")
-    fleet.files(member)
+    fleet.wait_for(lambda: line in member.read_log(), TIMEOUT_SECONDS, "the refusal")
+    fleet.write_files(member)
 
 
 def test_one_dispatcher_checks_workers_for_all_and_each_for_itself_once_it_is_gone():
-    swept, killed = (play_swept((1, True, 3, 8, harm)) for harm in ("", "kill"))
+    swept, killed = (
+        play_health_check_run(HealthCheckRun(1, True, 3, 8, leader_fault))
+        for leader_fault in (LeaderFault.NONE, LeaderFault.KILL)
+    )
     assert swept["breaches"] == killed["breaches"] == []
     assert len(swept["sweepers"]) == 1
     assert killed["sweepers"]
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -26,6 +26,8 @@
     "simulator_adapter": {"config", "model", "policy"},
 }
 MAY_IMPORT_ALL = {"stepstream", "__main__", "cli", "lab"}
+# The lab stands below the commands that run it, and above all other packages.
+LAB_MAY_NOT_IMPORT = {"stepstream", "__main__", "cli"}
 
 
 def imports():
@@ -73,3 +75,14 @@
         if package in MAY_IMPORT_ALL | SUBSYSTEMS | {"node"}:
             continue
         assert not {package_of(name) for name in found} & SUBSYSTEMS, module
+
+
+def test_the_lab_imports_no_command():
+    for module, found in imports().items():
+        if package_of(module) == "lab":
+            assert not {package_of(name) for name in found} & LAB_MAY_NOT_IMPORT, module
+
+
+def test_no_program_text_in_the_lab_imports_a_command():
+    for path in (ROOT / "stepstream" / "lab").rglob("*.py"):
+        assert "stepstream.cli" not in path.read_text(), path
