--- a/tests/golden/state_answers.py
+++ b/tests/golden/state_answers.py
@@ -36,11 +36,13 @@
 from stepstream.http.destination_set import DestinationSet
 from stepstream.lab.emulator.workload import Workload
 from stepstream.lab.faults.random_schedule import draw_schedule
-from stepstream.lab.processes import load_test as rig
-from stepstream.lab.reports import demo
-from stepstream.lab.reports import fault_run as fleet_play
+from stepstream.lab.load.scenario import Scenario
+from stepstream.lab.processes.load_test import Result
+from stepstream.lab.processes.process_cost import Cost
+from stepstream.lab.reports import demo, fault_run
 from stepstream.lab.verification.ledger_record import Ledger
 from stepstream.lab.verification.observations import FinalOutcome, RequestKey
+from stepstream.lab.verification.score import Figures
 from stepstream.lab.verification.verifier import Verifier
 from stepstream.leases import messages as lease_messages
 from stepstream.leases import participant as lease_participant
@@ -682,70 +684,73 @@
 # -- results of the lab ---------------------------------------------------------------------------
 
 
-def played_figures(day: object) -> object:
-    """Figures of a day whose jobs end in each way in turn, one of them against the rules."""
-    made, finals = Verifier(day), list(FinalOutcome)
-    for ask in day.requests:
-        key, at_us = RequestKey(ask.number, 0), ask.at_us + 100_000
-        made.on_submission(ask.number)
-        if ask.number == 5:
-            made.on_drain_known(0, "node-1")
-        made.on_arrival(at_us, key, f"node-{ask.number % 3}", 0)
-        made.on_result(key, "result")
-        made.on_response(at_us + 1_000 * ask.number, key, finals[ask.number % 17 % 4], "result")
-    return made.figures()
+def figures_of_a_scenario(scenario: Scenario) -> Figures:
+    """Figures of a scenario whose jobs end in each way in turn, one of them against the rules."""
+    verifier = Verifier(scenario)
+    outcomes = list(FinalOutcome)
+    for planned in scenario.requests:
+        key = RequestKey(planned.number, 0)
+        arrived_us = planned.at_us + 100_000
+        verifier.on_submission(planned.number)
+        if planned.number == 5:
+            verifier.on_drain_known(0, "node-1")
+        verifier.on_arrival(arrived_us, key, f"node-{planned.number % 3}", 0)
+        verifier.on_result(key, "result")
+        outcome = outcomes[planned.number % 17 % 4]
+        verifier.on_response(arrived_us + 1_000 * planned.number, key, outcome, "result")
+    return verifier.figures()
 
 
 def demo_file() -> str:
     """The file of `stepstream demo --json`."""
 
-    async def played(day: object, seed: int) -> object:
-        return rig.Result(played_figures(day), rig.Cost(1.25, 40.5), 12.5)
+    async def play_schedule(scenario: Scenario, _seed: int) -> Result:
+        return Result(figures_of_a_scenario(scenario), Cost(1.25, 40.5), 12.5)
 
     with (
         tempfile.TemporaryDirectory() as folder,
         quiet(),
-        mock.patch.object(demo, "play_schedule", played),
+        mock.patch.object(demo, "play_schedule", play_schedule),
     ):
         path = Path(folder) / "demo.json"
         demo.run("mixed", 12, 1, str(path), False, "small")
         return path.read_text(encoding="utf-8")
 
 
-def fleet_file() -> str:
+def fault_run_file() -> str:
     """fleet.json of `stepstream lab fleet --out`, the processes and the chart left out."""
-    names = ("n0", "n1", "n2")
-    schedule = draw_schedule(3, names, 25.0)
-    watch = fleet_play.InvariantMonitor(0.0)
-    facts = {"count": 4}
-    steps = ((0.5, "alive", 5), (0.6, "suspect", 5), (0.7, "dead", 5), (0.8, "alive", 4))
-    for now, state, generation in steps:
-        told = {
+    schedule = draw_schedule(3, ("n0", "n1", "n2"), 25.0)
+    monitor = fault_run.InvariantMonitor(0.0)
+    observations = ((0.5, "alive", 5), (0.6, "suspect", 5), (0.7, "dead", 5), (0.8, "alive", 4))
+    for at_seconds, state, generation in observations:
+        row = {
             "name": "n1",
             "state": state,
             "generation": generation,
             "incarnation": 0,
-            "facts": facts,
+            "facts": {"count": 4},
         }
-        watch.saw(now, "n0@5", "n0", told)
-    outcome = fleet_play.Outcome(3, 0, 1.25, [2.5, 3.0], watch.broken)
-    folder = tempfile.TemporaryDirectory()
+        monitor.record(at_seconds, "n0@5", "n0", row)
+    run = mock.Mock(monitor=monitor)
+    run.play.side_effect = lambda _seconds, seed: fault_run.Outcome(
+        3, seed, 1.25, [2.5, 3.0], monitor.violations
+    )
     with (
-        folder as out,
+        tempfile.TemporaryDirectory() as folder,
         quiet(),
-        mock.patch.object(fleet_play, "DispatcherCluster"),
-        mock.patch.object(fleet_play, "draw_schedule", return_value=schedule),
-        mock.patch.object(fleet_play, "play", return_value=(watch, outcome)),
-        mock.patch.object(fleet_play, "chart"),
+        mock.patch.object(fault_run, "DispatcherCluster"),
+        mock.patch.object(fault_run, "draw_schedule", return_value=schedule),
+        mock.patch.object(fault_run, "FaultRun", return_value=run),
+        mock.patch.object(fault_run, "draw_chart"),
     ):
-        fleet_play.run(3, 3, None, 25, out)
-        return (Path(out) / "fleet.json").read_text(encoding="utf-8")
+        fault_run.run(3, 3, None, 25, folder)
+        return (Path(folder) / "fleet.json").read_text(encoding="utf-8")
 
 
-def ledger_lines() -> dict[str, object]:
+def ledger_file() -> dict[str, object]:
     """The guarded resource's answers, and the lines that it keeps."""
     clock = StillClock()
-    calls = [
+    requests = [
         {"do": "begin", "token": 5, "holder": "n0"},
         {"do": "end", "act": 0},
         {"do": "begin", "token": 9, "holder": "n1"},
@@ -754,13 +759,14 @@
     ]
     with clock.in_force(), tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "ledger.jsonl"
-        made = Ledger(path)
-        told = [made.admit(call) for call in calls]
-        made.file.close()
-        return {"answers": told, "file": path.read_text(encoding="utf-8")}
+        ledger = Ledger(path)
+        answers = [ledger.admit(request) for request in requests]
+        ledger.file.close()
+        return {"answers": answers, "file": path.read_text(encoding="utf-8")}
 
 
 def workload() -> list[str]:
+    """The body of a lab client's request."""
     return [Workload(7, 1, 250_000, 2).serialize().decode()]
 
 
@@ -775,7 +781,7 @@
     "handover-files": handover_files,
     "relayed-news": relayed_news,
     "lab-demo": demo_file,
-    "lab-fleet": fleet_file,
-    "lab-ledger": ledger_lines,
+    "lab-fleet": fault_run_file,
+    "lab-ledger": ledger_file,
     "lab-workload": workload,
 }
