--- a/stepstream/lab/emulator/__init__.py
+++ b/stepstream/lab/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Emulated surroundings of a dispatcher: workers, discovery, links with faults."""
+"""Emulate what surrounds a dispatcher: workers, discovery, and the network between dispatchers."""
--- a/stepstream/lab/emulator/links.py
+++ b/stepstream/lab/emulator/links.py
@@ -20,7 +20,7 @@
     Attributes:
         loss_probability: that one copy of a datagram is dropped.
         duplicate_probability: that a datagram arrives twice.
-        delay_seconds: least and greatest delay; each copy draws its own.
+        delay_seconds: least and greatest delay, of which each copy has a random one.
         reorder_probability: that a copy is delayed by `reorder_delay_seconds` more, so that it
             arrives after datagrams that were sent later.
         reorder_delay_seconds: that further delay.
@@ -36,31 +36,28 @@
     cut_pairs: set[LinkPair] = field(default_factory=set)
 
     def cut(
-        self,
-        senders: Iterable[str],
-        receivers: Iterable[str],
-        both: bool = True,  # noqa: FBT001, FBT002  part of the interface of the rigs
+        self, senders: Iterable[str], receivers: Iterable[str], *, both_ways: bool = True
     ) -> None:
-        """Cut the links from each sender to each receiver, and back if `both`."""
+        """Cut the links from each sender to each receiver, and back if `both_ways`."""
         receiver_names = list(receivers)
         for sender in senders:
             for receiver in receiver_names:
                 if sender == receiver:
                     continue
                 self.cut_pairs.add((sender, receiver))
-                if both:
+                if both_ways:
                     self.cut_pairs.add((receiver, sender))
 
     def heal(self) -> None:
         """Restore all links that were cut."""
         self.cut_pairs.clear()
 
-    def draw_delays(self, rng: random.Random) -> Iterator[float]:
+    def sample_delays(self, rng: random.Random) -> Iterator[float]:
         """Yield the delay in seconds of each copy of a datagram that arrives.
 
         Cut links are the caller's to check. A seed replays a run only as long as the order of the
-        draws stays: whether the datagram is duplicated, then for each copy whether it is lost, its
-        delay, and whether it is reordered.
+        random numbers stays: whether the datagram is duplicated, then for each copy whether it is
+        lost, its delay, and whether it is reordered.
         """
         copies = 2 if rng.random() < self.duplicate_probability else 1
         for _ in range(copies):
--- a/stepstream/lab/emulator/udp_relay.py
+++ b/stepstream/lab/emulator/udp_relay.py
@@ -26,7 +26,7 @@
 MAX_POLL_SECONDS = 0.05
 """Longest wait for a datagram, which bounds how long `close` takes."""
 
-MAX_DATAGRAMS_PER_TURN = 64
+MAX_DATAGRAMS_PER_BATCH = 64
 """How many datagrams to one member are received before the next member has its turn."""
 
 MILLISECONDS = 1000
@@ -144,12 +144,12 @@
 
     def _receive(self, receiver: RelayedMember) -> None:
         """Receive what was sent to one member, and queue each copy that the links let pass."""
-        for _ in range(MAX_DATAGRAMS_PER_TURN):
+        for _ in range(MAX_DATAGRAMS_PER_BATCH):
             try:
                 data, source = receiver.relay_socket.recvfrom(DATAGRAM_BYTES)
             except OSError:
                 return  # nothing more has arrived
-            delays_seconds = self._draw_delays(source, receiver)
+            delays_seconds = self._sample_delays(source, receiver)
             if not delays_seconds:
                 self.dropped += 1
             for delay_seconds in delays_seconds:
@@ -157,13 +157,13 @@
                 delayed = DelayedDatagram(due_at_seconds, next(self._serial), receiver, data)
                 heapq.heappush(self._delayed, delayed)
 
-    def _draw_delays(self, source: Address, receiver: RelayedMember) -> list[float]:
+    def _sample_delays(self, source: Address, receiver: RelayedMember) -> list[float]:
         """Return the delay of each copy that arrives, in seconds; none over a cut link."""
         with self.lock:
             pair = (self._sender_names.get(source, ""), receiver.name)
             if pair in self.links.cut_pairs:
                 return []
-            return list(self.links.draw_delays(self._rng))
+            return list(self.links.sample_delays(self._rng))
 
     def _forward_due(self) -> None:
         """Send every delayed datagram that is due to its member."""
--- a/stepstream/lab/faults/random_schedule.py
+++ b/stepstream/lab/faults/random_schedule.py
@@ -1,12 +1,12 @@
-"""Draw a fault schedule of all kinds from a seed."""
+"""Generate a random fault schedule of all kinds from a seed."""
 
 import random
 
 from stepstream.lab.faults.schedule import Fault, FaultKind, Schedule
 
-# Cuts are drawn twice as often as any other kind. One seed draws one schedule as long as the order
-# of this tuple and of the random draws in this module stays.
-_DRAWN_KINDS = (
+# Cuts are twice as frequent as any other kind. A seed stands for one schedule only as long as the
+# order of this tuple and of the random numbers in this module stays.
+_KINDS = (
     FaultKind.CRASH,
     FaultKind.RESTART,
     FaultKind.LEAVE,
@@ -22,14 +22,14 @@
 _MEAN_GAP_SECONDS = 3.0
 _SHORTEST_FAULT_SECONDS = 0.5
 _LONGEST_FAULT_SECONDS = 12.0
-_DRAWN_LOSS_FRACTIONS = (0.1, 0.3)
+_LOSS_FRACTIONS = (0.1, 0.3)
 _TIME_DIGITS = 3  # times are rounded to milliseconds, so that a schedule reads well in a file
 
 
-def draw_schedule(
+def generate_schedule(
     seed: int, member_names: tuple[str, ...], seconds: float, max_affected_fraction: float = 0.5
 ) -> Schedule:
-    """Draw faults of all kinds that begin within `seconds`; equal arguments draw equal schedules.
+    """Generate faults of all kinds that begin within `seconds`; equal arguments, equal schedules.
 
     Each affects at most the fraction `max_affected_fraction` of the members (but at least one may
     be affected).
@@ -39,19 +39,19 @@
     faults: list[Fault] = []
     begin_seconds = rng.uniform(0.0, _LATEST_FIRST_FAULT_SECONDS)
     while begin_seconds < seconds:
-        faults.append(_draw_fault(rng, member_names, max_affected, begin_seconds))
+        faults.append(_generate_fault(rng, member_names, max_affected, begin_seconds))
         begin_seconds += rng.expovariate(1 / _MEAN_GAP_SECONDS)
     return Schedule(tuple(faults))
 
 
-def _draw_fault(
+def _generate_fault(
     rng: random.Random, member_names: tuple[str, ...], max_affected: int, begin_seconds: float
 ) -> Fault:
-    """Draw the kind, the members and the duration of one fault, in this order."""
-    kind = rng.choice(_DRAWN_KINDS)
+    """Generate one fault: its kind, its members, its loss and its duration, in this order."""
+    kind = rng.choice(_KINDS)
     affected = 1 if kind in _SINGLE_MEMBER_KINDS else rng.randint(1, max_affected)
     members = tuple(sorted(rng.sample(member_names, affected)))
-    loss_fraction = rng.choice(_DRAWN_LOSS_FRACTIONS) if kind is FaultKind.LOSS else 0.0
+    loss_fraction = rng.choice(_LOSS_FRACTIONS) if kind is FaultKind.LOSS else 0.0
     duration_seconds = 0.0
     if kind is not FaultKind.RESTART:
         duration_seconds = rng.uniform(_SHORTEST_FAULT_SECONDS, _LONGEST_FAULT_SECONDS)
--- a/stepstream/lab/faults/schedule.py
+++ b/stepstream/lab/faults/schedule.py
@@ -1,6 +1,6 @@
 """Fault schedules: what goes wrong in a cluster of dispatchers and when, and their file form.
 
-A schedule is read from a TOML file here or drawn from a seed by `random_schedule`. `injector`
+A schedule is read from a TOML file here or generated from a seed by `random_schedule`. `injector`
 applies it, to simulated clusters (`simulation`) and to processes (`reports.fault_run`) alike.
 """
 
--- a/stepstream/lab/processes/dispatcher_cluster.py
+++ b/stepstream/lab/processes/dispatcher_cluster.py
@@ -198,7 +198,7 @@
 
     def cut(self, one: Iterable[str], other: Iterable[str], both: bool = True) -> None:
         with self.relay.lock:
-            self.relay.links.cut(one, other, both)
+            self.relay.links.cut(one, other, both_ways=both)
 
     def heal(self) -> None:
         with self.relay.lock:
--- a/stepstream/lab/reports/fault_run.py
+++ b/stepstream/lab/reports/fault_run.py
@@ -13,7 +13,7 @@
 
 from stepstream.config.errors import ConfigurationError
 from stepstream.lab.faults.injector import FaultInjector
-from stepstream.lab.faults.random_schedule import draw_schedule
+from stepstream.lab.faults.random_schedule import generate_schedule
 from stepstream.lab.faults.schedule import Fault, FaultKind, Schedule, read_schedule
 from stepstream.lab.processes.dispatcher_cluster import DispatcherCluster
 
@@ -253,7 +253,7 @@
         raise ConfigurationError(f"--members={members} is not between 2 and 20")
     console = Console(width=120)
     names = tuple(f"n{k}" for k in range(members))
-    schedule = read_schedule(faults, names) if faults else draw_schedule(seed, names, seconds)
+    schedule = read_schedule(faults, names) if faults else generate_schedule(seed, names, seconds)
     with DispatcherCluster(members, seed) as rig:
         watch, outcome = play(rig, schedule, seconds, console)
     outcome.seed = seed
--- a/stepstream/lab/search/explorer.py
+++ b/stepstream/lab/search/explorer.py
@@ -81,7 +81,7 @@
         """Return whether to expand a node; checks of whole states belong here."""
         return True
 
-    def mark_explored(self, key: int) -> bool:
+    def add_explored(self, key: int) -> bool:
         """Return whether a state's key is new, and remember it."""
         if key in self.explored:
             return False
--- a/stepstream/lab/search/lease_search.py
+++ b/stepstream/lab/search/lease_search.py
@@ -88,7 +88,7 @@
 
     Attributes:
         bounds: of every path.
-        held_states: states in which a proposer holds the lease.
+        states_with_holder: states in which a proposer holds the lease.
         messages: every message ever sent, in both directions, with the index of its proposer.
         message_numbers: their indexes in `messages`.
 
@@ -96,7 +96,7 @@
 
     bounds: Bounds
     max_states: int | None = field(default=10_000_000, kw_only=True)
-    held_states: int = field(default=0, init=False)
+    states_with_holder: int = field(default=0, init=False)
     messages: list[tuple[int, Message]] = field(default_factory=list, init=False)
     message_numbers: dict[tuple[int, Message], int] = field(default_factory=dict, init=False)
 
@@ -107,7 +107,7 @@
         """
         new_nodes: list[Node[LeaseState]] = []
         for name, successor in self.successors(node.state):
-            if not self.mark_explored(successor.key()):
+            if not self.add_explored(successor.key()):
                 continue
             if self.is_exhausted:
                 break
@@ -127,7 +127,7 @@
             for proposer_index, proposer in enumerate(state.proposers)
         )
         if holders > 0:
-            self.held_states += 1
+            self.states_with_holder += 1
         if holders > 1:
             raise TwoHoldersError(str(path))
 
--- a/stepstream/lab/search/membership_search.py
+++ b/stepstream/lab/search/membership_search.py
@@ -37,7 +37,7 @@
 
     def visit(self, node: Node[MembershipState]) -> bool:
         """Return whether a state is new at its depth; continue one in some until all agree."""
-        if not self.mark_explored(hash((node.state.key(), node.depth))):
+        if not self.add_explored(hash((node.state.key(), node.depth))):
             return False
         if self.states % self.convergence_interval == 0:
             check_converges(node)
--- a/stepstream/lab/simulation/cluster.py
+++ b/stepstream/lab/simulation/cluster.py
@@ -1,12 +1,13 @@
 """Simulate the processes of a cluster and the links between them, for any protocol.
 
 `SimulatedCluster` is what the clusters of membership and of leases have in common. One seed replays
-a whole run: it owns the only random generator, and the order of its draws is part of the run.
+a whole run: it owns the only random generator, and the order
+of the random numbers is part of the run.
 
 A process is in one of three states:
 
 - stopped: it has no protocol, and packets to it are lost.
-- running: it receives packets and ticks when its protocol asks for it.
+- running: it receives packets and ticks when its protocol requests it.
 - stalled: as after SIGSTOP. Packets wait in its socket's queue, up to what that holds, and its
   tick waits. When it resumes, it works off both.
 
@@ -157,7 +158,7 @@
         process.tick_number += 1
 
     def leave(self, name: str) -> None:
-        """End a member's process as SIGTERM does, after it told the others."""
+        """End a member's process as SIGTERM does, after it has announced that."""
         self.announce_leave(self.processes[name])
         self.kill(name)
 
@@ -213,8 +214,8 @@
     def schedule_tick(self, process: ProcessT) -> None:
         """Schedule a process's next tick; it replaces the one that was scheduled before."""
         process.tick_number += 1
-        wanted_at = max(self.next_tick_at(process), self.now, process.stalled_until)
-        due_at = min(wanted_at, MAX_TICK_AT_SECONDS) + self.tick_margin_seconds
+        requested_at = max(self.next_tick_at(process), self.now, process.stalled_until)
+        due_at = min(requested_at, MAX_TICK_AT_SECONDS) + self.tick_margin_seconds
         self.call_at(due_at, partial(self._tick_if_current, process, process.tick_number))
 
     def _tick_if_current(self, process: ProcessT, number: int) -> None:
@@ -244,7 +245,7 @@
         if receiver is None or (sender.name, receiver.name) in self.links.cut_pairs:
             return
         packet = Packet(sender.name, address, data)
-        for delay_seconds in self.links.draw_delays(self.rng):
+        for delay_seconds in self.links.sample_delays(self.rng):
             self.call_later(delay_seconds, partial(self.deliver, packet))
 
     def deliver(self, packet: Packet) -> None:
--- a/stepstream/lab/simulation/lease_cluster.py
+++ b/stepstream/lab/simulation/lease_cluster.py
@@ -2,7 +2,7 @@
 
 `cluster` has the states of a process and the links. Each process has a monotonic clock of its own
 rate and a time of day. After a stall, the operating system may run its tick, its tasks and its
-received envelopes in any order, so that order is drawn. After every step of a process,
+received envelopes in any order, so that order is random. After every step of a process,
 `lease_invariants` checks what must hold.
 """
 
@@ -29,7 +29,7 @@
 """Longest time from the start of a process to the start of a task."""
 
 CLOCK_ERRORS = (-1, -1, 0, 1, 1)
-"""From which the error of a clock's rate is drawn, in units of the largest drift."""
+"""Errors of a clock's rate, in units of the largest drift; each process has a random one."""
 
 MILLISECONDS = 1000
 
@@ -37,7 +37,7 @@
 class LeaseCluster(SimulatedCluster[LeaseProcess]):
     """Simulate members that want leases; the acceptors are those of the configuration.
 
-    The rate of each clock is drawn within the configuration's bound on clock drift.
+    Each clock has a random rate, within the configuration's bound on clock drift.
 
     Attributes:
         configuration: of the leases, for every process that starts from now on.
@@ -123,7 +123,7 @@
         self.schedule_tick(process)
 
     def work_off_stall(self, process: LeaseProcess) -> None:
-        """Run the tick, the envelopes and the tasks that waited, in a drawn order."""
+        """Run the tick, the envelopes and the tasks that waited, in a random order."""
         steps: list[Step] = [partial(self.tick, process)]
         steps += [partial(self.deliver, packet) for packet in process.socket_queue]
         steps += process.stalled_steps
@@ -188,5 +188,5 @@
 
     def has_recovered(self) -> bool:
         """Return whether every lease that a task wants is held."""
-        wanted = {task.lease for tasks in self.tasks.values() for task in tasks}
-        return all(self.holders(lease) for lease in wanted)
+        contended = {task.lease for tasks in self.tasks.values() for task in tasks}
+        return all(self.holders(lease) for lease in contended)
--- a/stepstream/lab/simulation/lease_tasks.py
+++ b/stepstream/lab/simulation/lease_tasks.py
@@ -2,9 +2,9 @@
 
 A `TaskRun` is in one of these states; `LeaseCluster.call_in_process` runs its steps:
 
-- thinking: it does not want the lease. A drawn pause leads to waiting.
+- thinking: it does not want the lease. A random pause leads to waiting.
 - waiting: its proposer tries to acquire the lease. It polls until it may begin an operation.
-- operating: it checks the lease, begins an operation on the resource and ends it, all with drawn
+- operating: it checks the lease, begins an operation on the resource and ends it, all with random
   pauses between, so that anything may happen to the process in the middle. Then it waits again.
 - From waiting it goes back to thinking, after a release, once it has held the lease for long enough
   or an operation was fenced off.
--- a/stepstream/lab/simulation/random_lease_cluster.py
+++ b/stepstream/lab/simulation/random_lease_cluster.py
@@ -1,4 +1,4 @@
-"""Draw a cluster that contends for one lease, for runs under drawn fault schedules."""
+"""Generate a cluster that contends for one lease, for runs under random fault schedules."""
 
 from stepstream.lab.emulator.links import Links
 from stepstream.lab.simulation.lease_cluster import LeaseCluster
@@ -24,11 +24,11 @@
 CLOCK_OFFSETS_SECONDS = (0.0, 0.0, -500.0, 300.0)
 
 
-def draw_lease_cluster(seed: int, max_clock_drift: float = 0.01) -> LeaseCluster:
+def generate_lease_cluster(seed: int, max_clock_drift: float = 0.01) -> LeaseCluster:
     """Return a cluster that was started and has one lease that every member wants.
 
-    The seed draws its clocks, links and tasks. The order of the draws is part of what it stands
-    for.
+    Its clocks, links and tasks follow from the seed, as long as the order of the random numbers
+    stays.
     """
     acceptors, members = SIZES[seed % len(SIZES)]
     names = [f"n{number}" for number in range(members)]
--- a/tests/golden/state_answers.py
+++ b/tests/golden/state_answers.py
@@ -35,7 +35,7 @@
 from stepstream.http import discovery_api, worker_api
 from stepstream.http.destination_set import DestinationSet
 from stepstream.lab.emulator import worker_drivers as nodes
-from stepstream.lab.faults.random_schedule import draw_schedule
+from stepstream.lab.faults.random_schedule import generate_schedule
 from stepstream.lab.processes import load_test as rig
 from stepstream.lab.reports import demo
 from stepstream.lab.reports import fault_run as fleet_play
@@ -713,7 +713,7 @@
 def fleet_file() -> str:
     """fleet.json of `stepstream lab fleet --out`, the processes and the chart left out."""
     names = ("n0", "n1", "n2")
-    schedule = draw_schedule(3, names, 25.0)
+    schedule = generate_schedule(3, names, 25.0)
     watch = fleet_play.InvariantMonitor(0.0)
     facts = {"count": 4}
     steps = ((0.5, "alive", 5), (0.6, "suspect", 5), (0.7, "dead", 5), (0.8, "alive", 4))
@@ -732,7 +732,7 @@
         folder as out,
         quiet(),
         mock.patch.object(fleet_play, "DispatcherCluster"),
-        mock.patch.object(fleet_play, "draw_schedule", return_value=schedule),
+        mock.patch.object(fleet_play, "generate_schedule", return_value=schedule),
         mock.patch.object(fleet_play, "play", return_value=(watch, outcome)),
         mock.patch.object(fleet_play, "chart"),
     ):
--- a/tests/leases/lease_builders.py
+++ b/tests/leases/lease_builders.py
@@ -2,15 +2,15 @@
 
 import random
 
-from stepstream.lab.faults.random_schedule import draw_schedule
+from stepstream.lab.faults.random_schedule import generate_schedule
 from stepstream.lab.simulation.lease_cluster import LeaseCluster
-from stepstream.lab.simulation.random_lease_cluster import draw_lease_cluster
+from stepstream.lab.simulation.random_lease_cluster import generate_lease_cluster
 from stepstream.leases.configuration import LeaseConfiguration
 from stepstream.leases.participant import Participant
 
 ACCEPTORS = ("n0", "n1", "n2")
 CONFIGURATION = LeaseConfiguration(ACCEPTORS, max_ttl_seconds=6.0)
-FAULT_SECONDS = 25.0  # within which the drawn faults begin
+FAULT_SECONDS = 25.0  # within which the random faults begin
 MAX_RECOVERY_SECONDS = 60.0
 ALL_MEMBERS = 1.0  # fraction of the members that one fault may affect
 
@@ -30,9 +30,9 @@
 
 
 def cluster_after_faults(seed, max_clock_drift=0.01):
-    """A drawn cluster that has recovered from a drawn schedule of faults."""
-    cluster = draw_lease_cluster(seed, max_clock_drift)
-    schedule = draw_schedule(seed, cluster.names, FAULT_SECONDS, ALL_MEMBERS)
+    """A random cluster that has recovered from a random schedule of faults."""
+    cluster = generate_lease_cluster(seed, max_clock_drift)
+    schedule = generate_schedule(seed, cluster.names, FAULT_SECONDS, ALL_MEMBERS)
     cluster.play(schedule, MAX_RECOVERY_SECONDS)
     return cluster
 
--- a/tests/leases/test_lease_orders.py
+++ b/tests/leases/test_lease_orders.py
@@ -11,7 +11,7 @@
     search = LeaseSearch(Bounds(renewals=0, restarts=0, releases=False, time_steps=1))
     assert search.run()
     assert search.states > 5_000
-    assert search.held_states > 500
+    assert search.states_with_holder > 500
 
 
 @pytest.mark.parametrize(
--- a/tests/leases/test_lease_schedules.py
+++ b/tests/leases/test_lease_schedules.py
@@ -1,4 +1,4 @@
-"""Leases in simulated time, under drawn schedules of faults; thousands are in benchmarks/leases.py."""
+"""Leases in simulated time, under random schedules of faults; thousands are in benchmarks/leases.py."""
 
 import planted_lease_faults as planted
 import pytest
--- a/tests/membership/test_membership_simulation.py
+++ b/tests/membership/test_membership_simulation.py
@@ -6,7 +6,7 @@
 import pytest
 from membership_builders import SETTINGS, converged_cluster, member_names
 
-from stepstream.lab.faults.random_schedule import draw_schedule
+from stepstream.lab.faults.random_schedule import generate_schedule
 from stepstream.lab.faults.schedule import Fault, FaultKind, Schedule
 from stepstream.lab.search.membership_search import MembershipSearch
 from stepstream.lab.simulation.errors import InvariantError
@@ -19,10 +19,10 @@
 
 RECOVERY_SECONDS = 20.0  # after the last fault, at 5 members; most need one
 SEEDS_OF_A_PLANTED_FAULT = 40  # within which it must be caught
-FAULT_SECONDS = 20.0  # within which the drawn faults begin
+FAULT_SECONDS = 20.0  # within which the random faults begin
 
 
-# -- drawn schedules, planted faults, exhaustive search -------------------------------------------
+# -- random schedules, planted faults, exhaustive search -------------------------------------------
 
 
 @pytest.mark.parametrize(("members", "seeds"), [(3, 20), (5, 25), (20, 2)])
@@ -34,7 +34,7 @@
         cluster.start_all()
         cluster.run(3.0)
         try:
-            cluster.play(draw_schedule(seed, cluster.names, FAULT_SECONDS), RECOVERY_SECONDS)
+            cluster.play(generate_schedule(seed, cluster.names, FAULT_SECONDS), RECOVERY_SECONDS)
         except InvariantError as error:
             raise AssertionError(f"seed {seed}: {error}") from None
 
@@ -44,7 +44,7 @@
         cluster = MembershipCluster(seed, 5, SETTINGS)
         cluster.start_all()
         cluster.run(3.0)
-        cluster.play(draw_schedule(seed, cluster.names, FAULT_SECONDS), RECOVERY_SECONDS)
+        cluster.play(generate_schedule(seed, cluster.names, FAULT_SECONDS), RECOVERY_SECONDS)
 
 
 @pytest.mark.parametrize(
@@ -92,7 +92,7 @@
     for _ in range(2):
         cluster = MembershipCluster(7, 5, SETTINGS)
         cluster.start_all()
-        cluster.play(draw_schedule(7, cluster.names, 15.0), RECOVERY_SECONDS)
+        cluster.play(generate_schedule(7, cluster.names, 15.0), RECOVERY_SECONDS)
         deaths = cluster.declared_deaths
         runs.append((cluster.now, cluster.packets_sent, cluster.bytes_sent, deaths))
     assert runs[0] == runs[1]
