--- a/stepstream/lab/reports/fault_run.py
+++ b/stepstream/lab/reports/fault_run.py
@@ -15,7 +15,7 @@
 
 from stepstream.config.errors import ConfigurationError
 from stepstream.lab.faults.injector import FaultInjector, Step, Transition
-from stepstream.lab.faults.random_schedule import draw_schedule
+from stepstream.lab.faults.random_schedule import generate_schedule
 from stepstream.lab.faults.schedule import Fault, FaultKind, Schedule, read_schedule
 from stepstream.lab.processes.dispatcher_cluster import DispatcherCluster
 from stepstream.lab.processes.process_controller import ProcessController
@@ -162,7 +162,7 @@
         raise ConfigurationError(text)
     console = Console(width=CONSOLE_COLUMNS)
     names = tuple(f"n{index}" for index in range(members))
-    schedule = read_schedule(faults, names) if faults else draw_schedule(seed, names, seconds)
+    schedule = read_schedule(faults, names) if faults else generate_schedule(seed, names, seconds)
     with DispatcherCluster(members, seed) as cluster:
         fault_run = FaultRun(cluster, schedule, console)
         outcome = fault_run.play(seconds, seed)
--- a/tests/golden/state_answers.py
+++ b/tests/golden/state_answers.py
@@ -35,7 +35,7 @@
 from stepstream.http import discovery_api, worker_api
 from stepstream.http.destination_set import DestinationSet
 from stepstream.lab.emulator.workload import Workload
-from stepstream.lab.faults.random_schedule import draw_schedule
+from stepstream.lab.faults.random_schedule import generate_schedule
 from stepstream.lab.load.scenario import Scenario
 from stepstream.lab.processes.load_test import Result
 from stepstream.lab.processes.process_cost import Cost
@@ -719,7 +719,7 @@
 
 def fault_run_file() -> str:
     """fleet.json of `stepstream lab fleet --out`, the processes and the chart left out."""
-    schedule = draw_schedule(3, ("n0", "n1", "n2"), 25.0)
+    schedule = generate_schedule(3, ("n0", "n1", "n2"), 25.0)
     monitor = fault_run.InvariantMonitor(0.0)
     observations = ((0.5, "alive", 5), (0.6, "suspect", 5), (0.7, "dead", 5), (0.8, "alive", 4))
     for at_seconds, state, generation in observations:
@@ -739,7 +739,7 @@
         tempfile.TemporaryDirectory() as folder,
         quiet(),
         mock.patch.object(fault_run, "DispatcherCluster"),
-        mock.patch.object(fault_run, "draw_schedule", return_value=schedule),
+        mock.patch.object(fault_run, "generate_schedule", return_value=schedule),
         mock.patch.object(fault_run, "FaultRun", return_value=run),
         mock.patch.object(fault_run, "draw_chart"),
     ):
