--- a/benchmarks/health_check_leader.py
+++ b/benchmarks/health_check_leader.py
@@ -16,12 +16,16 @@
 import statistics
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 from docopt import docopt
 
 from benchmarks.harness import markdown_table, run_in_processes, write_json
-from stepstream.lab.processes.cluster_load_test import play_swept
+from stepstream.lab.processes.cluster_scenarios import (
+    HealthCheckRun,
+    HealthCheckRunResult,
+    LeaderFault,
+    play_health_check_run,
+)
 
 DAY_SECONDS = 12
 SEEDS = 10
@@ -33,32 +37,37 @@
 
 @dataclass(frozen=True)
 class Setup:
-    """A number of dispatchers, and what befalls the leader: "kill", "stop" or "" for nothing."""
+    """A number of dispatchers, and what happens to the leader."""
 
     dispatchers: int
-    harm: str
+    leader_fault: LeaderFault = LeaderFault.NONE
 
-    def matches(self, row: dict[str, Any]) -> bool:
+    def matches(self, row: HealthCheckRunResult) -> bool:
         """Return whether a result is of this setup."""
-        return bool(row["dispatchers"] == self.dispatchers and row["harm"] == self.harm)
+        return row["dispatchers"] == self.dispatchers and row["harm"] == self.leader_fault.value
 
 
-SETUPS = (Setup(4, ""), Setup(4, "kill"), Setup(4, "stop"), Setup(16, ""))
+SETUPS = (
+    Setup(4),
+    Setup(4, LeaderFault.KILL),
+    Setup(4, LeaderFault.SUSPEND),
+    Setup(16),
+)
 
 
-def run_days(setup: Setup, seeds: int) -> list[dict[str, Any]]:
+def run_days(setup: Setup, seeds: int) -> list[HealthCheckRunResult]:
     """Run the days of one setup, each seed without and with the leader."""
     jobs = [
-        (seed, has_leader, setup.dispatchers, DAY_SECONDS, setup.harm)
+        HealthCheckRun(seed, has_leader, setup.dispatchers, DAY_SECONDS, setup.leader_fault)
         for seed in range(seeds)
         for has_leader in (False, True)
     ]
     is_large = setup.dispatchers >= LARGE_CLUSTER
     days_at_once = LARGE_CLUSTER_DAYS_AT_ONCE if is_large else DAYS_AT_ONCE
-    return run_in_processes(play_swept, jobs, days_at_once)
+    return run_in_processes(play_health_check_run, jobs, days_at_once)
 
 
-def setup_row(setup: Setup, rows: list[dict[str, Any]]) -> list[object]:
+def setup_row(setup: Setup, rows: list[HealthCheckRunResult]) -> list[object]:
     """Return one setup's cells."""
     alone = [row for row in rows if not row["sweep"]]
     led = [row for row in rows if row["sweep"]]
@@ -69,7 +78,7 @@
     breaches = [row["breaches"] for row in rows if row["breaches"]]
     return [
         setup.dispatchers,
-        setup.harm or "well",
+        setup.leader_fault.value or "well",
         *(f"{value:.2f}" for value in checks),
         f"{statistics.mean(gains):+.3f}, standard error {error:.3f}",
         f"{late_ms:.0f}",
@@ -77,7 +86,7 @@
     ]
 
 
-def table(rows: list[dict[str, Any]]) -> str:
+def table(rows: list[HealthCheckRunResult]) -> str:
     """Return the comparison of all setups."""
     header = (
         "dispatchers",
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -23,7 +23,7 @@
 from dataclasses import asdict, dataclass
 from http import HTTPStatus
 from pathlib import Path
-from typing import Any, cast
+from typing import Any
 
 from docopt import docopt
 
@@ -34,14 +34,17 @@
     run_in_processes,
     write_json,
 )
-from stepstream.lab.faults.schedule import draw
-from stepstream.lab.processes.lease_cluster import TROUBLES, LeaseDispatcherCluster, trouble
-from stepstream.lab.processes.lease_member import MANY
-from stepstream.lab.search.lease_search import Bounds, Search
-from stepstream.lab.search.lease_search import TwoHoldersError as SearchViolationError
-from stepstream.lab.simulation.lease_cluster import LeaseCluster, drawn
-from stepstream.lab.simulation.lease_workload import Resource, Task, TwoHoldersError
-from stepstream.lab.verification import ledger
+from stepstream.lab.faults.random_schedule import generate_schedule
+from stepstream.lab.processes.lease_cluster import LeaseDispatcherCluster
+from stepstream.lab.processes.lease_faults import LEASE_FAULTS, inject
+from stepstream.lab.processes.lease_task import MANY
+from stepstream.lab.search.lease_search import Bounds, LeaseSearch
+from stepstream.lab.simulation.errors import InvariantError, TwoHoldersError
+from stepstream.lab.simulation.guarded_resource import GuardedResource
+from stepstream.lab.simulation.lease_cluster import LeaseCluster
+from stepstream.lab.simulation.lease_tasks import Task
+from stepstream.lab.simulation.random_lease_cluster import generate_lease_cluster
+from stepstream.lab.verification import ledger_record
 from stepstream.leases.configuration import LeaseConfiguration
 
 SIMULATION_PROCESSES = 7
@@ -60,11 +63,11 @@
 MAX_SEARCH_STATES = 400_000
 MAX_ERROR_CHARACTERS = 400
 SMALL_CONFIGURATIONS = (
-    Bounds(renewals=0, restarts=0, releases=False, steps=2),
-    Bounds(renewals=0, restarts=0, releases=False, steps=3),
-    Bounds(renewals=0, restarts=0, releases=True, steps=2),
-    Bounds(renewals=0, restarts=1, releases=False, steps=2),
-    Bounds(renewals=1, restarts=0, releases=False, steps=2),
+    Bounds(renewals=0, restarts=0, releases=False, time_steps=2),
+    Bounds(renewals=0, restarts=0, releases=False, time_steps=3),
+    Bounds(renewals=0, restarts=0, releases=True, time_steps=2),
+    Bounds(renewals=0, restarts=1, releases=False, time_steps=2),
+    Bounds(renewals=1, restarts=0, releases=False, time_steps=2),
 )
 
 
@@ -87,37 +90,45 @@
 
 def play_schedule(seed: int) -> dict[str, Any]:
     """Play a drawn fault schedule on a drawn cluster."""
-    cluster = drawn(seed)
+    cluster = generate_lease_cluster(seed)
     try:
-        schedule = draw(seed, cluster.names, SCHEDULE_SECONDS, LINK_FAULT_FRACTION)
+        schedule = generate_schedule(seed, cluster.names, SCHEDULE_SECONDS, LINK_FAULT_FRACTION)
         settled = cluster.play(schedule, SETTLE_SECONDS)
-    except TwoHoldersError as error:
+    except InvariantError as error:
         return {"seed": seed, "broken": str(error)}
-    operations = cluster.resources.get(LEASE, Resource()).acts
+    resource = cluster.resources.get(LEASE, GuardedResource())
     return {
         "seed": seed,
         "settled": settled,
         "grants": len(cluster.grants),
-        "acts": sum(operation.taken for operation in operations),
-        "refused": cluster.fenced,
+        "acts": resource.completed_operations(),
+        "refused": cluster.fenced_operations,
     }
 
 
 def search_configuration(bounds: Bounds) -> dict[str, Any]:
     """Search every order of events of one small configuration."""
-    search = Search(bounds, most=MAX_SEARCH_STATES)
-    result: dict[str, Any] = {"bounds": repr(bounds)}
+    search = LeaseSearch(bounds, max_states=MAX_SEARCH_STATES)
+    result: dict[str, Any] = {"bounds": stored_bounds(bounds)}
     started_seconds = time.monotonic()
     try:
         result["whole"] = search.run()
-    except SearchViolationError as error:
+    except TwoHoldersError as error:
         result["broken"] = str(error)
     result["states"] = search.states
-    result["held"] = search.held
+    result["held"] = search.states_with_holder
     result["s"] = round(time.monotonic() - started_seconds, 1)
     return result
 
 
+def stored_bounds(bounds: Bounds) -> str:
+    """Return the bounds in the form of the kept results, which has shorter names."""
+    return (
+        f"Bounds(ballots={bounds.ballots}, renewals={bounds.renewals}, restarts={bounds.restarts},"
+        f" steps={bounds.time_steps}, drift={bounds.max_clock_drift}, releases={bounds.releases})"
+    )
+
+
 def simulated_cluster(seed: int, members: int, max_ttl_seconds: float) -> LeaseCluster:
     """Return a cluster of members whose first three are the acceptors."""
     names = [f"n{number}" for number in range(members)]
@@ -133,19 +144,25 @@
     cluster = simulated_cluster(seed, 5, ttl_seconds)
     for name in ("n3", "n4"):
         cluster.tasks[name] = [
-            Task(LEASE, ttl=ttl_seconds, act=ttl_seconds / 10, hold=LONG_SECONDS, think=0.1)
+            Task(
+                LEASE,
+                ttl_seconds=ttl_seconds,
+                max_operation_seconds=ttl_seconds / 10,
+                hold_seconds=LONG_SECONDS,
+                think_seconds=0.1,
+            )
         ]
     cluster.start_all()
-    phase_seconds = cluster.draw.uniform(0.0, ttl_seconds)
-    cluster.run(cluster.rules.recovery_seconds + 5.0 + phase_seconds)
+    phase_seconds = cluster.rng.uniform(0.0, ttl_seconds)
+    cluster.run(cluster.configuration.recovery_seconds + 5.0 + phase_seconds)
     (holder,) = cluster.holders(LEASE)
-    operations = cluster.resources[LEASE].acts
+    operations = cluster.resources[LEASE].operations
     operations_before = len(operations)
     cluster.kill(holder.partition("@")[0])
     crashed_at = cluster.now
     if not cluster.run(10 * ttl_seconds, lambda: len(operations) > operations_before):
-        raise TwoHoldersError(f"nobody acted: ttl {ttl_seconds}, seed {seed}")
-    return {"ttl": ttl_seconds, "s": operations[operations_before].begun - crashed_at}
+        raise InvariantError(f"no operation began: ttl {ttl_seconds}, seed {seed}")
+    return {"ttl": ttl_seconds, "s": operations[operations_before].begun_at - crashed_at}
 
 
 def measure_load(waiting: int) -> dict[str, float]:
@@ -155,17 +172,17 @@
     cluster = simulated_cluster(1, members, 15.0)
     cluster.start_all()
     cluster.run(16.0)
+    task = Task(LEASE, ttl_seconds=15.0, max_operation_seconds=1.0, hold_seconds=LONG_SECONDS)
     for number in range(waiting + 1):
-        process = cluster.processes[f"n{number % members}"]
-        cluster.work(process, Task(LEASE, ttl=15.0, act=1.0, hold=LONG_SECONDS))
+        cluster.start_task(f"n{number % members}", task)
     cluster.run(20.0)
-    envelopes_before = cluster.sent
-    messages_before = cluster.bodies
+    envelopes_before = cluster.packets_sent
+    messages_before = cluster.messages_sent
     cluster.run(window_seconds)
     return {
         "waiting": waiting,
-        "letters_s": (cluster.sent - envelopes_before) / window_seconds,
-        "bodies_s": (cluster.bodies - messages_before) / window_seconds,
+        "letters_s": (cluster.packets_sent - envelopes_before) / window_seconds,
+        "bodies_s": (cluster.messages_sent - messages_before) / window_seconds,
     }
 
 
@@ -190,15 +207,15 @@
         cluster.wait_for(cluster.holder, SETTLE_SECONDS, "a first holder")
         try:
             for _ in range(job.rounds):
-                for fault in cluster.draw.sample(TROUBLES, len(TROUBLES)):
-                    outcome = trouble(cluster, fault, SETTLE_SECONDS)
-                    next_operation_seconds.append(outcome["next_act_s"])
+                for fault in cluster.rng.sample(LEASE_FAULTS, len(LEASE_FAULTS)):
+                    outcome = inject(cluster, fault, SETTLE_SECONDS)
+                    next_operation_seconds.append(outcome.recovery_seconds)
         except AssertionError as error:
             result["broken"] = str(error)[:MAX_ERROR_CHARACTERS]
-        rows = cluster.rows()
+        rows = cluster.ledger_rows()
     result["played"] = len(next_operation_seconds)
     result["next_act_s"] = next_operation_seconds
-    result["faults"] = ledger.faults(rows)
+    result["faults"] = ledger_record.find_breaches(rows)
     result["acts"] = sum(row["what"] == "end" for row in rows)
     result["refused"] = sum(row["what"].startswith("refused") for row in rows)
     result["holders"] = len({row["token"] for row in rows})
@@ -220,7 +237,7 @@
     holder = "n4"
     with (
         environment_variable(MANY, str(lease_count)),
-        LeaseDispatcherCluster(5, 3, 1, ttl=15.0, tasks=(holder,)) as cluster,
+        LeaseDispatcherCluster(5, 3, 1, ttl_seconds=15.0, contenders=(holder,)) as cluster,
     ):
         member = cluster.members[holder]
 
@@ -228,8 +245,7 @@
             status, body = member.call("/leases")
             if status != HTTPStatus.OK:
                 return 0
-            rows = cast("list[dict[str, Any]]", body)
-            return sum(row["holder"].startswith(f"{holder}@") for row in rows)
+            return sum(row["holder"].startswith(f"{holder}@") for row in body)
 
         cluster.wait_for(lambda: held_count() >= lease_count, 120.0, f"{lease_count} leases")
         time.sleep(5.0)  # the acquisition's own work must not count
@@ -239,7 +255,7 @@
         if held_count() < lease_count:
             raise RuntimeError(f"of {lease_count} leases only {held_count()} are held at the end")
     used = {name: (after[name] - before[name]) / CPU_SECONDS * 100 for name in after}
-    acceptor = statistics.median(used[name] for name in cluster.voters)
+    acceptor = statistics.median(used[name] for name in cluster.acceptors)
     return {
         "leases": lease_count,
         "holder": used[holder],
@@ -251,9 +267,8 @@
 def cpu_seconds(cluster: LeaseDispatcherCluster) -> dict[str, float]:
     """Return the CPU seconds of each dispatcher so far."""
     return {
-        name: process_cpu_seconds(member.process.pid)
+        name: process_cpu_seconds(member.started_process().pid)
         for name, member in cluster.members.items()
-        if member.process is not None
     }
 
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -21,7 +21,7 @@
 from collections.abc import Iterable
 from dataclasses import asdict, dataclass
 from pathlib import Path
-from typing import Any, cast
+from typing import Any
 
 import matplotlib
 from docopt import docopt
@@ -33,10 +33,12 @@
     run_in_processes,
     write_json,
 )
-from stepstream.lab.faults.schedule import draw
-from stepstream.lab.processes.dispatcher_cluster import Dispatcher, DispatcherCluster
-from stepstream.lab.search.membership_search import Search
-from stepstream.lab.simulation.membership_cluster import InvariantError, MembershipCluster
+from stepstream.lab.faults.random_schedule import generate_schedule
+from stepstream.lab.processes.cluster_member import ClusterMember, MembershipList
+from stepstream.lab.processes.dispatcher_cluster import DispatcherCluster
+from stepstream.lab.search.membership_search import MembershipSearch
+from stepstream.lab.simulation.errors import InvariantError
+from stepstream.lab.simulation.membership_cluster import MembershipCluster
 from stepstream.membership.messages import MemberState
 from stepstream.membership.protocol_settings import ProtocolSettings
 
@@ -71,7 +73,7 @@
     """Return a cluster whose members all agree; InvariantError if they do not join in time."""
     cluster = MembershipCluster(seed, members, settings)
     cluster.start_all()
-    if not cluster.run(JOIN_SECONDS, cluster.agreed):
+    if not cluster.run(JOIN_SECONDS, cluster.has_converged):
         raise InvariantError(f"{members} members, seed {seed}: not joined")
     return cluster
 
@@ -92,11 +94,11 @@
     members, seed = job
     cluster = joined_cluster(seed, members, DEFAULT_SETTINGS)
     cluster.run(3.0 + seed % 7 * 0.13)  # another phase of the probe interval for each seed
-    sent_before = cluster.sent
-    bytes_before = cluster.bytes
+    packets_before = cluster.packets_sent
+    bytes_before = cluster.bytes_sent
     cluster.run(LOAD_SECONDS)
-    sent = (cluster.sent - sent_before) / members / LOAD_SECONDS
-    sent_bytes = (cluster.bytes - bytes_before) / members / LOAD_SECONDS
+    sent = (cluster.packets_sent - packets_before) / members / LOAD_SECONDS
+    sent_bytes = (cluster.bytes_sent - bytes_before) / members / LOAD_SECONDS
     known_seconds = measure_crash(cluster)
     healed_seconds = measure_cut(cluster, members)
     if healed_seconds is None:
@@ -107,11 +109,11 @@
 def measure_crash(cluster: MembershipCluster) -> float:
     """Crash a member; return the seconds until all others believe it dead. Start it again."""
     crashed_at = cluster.now
-    cluster.crash("n1")
-    cluster.run(SETTLE_SECONDS, lambda: cluster.known("n1", (MemberState.DEAD,)))
+    cluster.kill("n1")
+    cluster.run(SETTLE_SECONDS, lambda: cluster.is_known_as("n1", (MemberState.DEAD,)))
     known_seconds = cluster.now - crashed_at
     cluster.start("n1")
-    cluster.run(30.0, cluster.agreed)
+    cluster.run(30.0, cluster.has_converged)
     return known_seconds
 
 
@@ -122,7 +124,7 @@
     cluster.run(20.0)
     cluster.links.heal()
     healed_at = cluster.now
-    return cluster.now - healed_at if cluster.run(JOIN_SECONDS, cluster.agreed) else None
+    return cluster.now - healed_at if cluster.run(JOIN_SECONDS, cluster.has_converged) else None
 
 
 @dataclass(frozen=True)
@@ -140,14 +142,18 @@
     """Count members believed dead while they ran, by others that did not stall, by hour."""
     settings = SETTINGS_BY_NAME[job.settings_name]
     cluster = joined_cluster(job.seed, FALSE_DEATHS_MEMBERS, settings)
-    cluster.links.loss = job.loss
-    deaths_before = len(cluster.deaths)
+    cluster.links.loss_probability = job.loss
+    deaths_before = len(cluster.declared_deaths)
     for _ in range(int(job.seconds)):
         if job.has_stalls:
-            cluster.stall("n0", cluster.draw.uniform(0.2, 0.9))
+            cluster.stall("n0", cluster.rng.uniform(0.2, 0.9))
         cluster.run(1.0)
     # Several observers of one death count once.
-    wrong = {(name, round(at / 10)) for at, _, name, runs in cluster.deaths[deaths_before:] if runs}
+    wrong = {
+        (death.member, round(death.declared_at / 10))
+        for death in cluster.declared_deaths[deaths_before:]
+        if death.was_running
+    }
     of_stalled = [name for name, _ in wrong if job.has_stalls and name == "n0"]
     hours = job.seconds / SECONDS_PER_HOUR
     return {
@@ -163,13 +169,13 @@
     """Play a drawn fault schedule on a cluster of a size and seed."""
     members, seed = job
     cluster = MembershipCluster(seed, members, DEFAULT_SETTINGS)
-    cluster.links.doubled = SCHEDULE_LINK_FAULT_FRACTION
-    cluster.links.late = SCHEDULE_LINK_FAULT_FRACTION
+    cluster.links.duplicate_probability = SCHEDULE_LINK_FAULT_FRACTION
+    cluster.links.reorder_probability = SCHEDULE_LINK_FAULT_FRACTION
     cluster.start_all()
     cluster.run(3.0)
     outcome: dict[str, Any] = {"members": members, "seed": seed}
     try:
-        schedule = draw(seed, cluster.names, SCHEDULE_SECONDS)
+        schedule = generate_schedule(seed, cluster.names, SCHEDULE_SECONDS)
         outcome["settled"] = cluster.play(schedule, SETTLE_SECONDS)
     except InvariantError as error:
         outcome["broken"] = str(error)
@@ -178,13 +184,13 @@
 
 def run_search() -> dict[str, Any]:
     """Search every order of events to the depth; InvariantError if one breaks an invariant."""
-    search = Search(depth=SEARCH_DEPTH)
+    search = MembershipSearch(max_depth=SEARCH_DEPTH)
     started_seconds = time.monotonic()
     search.run()
     return {
         "depth": SEARCH_DEPTH,
         "states": search.states,
-        "settled": search.settled,
+        "settled": search.converged,
         "s": round(time.monotonic() - started_seconds, 1),
     }
 
@@ -222,7 +228,7 @@
     def wait_for_agreement(self, expectation: str) -> float:
         """Wait until all members agree; return the seconds that it took."""
         return self.cluster.wait_for(
-            lambda: self.cluster.agreed(self.everyone), SETTLE_SECONDS, expectation
+            lambda: self.cluster.has_converged(self.everyone), SETTLE_SECONDS, expectation
         )
 
     def measure_calm_cpu(self) -> None:
@@ -237,7 +243,10 @@
     def cpu_seconds(self) -> dict[str, tuple[float, float]]:
         """Return by member the CPU seconds of the process and of its membership thread."""
         return {
-            name: (process_cpu_seconds(pid_of(member)), membership_of(member)["counts"]["cpu_s"])
+            name: (
+                process_cpu_seconds(member.started_process().pid),
+                membership_of(member)["counts"]["cpu_s"],
+            )
             for name, member in self.cluster.members.items()
         }
 
@@ -247,10 +256,10 @@
         self.cluster.kill("n3")
         others = self.everyone - {"n3"}
         self.cluster.wait_for(
-            lambda: self.cluster.held(others, "n3", "dead"), SETTLE_SECONDS, "the death"
+            lambda: self.cluster.all_observe(others, "n3", "dead"), SETTLE_SECONDS, "the death"
         )
         self.figures["crash_known_s"] = time.monotonic() - killed_seconds
-        self.cluster.members["n3"].known = ENDPOINT_LIST
+        self.cluster.members["n3"].persisted_endpoints = ENDPOINT_LIST
         self.cluster.start(["n3"])
         self.wait_for_agreement("the return")
 
@@ -278,7 +287,7 @@
 
     def has_maintenance(self, name: str) -> bool:
         """Return whether a member has any worker in maintenance."""
-        membership = self.cluster.members[name].fleet()
+        membership = self.cluster.members[name].membership_list()
         return membership is not None and any(record["out"] for record in membership["words"])
 
     def measure_maintenance_end(self) -> None:
@@ -296,29 +305,22 @@
         """Suspend a member for a minute; count whom it believes dead after it resumes."""
         member = self.cluster.members["n5"]
         last_change = membership_of(member)["number"]
-        self.cluster.freeze("n5")
+        self.cluster.suspend("n5")
         time.sleep(60.0)
-        self.cluster.thaw("n5")
+        self.cluster.resume("n5")
         self.figures["settled_after_60s_stop_s"] = self.wait_for_agreement(
             "the return of one that stood still"
         )
         _, body = member.call(f"/fleet/changes?after={last_change}")
-        changes = cast("dict[str, Any]", body)["changes"]
+        changes = body["changes"]
         self.figures["held_dead_by_it"] = sum(
             change["after"] == "dead" and change["name"] != "n5" for change in changes
         )
 
 
-def pid_of(member: Dispatcher) -> int:
-    """Return the process id of a running dispatcher."""
-    if member.process is None:
-        raise RuntimeError(f"{member.name} does not run")
-    return member.process.pid
-
-
-def membership_of(member: Dispatcher) -> dict[str, Any]:
+def membership_of(member: ClusterMember) -> MembershipList:
     """Return what a running dispatcher says of the members."""
-    membership = member.fleet()
+    membership = member.membership_list()
     if membership is None:
         raise RuntimeError(f"{member.name} does not answer")
     return membership
--- a/benchmarks/protocol_mix.py
+++ b/benchmarks/protocol_mix.py
@@ -24,7 +24,8 @@
 from docopt import docopt
 
 from benchmarks.harness import markdown_table, mean_with_range, print_and_keep
-from stepstream.lab.load.site import draw_scenario, read_site
+from stepstream.lab.load.scenario import draw_scenario
+from stepstream.lab.load.site import read_site
 from stepstream.lab.processes.load_test import LoadTest, Result
 
 MIXES = ("http", "gearman", "mixed")
@@ -53,12 +54,8 @@
     """Run one load test; return the number of its jobs, and its result."""
     site = msgspec.structs.replace(read_site(), load=load)
     scenario = draw_scenario(site, seed, seconds, mix)
-    load_test = LoadTest(scenario, seed, with_gearman=mix != "http")
-    try:
-        await load_test.start()
-        return len(scenario.asks), await load_test.play()
-    finally:
-        await load_test.stop()
+    async with LoadTest(scenario, seed, with_gearman=mix != "http") as load_test:
+        return len(scenario.requests), await load_test.play()
 
 
 def run_in_own_loop(seed: int, seconds: int, load: float, mix: str) -> tuple[int, Result]:
--- a/stepstream/lab/processes/dispatcher_cluster.py
+++ b/stepstream/lab/processes/dispatcher_cluster.py
@@ -166,7 +166,7 @@
     def cut(self, senders: Iterable[str], receivers: Iterable[str], *, both: bool = True) -> None:
         """Cut the links from each sender to each receiver, and back if `both`."""
         with self.relay.lock:
-            self.relay.links.cut(senders, receivers, both)
+            self.relay.links.cut(senders, receivers, both_ways=both)
 
     def heal(self) -> None:
         """Restore all links that were cut."""
