--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -179,7 +179,7 @@
             assert run(["lease", "show", "long", "--at", at]) == 0
             assert "held" in capsys.readouterr().out
             assert run(["lease", "release", "long", "--at", at]) == 0
-            assert "told to end" in capsys.readouterr().out
+            assert "asked to end" in capsys.readouterr().out
         else:
             fleet.members["n2"].terminate()
         assert job.wait(TIMEOUT_SECONDS) == 69
