--- a/stepstream/lab/emulator/discovery.py
+++ b/stepstream/lab/emulator/discovery.py
@@ -74,20 +74,24 @@
                 endpoint for endpoint in self.endpoints.values() if endpoint["state"] != "gone"
             ]
             return self._encode_response(endpoints, full=True)
-        index = int(query["index"][0])
+        version = int(query["index"][0])
         wait_seconds = int(query.get("wait", ["0"])[0]) / MS_PER_SECOND
-        with contextlib.suppress(TimeoutError):  # then the response has no changes
-            async with self.version_raised:
-                await asyncio.wait_for(
-                    self.version_raised.wait_for(lambda: self.version > index), wait_seconds
-                )
+        await self._wait_for_change(version, wait_seconds)
         changes = [
             endpoint
             for endpoint in self.endpoints.values()
-            if self.changed_in[endpoint["id"]] > index
+            if self.changed_in[endpoint["id"]] > version
         ]
         return self._encode_response(changes, full=False)
 
+    async def _wait_for_change(self, version: int, wait_seconds: float) -> None:
+        """Wait until the list has changed since `version`, or for `wait_seconds`."""
+        with contextlib.suppress(TimeoutError):
+            async with self.version_raised:
+                await asyncio.wait_for(
+                    self.version_raised.wait_for(lambda: self.version > version), wait_seconds
+                )
+
     def _note_dispatcher_informed(self, endpoints: list[EndpointJson]) -> None:
         """Note that the dispatcher knows these endpoints' states from now on."""
         now_us = self.clock.now_us()
--- a/stepstream/lab/emulator/gearman_worker.py
+++ b/stepstream/lab/emulator/gearman_worker.py
@@ -20,7 +20,7 @@
     address: tuple[str, int] = ("127.0.0.1", 0)  # of the dispatcher's Gearman listener
     functions: tuple[str, ...] = ()
     writer: asyncio.StreamWriter | None = None  # of the connection in use; None while down
-    grab_pending: bool = False  # GRAB_JOB_UNIQ sent and not answered
+    grab_pending: bool = False  # GRAB_JOB_UNIQ sent, response outstanding
     sleeping: bool = False  # PRE_SLEEP sent; NOOP wakes it
 
     async def start(self) -> None:
@@ -69,7 +69,7 @@
         match packet:
             case Packet(Kind.JOB_ASSIGN_UNIQ, (handle, _, _, workload)):
                 self.grab_pending = False
-                result, _ = self.offer(handle.decode(), workload, handle)
+                result = self.offer(handle.decode(), workload, handle)
                 if result in (OfferResult.ERROR, OfferResult.FULL):
                     self.send(Kind.WORK_FAIL, handle)
                 self.grab_job()
--- a/stepstream/lab/emulator/http_worker.py
+++ b/stepstream/lab/emulator/http_worker.py
@@ -13,11 +13,52 @@
 from stepstream.lab.emulator.worker_model import OfferResult, TaskEvent, TaskState
 from stepstream.lab.load.site import LoadReports
 
+HEALTH_PATH = "/-/healthy"
+LOAD_REPORT_PATH = "/-/load"
 NOTIFICATION_PATH = "/_jobs/news"  # the platform's path for job notifications
 NOTIFICATION_ATTEMPTS = 10
 NOTIFICATION_BACKOFF_SECONDS = 0.1
 AGENT_DETECTION_SECONDS = 0.05  # until a machine's agent reports a dead process's jobs as lost
 
+Notification = dict[str, object]
+"""A job notification, with the platform's field names."""
+
+
+@dataclass(eq=False)
+class NotificationSender:
+    """Send job notifications to a dispatcher on one connection, opened anew after a failure."""
+
+    address: tuple[str, int]
+    connection: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
+
+    async def send(self, notification: Notification) -> None:
+        """Send a notification until it is acknowledged; drop it after `NOTIFICATION_ATTEMPTS`."""
+        body = ujson.dumps(notification).encode()
+        data = write_request("POST", NOTIFICATION_PATH, {"Host": "d"}, body)
+        for _ in range(NOTIFICATION_ATTEMPTS):
+            try:
+                await self._exchange(data)
+            except (OSError, EOFError):
+                self._close()
+                await asyncio.sleep(NOTIFICATION_BACKOFF_SECONDS)
+            else:
+                return
+
+    async def _exchange(self, data: bytes) -> None:
+        """Send a request and await the response."""
+        if self.connection is None:
+            self.connection = await asyncio.open_connection(*self.address)
+        reader, writer = self.connection
+        writer.write(data)
+        await read_response(reader)
+
+    def _close(self) -> None:
+        """Close the connection, if there is one."""
+        if self.connection is not None:
+            _, writer = self.connection
+            writer.close()
+        self.connection = None
+
 
 @dataclass(eq=False)
 class HttpWorker(WorkerDriver):
@@ -29,7 +70,7 @@
     server: asyncio.Server | None = None
     connections: set[asyncio.StreamWriter] = field(default_factory=set)  # open
     # Notifications to deliver to the dispatcher, in order.
-    notifications: asyncio.Queue[dict[str, object]] = field(default_factory=asyncio.Queue)
+    notifications: asyncio.Queue[Notification] = field(default_factory=asyncio.Queue)
     health_check_count: int = 0
     load_sampled_at_us: int = 0
     sampled_load: dict[str, int] = field(default_factory=dict)  # reported until the next sample
@@ -75,7 +116,7 @@
             return write_answer(HTTPStatus.OK)
         if message.method == "GET":
             return self.respond_to_health_check(message.target)
-        result, _ = self.offer(message.headers["request-id"], message.body)
+        result = self.offer(message.headers["request-id"], message.body)
         match result:
             case OfferResult.ACCEPTED:
                 return write_answer(HTTPStatus.ACCEPTED)
@@ -91,14 +132,15 @@
     def respond_to_health_check(self, path: str) -> bytes:
         """Respond to a health check, which costs work; 404 where the site's settings have none."""
         site = self.verifier.scenario.site
-        if site.load_reports is LoadReports.NONE or path not in ("/-/healthy", "/-/load"):
+        if site.load_reports is LoadReports.NONE or path not in (HEALTH_PATH, LOAD_REPORT_PATH):
             return write_answer(HTTPStatus.NOT_FOUND)
         self.health_check_count += 1
         now_us = self.clock.now_us()
         self.model.advance(now_us)
         self.model.add_side_work(int(site.health_check_work_ms * US_PER_MS))
         self.model_changed.set()
-        return write_answer(HTTPStatus.OK, self.load_text().encode() if path == "/-/load" else b"")
+        body = self.load_text().encode() if path == LOAD_REPORT_PATH else b""
+        return write_answer(HTTPStatus.OK, body)
 
     def current_load_report(self) -> dict[str, int]:
         """Return the load report, sampled anew at the site's report interval."""
@@ -131,9 +173,9 @@
         self.model_changed.set()
 
     def notify(self, event: TaskEvent) -> None:
-        """Queue a job notification; its field names are the platform's."""
+        """Queue a job notification."""
         task = event.task
-        notification: dict[str, object] = {
+        notification: Notification = {
             "id": task.id,
             "from": self.name,
             "state": event.state.value,
@@ -147,28 +189,10 @@
         self.notifications.put_nowait(notification)
 
     async def deliver_notifications(self) -> None:
-        """Send each notification until it is acknowledged, in order and on one connection.
-
-        After `NOTIFICATION_ATTEMPTS` failures a notification is dropped.
-        """
-        connection = None
+        """Send each notification to the dispatcher, in order, until cancelled."""
+        sender = NotificationSender(self.dispatcher_address)
         while True:
-            notification = ujson.dumps(await self.notifications.get()).encode()
-            data = write_request("POST", NOTIFICATION_PATH, {"Host": "d"}, notification)
-            for _ in range(NOTIFICATION_ATTEMPTS):
-                try:
-                    connection = connection or await asyncio.open_connection(
-                        *self.dispatcher_address
-                    )
-                    reader, writer = connection
-                    writer.write(data)
-                    await read_response(reader)
-                    break
-                except (OSError, EOFError):
-                    if connection:
-                        connection[1].close()
-                    connection = None
-                    await asyncio.sleep(NOTIFICATION_BACKOFF_SECONDS)
+            await sender.send(await self.notifications.get())
 
     def crash(self) -> None:
         """Close the listener and every connection, and lose the tasks; an agent reports them."""
@@ -178,7 +202,7 @@
             connection.transport.abort()
         loop = asyncio.get_running_loop()
         for task in self.terminate():
-            notification: dict[str, object] = {"id": task.id, "from": self.name, "state": "lost"}
+            notification: Notification = {"id": task.id, "from": self.name, "state": "lost"}
             loop.call_later(AGENT_DETECTION_SECONDS, self.notifications.put_nowait, notification)
 
     async def restart(self) -> None:
--- a/stepstream/lab/emulator/worker_driver.py
+++ b/stepstream/lab/emulator/worker_driver.py
@@ -6,6 +6,7 @@
 
 import asyncio
 import contextlib
+from abc import ABC, abstractmethod
 from collections.abc import Coroutine
 from dataclasses import dataclass, field
 from math import inf
@@ -42,7 +43,7 @@
 
 
 @dataclass(eq=False)
-class WorkerDriver:
+class WorkerDriver(ABC):
     """Play a worker's model in real time and report its attempts to the verifier."""
 
     model: WorkerModel
@@ -101,7 +102,7 @@
         work_us = job_class.work_ms * US_PER_MS * factor
         return Workload(-self.external_job_count, 0, max(int(work_us), MIN_EXTERNAL_WORK_US), 1)
 
-    def offer(self, task_id: str, body: bytes, handle: bytes = b"") -> tuple[OfferResult, Task]:
+    def offer(self, task_id: str, body: bytes, handle: bytes = b"") -> OfferResult:
         """Offer a received job to the model; report the attempt to the verifier."""
         now_us = self.clock.now_us()
         workload = Workload.parse(body) or self.draw_external_workload()
@@ -118,7 +119,7 @@
             attempt.open = False
             attempt.never_ran = result is OfferResult.FULL
         self.model_changed.set()
-        return result, task
+        return result
 
     def terminate(self, health: Health = Health.DOWN) -> list[Task]:
         """End the emulated process; return the tasks it loses."""
@@ -128,21 +129,21 @@
             task.context.attempt.open = False
         return lost
 
+    @abstractmethod
     async def start(self) -> None:
         """Start to serve, as a worker that has run long enough to be at full capacity."""
-        raise NotImplementedError
 
+    @abstractmethod
     def notify(self, event: TaskEvent) -> None:
         """Notify the dispatcher of an event, in the driver's protocol."""
-        raise NotImplementedError
 
+    @abstractmethod
     def crash(self) -> None:
         """End the emulated process at once, with its connections."""
-        raise NotImplementedError
 
+    @abstractmethod
     async def restart(self) -> None:
         """Start a new process after a crash."""
-        raise NotImplementedError
 
     def stop(self) -> None:
         """Cancel the background tasks."""
--- a/stepstream/lab/emulator/worker_model.py
+++ b/stepstream/lab/emulator/worker_model.py
@@ -9,11 +9,12 @@
 from dataclasses import dataclass, field
 from enum import Enum
 from math import ceil, inf
-from typing import Any
+from typing import Any, NamedTuple
 
 import numpy as np
 
 SLOW_START_STEP_US = 10_000  # the capacity of a worker in slow start is constant for this step
+MIN_OVERLOAD_TASKS_PER_CORE = 2  # up to this, a few long tasks are chance and no overload
 FINISHED_BELOW_US = 0.5  # less remaining work is none: times are rounded to microseconds
 
 
@@ -98,6 +99,13 @@
     task: Task
 
 
+class OfferedWork(NamedTuple):
+    """The work of one offered task, and when it was offered."""
+
+    at_us: int
+    work_us: int
+
+
 @dataclass(eq=False)
 class WorkerModel:
     """The model of one worker. `rng` decides which jobs fail; nothing else is random."""
@@ -111,8 +119,8 @@
     error_fraction: float = 0.0  # fault: fraction of the offered tasks that fail at once, 0 to 1
     running: dict[str, Task] = field(default_factory=dict)
     waiting: deque[Task] = field(default_factory=deque)
-    # Time and work of the tasks offered while warming up, within the spec's `overload_window_us`.
-    offered_while_warming_up: deque[tuple[int, float]] = field(default_factory=deque)
+    # Work offered while warming up, within the spec's `overload_window_us`.
+    offered_while_warming_up: deque[OfferedWork] = field(default_factory=deque)
     events: list[TaskEvent] = field(default_factory=list)  # not yet returned by `take_events`
 
     # -- capacity --
@@ -187,8 +195,8 @@
         """Record work offered during slow start; return whether its window exceeds the limit."""
         if not self.is_warming_up(now_us):
             return False
-        self.offered_while_warming_up.append((now_us, work_us))
-        while self.offered_while_warming_up[0][0] <= now_us - self.spec.overload_window_us:
+        self.offered_while_warming_up.append(OfferedWork(now_us, work_us))
+        while self.offered_while_warming_up[0].at_us <= now_us - self.spec.overload_window_us:
             self.offered_while_warming_up.popleft()
         limit_us = (
             self.spec.overload_multiple
@@ -196,9 +204,9 @@
             * self.work_rate(now_us)
             * self.spec.overload_window_us
         )
-        offered_us = sum(work for _, work in self.offered_while_warming_up)
-        # A few long tasks are chance, not overload: it takes more than two tasks a core.
-        return offered_us > limit_us and len(self.offered_while_warming_up) > 2 * self.spec.cores
+        offered_us = sum(offered.work_us for offered in self.offered_while_warming_up)
+        min_tasks = MIN_OVERLOAD_TASKS_PER_CORE * self.spec.cores
+        return offered_us > limit_us and len(self.offered_while_warming_up) > min_tasks
 
     def fits(self, task: Task) -> bool:
         """Return whether the task could start at once."""
--- a/stepstream/lab/load/scenario.py
+++ b/stepstream/lab/load/scenario.py
@@ -16,7 +16,7 @@
 from stepstream.config.errors import ConfigurationError
 from stepstream.lab.emulator.clock import US_PER_MS, US_PER_SECOND
 from stepstream.lab.emulator.worker_model import WorkerSpec
-from stepstream.lab.load.site import FaultKind, FaultTable, Site
+from stepstream.lab.load.site import FaultKind, FaultTable, JobClassTable, Site
 
 MIXES = ("http", "gearman", "mixed")  # of protocols
 MIXED_GEARMAN_FRACTION = 0.5  # of the requests in a mixed run
@@ -154,16 +154,14 @@
     requests = []
     for number in range(count):
         table = site.job_classes[classes[number]]
-        sigma = sigmas[classes[number]]
-        # Lognormal with the mean `work_ms`.
-        work_us = table.work_ms * US_PER_MS * np.exp(sigma * normals[number] - sigma**2 / 2)
+        work_us = lognormal_work_us(table, sigmas[classes[number]], normals[number])
         requests.append(
             PlannedRequest(
                 number=number,
                 at_us=int(arrivals_us[number]),
                 class_index=int(classes[number]),
                 tenant_index=int(tenants[number]),
-                work_us=max(int(work_us), MIN_WORK_US),
+                work_us=work_us,
                 slots=2 if slot_draws[number] < table.two_slots_fraction else 1,
                 protocol=choose_client_protocol(mix, protocol_draws[number]),
                 retry_after_draw=float(retry_after_draws[number]),
@@ -172,6 +170,12 @@
     return tuple(requests)
 
 
+def lognormal_work_us(table: JobClassTable, sigma: float, normal: float) -> int:
+    """Return a job's work, with mean `work_ms`; `normal` is a draw of the standard normal."""
+    work_us = table.work_ms * US_PER_MS * np.exp(sigma * normal - sigma**2 / 2)
+    return max(int(work_us), MIN_WORK_US)
+
+
 def normalized(weights: list[float]) -> np.ndarray:
     """Return the weights scaled to a sum of 1."""
     return np.array(weights) / float(np.array(weights).sum())
--- a/stepstream/lab/processes/cluster_load_test.py
+++ b/stepstream/lab/processes/cluster_load_test.py
@@ -20,7 +20,7 @@
 from stepstream.lab.emulator.discovery import DiscoveryEmulator
 from stepstream.lab.emulator.http_worker import HttpWorker
 from stepstream.lab.emulator.streams import read_response
-from stepstream.lab.emulator.worker_model import Task, TaskEvent, WorkerModel
+from stepstream.lab.emulator.worker_model import OfferResult, Task, TaskEvent, WorkerModel
 from stepstream.lab.load.clients import Clients
 from stepstream.lab.load.dispatcher_settings import dispatcher_settings
 from stepstream.lab.load.response import ReceivedResponse, received_http_response
@@ -60,8 +60,8 @@
         ]
         self.ports = [door.sockets[0].getsockname()[1] for door in self.doors]
 
-    def offer(self, name: str, body: bytes, handle: bytes = b"") -> tuple:
-        return super().offer(name, body, bytes([self.listener_index]))
+    def offer(self, task_id: str, body: bytes, handle: bytes = b"") -> OfferResult:
+        return super().offer(task_id, body, bytes([self.listener_index]))
 
     def notify(self, event: TaskEvent) -> None:
         super().notify(event)
--- a/stepstream/lab/verification/ledger.py
+++ b/stepstream/lab/verification/ledger.py
@@ -16,6 +16,7 @@
 import socket
 import socketserver
 import sys
+from contextlib import closing
 from pathlib import Path
 
 from stepstream.lab.verification.ledger_record import JsonObject, Ledger
@@ -72,8 +73,11 @@
 def main(arguments: list[str]) -> None:
     """Serve a ledger until the process is stopped; the arguments are HOST:PORT and FILE."""
     host, _, port = arguments[0].rpartition(":")
-    with Server((host, int(port)), Handler) as server:
-        server.ledger = Ledger(Path(arguments[1]))
+    with (
+        Server((host, int(port)), Handler) as server,
+        closing(Ledger(Path(arguments[1]))) as ledger,
+    ):
+        server.ledger = ledger
         server.serve_forever()
 
 
--- a/stepstream/lab/verification/ledger_record.py
+++ b/stepstream/lab/verification/ledger_record.py
@@ -71,6 +71,10 @@
             self._record(step, number, operation)
             return {"act": number} if step == "begin" else {"taken": True}
 
+    def close(self) -> None:
+        """Close the file."""
+        self.file.close()
+
     def _add_operation(self, request: JsonObject) -> int:
         """Add the operation that a request begins, and return its number."""
         self.operations.append(Operation(request["token"], request["holder"]))
--- a/tests/golden/state_answers.py
+++ b/tests/golden/state_answers.py
@@ -756,7 +756,7 @@
         path = Path(folder) / "ledger.jsonl"
         made = Ledger(path)
         told = [made.admit(call) for call in calls]
-        made.file.close()
+        made.close()
         return {"answers": told, "file": path.read_text(encoding="utf-8")}
 
 
