--- a/stepstream/lab/emulator/worker_model.py
+++ b/stepstream/lab/emulator/worker_model.py
@@ -33,10 +33,10 @@
     slow_start_us: int  # from its start to full capacity
     error_rate: float = 0.0  # fraction of the jobs that fail at their end, 0 to 1
     progress_interval_us: int = 2_000_000  # between two progress events of a job
-    overload_multiple: float = (
-        4.0  # offered work over capacity that a worker in slow start does not survive
-    )
-    overload_window_us: int = 2_000_000  # window over which offered work is summed
+    # A worker in slow start fails if the work offered within the window exceeds this multiple of
+    # its capacity in that time.
+    overload_multiple: float = 4.0
+    overload_window_us: int = 2_000_000
 
     @property
     def slots(self) -> int:
--- a/stepstream/lab/verification/rules.py
+++ b/stepstream/lab/verification/rules.py
@@ -1,6 +1,6 @@
 """The rules that a dispatcher must keep, each in one function.
 
-A rule reads one observation and returns the text of a breach, or None if the rule holds. What is
+A rule reads one observation and returns the text of the breach that it finds, or None. What is
 observed comes from the emulated workers and clients, never from the dispatcher itself. Together the
 rules state four invariants:
 
@@ -71,7 +71,7 @@
 
 
 def no_new_work_after_drain(arrival: Arrival) -> str | None:
-    """Reject work for a worker that drains or is gone (invariant 3).
+    """Find work for a worker that drains or is gone (invariant 3).
 
     Observes an attempt's arrival, against the time when the dispatcher was informed. Tolerance: the
     site's `drain_grace_ms` plus `SOCKET_TOLERANCE_US`. Guards against a dispatcher that works on an
@@ -87,7 +87,7 @@
 
 
 def one_open_attempt_per_worker(arrival: Arrival) -> str | None:
-    """Reject a second attempt at a worker where one for the same request is open (invariant 2).
+    """Find a second attempt at a worker where one for the same request is open (invariant 2).
 
     Observes an attempt's arrival, against the open attempts of its request. No tolerance. Guards
     against a hedged request or a retry that occupies the same worker twice.
@@ -99,7 +99,7 @@
 
 
 def no_repetition_without_idempotency(arrival: Arrival) -> str | None:
-    """Reject a repetition of a job that is not idempotent and may have run (invariant 2).
+    """Find a repetition of a job that is not idempotent and may have run (invariant 2).
 
     Observes an attempt's arrival, against the earlier attempts of its request. No tolerance. Guards
     against a side effect that happens twice.
@@ -110,7 +110,7 @@
 
 
 def repetition_inside_cell(arrival: Arrival) -> str | None:
-    """Reject a repetition with an idempotency key in another cell (invariant 2).
+    """Find a repetition with an idempotency key in another cell (invariant 2).
 
     Observes an attempt's arrival, against the first attempt of its request that may have run. No
     tolerance. Guards against a side effect that happens twice: only the workers of one cell share
@@ -124,7 +124,7 @@
 
 
 def repetition_inside_window(arrival: Arrival) -> str | None:
-    """Reject a repetition with an idempotency key after its window (invariant 2).
+    """Find a repetition with an idempotency key after its window (invariant 2).
 
     Observes an attempt's arrival, against the first attempt of its request that may have run.
     Tolerance: `SOCKET_TOLERANCE_US` beyond the class's `window_ms`. Guards against a side effect
@@ -142,7 +142,7 @@
 
 
 def one_final_response(response: Response) -> str | None:
-    """Reject a second final response to one request (invariant 1).
+    """Find a second final response to one request (invariant 1).
 
     Observes a response, against the earlier ones to its request. No tolerance. Guards against a
     dispatcher that completes a request twice, such as after a hedged request.
@@ -153,7 +153,7 @@
 
 
 def no_lost_request(response: Response) -> str | None:
-    """Reject the end of a connection without a response (invariant 1).
+    """Find the end of a connection without a response (invariant 1).
 
     Observes the client's connection. No tolerance. Guards against a dispatcher that drops a request
     that it accepted.
@@ -164,7 +164,7 @@
 
 
 def result_from_a_worker(response: Response) -> str | None:
-    """Reject a result that no worker produced for this request (invariant 1).
+    """Find a result that no worker produced for this request (invariant 1).
 
     Observes a response, against the results that workers recorded for its request. No tolerance: a
     worker records a result before it sends it. Guards against results that are mixed up or stale.
@@ -176,8 +176,9 @@
 
 
 def rejection_only_if_retry_is_harmless(response: Response) -> str | None:
-    """Reject a rejection of a job that is not plainly idempotent and may have run (invariant 1).
+    """Find a rejection of a job that may have run (invariant 1).
 
+    Applies to every class but those with `JobEffect.IDEMPOTENT`, which may run again at any time.
     Observes a response, against the attempts of its request. No tolerance. Guards against a
     rejection that invites the client to retry a job that a worker has already accepted.
     """
@@ -194,7 +195,7 @@
 
 
 def no_overload_while_warming_up(failure: OverloadFailure) -> str | None:
-    """Reject an overload that ends a worker in slow start (invariant 4).
+    """Find an overload that ends a worker in slow start (invariant 4).
 
     Observes the failure of a worker model. Tolerance: the site's `overload_multiple` of the
     worker's capacity within `overload_window_ms`, which the model itself applies. Guards against a
--- a/tests/lab/load/test_dispatcher_settings.py
+++ b/tests/lab/load/test_dispatcher_settings.py
@@ -1,28 +1,35 @@
 """The settings that a scenario gives the dispatcher are settings that the dispatcher reads."""
 
+import msgspec
 import pytest
 
 from stepstream.config.fields import SettingsFields, flatten
 from stepstream.config.settings_reader import read_settings
 from stepstream.lab.load.dispatcher_settings import dispatcher_settings
 from stepstream.lab.load.scenario import draw_scenario
-from stepstream.lab.load.site import read_site
+from stepstream.lab.load.site import LoadReports, read_site
 from stepstream.model.settings import Effect
 
 
-def read_settings_of(site_name):
-    scenario = draw_scenario(read_site(name=site_name), 1, 5, "http")
+def read_settings_of(site):
+    scenario = draw_scenario(site, 1, 5, "http")
     return read_settings(SettingsFields.from_pairs(flatten(dispatcher_settings(scenario), "", {})))
 
 
 @pytest.fixture(scope="module")
 def small_settings():
-    return read_settings_of("small")
-
-
-@pytest.fixture(scope="module")
-def probed_settings():
-    return read_settings_of("probed")
+    return read_settings_of(read_site(name="small"))
+
+
+@pytest.fixture(
+    scope="module",
+    params=[LoadReports.HEALTH_CHECKS, LoadReports.RESPONSES],
+    ids=["health-checks", "responses"],
+)
+def probed_settings(request):
+    """The settings of the probed site, for each way to report load."""
+    site = msgspec.structs.replace(read_site(name="probed"), load_reports=request.param)
+    return read_settings_of(site)
 
 
 def test_the_dispatcher_reads_the_job_classes(small_settings):
