--- a/stepstream/lab/processes/multi_listener_worker.py
+++ b/stepstream/lab/processes/multi_listener_worker.py
@@ -54,9 +54,9 @@
         ]
         self.ports = [listener.sockets[0].getsockname()[1] for listener in self.listeners]
 
-    def offer(self, name: str, body: bytes, handle: bytes = b"") -> tuple[OfferResult, Task]:  # noqa: ARG002  the listener's number is the handle
+    def offer(self, task_id: str, body: bytes, handle: bytes = b"") -> OfferResult:  # noqa: ARG002  the listener's number is the handle
         """Offer a received job to the model, with the number of the listener it came by."""
-        return super().offer(name, body, bytes([self.listener_index]))
+        return super().offer(task_id, body, bytes([self.listener_index]))
 
     def notify(self, event: TaskEvent) -> None:
         """Queue a job notification for the dispatcher that sent the job."""
--- a/tests/golden/state_answers.py
+++ b/tests/golden/state_answers.py
@@ -761,7 +761,7 @@
         path = Path(folder) / "ledger.jsonl"
         ledger = Ledger(path)
         answers = [ledger.admit(request) for request in requests]
-        ledger.file.close()
+        ledger.close()
         return {"answers": answers, "file": path.read_text(encoding="utf-8")}
 
 
