--- a/stepstream/lab/processes/cluster_scenarios.py
+++ b/stepstream/lab/processes/cluster_scenarios.py
@@ -110,7 +110,7 @@
     async def disturb(clients: RoundRobinClients) -> None:
         await asyncio.sleep(FAULT_BEGIN * test.scenario.seconds)
         for index in CRASHED_DISPATCHERS:
-            clients.mark_failed(index)
+            clients.record_failure(index)
             test.kill_dispatcher(index)
 
     return disturb
@@ -150,7 +150,7 @@
             return
         await asyncio.sleep(FAULT_BEGIN * test.scenario.seconds)
         leader = (test.health_check_leaders() or [0])[-1]
-        clients.mark_failed(leader)
+        clients.record_failure(leader)
         if fault is LeaderFault.KILL:
             test.kill_dispatcher(leader)
             return
--- a/stepstream/lab/processes/dispatcher_cluster.py
+++ b/stepstream/lab/processes/dispatcher_cluster.py
@@ -210,16 +210,16 @@
     def has_converged(self, names: Iterable[str]) -> bool:
         """Return whether these members share one settled list that has just them alive."""
         expected = set(names)
-        lists = self._settled_lists(expected)
+        lists = self._converged_lists(expected)
         return bool(lists) and all(alive_names(found) == expected for found in lists)
 
     def has_converged_among(self, names: Iterable[str]) -> bool:
         """Return whether these members share one settled list that has them, and maybe others."""
         expected = set(names)
-        lists = self._settled_lists(expected)
+        lists = self._converged_lists(expected)
         return bool(lists) and all(expected <= alive_names(found) for found in lists)
 
-    def _settled_lists(self, names: Iterable[str]) -> list[MembershipList]:
+    def _converged_lists(self, names: Iterable[str]) -> list[MembershipList]:
         """Return these members' lists; none if one is missing or unsettled, or two differ."""
         lists: list[MembershipList] = []
         for name in names:
--- a/stepstream/lab/processes/lease_cluster.py
+++ b/stepstream/lab/processes/lease_cluster.py
@@ -10,6 +10,7 @@
 import subprocess
 import time
 from contextlib import ExitStack
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -17,7 +18,7 @@
 from stepstream.lab.processes.cluster_member import MemberProgram
 from stepstream.lab.processes.dispatcher_cluster import DispatcherCluster
 from stepstream.lab.processes.dispatcher_process import child_process
-from stepstream.lab.processes.lease_task import LEASE, LEDGER, TASKS
+from stepstream.lab.processes.lease_task import LeaseTaskConfiguration
 from stepstream.lab.verification import ledger
 
 TTL_SECONDS = 1.2
@@ -29,7 +30,6 @@
 HOLD_SECONDS = 1.5
 """How long a holder operates before it releases the lease."""
 
-LEASE_NAME = "x"
 MEMBER_MODULE = "stepstream.lab.processes.lease_member"
 LEDGER_MODULE = "stepstream.lab.verification.ledger"
 
@@ -57,12 +57,25 @@
 """How many of the ledger's last rows are searched for an operation's end."""
 
 
-class LeaseDispatcherCluster(DispatcherCluster):
-    """A cluster n0, n1, ... of which the first `acceptor_count` are acceptors, with a ledger.
+@dataclass(frozen=True)
+class LeaseWorkload:
+    """What the members contend for.
 
-    `contenders` names the members that contend for the lease; all of them if it is empty.
+    `contenders` names the members that do; all of them if it is empty. With a `lease_count` each of
+    them holds that many leases at once and does not operate.
     """
 
+    ttl_seconds: float = TTL_SECONDS
+    contenders: tuple[str, ...] = ()
+    lease_count: int | None = None
+
+
+ONE_LEASE = LeaseWorkload()
+
+
+class LeaseDispatcherCluster(DispatcherCluster):
+    """A cluster n0, n1, ... of which the first `acceptor_count` are acceptors, with a ledger."""
+
     ledger_process: subprocess.Popen[bytes]  # from the context's begin on
 
     def __init__(
@@ -70,15 +83,15 @@
         member_count: int,
         acceptor_count: int,
         seed: int,
-        ttl_seconds: float = TTL_SECONDS,
-        contenders: tuple[str, ...] = (),
+        workload: LeaseWorkload = ONE_LEASE,
     ) -> None:
         self.acceptors = [f"n{number}" for number in range(acceptor_count)]
         quoted_acceptors = ", ".join(f'"{name}"' for name in self.acceptors)
-        section = LEASES_SECTION.format(acceptors=quoted_acceptors, ttl_seconds=ttl_seconds)
+        section = LEASES_SECTION.format(
+            acceptors=quoted_acceptors, ttl_seconds=workload.ttl_seconds
+        )
         super().__init__(member_count, seed, MEMBERSHIP_SETTINGS + section)
-        self.ttl_seconds = ttl_seconds
-        self.contenders = contenders
+        self.workload = workload
         self.rng = random.Random(seed)
         self.drained: set[str] = set()
 
@@ -89,14 +102,15 @@
         ledger_address = f"{host}:{free_port(host)}"
         arguments = ["-m", LEDGER_MODULE, ledger_address, str(self.ledger_path)]
         self.ledger_process = stack.enter_context(child_process(arguments))
-        longest_operation_seconds = self.ttl_seconds * LONGEST_OPERATION_FRACTION
-        environment = {
-            LEDGER: ledger_address,
-            LEASE: f"{LEASE_NAME},{self.ttl_seconds},{longest_operation_seconds},{HOLD_SECONDS}",
-        }
-        if self.contenders:
-            environment[TASKS] = ",".join(self.contenders)
-        self.program = MemberProgram(("-m", MEMBER_MODULE), environment)
+        configuration = LeaseTaskConfiguration(
+            ledger_address=ledger_address,
+            ttl_seconds=self.workload.ttl_seconds,
+            operation_seconds=self.workload.ttl_seconds * LONGEST_OPERATION_FRACTION,
+            hold_seconds=HOLD_SECONDS,
+            contenders=self.workload.contenders,
+            lease_count=self.workload.lease_count,
+        )
+        self.program = MemberProgram(("-m", MEMBER_MODULE), configuration.environment())
 
     @property
     def ledger_path(self) -> Path:
--- a/stepstream/lab/processes/lease_member.py
+++ b/stepstream/lab/processes/lease_member.py
@@ -3,7 +3,7 @@
     python -m stepstream.lab.processes.lease_member serve --operator FILE
 
 EDGE_CONFIG names the platform's configuration file, as for `stepstream serve`; `lease_task` says
-which variables configure the task.
+which variable configures the task.
 """
 
 import argparse
--- a/stepstream/lab/processes/lease_task.py
+++ b/stepstream/lab/processes/lease_task.py
@@ -1,22 +1,15 @@
 """A task inside a dispatcher that contends for a lease and operates on a ledger.
 
-`lease_member` runs a dispatcher with it. The environment configures the task:
-
-- `LAB_LEDGER=HOST:PORT`: the address of the ledger.
-- `LAB_LEASE=NAME,TTL,OPERATION,HOLD`: the lease's name, and in seconds its time to live, the
-  longest operation, and how long to operate before the lease is released.
-- `LAB_MANY=N`: hold N leases at once, and do not operate.
-- `LAB_TASKS=MEMBER,MEMBER`: the members that run the task, where not all of them do.
-
-The task has one thread, which owns all of its state.
+`lease_member` runs a dispatcher with it. The environment variable `LAB_LEASE_TASK` holds a
+`LeaseTaskConfiguration` as JSON. The task has one thread, which owns all of its state.
 """
 
 import os
 import random
 import time
 from contextlib import closing
-from dataclasses import dataclass
-from typing import Self
+
+import msgspec
 
 from stepstream.config.operator_file import split_address
 from stepstream.lab.verification.ledger import Client
@@ -25,11 +18,8 @@
 from stepstream.runtime.threads import spawn_thread
 from stepstream.subsystem_api.context import SubsystemContext
 
-LEDGER = "LAB_LEDGER"
-LEASE = "LAB_LEASE"
-MANY = "LAB_MANY"
-TASKS = "LAB_TASKS"
-
+CONFIGURATION_VARIABLE = "LAB_LEASE_TASK"
+LEASE_NAME = "x"
 RETRY_SECONDS = 0.05
 GRANT_CHECK_SECONDS = 0.5
 RENEWAL_CHECK_SECONDS = 1.0
@@ -41,38 +31,37 @@
 """Bounds of an operation's drawn length as fractions of the longest operation."""
 
 
-@dataclass(frozen=True)
-class TaskConfiguration:
-    """What the task's environment variables say; times in seconds."""
+class LeaseTaskConfiguration(msgspec.Struct, frozen=True):
+    """What the task of each member does; `lease_count` leases are held without operating."""
 
-    ledger: tuple[str, int]
-    lease_name: str
+    ledger_address: str
     ttl_seconds: float
-    operation_seconds: float
-    hold_seconds: float
-    lease_count: int | None  # None: operate under one lease
+    operation_seconds: float  # the longest operation
+    hold_seconds: float  # how long to operate before the lease is released
+    contenders: tuple[str, ...] = ()  # the members that run the task; all of them if empty
+    lease_count: int | None = None  # None: operate under one lease
+
+    def environment(self) -> dict[str, str]:
+        """Return the variable that configures the task of a process."""
+        return {CONFIGURATION_VARIABLE: msgspec.json.encode(self).decode()}
 
     @classmethod
-    def from_environment(cls) -> Self:
-        """Read the variables; raise KeyError or ValueError if one is missing or wrong."""
-        lease_name, ttl, operation, hold = os.environ[LEASE].split(",")
-        lease_count = int(os.environ[MANY]) if MANY in os.environ else None
-        return cls(
-            ledger=split_address(os.environ[LEDGER]),
-            lease_name=lease_name,
-            ttl_seconds=float(ttl),
-            operation_seconds=float(operation),
-            hold_seconds=float(hold),
-            lease_count=lease_count,
-        )
+    def from_environment(cls) -> "LeaseTaskConfiguration":
+        """Read the variable of this process; raise KeyError if it is missing."""
+        return msgspec.json.decode(os.environ[CONFIGURATION_VARIABLE], type=cls)
+
+    def is_contender(self, member: str) -> bool:
+        """Return whether this member runs the task."""
+        return not self.contenders or member in self.contenders
 
 
 class LeaseTask:
     """Acquire a lease again and again, operate on the ledger while it lasts, and release it."""
 
-    def __init__(self, leases: LeaseClient, configuration: TaskConfiguration) -> None:
+    def __init__(self, leases: LeaseClient, configuration: LeaseTaskConfiguration) -> None:
         self.leases = leases
         self.configuration = configuration
+        self.ledger_address = split_address(configuration.ledger_address)
         self.rng = random.Random()
 
     def run(self) -> None:
@@ -93,7 +82,7 @@
 
     def hold_many(self, lease_count: int) -> None:
         """Hold `lease_count` leases at once, without operating."""
-        names = [f"{self.configuration.lease_name}{number}" for number in range(lease_count)]
+        names = [f"{LEASE_NAME}{number}" for number in range(lease_count)]
         leases = {name: self._acquire(name) for name in names}
         while True:
             time.sleep(RENEWAL_CHECK_SECONDS)
@@ -107,9 +96,9 @@
         Raise OSError or ValueError if the ledger does not answer, and LeaseLostError or
         OperationOverranError if the lease does not last for an operation.
         """
-        lease = self._acquire(self.configuration.lease_name)
+        lease = self._acquire(LEASE_NAME)
         try:
-            with closing(Client(self.configuration.ledger)) as client:
+            with closing(Client(self.ledger_address)) as client:
                 while not lease.wait(GRANT_CHECK_SECONDS) and not lease.proposer.is_over:
                     pass
                 release_at_seconds = time.monotonic() + self.configuration.hold_seconds
@@ -147,11 +136,9 @@
     def start(self) -> None:
         """Start the subsystem, and the task if this member is to run it."""
         super().start()
-        member = self.context.config.name
-        if member not in os.environ.get(TASKS, member).split(","):
-            return
-        task = LeaseTask(self.client, TaskConfiguration.from_environment())
-        spawn_thread("lab task", task.run)
+        configuration = LeaseTaskConfiguration.from_environment()
+        if configuration.is_contender(self.context.config.name):
+            spawn_thread("lab task", LeaseTask(self.client, configuration).run)
 
 
 def create_subsystem(context: SubsystemContext) -> LeaseTaskSubsystem:
--- a/stepstream/lab/processes/round_robin_clients.py
+++ b/stepstream/lab/processes/round_robin_clients.py
@@ -27,7 +27,7 @@
     failed_at_seconds: dict[int, float] = field(default_factory=dict)  # monotonic, by dispatcher
     request_count: int = 0
 
-    def mark_failed(self, dispatcher_index: int) -> None:
+    def record_failure(self, dispatcher_index: int) -> None:
         """Note that a dispatcher has failed just now."""
         self.failed_at_seconds[dispatcher_index] = time.monotonic()
 
--- a/stepstream/lab/reports/fault_run.py
+++ b/stepstream/lab/reports/fault_run.py
@@ -29,7 +29,7 @@
     OBSERVATION_INTERVAL_SECONDS,
     InvariantMonitor,
 )
-from stepstream.lab.reports.observation_chart import describe, draw_chart
+from stepstream.lab.reports.observation_chart import describe, write_chart
 
 MIN_MEMBERS = 2
 MAX_MEMBERS = 20
@@ -45,7 +45,7 @@
     members: int
     seed: int
     # From the last fault's end until the lists agree; None if they did not in time.
-    settled_seconds: float | None = msgspec.field(name="settled_s")
+    convergence_seconds: float | None = msgspec.field(name="settled_s")
     # For each crash, until all running members had the crashed one dead.
     detected_seconds: list[float] = msgspec.field(name="detected_s")
     violations: list[str] = msgspec.field(name="broken")
@@ -90,11 +90,11 @@
             self._apply(injector, step)
         self._observe_until(seconds)
         injector.end()
-        settled_seconds = self._measure_convergence()
+        convergence_seconds = self._wait_for_convergence()
         return Outcome(
             len(cluster.members),
             seed,
-            settled_seconds,
+            convergence_seconds,
             self.detected_seconds,
             self.monitor.violations,
         )
@@ -120,7 +120,7 @@
         now_seconds = time.monotonic()
         self.undetected_crashes += [UndetectedCrash(name, now_seconds) for name in fault.who]
 
-    def _measure_convergence(self) -> float | None:
+    def _wait_for_convergence(self) -> float | None:
         """Return how long the lists need to agree; None, and a violation, if it is too long."""
         begun_at_seconds = time.monotonic()
         while time.monotonic() - begun_at_seconds < CONVERGENCE_TIMEOUT_SECONDS:
@@ -185,13 +185,15 @@
         "members", "seed", "faults", "crashes known after, s", "settled after, s", "broken"
     )
     detected = " ".join(f"{seconds:.1f}" for seconds in outcome.detected_seconds) or "-"
-    settled = "never" if outcome.settled_seconds is None else f"{outcome.settled_seconds:.1f}"
+    convergence = (
+        "never" if outcome.convergence_seconds is None else f"{outcome.convergence_seconds:.1f}"
+    )
     table.add_row(
         str(outcome.members),
         str(outcome.seed),
         str(len(schedule.fault)),
         detected,
-        settled,
+        convergence,
         str(len(outcome.violations)),
     )
     console.print(table)
@@ -210,4 +212,4 @@
         "spans": msgspec.to_builtins(monitor.observations),
     }
     (folder / "fleet.json").write_text(json.dumps(content, indent=1))
-    draw_chart(monitor.observations, schedule, folder / "fleet.png")
+    write_chart(monitor.observations, schedule, folder / "fleet.png")
--- a/stepstream/lab/reports/observation_chart.py
+++ b/stepstream/lab/reports/observation_chart.py
@@ -32,7 +32,7 @@
     return f"{fault.kind}{size} {' '.join(fault.who)}".strip()
 
 
-def draw_chart(observations: Sequence[Observation], schedule: Schedule, path: Path) -> None:
+def write_chart(observations: Sequence[Observation], schedule: Schedule, path: Path) -> None:
     """Write the chart as a PNG file: a band an observer, in it a line a member."""
     # Loaded only for a chart: it takes long, and a run without `--out` does without the package.
     import matplotlib
--- a/tests/golden/state_answers.py
+++ b/tests/golden/state_answers.py
@@ -737,7 +737,7 @@
         mock.patch.object(fleet_play, "DispatcherCluster"),
         mock.patch.object(fleet_play, "draw", return_value=schedule),
         mock.patch.object(fleet_play, "FaultRun", return_value=fault_run),
-        mock.patch.object(fleet_play, "draw_chart"),
+        mock.patch.object(fleet_play, "write_chart"),
     ):
         fleet_play.run(3, 3, None, 25, out)
         return (Path(out) / "fleet.json").read_text(encoding="utf-8")
