--- a/stepstream/lab/processes/cluster_load_test.py
+++ b/stepstream/lab/processes/cluster_load_test.py
@@ -137,11 +137,11 @@
             self.gearman_address,
             dispatchers=self.http_addresses,
         )
-        self.schedule_faults()
+        self.fault_injector.schedule()
         disturbing = asyncio.ensure_future(disturbance(clients))
         await clients.run()
-        for task in (*self.fault_tasks, disturbing):
-            task.cancel()
+        self.fault_injector.cancel()
+        disturbing.cancel()
         self.late_ms = clients.late_us / 1000
         return self.verifier.figures()
 
--- a/stepstream/lab/processes/load_test.py
+++ b/stepstream/lab/processes/load_test.py
@@ -19,7 +19,7 @@
 from stepstream.lab.emulator.worker_drivers import Clock, GearmanWorker, HttpWorker
 from stepstream.lab.emulator.worker_model import WorkerModel
 from stepstream.lab.load.clients import Clients
-from stepstream.lab.load.site import Fault, Scenario, WireProtocol, settings_of
+from stepstream.lab.load.site import Scenario, WireProtocol, settings_of
 from stepstream.lab.processes.addresses import Address, free_port, load_test_host
 from stepstream.lab.processes.configuration_files import NodeConfiguration, render_gearman_section
 from stepstream.lab.processes.dispatcher_process import (
@@ -28,20 +28,17 @@
     DispatcherProcessError,
 )
 from stepstream.lab.processes.process_cost import Cost, read_cost
+from stepstream.lab.processes.worker_faults import EmulatedWorker, WorkerFaultInjector
 from stepstream.lab.verification.verifier import Figures, Verifier
 
 START_TIMEOUT_SECONDS = 20.0
 SHUTDOWN_TIMEOUT_SECONDS = 20.0
 POLL_INTERVAL_SECONDS = 0.02  # until a dispatcher accepts connections, or has ended
-DRAIN_POLL_INTERVAL_SECONDS = 0.05
-DRAIN_MARGIN_SECONDS = 0.2  # beyond the site's drain grace
 PROGRESS_INTERVAL_SECONDS = 0.5
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}  # of the dispatcher's process
 DISCOVERY_HOST = "127.0.0.1"
-US_PER_SECOND = 1e6
 MS_PER_SECOND = 1000
 
-EmulatedWorker = HttpWorker | GearmanWorker
 EndpointEntry = dict[str, Any]
 """A worker in the form of the discovery service's JSON."""
 
@@ -84,7 +81,9 @@
         self.discovery = [DiscoveryEmulator(self.clock, self.verifier)]  # one a dispatcher
         self.temporary_folder = tempfile.TemporaryDirectory(prefix="stepstream-lab-")
         self.folder = Path(self.temporary_folder.name)
-        self.fault_tasks: list[asyncio.Task[None]] = []
+        self.fault_injector = WorkerFaultInjector(
+            self.scenario, self.workers, self.clock, self.verifier, self.announce
+        )
 
     async def __aenter__(self) -> Self:
         await self.start()
@@ -109,7 +108,7 @@
 
     async def _start_all(self) -> None:
         discovery_ports = [await discovery.begin() for discovery in self.discovery]
-        self.workers = [self.create_worker(index) for index in range(len(self.scenario.specs))]
+        self.workers += [self.create_worker(index) for index in range(len(self.scenario.specs))]
         for worker in self.workers:
             if isinstance(worker, HttpWorker):
                 await worker.begin()
@@ -156,6 +155,17 @@
         """Change the worker's state in discovery at once."""
         await self.discovery[0].put(self.endpoint_entry(worker, state, worker.port))
 
+    async def announce(self, worker: EmulatedWorker, state: str) -> None:
+        """Change the worker's state in discovery, with the site's delay.
+
+        Discovery does not list Gearman workers: their connection says that they are there.
+        """
+        if isinstance(worker, HttpWorker):
+            delays_ms = self.scenario.site.notice_ms
+            delay_ms = self.scenario.streams["discovery"].uniform(*delays_ms)
+            await asyncio.sleep(delay_ms / MS_PER_SECOND)
+            await self.publish(worker, state)
+
     def start_dispatcher(self, index: int, discovery_address: str) -> None:
         """Write a dispatcher's files and start its process, without waiting until it listens."""
         dispatcher = DispatcherProcess(self.dispatcher_name(index), self.folder)
@@ -206,8 +216,7 @@
 
     async def stop(self) -> None:
         """Stop faults, workers, dispatchers and discovery, and remove the temporary folder."""
-        for task in self.fault_tasks:
-            task.cancel()
+        self.fault_injector.cancel()
         for worker in self.workers:
             worker.stop()
         with contextlib.ExitStack() as stack:
@@ -245,7 +254,7 @@
             self.gearman_address,
         )
         before = self.cost()
-        self.schedule_faults()
+        self.fault_injector.schedule()
         reporting = None
         if on_progress:
             reporting = asyncio.ensure_future(self.report_progress(clients, on_progress))
@@ -278,81 +287,6 @@
         """Return what the dispatcher's process used so far; zeros if it has gone."""
         return read_cost(self.dispatcher().started_process().pid)
 
-    # -- faults -----------------------------------------------------------------------------------
-
-    def schedule_faults(self) -> None:
-        """Start a task for each fault of the scenario; `stop` ends them."""
-        self.fault_tasks = [
-            asyncio.ensure_future(self.apply_fault(fault)) for fault in self.scenario.faults
-        ]
-
-    async def apply_fault(self, fault: Fault) -> None:
-        """Wait for the fault's time and inject it into each of its workers."""
-        await asyncio.sleep(fault.at_us / US_PER_SECOND)
-        await asyncio.gather(*(self.inject(fault, self.workers[index]) for index in fault.nodes))
-
-    async def inject(self, fault: Fault, worker: EmulatedWorker) -> None:
-        """Put one worker at fault, and back in order when the fault's time is over."""
-        duration_seconds = (fault.end_us - fault.at_us) / US_PER_SECOND
-        match fault.kind:
-            case "slow":
-                # Work done so far counts at the speed that it was done with.
-                worker.model.advance(self.clock.now_us())
-                worker.model.slow = fault.size
-                await asyncio.sleep(duration_seconds)
-                worker.model.advance(self.clock.now_us())
-                worker.model.slow = 1.0
-                worker.stirred.set()
-            case "errors":
-                worker.model.fails = fault.size
-                await asyncio.sleep(duration_seconds)
-                worker.model.fails = 0.0
-            case "crash":
-                worker.crash()
-                await self.announce(worker, "gone")
-                await asyncio.sleep(duration_seconds)
-                await self.bring_back(worker)
-            case "drain":
-                await self.drain(worker)
-                await asyncio.sleep(duration_seconds)
-                await self.bring_back(worker)
-
-    async def drain(self, worker: EmulatedWorker) -> None:
-        """Announce that the worker drains, let it finish its work, then end its process."""
-        if isinstance(worker, GearmanWorker):
-            worker.drain()
-        else:
-            await self.announce(worker, "draining")
-        await self.wait_until_idle(worker)
-        # Jobs may still be sent within the drain grace: the process waits that long.
-        grace_seconds = self.scenario.site.drain_grace_ms / MS_PER_SECOND
-        await asyncio.sleep(grace_seconds + DRAIN_MARGIN_SECONDS)
-        await self.wait_until_idle(worker)
-        worker.crash()
-        await self.announce(worker, "gone")
-
-    async def wait_until_idle(self, worker: EmulatedWorker) -> None:
-        """Wait until the worker has neither running nor waiting jobs."""
-        while worker.model.running or worker.model.waiting:
-            await asyncio.sleep(DRAIN_POLL_INTERVAL_SECONDS)
-
-    async def bring_back(self, worker: EmulatedWorker) -> None:
-        """Start the worker's process anew and announce it."""
-        await worker.restart()
-        self.verifier.ready_again(worker.name)
-        await self.announce(worker, "ready")
-
-    async def announce(self, worker: EmulatedWorker, state: str) -> None:
-        """Change the worker's state in discovery, with the site's delay.
-
-        Discovery does not list Gearman workers: their connection says that they are there.
-        """
-        if isinstance(worker, HttpWorker):
-            delays_ms = self.scenario.site.notice_ms
-            delay_ms = self.scenario.streams["discovery"].uniform(*delays_ms)
-            await asyncio.sleep(delay_ms / MS_PER_SECOND)
-            await self.publish(worker, state)
-
 
 async def wait_for_listener(
     dispatcher: DispatcherProcess, address: Address, deadline_seconds: float
--- /dev/null
+++ b/stepstream/lab/processes/worker_faults.py
@@ -0,0 +1,106 @@
+"""Faults of emulated workers during a load test: slow, failing, crashed and draining ones.
+
+A `WorkerFaultInjector` belongs to the event loop of its load test.
+"""
+
+import asyncio
+from collections.abc import Awaitable, Callable, Sequence
+
+from stepstream.lab.emulator.worker_drivers import Clock, GearmanWorker, HttpWorker
+from stepstream.lab.load.site import Fault, Scenario
+from stepstream.lab.verification.verifier import Verifier
+
+DRAIN_POLL_INTERVAL_SECONDS = 0.05
+DRAIN_MARGIN_SECONDS = 0.2  # beyond the site's drain grace
+US_PER_SECOND = 1e6
+MS_PER_SECOND = 1000
+
+EmulatedWorker = HttpWorker | GearmanWorker
+
+
+class WorkerFaultInjector:
+    """The fault schedule of a scenario, applied to its workers.
+
+    `announce` changes a worker's state in discovery, with the site's delay.
+    """
+
+    def __init__(
+        self,
+        scenario: Scenario,
+        workers: Sequence[EmulatedWorker],
+        clock: Clock,
+        verifier: Verifier,
+        announce: Callable[[EmulatedWorker, str], Awaitable[None]],
+    ) -> None:
+        self.scenario = scenario
+        self.workers = workers
+        self.clock = clock
+        self.verifier = verifier
+        self.announce = announce
+        self.tasks: list[asyncio.Task[None]] = []
+
+    def schedule(self) -> None:
+        """Start a task for each fault of the scenario, from now on; `cancel` ends them."""
+        self.tasks = [asyncio.ensure_future(self.apply(fault)) for fault in self.scenario.faults]
+
+    def cancel(self) -> None:
+        """End all tasks; the workers stay as they are."""
+        for task in self.tasks:
+            task.cancel()
+
+    async def apply(self, fault: Fault) -> None:
+        """Wait for the fault's time and inject it into each of its workers."""
+        await asyncio.sleep(fault.at_us / US_PER_SECOND)
+        await asyncio.gather(*(self.inject(fault, self.workers[index]) for index in fault.nodes))
+
+    async def inject(self, fault: Fault, worker: EmulatedWorker) -> None:
+        """Put one worker at fault, and back in order when the fault's time is over."""
+        duration_seconds = (fault.end_us - fault.at_us) / US_PER_SECOND
+        match fault.kind:
+            case "slow":
+                # Work done so far counts at the speed that it was done with.
+                worker.model.advance(self.clock.now_us())
+                worker.model.slow = fault.size
+                await asyncio.sleep(duration_seconds)
+                worker.model.advance(self.clock.now_us())
+                worker.model.slow = 1.0
+                worker.stirred.set()
+            case "errors":
+                worker.model.fails = fault.size
+                await asyncio.sleep(duration_seconds)
+                worker.model.fails = 0.0
+            case "crash":
+                worker.crash()
+                await self.announce(worker, "gone")
+                await asyncio.sleep(duration_seconds)
+                await self.bring_back(worker)
+            case "drain":
+                await self.drain(worker)
+                await asyncio.sleep(duration_seconds)
+                await self.bring_back(worker)
+
+    async def drain(self, worker: EmulatedWorker) -> None:
+        """Announce that the worker drains, let it finish its work, then end its process."""
+        if isinstance(worker, GearmanWorker):
+            worker.drain()
+        else:
+            await self.announce(worker, "draining")
+        await wait_until_idle(worker)
+        # Jobs may still be sent within the drain grace: the process waits that long.
+        grace_seconds = self.scenario.site.drain_grace_ms / MS_PER_SECOND
+        await asyncio.sleep(grace_seconds + DRAIN_MARGIN_SECONDS)
+        await wait_until_idle(worker)
+        worker.crash()
+        await self.announce(worker, "gone")
+
+    async def bring_back(self, worker: EmulatedWorker) -> None:
+        """Start the worker's process anew and announce it."""
+        await worker.restart()
+        self.verifier.ready_again(worker.name)
+        await self.announce(worker, "ready")
+
+
+async def wait_until_idle(worker: EmulatedWorker) -> None:
+    """Wait until the worker has neither running nor waiting jobs."""
+    while worker.model.running or worker.model.waiting:
+        await asyncio.sleep(DRAIN_POLL_INTERVAL_SECONDS)
