--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -14,12 +14,9 @@
 votes. Tables go to standard output as Markdown.
 """
 
-import os
 import statistics
 import time
-from collections.abc import Iterator
 from concurrent.futures import ProcessPoolExecutor
-from contextlib import contextmanager
 from dataclasses import asdict, dataclass
 from http import HTTPStatus
 from pathlib import Path
@@ -35,9 +32,8 @@
     write_json,
 )
 from stepstream.lab.faults.random_schedule import generate_schedule
-from stepstream.lab.processes.lease_cluster import LeaseDispatcherCluster
+from stepstream.lab.processes.lease_cluster import LeaseDispatcherCluster, LeaseWorkload
 from stepstream.lab.processes.lease_faults import LEASE_FAULTS, inject
-from stepstream.lab.processes.lease_task import MANY
 from stepstream.lab.search.lease_search import Bounds, LeaseSearch
 from stepstream.lab.simulation.errors import InvariantError, TwoHoldersError
 from stepstream.lab.simulation.guarded_resource import GuardedResource
@@ -222,23 +218,11 @@
     return result
 
 
-@contextmanager
-def environment_variable(name: str, value: str) -> Iterator[None]:
-    """Set an environment variable for the processes that are started meanwhile."""
-    os.environ[name] = value
-    try:
-        yield
-    finally:
-        del os.environ[name]
-
-
 def measure_cpu(lease_count: int) -> dict[str, float]:
     """Measure the CPU, in percent of a core, of the holder of many leases and of others."""
     holder = "n4"
-    with (
-        environment_variable(MANY, str(lease_count)),
-        LeaseDispatcherCluster(5, 3, 1, ttl_seconds=15.0, contenders=(holder,)) as cluster,
-    ):
+    workload = LeaseWorkload(ttl_seconds=15.0, contenders=(holder,), lease_count=lease_count)
+    with LeaseDispatcherCluster(5, 3, 1, workload) as cluster:
         member = cluster.members[holder]
 
         def held_count() -> int:
--- a/tests/golden/state_answers.py
+++ b/tests/golden/state_answers.py
@@ -741,7 +741,7 @@
         mock.patch.object(fault_run, "DispatcherCluster"),
         mock.patch.object(fault_run, "generate_schedule", return_value=schedule),
         mock.patch.object(fault_run, "FaultRun", return_value=run),
-        mock.patch.object(fault_run, "draw_chart"),
+        mock.patch.object(fault_run, "write_chart"),
     ):
         fault_run.run(3, 3, None, 25, folder)
         return (Path(folder) / "fleet.json").read_text(encoding="utf-8")
