--- a/stepstream/lab/simulation/cluster.py
+++ b/stepstream/lab/simulation/cluster.py
@@ -193,9 +193,9 @@
         """
         started_at = self.now
         injector = FaultInjector(self, schedule)
-        for at_seconds, _, transition, fault in injector.steps:
-            self.run(max(started_at + at_seconds - self.now, 0.0))
-            injector.apply(transition, fault)
+        for step in injector.steps:
+            self.run(max(started_at + step.at_seconds - self.now, 0.0))
+            injector.apply(step.transition, step.fault)
             self.after_fault_step()
         injector.end_all()
         faults_ended_at = self.now
--- a/stepstream/lab/simulation/membership_cluster.py
+++ b/stepstream/lab/simulation/membership_cluster.py
@@ -12,7 +12,7 @@
 from stepstream.lab.simulation.cluster import Packet, SimulatedCluster
 from stepstream.lab.simulation.errors import InvariantError
 from stepstream.lab.simulation.membership_invariants import DeclaredDeath, MembershipInvariants
-from stepstream.lab.simulation.membership_process import SimulatedMember
+from stepstream.lab.simulation.membership_process import MembershipProcess
 from stepstream.membership.member_count import MemberCount, observe
 from stepstream.membership.messages import (
     MAX_CONFIRMED_DEATHS,
@@ -39,7 +39,7 @@
 MILLISECONDS = 1000
 
 
-class MembershipCluster(SimulatedCluster[SimulatedMember]):
+class MembershipCluster(SimulatedCluster[MembershipProcess]):
     """Simulate members `n0`, `n1`, ... and the links between them.
 
     Attributes:
@@ -54,7 +54,7 @@
         self, seed: int, members: int, settings: ProtocolSettings, links: Links | None = None
     ) -> None:
         processes = [
-            SimulatedMember(f"n{number}", address=f"127.1.{number >> 8}.{number & 255}:7946")
+            MembershipProcess(f"n{number}", address=f"127.1.{number >> 8}.{number & 255}:7946")
             for number in range(members)
         ]
         super().__init__(seed, processes, links)
@@ -65,7 +65,7 @@
 
     # -- processes --------------------------------------------------------------------------------
 
-    def add_process(self, key: str, process: SimulatedMember) -> None:
+    def add_process(self, key: str, process: MembershipProcess) -> None:
         """Add a process that does not run; it takes over its address if another had it.
 
         `key` is its key in `processes`: its name, unless it contends for that of another.
@@ -94,29 +94,29 @@
         self.invariants.on_start(process)
         self.schedule_tick(process)
 
-    def announce_leave(self, process: SimulatedMember) -> None:
+    def announce_leave(self, process: MembershipProcess) -> None:
         """Let a member announce that it leaves."""
         self.send(process, process.running_protocol.leave(self.now))
 
-    def process_at(self, address: str) -> SimulatedMember | None:
+    def process_at(self, address: str) -> MembershipProcess | None:
         """Return the process that listens at an address."""
         return self.process_by_address.get(address)
 
-    def running(self) -> list[SimulatedMember]:
+    def running(self) -> list[MembershipProcess]:
         """Return the members whose processes run, stalled ones included."""
         return [process for process in self.processes.values() if process.is_running]
 
     # -- the protocol's steps ---------------------------------------------------------------------
 
-    def next_tick_at(self, process: SimulatedMember) -> float:
+    def next_tick_at(self, process: MembershipProcess) -> float:
         """Return when a member wants its next tick; infinity if never."""
         return process.running_protocol.next_tick_at()
 
-    def tick_protocol(self, process: SimulatedMember) -> None:
+    def tick_protocol(self, process: MembershipProcess) -> None:
         """Let a member do what is due now, and send what follows."""
         self.send(process, process.running_protocol.tick(self.now))
 
-    def handle_packet(self, process: SimulatedMember, packet: Packet) -> None:
+    def handle_packet(self, process: MembershipProcess, packet: Packet) -> None:
         """Hand a datagram to a member."""
         protocol = process.running_protocol
         tick_at_before = protocol.next_tick_at()
@@ -125,7 +125,7 @@
         if protocol.next_tick_at() < tick_at_before:
             self.schedule_tick(process)
 
-    def work_off_stall(self, process: SimulatedMember) -> None:
+    def work_off_stall(self, process: MembershipProcess) -> None:
         """Tick a member, then hand it what waited in its socket."""
         self.tick(process)
         queued = process.socket_queue
@@ -134,7 +134,7 @@
         for packet in queued:
             self.deliver(packet)
 
-    def send(self, process: SimulatedMember, datagrams: list[OutgoingDatagram]) -> None:
+    def send(self, process: MembershipProcess, datagrams: list[OutgoingDatagram]) -> None:
         """Put a member's datagrams on the links; InvariantError if one is too long."""
         for outgoing in datagrams:
             data = encode(outgoing.datagram)
@@ -144,7 +144,7 @@
                 )
             self.transmit(process, outgoing.address, data)
 
-    def check_invariants(self, process: SimulatedMember) -> None:
+    def check_invariants(self, process: MembershipProcess) -> None:
         """Check what must hold after a step of this member; InvariantError if it does not."""
         self.invariants.check(process)
 
@@ -164,7 +164,7 @@
             delay_seconds = self.rng.uniform(0, COUNT_INTERVAL_SECONDS)
             self.call_later(delay_seconds, partial(self._count, process, hold_seconds))
 
-    def _count(self, process: SimulatedMember, hold_seconds: float) -> None:
+    def _count(self, process: MembershipProcess, hold_seconds: float) -> None:
         """Count the members as one member sees them, and schedule its next count."""
         self.call_later(COUNT_INTERVAL_SECONDS, partial(self._count, process, hold_seconds))
         protocol = process.protocol
--- a/stepstream/lab/simulation/membership_invariants.py
+++ b/stepstream/lab/simulation/membership_invariants.py
@@ -11,7 +11,7 @@
 
 from stepstream.lab.emulator.links import Links
 from stepstream.lab.simulation.errors import InvariantError
-from stepstream.lab.simulation.membership_process import SimulatedMember
+from stepstream.lab.simulation.membership_process import MembershipProcess
 from stepstream.membership import record_precedence
 from stepstream.membership.messages import PRESENT, MemberRecord, MemberState
 from stepstream.membership.protocol import MembershipProtocol
@@ -101,7 +101,7 @@
     settings: ProtocolSettings
 
     @property
-    def processes(self) -> Mapping[str, SimulatedMember]:
+    def processes(self) -> Mapping[str, MembershipProcess]:
         """All processes by member name, running or not."""
 
 
@@ -112,19 +112,19 @@
         self.declared_deaths: list[DeclaredDeath] = []
         self._cluster = cluster
         self._ended_versions = EndedVersions()
-        self._observers: defaultdict[SimulatedMember, ObserverState] = defaultdict(ObserverState)
+        self._observers: defaultdict[MembershipProcess, ObserverState] = defaultdict(ObserverState)
 
-    def on_start(self, process: SimulatedMember) -> None:
+    def on_start(self, process: MembershipProcess) -> None:
         """Forget what was remembered of the process that ran before."""
         observer = self._observers[process]
         observer.checked_event = 0
         observer.false_deaths = {}
 
-    def on_stall_ended(self, process: SimulatedMember) -> None:
+    def on_stall_ended(self, process: MembershipProcess) -> None:
         """Restart the clocks of false deaths: a stalled process could not correct any."""
         self._observers[process].false_deaths = {}
 
-    def check(self, process: SimulatedMember) -> None:
+    def check(self, process: MembershipProcess) -> None:
         """Check every invariant after a step of a running member; InvariantError if one broke."""
         protocol = process.running_protocol
         self.check_no_lasting_false_death(process, protocol)
@@ -132,7 +132,7 @@
         self.check_no_return_of_ended_records(process, protocol)
 
     def check_no_lasting_false_death(
-        self, process: SimulatedMember, protocol: MembershipProtocol
+        self, process: MembershipProcess, protocol: MembershipProtocol
     ) -> None:
         """Check that a member believes no running and reachable one dead for too long.
 
@@ -157,8 +157,8 @@
         observer.false_deaths = false_deaths
 
     def _false_deaths(
-        self, process: SimulatedMember, protocol: MembershipProtocol
-    ) -> list[SimulatedMember]:
+        self, process: MembershipProcess, protocol: MembershipProtocol
+    ) -> list[MembershipProcess]:
         """Return the running, reachable members that a member believes dead."""
         members = protocol.members
         found = []
@@ -177,7 +177,7 @@
         return (one, other) not in cut_pairs and (other, one) not in cut_pairs
 
     def check_state_is_bounded(
-        self, process: SimulatedMember, protocol: MembershipProtocol
+        self, process: MembershipProcess, protocol: MembershipProtocol
     ) -> None:
         """Check that a member's list and its queue of updates stay within their bounds.
 
@@ -194,7 +194,7 @@
             )
 
     def check_no_return_of_ended_records(
-        self, process: SimulatedMember, protocol: MembershipProtocol
+        self, process: MembershipProcess, protocol: MembershipProtocol
     ) -> None:
         """Check the records that changed since the last check; see `EndedVersions`."""
         events = protocol.members.events
@@ -208,7 +208,7 @@
             if member is not None:
                 self._check_record(process, member.record)
 
-    def _check_record(self, process: SimulatedMember, record: MemberRecord) -> None:
+    def _check_record(self, process: MembershipProcess, record: MemberRecord) -> None:
         """Check a changed record, and note a death that is new to its observer."""
         now = self._cluster.now
         observer = f"{process.name}@{process.started_at}"
--- a/stepstream/lab/simulation/membership_process.py
+++ b/stepstream/lab/simulation/membership_process.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(eq=False)
-class SimulatedMember(SimulatedProcess):
+class MembershipProcess(SimulatedProcess):
     """The simulated process of one member; times are in seconds of the timeline.
 
     Attributes:
--- a/tests/membership/test_membership_simulation.py
+++ b/tests/membership/test_membership_simulation.py
@@ -11,7 +11,7 @@
 from stepstream.lab.search.membership_search import MembershipSearch
 from stepstream.lab.simulation.errors import InvariantError
 from stepstream.lab.simulation.membership_cluster import CLUSTER_NAME, MembershipCluster
-from stepstream.lab.simulation.membership_process import SimulatedMember
+from stepstream.lab.simulation.membership_process import MembershipProcess
 from stepstream.membership.anti_entropy import AntiEntropy
 from stepstream.membership.messages import MemberRecord, MemberState
 from stepstream.membership.protocol import MembershipProtocol
@@ -199,7 +199,7 @@
 def test_a_name_started_twice_goes_to_the_later_start_and_the_earlier_reports_it_once():
     cluster = converged_cluster()
     earlier = cluster.processes["n4"]
-    later = SimulatedMember("n4", address="127.1.9.9:7946")
+    later = MembershipProcess("n4", address="127.1.9.9:7946")
     cluster.add_process("later n4", later)
     cluster.run(5.0)
     generation = earlier.protocol.members.local.generation + 5000
@@ -239,7 +239,7 @@
 def test_an_address_with_a_new_owner_is_distinguished_from_the_former():
     cluster = converged_cluster()
     cluster.kill("n3")
-    heir = SimulatedMember("heir", address=cluster.processes["n3"].address)
+    heir = MembershipProcess("heir", address=cluster.processes["n3"].address)
     cluster.add_process("heir", heir)
     cluster.start("heir")
 
