--- a/stepstream/lab/search/lease_search.py
+++ b/stepstream/lab/search/lease_search.py
@@ -1,85 +1,15 @@
-"""Search every order of events of a small configuration of leases: three acceptors, two proposers.
+"""Search every order of events of three acceptors and two proposers of leases, within bounds.
 
-The acceptors and proposers are the program's own. An event is one of these:
-
-- a delivery: every message ever sent may arrive at any later time, any number of times, or never;
-  that covers loss, unbounded delay, duplicates and every order;
-- a step of time, at which leases expire on either side;
-- the restart of an acceptor, which loses all state;
-- a proposer that prepares (with the next ballot number or one that skips a number), proposes again
-  or releases, whenever it could, however early or late.
-
-`Bounds` limits ballots, renewals, restarts and time. Answers that only move a proposer's next
-attempt (Busy, StaleBallot, Recovering, LeaseAvailable) are left out, as every attempt is tried
-anyhow.
+`lease_model` has the events and the bounds. Every state is checked for two holders.
 """
 
-import random
-from collections.abc import Iterator, Sequence
+from collections.abc import Iterator
 from dataclasses import dataclass, field
 
 from stepstream.lab.search.explorer import Node, Path, Search
-from stepstream.lab.search.lease_state import (
-    ACCEPTORS,
-    LEASE,
-    LeaseState,
-    acceptor_state,
-    copy_acceptor,
-    copy_proposer,
-)
+from stepstream.lab.search.lease_model import Bounds, LeaseModel
+from stepstream.lab.search.lease_state import LeaseState
 from stepstream.lab.simulation.errors import TwoHoldersError
-from stepstream.leases.acceptor import Acceptor
-from stepstream.leases.ballots import BallotSequence
-from stepstream.leases.configuration import LeaseConfiguration
-from stepstream.leases.messages import (
-    PROPOSER_MESSAGES,
-    Accepted,
-    Message,
-    Prepare,
-    Promise,
-    ProposerMessage,
-)
-from stepstream.leases.proposer import Proposer
-
-TTL_SECONDS = 2.0
-OPERATION_SECONDS = TTL_SECONDS / 4
-ROUND_TIMEOUT_SECONDS = TTL_SECONDS / 4
-TIME_STEP_SECONDS = 1.0
-PROPOSERS = ("a", "b")
-
-CLOCK_RATES = {"a": -1, "b": 0}
-"""Error of each proposer's clock, in units of the drift.
-
-The acceptors' is 1: a holder whose clock runs slow among acceptors whose clocks run fast is the
-dangerous case.
-"""
-
-ACCEPTORS_STARTED_AT = -1e6
-"""Local time of the acceptors' start: so long ago that they answer at once."""
-
-SEARCHED_ANSWERS = (Promise, Accepted)  # as a tuple, quicker than a union
-
-
-@dataclass(frozen=True)
-class Bounds:
-    """Bound what a path may hold.
-
-    Attributes:
-        ballots: by proposer, in the order of `PROPOSERS`.
-        renewals: proposals after the first one, of both proposers together.
-        restarts: of acceptors.
-        time_steps: how long a path may last, in steps of `TIME_STEP_SECONDS`.
-        max_clock_drift: largest error of a clock's rate, as a fraction.
-        releases: whether proposers may release.
-
-    """
-
-    ballots: tuple[int, int] = (1, 1)
-    renewals: int = 1
-    restarts: int = 1
-    time_steps: int = 3
-    max_clock_drift: float = 0.125
-    releases: bool = True
 
 
 @dataclass
@@ -88,17 +18,22 @@
 
     Attributes:
         bounds: of every path.
+        model: which states follow which.
         states_with_holder: states in which a proposer holds the lease.
-        messages: every message ever sent, in both directions, with the index of its proposer.
-        message_numbers: their indexes in `messages`.
 
     """
 
     bounds: Bounds
     max_states: int | None = field(default=10_000_000, kw_only=True)
+    model: LeaseModel = field(init=False)
     states_with_holder: int = field(default=0, init=False)
-    messages: list[tuple[int, Message]] = field(default_factory=list, init=False)
-    message_numbers: dict[tuple[int, Message], int] = field(default_factory=dict, init=False)
+
+    def __post_init__(self) -> None:
+        self.model = LeaseModel(self.bounds)
+
+    def first(self) -> LeaseState:
+        """Return the state in which nothing was sent yet."""
+        return self.model.first()
 
     def expand(self, node: Node[LeaseState]) -> Iterator[Node[LeaseState]]:
         """Return the new states after each event, the last one first.
@@ -106,240 +41,25 @@
         All of them are marked and checked before the first is expanded.
         """
         new_nodes: list[Node[LeaseState]] = []
-        for name, successor in self.successors(node.state):
+        for name, successor in self.model.successors(node.state):
             if not self.add_explored(successor.key()):
                 continue
             if self.is_exhausted:
                 break
             path = Path(name, node.path)
-            self.check_one_holder(successor, path)
+            holders = self.model.holders(successor)
+            if holders:
+                self.states_with_holder += 1
+            check_one_holder(holders, path)
             new_nodes.append(Node(successor, path, node.depth + 1))
         return reversed(new_nodes)
 
-    def check_one_holder(self, state: LeaseState, path: Path) -> None:
-        """Check that at most one proposer holds the lease, each by its own clock.
-
-        This guards against quorums that share no acceptor, and against a grant that an acceptor
-        forgets before its holder does. TwoHoldersError with the path if there are two.
-        """
-        holders = sum(
-            proposer.is_held(self.proposer_clock(state, proposer_index))
-            for proposer_index, proposer in enumerate(state.proposers)
-        )
-        if holders > 0:
-            self.states_with_holder += 1
-        if holders > 1:
-            raise TwoHoldersError(str(path))
-
-    def first(self) -> LeaseState:
-        """Return the state in which nothing was sent yet."""
-        configuration = LeaseConfiguration(
-            ACCEPTORS,
-            max_clock_drift=self.bounds.max_clock_drift,
-            max_ttl_seconds=TTL_SECONDS,
-            round_timeout_seconds=ROUND_TIMEOUT_SECONDS,
-            head_start_seconds=0.0,
-        )
-        proposers = tuple(
-            Proposer(
-                configuration,
-                LEASE,
-                name,
-                TTL_SECONDS,
-                OPERATION_SECONDS,
-                BallotSequence(0),
-                random.Random(1),
-                0.0,
-            )
-            for name in PROPOSERS
-        )
-        acceptors = {name: Acceptor(configuration, ACCEPTORS_STARTED_AT) for name in ACCEPTORS}
-        return LeaseState(0.0, acceptors, dict.fromkeys(ACCEPTORS, frozenset()), proposers)
-
-    def proposer_clock(self, state: LeaseState, proposer_index: int) -> float:
-        """Return what a proposer's clock shows, in seconds."""
-        return state.now * (
-            1.0 + self.bounds.max_clock_drift * CLOCK_RATES[PROPOSERS[proposer_index]]
-        )
-
-    def acceptor_clock(self, state: LeaseState) -> float:
-        """Return what every acceptor's clock shows, in seconds."""
-        return state.now * (1.0 + self.bounds.max_clock_drift)
-
-    # -- events -----------------------------------------------------------------------------------
-
-    def successors(self, state: LeaseState) -> Iterator[tuple[str, LeaseState]]:
-        """Yield each event that may come next, by name, and the state after it."""
-        if state.now < self.bounds.time_steps:
-            yield "time", self.after_time_step(state)
-        for acceptor_name in ACCEPTORS:
-            for number in state.mailboxes[acceptor_name]:
-                proposer_index, message = self.messages[number]
-                successor = self.after_delivery(state, acceptor_name, proposer_index, message)
-                if successor is not None:
-                    yield (
-                        f"{type(message).__name__} {acceptor_name} {PROPOSERS[proposer_index]}",
-                        successor,
-                    )
-            if state.restarts < self.bounds.restarts:
-                yield f"{acceptor_name} restarts", self.after_restart(state, acceptor_name)
-        for proposer_index, proposer in enumerate(state.proposers):
-            if not proposer.is_over:
-                yield from self.proposer_events(state, proposer_index, proposer)
-
-    def proposer_events(
-        self, state: LeaseState, proposer_index: int, proposer: Proposer
-    ) -> Iterator[tuple[str, LeaseState]]:
-        """Yield what a proposer may do next of its own accord, and the state after it."""
-        bounds = self.bounds
-        name = PROPOSERS[proposer_index]
-        if state.ballots_begun[proposer_index] < bounds.ballots[proposer_index]:
-            for skipped_numbers in (0, 1):
-                number, successor = self.after_prepare(state, proposer_index, skipped_numbers)
-                yield f"{name} prepares {number}", successor
-        may_propose = proposer.rounds and proposer.configuration.is_quorum(proposer.promised_by)
-        if may_propose and state.renewals < bounds.renewals:
-            yield f"{name} proposes again", self.after_renewal(state, proposer_index)
-        if bounds.releases and proposer.token:
-            yield f"{name} releases", self.after_release(state, proposer_index)
-
-    def after_prepare(
-        self, state: LeaseState, proposer_index: int, skipped_numbers: int
-    ) -> tuple[int, LeaseState]:
-        """Return the number of a proposer's next ballot, and the state after it was prepared."""
-        successor, changed = self.with_own_proposer(state, proposer_index)
-        changed.ballots.highest += skipped_numbers
-        begun = list(state.ballots_begun)
-        begun[proposer_index] += 1
-        successor.ballots_begun = tuple(begun)
-        now = self.proposer_clock(successor, proposer_index)
-        self.send(successor, proposer_index, changed.begin_ballot(now))
-        return changed.current_ballot().number, successor
-
-    def after_renewal(self, state: LeaseState, proposer_index: int) -> LeaseState:
-        """Return the state after a proposer proposed once more in its ballot."""
-        successor, changed = self.with_own_proposer(state, proposer_index)
-        successor.renewals += 1
-        self.send(
-            successor,
-            proposer_index,
-            changed.propose(self.proposer_clock(successor, proposer_index)),
-        )
-        return successor
-
-    def after_release(self, state: LeaseState, proposer_index: int) -> LeaseState:
-        """Return the state after a proposer released the lease."""
-        successor, changed = self.with_own_proposer(state, proposer_index)
-        self.send(successor, proposer_index, changed.release())
-        return successor
-
-    def with_own_proposer(
-        self, state: LeaseState, proposer_index: int
-    ) -> tuple[LeaseState, Proposer]:
-        """Return a copy of a state, and the one proposer in it that may be changed."""
-        successor = state.copy()
-        changed = copy_proposer(state.proposers[proposer_index])
-        proposers = list(state.proposers)
-        proposers[proposer_index] = changed
-        successor.proposers = tuple(proposers)
-        return successor, changed
 
-    def after_time_step(self, state: LeaseState) -> LeaseState:
-        """Return the state a step of time later: leases expire on either side."""
-        successor = state.copy()
-        successor.now += TIME_STEP_SECONDS
-        for proposer_index in range(len(PROPOSERS)):
-            proposer = successor.proposers[proposer_index]
-            now = self.proposer_clock(successor, proposer_index)
-            if proposer.token and not proposer.is_over and now >= proposer.expires_at:
-                successor, changed = self.with_own_proposer(successor, proposer_index)
-                self.send(successor, proposer_index, changed.tick(now))
-        successor.acceptors = {
-            name: copy_acceptor(acceptor) for name, acceptor in successor.acceptors.items()
-        }
-        for acceptor in successor.acceptors.values():
-            acceptor.tick(self.acceptor_clock(successor))
-        return successor
+def check_one_holder(holders: list[str], path: Path) -> None:
+    """Check that a lease has one holder at most; TwoHoldersError with the path if it has two.
 
-    def after_restart(self, state: LeaseState, acceptor_name: str) -> LeaseState:
-        """Return the state after an acceptor lost all state."""
-        successor = state.copy()
-        successor.restarts += 1
-        configuration = state.acceptors[acceptor_name].configuration
-        restarted = Acceptor(configuration, self.acceptor_clock(state))
-        successor.acceptors = {**state.acceptors, acceptor_name: restarted}
-        return successor
-
-    # -- messages ---------------------------------------------------------------------------------
-
-    def after_delivery(
-        self, state: LeaseState, acceptor_name: str, proposer_index: int, message: Message
-    ) -> LeaseState | None:
-        """Return the state after a message between an acceptor and a proposer was delivered.
-
-        None if it changes nothing.
-        """
-        if isinstance(message, SEARCHED_ANSWERS):
-            return self.after_answer(state, acceptor_name, proposer_index, message)
-        if isinstance(message, PROPOSER_MESSAGES):
-            return self.after_request(state, acceptor_name, proposer_index, message)
-        raise TypeError(f"{type(message).__name__} is not searched")
-
-    def after_request(
-        self, state: LeaseState, acceptor_name: str, proposer_index: int, message: ProposerMessage
-    ) -> LeaseState | None:
-        """Return the state after an acceptor received a request; None if it changes nothing."""
-        before = state.acceptors[acceptor_name]
-        acceptor = copy_acceptor(before)
-        answers = acceptor.handle(self.acceptor_clock(state), PROPOSERS[proposer_index], message)
-        mailbox = state.mailboxes[acceptor_name] | {
-            self.message_number(proposer_index, answer)
-            for _, answer in answers
-            if isinstance(answer, SEARCHED_ANSWERS)
-        }
-        is_same_state = acceptor_state(acceptor) == acceptor_state(before)
-        if is_same_state and mailbox == state.mailboxes[acceptor_name]:
-            return None
-        successor = state.copy()
-        successor.acceptors = {**state.acceptors, acceptor_name: acceptor}
-        successor.mailboxes = {**state.mailboxes, acceptor_name: mailbox}
-        return successor
-
-    def after_answer(
-        self, state: LeaseState, acceptor_name: str, proposer_index: int, answer: Promise | Accepted
-    ) -> LeaseState | None:
-        """Return the state after a proposer received an answer; None if it ignores it."""
-        proposer = state.proposers[proposer_index]
-        if proposer.is_over or answer.ballot != proposer.ballot:
-            return None
-        if isinstance(answer, Promise) and acceptor_name in proposer.promised_by:
-            return None
-        successor, changed = self.with_own_proposer(state, proposer_index)
-        now = self.proposer_clock(successor, proposer_index)
-        self.send(successor, proposer_index, changed.handle(now, acceptor_name, answer))
-        return successor
-
-    def message_number(self, proposer_index: int, message: Message) -> int:
-        """Return a message's number, a new one for a message that was never sent before."""
-        key = (proposer_index, message)
-        if key not in self.message_numbers:
-            self.message_numbers[key] = len(self.messages)
-            self.messages.append(key)
-        return self.message_numbers[key]
-
-    def send(
-        self, state: LeaseState, proposer_index: int, messages: Sequence[ProposerMessage]
-    ) -> None:
-        """Put a proposer's messages into every acceptor's mailbox."""
-        if messages:
-            sent = {
-                self.message_number(proposer_index, without_wait(message)) for message in messages
-            }
-            state.mailboxes = {name: mailbox | sent for name, mailbox in state.mailboxes.items()}
-
-
-def without_wait(message: ProposerMessage) -> ProposerMessage:
-    """Return a message without the time waited: that serves fairness, and would split states."""
-    if isinstance(message, Prepare):
-        return Prepare(message.lease, message.ballot, message.ttl_ms, 0)
-    return message
+    This guards against quorums that share no acceptor, and against a grant that an acceptor forgets
+    before its holder does.
+    """
+    if len(holders) > 1:
+        raise TwoHoldersError(str(path))
--- a/stepstream/lab/search/lease_state.py
+++ b/stepstream/lab/search/lease_state.py
@@ -27,7 +27,7 @@
         now: seconds since the first state.
         acceptors: by name.
         mailboxes: by acceptor, the numbers of all messages ever sent between it and the proposers.
-        proposers: in the order of `lease_search.PROPOSERS`.
+        proposers: in the order of `lease_model.PROPOSERS`.
         renewals: on the path to this state; so are `restarts` of acceptors and `ballots_begun`,
             by proposer.
 
--- a/tests/leases/test_lease_orders.py
+++ b/tests/leases/test_lease_orders.py
@@ -3,7 +3,8 @@
 import planted_lease_faults as planted
 import pytest
 
-from stepstream.lab.search.lease_search import Bounds, LeaseSearch
+from stepstream.lab.search.lease_model import Bounds
+from stepstream.lab.search.lease_search import LeaseSearch
 from stepstream.lab.simulation.errors import TwoHoldersError
 
 
