--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -34,7 +34,8 @@
 from stepstream.lab.faults.random_schedule import generate_schedule
 from stepstream.lab.processes.lease_cluster import LeaseDispatcherCluster, LeaseWorkload
 from stepstream.lab.processes.lease_faults import LEASE_FAULTS, inject
-from stepstream.lab.search.lease_search import Bounds, LeaseSearch
+from stepstream.lab.search.lease_model import Bounds
+from stepstream.lab.search.lease_search import LeaseSearch
 from stepstream.lab.simulation.errors import InvariantError, TwoHoldersError
 from stepstream.lab.simulation.guarded_resource import GuardedResource
 from stepstream.lab.simulation.lease_cluster import LeaseCluster
