--- a/stepstream/lab/processes/cluster_load_test.py
+++ b/stepstream/lab/processes/cluster_load_test.py
@@ -9,6 +9,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
+from stepstream.lab.emulator.clock import US_PER_MS
 from stepstream.lab.emulator.discovery import DiscoveryEmulator
 from stepstream.lab.emulator.http_worker import HttpWorker
 from stepstream.lab.emulator.worker_model import WorkerModel
@@ -142,7 +143,7 @@
         await clients.run()
         self.fault_injector.cancel()
         disturbing.cancel()
-        self.late_ms = clients.max_start_delay_us / 1000
+        self.late_ms = clients.max_start_delay_us / US_PER_MS
         return self.verifier.figures()
 
     def kill_dispatcher(self, index: int) -> None:
--- a/stepstream/lab/processes/cluster_scenarios.py
+++ b/stepstream/lab/processes/cluster_scenarios.py
@@ -10,6 +10,7 @@
 
 import msgspec
 
+from stepstream.lab.emulator.clock import US_PER_SECOND
 from stepstream.lab.load.scenario import Scenario, WorkerFault, draw_scenario
 from stepstream.lab.load.site import FaultKind, read_site
 from stepstream.lab.processes.cluster_load_test import ClusterLoadTest, Disturbance
@@ -25,7 +26,6 @@
 FAULT_BEGIN = 0.4  # fractions of the scenario's time
 CRASH_END = 0.6
 SUSPENSION = 0.25
-US_PER_SECOND = 1e6
 
 
 @dataclass(frozen=True)
--- a/stepstream/lab/processes/load_test.py
+++ b/stepstream/lab/processes/load_test.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any, Self
 
-from stepstream.lab.emulator.clock import Clock
+from stepstream.lab.emulator.clock import MS_PER_SECOND, US_PER_MS, Clock
 from stepstream.lab.emulator.discovery import DiscoveryEmulator
 from stepstream.lab.emulator.gearman_worker import GearmanWorker
 from stepstream.lab.emulator.http_worker import HttpWorker
@@ -41,14 +41,13 @@
 PROGRESS_INTERVAL_SECONDS = 0.5
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}  # of the dispatcher's process
 DISCOVERY_HOST = "127.0.0.1"
-MS_PER_SECOND = 1000
 
 EndpointEntry = dict[str, Any]
 """A worker in the form of the discovery service's JSON."""
 
 
-class LoadTestError(RuntimeError):
-    """The dispatcher's process did not start, or is not there."""
+class LoadTestError(DispatcherProcessError):
+    """A dispatcher of a load test did not start, or is not there."""
 
 
 @dataclass(slots=True)
@@ -158,7 +157,7 @@
             "cell": spec.cell,
             "state": state,
             "weight": spec.weight,
-            "started_ms": worker.model.started_at_us // 1000,
+            "started_ms": worker.model.started_at_us // US_PER_MS,
         }
 
     async def publish(self, worker: HttpWorker, state: str) -> None:
@@ -283,7 +282,7 @@
             self.verifier.breach(self.clock.now_us(), text)
         after = self.cost()
         cost = Cost(after.cpu_s - before.cpu_s, after.rss_mb)
-        return Result(self.verifier.figures(), cost, clients.max_start_delay_us / 1000)
+        return Result(self.verifier.figures(), cost, clients.max_start_delay_us / US_PER_MS)
 
     async def report_progress(
         self, clients: Clients, on_progress: Callable[[Clients], None]
--- a/stepstream/lab/processes/multi_listener_worker.py
+++ b/stepstream/lab/processes/multi_listener_worker.py
@@ -15,15 +15,14 @@
 from stepstream.lab.emulator.http_worker import (
     NOTIFICATION_ATTEMPTS,
     NOTIFICATION_BACKOFF_SECONDS,
+    NOTIFICATION_PATH,
     HttpWorker,
+    Notification,
 )
 from stepstream.lab.emulator.streams import read_response
 from stepstream.lab.emulator.worker_model import OfferResult, Task, TaskEvent
 from stepstream.lab.processes.addresses import Address
 
-Notification = dict[str, object]
-"""A job notification in the platform's form."""
-
 
 @dataclass(eq=False)
 class MultiListenerWorker(HttpWorker):
@@ -69,23 +68,10 @@
         self.queues[dispatcher_index].put_nowait(notification)
 
     async def deliver_notifications_to(self, dispatcher_index: int) -> None:
-        """Send each notification until it is answered, in order, on a connection of its own.
-
-        After `NOTIFICATION_ATTEMPTS` failures a notification is dropped.
-        """
+        """Send each notification to its dispatcher, in order, until cancelled."""
         while True:
-            notification = ujson.dumps(await self.queues[dispatcher_index].get()).encode()
-            headers = {"Host": "d", "Connection": "close"}
-            data = write_request("POST", "/_jobs/news", headers, notification)
-            for _ in range(NOTIFICATION_ATTEMPTS):
-                with contextlib.suppress(OSError, EOFError):
-                    address = self.dispatchers[dispatcher_index]
-                    reader, writer = await asyncio.open_connection(*address)
-                    writer.write(data)
-                    await read_response(reader)
-                    writer.close()
-                    break
-                await asyncio.sleep(NOTIFICATION_BACKOFF_SECONDS)
+            notification = await self.queues[dispatcher_index].get()
+            await send_notification(self.dispatchers[dispatcher_index], notification)
 
     def crash(self) -> None:
         """Close the listeners and every connection; lose the tasks and notify of each."""
@@ -104,3 +90,21 @@
         """Cancel the background tasks and close the listeners."""
         super().stop()
         self.close_listeners()
+
+
+async def send_notification(address: Address, notification: Notification) -> None:
+    """Send a notification until it is acknowledged, each time on a connection of its own.
+
+    Drop it after `NOTIFICATION_ATTEMPTS`: the dispatcher may have been killed for good.
+    """
+    headers = {"Host": "d", "Connection": "close"}
+    body = ujson.dumps(notification).encode()
+    data = write_request("POST", NOTIFICATION_PATH, headers, body)
+    for _ in range(NOTIFICATION_ATTEMPTS):
+        with contextlib.suppress(OSError, EOFError):
+            reader, writer = await asyncio.open_connection(*address)
+            writer.write(data)
+            await read_response(reader)
+            writer.close()
+            return
+        await asyncio.sleep(NOTIFICATION_BACKOFF_SECONDS)
--- a/stepstream/lab/processes/round_robin_clients.py
+++ b/stepstream/lab/processes/round_robin_clients.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass, field
 
 from stepstream.http.codec import write_request
+from stepstream.lab.emulator.clock import US_PER_MS
 from stepstream.lab.emulator.streams import read_response
 from stepstream.lab.load.clients import Clients
 from stepstream.lab.load.response import ReceivedResponse, received_http_response
@@ -18,7 +19,6 @@
 """How long the front goes on sending to a dispatcher that has failed."""
 
 REQUEST_ID_BYTES = 8
-MS_US = 1000
 
 
 @dataclass(eq=False)
@@ -79,7 +79,7 @@
             "Host": "lab",
             "Request-Id": secrets.token_hex(REQUEST_ID_BYTES),
             "Tenant": site.tenants[planned.tenant_index].name,
-            "Request-Timeout-Ms": str(max(remaining_us // MS_US, 1)),
+            "Request-Timeout-Ms": str(max(remaining_us // US_PER_MS, 1)),
             "Request-Info": f"cores_needed={planned.slots}",
             "Connection": "close",
         }
--- a/stepstream/lab/processes/worker_faults.py
+++ b/stepstream/lab/processes/worker_faults.py
@@ -6,7 +6,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
 
-from stepstream.lab.emulator.clock import Clock
+from stepstream.lab.emulator.clock import MS_PER_SECOND, US_PER_SECOND, Clock
 from stepstream.lab.emulator.gearman_worker import GearmanWorker
 from stepstream.lab.emulator.http_worker import HttpWorker
 from stepstream.lab.load.scenario import Scenario, WorkerFault
@@ -15,8 +15,6 @@
 
 DRAIN_POLL_INTERVAL_SECONDS = 0.05
 DRAIN_MARGIN_SECONDS = 0.2  # beyond the site's drain grace
-US_PER_SECOND = 1e6
-MS_PER_SECOND = 1000
 
 EmulatedWorker = HttpWorker | GearmanWorker
 
--- a/stepstream/lab/reports/demo.py
+++ b/stepstream/lab/reports/demo.py
@@ -18,6 +18,7 @@
 from rich.table import Table
 
 from stepstream.config.errors import ConfigurationError
+from stepstream.lab.emulator.clock import US_PER_SECOND
 from stepstream.lab.load.clients import Clients
 from stepstream.lab.load.scenario import Scenario, draw_scenario
 from stepstream.lab.load.site import read_site
@@ -27,7 +28,6 @@
 WIDTH = 120  # columns of the table, at least
 MAX_LATE_MS = 100.0  # a lab later than this says so: its figures are the machine's as well
 MAX_SECONDS = 3600
-US_PER_SECOND = 1e6
 TABLE_COLUMNS = ("class", "asked", "in time", "served", "refused", "failed", "median ms", "p99 ms")
 LAST_COLUMNS_KEYS = ("served", "refused", "failed", "p50_ms", "p99_ms")  # in Figures.by_class
 
--- a/stepstream/lab/reports/observation_chart.py
+++ b/stepstream/lab/reports/observation_chart.py
@@ -2,10 +2,14 @@
 
 from collections.abc import Sequence
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 from stepstream.lab.faults.schedule import Fault, FaultKind, Schedule
 from stepstream.lab.reports.invariant_monitor import OBSERVATION_INTERVAL_SECONDS, Observation
 
+if TYPE_CHECKING:
+    from matplotlib.axes import Axes
+
 STATE_COLOURS = {
     "alive": "#7fbf7b",
     "suspect": "#fee08b",
@@ -43,10 +47,25 @@
 
     observers = sorted({observation.observer for observation in observations})
     names = sorted({observation.name for observation in observations})
-    lines_per_band = len(names) + 1
     height_inches = len(observers) * len(names) * LINE_HEIGHT_INCHES + MARGIN_HEIGHT_INCHES
     height_inches = min(max(height_inches, MIN_HEIGHT_INCHES), MAX_HEIGHT_INCHES)
     figure, axes = pyplot.subplots(figsize=(WIDTH_INCHES, height_inches))
+    add_observations(axes, observations, observers, names)
+    add_faults(axes, schedule)
+    axes.set_xlabel(X_LABEL)
+    axes.invert_yaxis()
+    legend = [Patch(color=colour, label=state) for state, colour in STATE_COLOURS.items()]
+    axes.legend(handles=legend, loc="lower right", fontsize=7)
+    figure.tight_layout()
+    figure.savefig(str(path), dpi=DOTS_PER_INCH)
+    pyplot.close(figure)
+
+
+def add_observations(
+    axes: "Axes", observations: Sequence[Observation], observers: list[str], names: list[str]
+) -> None:
+    """Draw a bar for each observation, and label the observers' bands."""
+    lines_per_band = len(names) + 1
     for observation in observations:
         band = observers.index(observation.observer)
         duration_seconds = observation.ended_at_seconds - observation.begun_at_seconds
@@ -57,21 +76,21 @@
             height=1.0,
             color=STATE_COLOURS.get(observation.state, "black"),
         )
+    band_centres = [band * lines_per_band + len(names) / 2 for band in range(len(observers))]
+    axes.set_yticks(band_centres, observers)
+
+
+def add_faults(axes: "Axes", schedule: Schedule) -> None:
+    """Shade the time of each fault, and label it."""
     for fault in schedule.faults:
-        end_seconds = fault.begin_seconds + max(
-            fault.duration_seconds, OBSERVATION_INTERVAL_SECONDS
+        duration_seconds = max(fault.duration_seconds, OBSERVATION_INTERVAL_SECONDS)
+        axes.axvspan(
+            fault.begin_seconds,
+            fault.begin_seconds + duration_seconds,
+            color=FAULT_COLOUR,
+            alpha=FAULT_OPACITY,
         )
-        axes.axvspan(fault.begin_seconds, end_seconds, color=FAULT_COLOUR, alpha=FAULT_OPACITY)
         label = describe(fault)[:FAULT_LABEL_CHARACTERS]
         axes.text(
             fault.begin_seconds, FAULT_LABEL_LINE, label, rotation=60, fontsize=6, va="bottom"
         )
-    band_centres = [band * lines_per_band + len(names) / 2 for band in range(len(observers))]
-    axes.set_yticks(band_centres, observers)
-    axes.set_xlabel(X_LABEL)
-    axes.invert_yaxis()
-    legend = [Patch(color=colour, label=state) for state, colour in STATE_COLOURS.items()]
-    axes.legend(handles=legend, loc="lower right", fontsize=7)
-    figure.tight_layout()
-    figure.savefig(str(path), dpi=DOTS_PER_INCH)
-    pyplot.close(figure)
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -69,6 +69,7 @@
     fleet.rng.seed(seed)
     for fault in fleet.rng.sample(LEASE_FAULTS, 2):
         fault.begin(fleet, fleet.holder() or "n0")
+        # Time is the subject: the next fault begins within the lifetime of a lease.
         time.sleep(fleet.rng.uniform(0.1, 1.0) * TTL_SECONDS)
     inject(fleet, fleet.rng.choice(LEASE_FAULTS), TIMEOUT_SECONDS)
     assert not ledger_record.find_breaches(fleet.ledger_rows())
