--- a/benchmarks/protocol_mix.py
+++ b/benchmarks/protocol_mix.py
@@ -24,7 +24,7 @@
 from docopt import docopt
 
 from benchmarks.harness import markdown_table, mean_with_range, print_and_keep
-from stepstream.lab.load.scenario import draw_scenario
+from stepstream.lab.load.scenario import generate_scenario
 from stepstream.lab.load.site import read_site
 from stepstream.lab.processes.load_test import LoadTest, Result
 
@@ -53,7 +53,7 @@
 async def run_load_test(seed: int, seconds: int, load: float, mix: str) -> tuple[int, Result]:
     """Run one load test; return the number of its jobs, and its result."""
     site = msgspec.structs.replace(read_site(), load=load)
-    scenario = draw_scenario(site, seed, seconds, mix)
+    scenario = generate_scenario(site, seed, seconds, mix)
     async with LoadTest(scenario, seed, with_gearman=mix != "http") as load_test:
         return len(scenario.requests), await load_test.play()
 
--- a/stepstream/lab/emulator/gearman_worker.py
+++ b/stepstream/lab/emulator/gearman_worker.py
@@ -8,7 +8,7 @@
 from stepstream.gearman.codec import Item, Kind, Packet
 from stepstream.lab.emulator.streams import LIMITS, READ_BYTES
 from stepstream.lab.emulator.worker_driver import WorkerDriver
-from stepstream.lab.emulator.worker_model import OfferResult, TaskEvent, TaskState
+from stepstream.lab.emulator.worker_model import SubmissionResult, TaskEvent, TaskState
 
 PROGRESS_DENOMINATOR = 1000  # of WORK_STATUS
 
@@ -69,8 +69,8 @@
         match packet:
             case Packet(Kind.JOB_ASSIGN_UNIQ, (handle, _, _, workload)):
                 self.grab_pending = False
-                result = self.offer(handle.decode(), workload, handle)
-                if result in (OfferResult.ERROR, OfferResult.FULL):
+                result = self.submit(handle.decode(), workload, handle)
+                if result in (SubmissionResult.ERROR, SubmissionResult.FULL):
                     self.send(Kind.WORK_FAIL, handle)
                 self.grab_job()
             case Packet(Kind.NO_JOB):
--- a/stepstream/lab/emulator/http_worker.py
+++ b/stepstream/lab/emulator/http_worker.py
@@ -10,7 +10,7 @@
 from stepstream.lab.emulator.clock import US_PER_MS
 from stepstream.lab.emulator.streams import LIMITS, READ_BYTES, read_response
 from stepstream.lab.emulator.worker_driver import WorkerDriver
-from stepstream.lab.emulator.worker_model import OfferResult, TaskEvent, TaskState
+from stepstream.lab.emulator.worker_model import SubmissionResult, TaskEvent, TaskState
 from stepstream.lab.load.site import LoadReports
 
 HEALTH_PATH = "/-/healthy"
@@ -116,16 +116,16 @@
             return write_answer(HTTPStatus.OK)
         if message.method == "GET":
             return self.respond_to_health_check(message.target)
-        result = self.offer(message.headers["request-id"], message.body)
+        result = self.submit(message.headers["request-id"], message.body)
         match result:
-            case OfferResult.ACCEPTED:
+            case SubmissionResult.ACCEPTED:
                 return write_answer(HTTPStatus.ACCEPTED)
-            case OfferResult.FULL:
+            case SubmissionResult.FULL:
                 return write_answer(
                     HTTPStatus.SERVICE_UNAVAILABLE,
                     headers={"Not-Started": "1", **self.load_header()},
                 )
-            case OfferResult.ERROR:
+            case SubmissionResult.ERROR:
                 return write_answer(HTTPStatus.INTERNAL_SERVER_ERROR, headers=self.load_header())
         return None
 
--- a/stepstream/lab/emulator/worker_driver.py
+++ b/stepstream/lab/emulator/worker_driver.py
@@ -15,7 +15,7 @@
 from stepstream.lab.emulator.clock import US_PER_MS, US_PER_SECOND, Clock
 from stepstream.lab.emulator.worker_model import (
     Health,
-    OfferResult,
+    SubmissionResult,
     Task,
     TaskEvent,
     TaskState,
@@ -91,7 +91,7 @@
         key: RequestKey = task.context.key
         return f"price {key.job_number}.{key.client_attempt} by {self.name}"
 
-    def draw_external_workload(self) -> Workload:
+    def generate_external_workload(self) -> Workload:
         """Draw the work of a job that no lab client sent, as of the site's first job class.
 
         Its number is negative, so that the verifier knows it is not part of the scenario.
@@ -102,22 +102,22 @@
         work_us = job_class.work_ms * US_PER_MS * factor
         return Workload(-self.external_job_count, 0, max(int(work_us), MIN_EXTERNAL_WORK_US), 1)
 
-    def offer(self, task_id: str, body: bytes, handle: bytes = b"") -> OfferResult:
+    def submit(self, task_id: str, body: bytes, handle: bytes = b"") -> SubmissionResult:
         """Offer a received job to the model; report the attempt to the verifier."""
         now_us = self.clock.now_us()
-        workload = Workload.parse(body) or self.draw_external_workload()
+        workload = Workload.parse(body) or self.generate_external_workload()
         key = RequestKey(workload.job_number, workload.client_attempt)
         attempt = self.verifier.on_arrival(now_us, key, self.name, self.model.spec.cell)
         context = TaskContext(key, attempt, handle)
         task = Task(task_id, workload.work_us, workload.slots, context)
         was_warming_up = self.model.is_warming_up(now_us)
-        result = self.model.offer(now_us, task)
-        if result is OfferResult.DOWN and was_warming_up and self.model.health is Health.UP:
+        result = self.model.submit(now_us, task)
+        if result is SubmissionResult.DOWN and was_warming_up and self.model.health is Health.UP:
             self.verifier.on_overload_failure(now_us, self.name)
             self.terminate(Health.OVERLOADED)
-        if result is not OfferResult.ACCEPTED:
+        if result is not SubmissionResult.ACCEPTED:
             attempt.open = False
-            attempt.never_ran = result is OfferResult.FULL
+            attempt.never_ran = result is SubmissionResult.FULL
         self.model_changed.set()
         return result
 
--- a/stepstream/lab/emulator/worker_model.py
+++ b/stepstream/lab/emulator/worker_model.py
@@ -74,7 +74,7 @@
     FAILED = "failed"
 
 
-class OfferResult(Enum):
+class SubmissionResult(Enum):
     """The worker's answer to an offered task."""
 
     ACCEPTED = "accepted"
@@ -175,21 +175,21 @@
 
     # -- tasks --
 
-    def offer(self, now_us: int, task: Task) -> OfferResult:
+    def submit(self, now_us: int, task: Task) -> SubmissionResult:
         """Offer a task; it runs or waits if the answer is `ACCEPTED`."""
         self.advance(now_us)
         if self.health is not Health.UP:
-            return OfferResult.DOWN
+            return SubmissionResult.DOWN
         if self.overloads_while_warming_up(now_us, task.work_us):
-            return OfferResult.DOWN
+            return SubmissionResult.DOWN
         if self.error_fraction and self.rng.random() < self.error_fraction:
-            return OfferResult.ERROR
+            return SubmissionResult.ERROR
         if len(self.waiting) >= self.spec.queue_capacity and not self.fits(task):
-            return OfferResult.FULL
+            return SubmissionResult.FULL
         task.remaining_us = float(task.work_us)
         self.waiting.append(task)
         self.start_waiting(now_us)
-        return OfferResult.ACCEPTED
+        return SubmissionResult.ACCEPTED
 
     def overloads_while_warming_up(self, now_us: int, work_us: int) -> bool:
         """Record work offered during slow start; return whether its window exceeds the limit."""
--- a/stepstream/lab/load/clients.py
+++ b/stepstream/lab/load/clients.py
@@ -81,7 +81,7 @@
                 break
             if response.outcome is FinalOutcome.FAILED and is_not_idempotent:
                 break
-            follows_retry_after = planned.retry_after_draw < RETRY_AFTER_FRACTION
+            follows_retry_after = planned.retry_after_random < RETRY_AFTER_FRACTION
             advised_seconds = response.retry_after_seconds if follows_retry_after else 0.0
             await asyncio.sleep(max(advised_seconds, self.scenario.site.backoff_ms / MS_PER_SECOND))
         self.finished_count += 1
--- a/stepstream/lab/load/scenario.py
+++ b/stepstream/lab/load/scenario.py
@@ -55,7 +55,7 @@
     work_us: int  # on a core of speed 1
     slots: int
     protocol: WireProtocol
-    retry_after_draw: float  # uniform on [0, 1): whether this client follows Retry-After
+    retry_after_random: float  # uniform on [0, 1): whether this client follows Retry-After
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,7 +82,7 @@
     streams: dict[str, np.random.Generator]  # by purpose, for draws during the run
 
 
-def draw_scenario(site: Site, seed: int, seconds: int, mix: str) -> Scenario:
+def generate_scenario(site: Site, seed: int, seconds: int, mix: str) -> Scenario:
     """Draw a run of `seconds` from `site`.
 
     `mix` is one of `MIXES` and decides who speaks which protocol, nothing else. Raises
@@ -164,7 +164,7 @@
                 work_us=work_us,
                 slots=2 if slot_draws[number] < table.two_slots_fraction else 1,
                 protocol=choose_client_protocol(mix, protocol_draws[number]),
-                retry_after_draw=float(retry_after_draws[number]),
+                retry_after_random=float(retry_after_draws[number]),
             )
         )
     return tuple(requests)
--- a/stepstream/lab/processes/cluster_scenarios.py
+++ b/stepstream/lab/processes/cluster_scenarios.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from stepstream.lab.emulator.clock import US_PER_SECOND
-from stepstream.lab.load.scenario import Scenario, WorkerFault, draw_scenario
+from stepstream.lab.load.scenario import Scenario, WorkerFault, generate_scenario
 from stepstream.lab.load.site import FaultKind, read_site
 from stepstream.lab.processes.cluster_load_test import ClusterLoadTest, Disturbance
 from stepstream.lab.processes.multi_listener_worker import MultiListenerWorker
@@ -91,7 +91,7 @@
 def crash_scenario(seed: int, seconds: int) -> Scenario:
     """Draw the small site with more workers, of which a quarter crashes and comes back cold."""
     site = msgspec.structs.replace(read_site(), worker_count=CRASH_WORKERS, faults=(), load=LOAD)
-    scenario = draw_scenario(site, seed, seconds, "http")
+    scenario = generate_scenario(site, seed, seconds, "http")
     crashed = scenario.streams["faults"].choice(
         CRASH_WORKERS, size=CRASH_WORKERS // CRASHED_WORKERS_DIVISOR, replace=False
     )
@@ -198,7 +198,7 @@
         read_site(name="probed"), worker_count=LEADER_WORKERS, faults=(), load=LOAD
     )
     test = ClusterLoadTest(
-        draw_scenario(site, run.seed, run.seconds, "http"),
+        generate_scenario(site, run.seed, run.seconds, "http"),
         run.seed,
         dispatcher_count=run.dispatcher_count,
         delegates_health_checks=run.is_delegated,
--- a/stepstream/lab/processes/multi_listener_worker.py
+++ b/stepstream/lab/processes/multi_listener_worker.py
@@ -20,7 +20,7 @@
     Notification,
 )
 from stepstream.lab.emulator.streams import read_response
-from stepstream.lab.emulator.worker_model import OfferResult, Task, TaskEvent
+from stepstream.lab.emulator.worker_model import SubmissionResult, Task, TaskEvent
 from stepstream.lab.processes.addresses import Address
 
 
@@ -53,9 +53,9 @@
         ]
         self.ports = [listener.sockets[0].getsockname()[1] for listener in self.listeners]
 
-    def offer(self, task_id: str, body: bytes, handle: bytes = b"") -> OfferResult:  # noqa: ARG002  the listener's number is the handle
+    def submit(self, task_id: str, body: bytes, handle: bytes = b"") -> SubmissionResult:  # noqa: ARG002  the listener's number is the handle
         """Offer a received job to the model, with the number of the listener it came by."""
-        return super().offer(task_id, body, bytes([self.listener_index]))
+        return super().submit(task_id, body, bytes([self.listener_index]))
 
     def notify(self, event: TaskEvent) -> None:
         """Queue a job notification for the dispatcher that sent the job."""
--- a/stepstream/lab/reports/demo.py
+++ b/stepstream/lab/reports/demo.py
@@ -20,7 +20,7 @@
 from stepstream.config.errors import ConfigurationError
 from stepstream.lab.emulator.clock import US_PER_SECOND
 from stepstream.lab.load.clients import Clients
-from stepstream.lab.load.scenario import Scenario, draw_scenario
+from stepstream.lab.load.scenario import Scenario, generate_scenario
 from stepstream.lab.load.site import read_site
 from stepstream.lab.processes.load_test import LoadTest, Result
 from stepstream.lab.verification.score import Figures
@@ -47,7 +47,7 @@
     """
     if not 1 <= seconds <= MAX_SECONDS:
         raise ConfigurationError(f"--seconds={seconds} is not between 1 and {MAX_SECONDS}")
-    scenario = draw_scenario(read_site(name=site), seed, seconds, mix)
+    scenario = generate_scenario(read_site(name=site), seed, seconds, mix)
     if hold:
         return asyncio.run(run_until_signal(scenario, seed))
     result = asyncio.run(play_schedule(scenario, seed))
--- a/tests/lab/conftest.py
+++ b/tests/lab/conftest.py
@@ -6,7 +6,7 @@
 import pytest
 
 from stepstream.lab.emulator.worker_model import WorkerModel, WorkerSpec
-from stepstream.lab.load.scenario import draw_scenario
+from stepstream.lab.load.scenario import generate_scenario
 from stepstream.lab.load.site import read_site
 from stepstream.lab.verification.observations import RequestKey
 from stepstream.lab.verification.verifier import Verifier
@@ -45,7 +45,7 @@
 @pytest.fixture
 def scenario():
     """Five seconds of the small site."""
-    return draw_scenario(read_site(), seed=1, seconds=5, mix="http")
+    return generate_scenario(read_site(), seed=1, seconds=5, mix="http")
 
 
 @pytest.fixture
--- a/tests/lab/emulator/test_http_worker.py
+++ b/tests/lab/emulator/test_http_worker.py
@@ -12,7 +12,7 @@
 from stepstream.lab.emulator.http_worker import HttpWorker
 from stepstream.lab.emulator.worker_model import Task
 from stepstream.lab.load.dispatcher_settings import dispatcher_settings
-from stepstream.lab.load.scenario import draw_scenario
+from stepstream.lab.load.scenario import generate_scenario
 from stepstream.lab.load.site import LoadReports, read_site
 from stepstream.lab.verification.verifier import Verifier
 
@@ -28,11 +28,11 @@
     site = msgspec.structs.replace(
         read_site(name="probed"), load_reports=request.param, load_report_interval_ms=0.0
     )
-    scenario = draw_scenario(site, 1, 5, "http")
+    scenario = generate_scenario(site, 1, 5, "http")
     fields = SettingsFields.from_pairs(flatten(dispatcher_settings(scenario), "", {}))
     worker = HttpWorker(make_worker_model(cores=2), Clock(), Verifier(scenario))
     for task_id in ("a", "b", "c"):
-        worker.model.offer(worker.clock.now_us(), Task(task_id, 10**9))
+        worker.model.submit(worker.clock.now_us(), Task(task_id, 10**9))
     return SimpleNamespace(
         worker=worker,
         reader=LoadReportReader(read_settings(fields), pytest.fail),
--- a/tests/lab/emulator/test_worker_model.py
+++ b/tests/lab/emulator/test_worker_model.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from stepstream.lab.emulator.worker_model import Health, OfferResult, Task, TaskState
+from stepstream.lab.emulator.worker_model import Health, SubmissionResult, Task, TaskState
 
 
 @pytest.fixture
@@ -36,7 +36,7 @@
         Task("d", 100_000, slots=1),
     ]
     for task in tasks:
-        assert model.offer(start_us, task) is OfferResult.ACCEPTED
+        assert model.submit(start_us, task) is SubmissionResult.ACCEPTED
     return play(model, 1_000_000)
 
 
@@ -60,22 +60,22 @@
 
 def test_a_task_beyond_the_queue_is_rejected_as_full(make_worker_model, start_us):
     model = make_worker_model()
-    results = [model.offer(start_us, Task(str(number), 500_000)) for number in range(5)]
-    assert results == [OfferResult.ACCEPTED] * 4 + [OfferResult.FULL]
+    results = [model.submit(start_us, Task(str(number), 500_000)) for number in range(5)]
+    assert results == [SubmissionResult.ACCEPTED] * 4 + [SubmissionResult.FULL]
 
 
 def test_a_cancelled_task_makes_room_in_the_queue(make_worker_model, start_us):
     model = make_worker_model()
     for number in range(4):
-        model.offer(start_us, Task(str(number), 500_000))
+        model.submit(start_us, Task(str(number), 500_000))
     assert model.cancel(start_us, "3")
-    assert model.offer(start_us, Task("5", 500_000)) is OfferResult.ACCEPTED
+    assert model.submit(start_us, Task("5", 500_000)) is SubmissionResult.ACCEPTED
 
 
 def test_a_task_is_cancelled_once(make_worker_model, start_us):
     model = make_worker_model()
     for number in range(4):
-        model.offer(start_us, Task(str(number), 500_000))
+        model.submit(start_us, Task(str(number), 500_000))
     assert model.cancel(start_us, "3")
     assert not model.cancel(start_us, "3")
 
@@ -83,7 +83,7 @@
 def test_a_worker_in_slow_start_works_more_slowly(make_worker_model, start_us, play):
     model = make_worker_model()
     model.start(start_us)
-    model.offer(start_us, Task("a", 600_000))
+    model.submit(start_us, Task("a", 600_000))
     events = play(model, 2_000_000)
     (end_us,) = [time_us for state, _, time_us in events if state is TaskState.DONE]
     # Capacity rises from 0.5 to 1 within a second; its integral reaches 0.6 s of work.
@@ -93,7 +93,7 @@
 def test_a_running_task_reports_progress(make_worker_model, start_us, play):
     model = make_worker_model(progress_interval_us=100_000)
     model.start(start_us)
-    model.offer(start_us, Task("a", 600_000))
+    model.submit(start_us, Task("a", 600_000))
     events = play(model, 2_000_000)
     assert sum(state is TaskState.RUNNING for state, _, _ in events) >= 6
 
@@ -101,20 +101,20 @@
 def test_overload_while_warming_up_takes_the_worker_down(make_worker_model, start_us):
     model = make_worker_model(queue_capacity=100, overload_multiple=2.0)
     model.start(start_us)
-    results = [model.offer(start_us, Task(str(number), 500_000)) for number in range(12)]
-    assert OfferResult.ACCEPTED in results
-    assert results[-1] is OfferResult.DOWN
+    results = [model.submit(start_us, Task(str(number), 500_000)) for number in range(12)]
+    assert SubmissionResult.ACCEPTED in results
+    assert results[-1] is SubmissionResult.DOWN
 
 
 def test_the_same_load_does_not_take_a_warm_worker_down(make_worker_model, start_us):
     model = make_worker_model(queue_capacity=100, overload_multiple=2.0)
-    results = {model.offer(start_us, Task(str(number), 500_000)) for number in range(12)}
-    assert results == {OfferResult.ACCEPTED}
+    results = {model.submit(start_us, Task(str(number), 500_000)) for number in range(12)}
+    assert results == {SubmissionResult.ACCEPTED}
 
 
 def test_a_terminated_worker_loses_its_tasks(make_worker_model, start_us):
     model = make_worker_model()
-    model.offer(start_us, Task("a", 500_000))
+    model.submit(start_us, Task("a", 500_000))
     assert [task.id for task in model.terminate(start_us + 10)] == ["a"]
     assert model.next_event_us() == float("inf")
 
@@ -122,7 +122,7 @@
 def test_a_terminated_worker_takes_no_task(make_worker_model, start_us):
     model = make_worker_model()
     model.terminate(start_us + 10)
-    assert model.offer(start_us + 20, Task("b", 1)) is OfferResult.DOWN
+    assert model.submit(start_us + 20, Task("b", 1)) is SubmissionResult.DOWN
 
 
 def test_a_restarted_worker_is_warming_up(make_worker_model, start_us):
--- a/tests/lab/load/test_dispatcher_settings.py
+++ b/tests/lab/load/test_dispatcher_settings.py
@@ -6,13 +6,13 @@
 from stepstream.config.fields import SettingsFields, flatten
 from stepstream.config.settings_reader import read_settings
 from stepstream.lab.load.dispatcher_settings import dispatcher_settings
-from stepstream.lab.load.scenario import draw_scenario
+from stepstream.lab.load.scenario import generate_scenario
 from stepstream.lab.load.site import LoadReports, read_site
 from stepstream.model.settings import Effect
 
 
 def read_settings_of(site):
-    scenario = draw_scenario(site, 1, 5, "http")
+    scenario = generate_scenario(site, 1, 5, "http")
     return read_settings(SettingsFields.from_pairs(flatten(dispatcher_settings(scenario), "", {})))
 
 
--- a/tests/lab/load/test_scenario.py
+++ b/tests/lab/load/test_scenario.py
@@ -5,13 +5,13 @@
 import pytest
 
 from stepstream.config.errors import ConfigurationError
-from stepstream.lab.load.scenario import MIXES, WireProtocol, draw_scenario
+from stepstream.lab.load.scenario import MIXES, WireProtocol, generate_scenario
 from stepstream.lab.load.site import read_site
 
 
 @pytest.fixture(scope="module")
 def scenario_by_mix():
-    return {mix: draw_scenario(read_site(), 7, 10, mix) for mix in MIXES}
+    return {mix: generate_scenario(read_site(), 7, 10, mix) for mix in MIXES}
 
 
 def without_protocols(requests):
@@ -38,10 +38,10 @@
 
 
 def test_another_seed_draws_other_requests(scenario_by_mix):
-    other = draw_scenario(read_site(), 8, 10, "http")
+    other = generate_scenario(read_site(), 8, 10, "http")
     assert other.requests != scenario_by_mix["http"].requests
 
 
 def test_an_unknown_mix_is_rejected():
     with pytest.raises(ConfigurationError, match="--mix=smoke"):
-        draw_scenario(read_site(), 1, 5, "smoke")
+        generate_scenario(read_site(), 1, 5, "smoke")
--- a/tests/lab/test_process_cleanup.py
+++ b/tests/lab/test_process_cleanup.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from stepstream.lab.load.scenario import draw_scenario
+from stepstream.lab.load.scenario import generate_scenario
 from stepstream.lab.load.site import read_site
 from stepstream.lab.processes.cluster_load_test import ClusterLoadTest
 from stepstream.lab.processes.cluster_member import MemberProgram
@@ -87,7 +87,7 @@
 
 @pytest.mark.usefixtures("leaves_nothing")
 def test_a_load_test_that_fails_to_start_leaves_nothing_behind():
-    scenario = draw_scenario(read_site(), 1, 1, "mixed")
+    scenario = generate_scenario(read_site(), 1, 1, "mixed")
     test = LoadTest(scenario, 1, program=ENDS_AT_ONCE)
     with pytest.raises(LoadTestError, match="this dispatcher ends at once"):
         asyncio.run(start(test))
@@ -95,7 +95,7 @@
 
 @pytest.mark.usefixtures("leaves_nothing")
 def test_a_cluster_load_test_that_fails_to_start_leaves_nothing_behind():
-    scenario = draw_scenario(read_site(), 1, 1, "http")
+    scenario = generate_scenario(read_site(), 1, 1, "http")
     test = ClusterLoadTest(scenario, 1, dispatcher_count=2, program=ENDS_AT_ONCE)
     with pytest.raises(LoadTestError, match="this dispatcher ends at once"):
         asyncio.run(start(test))
--- a/tests/lab/verification/test_delivery_rules.py
+++ b/tests/lab/verification/test_delivery_rules.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from stepstream.lab.load.scenario import draw_scenario
+from stepstream.lab.load.scenario import generate_scenario
 from stepstream.lab.load.site import JobEffect, read_site
 from stepstream.lab.verification.observations import FinalOutcome, RequestKey
 from stepstream.lab.verification.verifier import Verifier
@@ -111,7 +111,7 @@
 
 
 def test_a_repetition_without_idempotency_is_a_breach():
-    scenario = draw_scenario(read_site(name="probed"), seed=1, seconds=5, mix="http")
+    scenario = generate_scenario(read_site(name="probed"), seed=1, seconds=5, mix="http")
     effects = [job_class.effect for job_class in scenario.site.job_classes]
     number = next(
         request.number
