--- a/stepstream/lab/load/site.py
+++ b/stepstream/lab/load/site.py
@@ -2,8 +2,8 @@
 
 The keys of a site file, and the values of its enumerations, have the platform's spelling. Each
 table below is one table of the file; a field whose name differs from its key says so with `name=`.
-`scenario.generate_scenario` draws a run from a `Site`, and `dispatcher_settings.dispatcher_settings`
-derives what the dispatcher reads.
+`scenario.generate_scenario` generates a run from a `Site`, and `dispatcher_settings` derives what
+the dispatcher reads.
 """
 
 import tomllib
