--- a/tests/golden/test_golden_state.py
+++ b/tests/golden/test_golden_state.py
@@ -1,8 +1,10 @@
 """Forms of state that other processes read, against the bytes kept in tests/golden/state."""
 
 import pytest
-from golden import state_answers
 from golden import state_samples as golden
+from golden.recorded_data import as_json
+from golden.state.membership_datagrams import receive_through_driver, send_through_driver
+from golden.state.membership_form import CLUSTER, MEMBERSHIP
 
 
 def cases(part):
@@ -29,7 +31,7 @@
 @pytest.mark.parametrize(("form", "name"), cases("refused"))
 def test_malformed_data_is_refused_for_the_recorded_reason(form, name):
     kept = golden.recorded(form.name)["refused"][name]
-    assert golden.reason(form, bytes.fromhex(kept["data"])) == kept["reason"]
+    assert golden.rejection_reason(form, bytes.fromhex(kept["data"])) == kept["reason"]
 
 
 @pytest.mark.parametrize(("form", "name"), cases("tolerated"))
@@ -47,8 +49,9 @@
 
 
 def test_the_driver_sends_the_recorded_datagrams():
-    kept, samples = golden.recorded("fleet")["samples"], golden.fleet_samples()
-    sent = state_answers.from_the_driver(list(samples.values()))
+    kept = golden.recorded("fleet")["samples"]
+    samples = MEMBERSHIP.samples()
+    sent = send_through_driver(list(samples.values()))
     assert dict(zip(samples, (data.hex() for data in sent), strict=True)) == kept
 
 
@@ -56,11 +59,11 @@
     kept = golden.recorded("fleet")
     good = [bytes.fromhex(data) for data in kept["samples"].values()]
     bad = [bytes.fromhex(case["data"]) for case in kept["refused"].values()]
-    heard, dropped = state_answers.through_the_driver(golden.CLUSTER, [*good, *bad])
-    assert heard == list(golden.fleet_samples().values())
+    received, dropped = receive_through_driver(CLUSTER, [*good, *bad])
+    assert received == list(MEMBERSHIP.samples().values())
     assert dropped == len(bad)
 
 
 @pytest.mark.parametrize("name", golden.TRANSCRIPTS)
 def test_a_transcript_is_as_recorded(name):
-    assert golden.as_recorded(golden.TRANSCRIPTS[name]()) == golden.recorded(name)
+    assert as_json(golden.TRANSCRIPTS[name]()) == golden.recorded(name)
