--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -8,11 +8,6 @@
 import time
 
 import pytest
-from admin_helpers import request
-from config_helpers import CONFIG
-from core_helpers import RecordingLog
-from net_helpers import LIMITS, job_bytes
-from node_helpers import PATIENCE, ROOT, World, ask, free_port, wait_for
 
 from stepstream.admin.connection import AdminConnection
 from stepstream.admin.decisions import (
@@ -37,6 +32,14 @@
 from stepstream.model.endpoints import Endpoint, EndpointList, EndpointListKind, EndpointState
 from stepstream.ports.admin import AdminRequest, AdminResponse, AdminRoute
 from stepstream.runtime.log import LogRateLimit
+from tests.admin.calls import call_admin
+from tests.config.configurations import CONFIGURATION, LIMITS
+from tests.core.harness import RecordingLog
+from tests.http.messages import job_request
+from tests.http.scripted_server import exchange
+from tests.node.dispatcher_process import ROOT
+from tests.runtime.ports import free_port
+from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
 
 # -- routing and decisions --------------------------------------------------------------------------------
 
@@ -258,7 +261,7 @@
     for sock in slow:
         sock.sendall(b"PUT /healthcheck/fa")
     begun = time.monotonic()
-    assert request(port, b"GET /healthcheck HTTP/1.1\r\n\r\n").status == 200
+    assert call_admin(port, b"GET /healthcheck HTTP/1.1\r\n\r\n").status == 200
     assert time.monotonic() - begun < 1.0
     assert service.requests == [HEALTH_CHECK]
     for sock in slow:
@@ -271,8 +274,8 @@
         socket.create_connection(("127.0.0.1", port)) for _ in range(LIMITS.connections.admin + 4)
     ]
     time.sleep(0.2)
-    assert request(port, b"PUT /healthcheck/ok HTTP/1.1\r\n\r\n").status == 200
-    idle[0].settimeout(PATIENCE)
+    assert call_admin(port, b"PUT /healthcheck/ok HTTP/1.1\r\n\r\n").status == 200
+    idle[0].settimeout(PATIENCE_SECONDS)
     assert idle[0].recv(10) == b""  # the oldest was evicted
     for sock in idle:
         sock.close()
@@ -290,57 +293,56 @@
 )
 def test_bad_requests_get_a_4xx_and_change_nothing(admin, data, status):
     service, port = admin
-    assert request(port, data).status == status
+    assert call_admin(port, data).status == status
     assert service.requests == []
-    assert request(port, b"GET /healthcheck HTTP/1.1\r\n\r\n").status == 200
+    assert call_admin(port, b"GET /healthcheck HTTP/1.1\r\n\r\n").status == 200
 
 
 # -- the program ------------------------------------------------------------------------------------------
 
 
 @pytest.fixture
-def operated(tmp_path):
-    port = free_port()
-    made = World(tmp_path, operator=f"127.0.0.1:{port}")
-    made.admin = port
-    yield made
-    if made.process.poll() is None:
-        made.process.kill()
-    made.process.communicate()
-    made.worker.sock.close()
-    made.discovery.sock.close()
-
-
-def put(world, path):
-    return request(world.admin, f"PUT {path} HTTP/1.1\r\n\r\n".encode()).status
-
-
-def test_the_program_drains_on_request_and_serves_again(operated):
-    assert request(operated.admin, b"GET /healthcheck HTTP/1.1\r\n\r\n").status == 200
-    connection = socket.create_connection(("127.0.0.1", operated.port), timeout=PATIENCE)
-    assert ask(0, job_bytes("00000000000000a1"), connection).status == 200
-    assert put(operated, "/healthcheck/fail") == 200
-    assert not operated.ready()
-    assert request(operated.admin, b"GET /healthcheck HTTP/1.1\r\n\r\n").status == 503
-    answer = ask(0, job_bytes("00000000000000a2"), connection)  # an open connection is still served
+def dispatcher(start_dispatcher):
+    """A dispatcher's process with an admin listener."""
+    return start_dispatcher(operator=f"127.0.0.1:{free_port()}")
+
+
+def admin_port(dispatcher):
+    return int(dispatcher.config["operator"].rpartition(":")[2])
+
+
+def put(dispatcher, path):
+    return call_admin(admin_port(dispatcher), f"PUT {path} HTTP/1.1\r\n\r\n".encode()).status
+
+
+def test_the_program_drains_on_request_and_serves_again(dispatcher):
+    assert call_admin(admin_port(dispatcher), b"GET /healthcheck HTTP/1.1\r\n\r\n").status == 200
+    connection = socket.create_connection(("127.0.0.1", dispatcher.port), timeout=PATIENCE_SECONDS)
+    assert exchange(0, job_request("00000000000000a1"), connection).status == 200
+    assert put(dispatcher, "/healthcheck/fail") == 200
+    assert not dispatcher.is_ready()
+    assert call_admin(admin_port(dispatcher), b"GET /healthcheck HTTP/1.1\r\n\r\n").status == 503
+    answer = exchange(
+        0, job_request("00000000000000a2"), connection
+    )  # an open connection is still served
     assert answer.status == 200
-    connection.settimeout(PATIENCE)
+    connection.settimeout(PATIENCE_SECONDS)
     assert connection.recv(10) == b""  # and closed after an answer once the drain's time has come
-    assert put(operated, "/healthcheck/ok") == 200
-    wait_for(operated.ready)
+    assert put(dispatcher, "/healthcheck/ok") == 200
+    wait_for(dispatcher.is_ready)
 
 
-def test_a_worker_in_maintenance_gets_no_jobs_until_it_ends(operated):
-    assert put(operated, "/workers/s-9/maint") == 404
-    assert put(operated, "/workers/s-1/maint") == 200
-    assert put(operated, "/workers/s-1/maint") == 200
-    before = len(operated.jobs())
+def test_a_worker_in_maintenance_gets_no_jobs_until_it_ends(dispatcher):
+    assert put(dispatcher, "/workers/s-9/maint") == 404
+    assert put(dispatcher, "/workers/s-1/maint") == 200
+    assert put(dispatcher, "/workers/s-1/maint") == 200
+    before = len(dispatcher.job_calls())
     time.sleep(0.1)  # more than the grace
-    assert ask(operated.port, job_bytes("00000000000000b1")).status != 200
-    assert len(operated.jobs()) == before
-    assert put(operated, "/workers/s-1/ready") == 200
+    assert exchange(dispatcher.port, job_request("00000000000000b1")).status != 200
+    assert len(dispatcher.job_calls()) == before
+    assert put(dispatcher, "/workers/s-1/ready") == 200
     names = (f"00000000000000c{k}" for k in range(10_000))
-    wait_for(lambda: ask(operated.port, job_bytes(next(names))).status == 200)
+    wait_for(lambda: exchange(dispatcher.port, job_request(next(names))).status == 200)
 
 
 ADMIN_MODULES = (
@@ -354,7 +356,7 @@
 def loaded_by_a_start(operator):
     """Modules and threads of a dispatcher started in a process of its own, with an admin address or not."""
     config = {
-        **CONFIG,
+        **CONFIGURATION,
         "listen": f"127.0.0.1:{free_port()}",
         "discovery": f"127.0.0.1:{free_port()}",
     }
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -5,7 +5,6 @@
 from pathlib import Path
 
 import pytest
-from net_helpers import SETTINGS
 
 from stepstream.config.errors import ConfigurationError
 from stepstream.config.operator_file import (
@@ -15,6 +14,7 @@
     require_all_unchanged,
     require_unchanged,
 )
+from tests.config.configurations import POLICY_SETTINGS
 
 ROOT = Path(__file__).parents[2]
 HEAVY = (
@@ -54,7 +54,7 @@
 def read(tmp_path, text):
     path = tmp_path / "operator.toml"
     path.write_text(text)
-    return read_operator(str(path), SETTINGS)
+    return read_operator(str(path), POLICY_SETTINGS)
 
 
 def test_an_empty_file_switches_nothing_on(tmp_path):
@@ -140,7 +140,7 @@
 
 def test_a_file_that_is_not_there_is_named(tmp_path):
     with pytest.raises(ConfigurationError, match="nowhere.toml cannot be read"):
-        read_operator(str(tmp_path / "nowhere.toml"), SETTINGS)
+        read_operator(str(tmp_path / "nowhere.toml"), POLICY_SETTINGS)
 
 
 @pytest.mark.parametrize(
@@ -183,7 +183,7 @@
 
 
 def test_the_commented_example_is_read():
-    operator = read_operator(str(ROOT / "deploy" / "operator.toml"), SETTINGS)
+    operator = read_operator(str(ROOT / "deploy" / "operator.toml"), POLICY_SETTINGS)
     assert operator.gearman is not None
 
 
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -4,7 +4,6 @@
 import re
 
 import pytest
-from config_helpers import CONFIG
 
 from stepstream import cli
 from stepstream.config.errors import ConfigurationError
@@ -12,6 +11,7 @@
 from stepstream.config.node_config import config_from
 from stepstream.config.settings_reader import read_settings
 from stepstream.model.settings import Effect, JobClass
+from tests.config.configurations import CONFIGURATION
 
 
 def test_nested_json_reads_like_the_wire():
@@ -24,7 +24,7 @@
         "discovery=subscribe limits.try_limit=4 limits.cancelling=true limits.conn_idle_us=8000000 "
         "load_report.how=none load_report.columns="
     )
-    nested = config_from(CONFIG, {}).settings
+    nested = config_from(CONFIGURATION, {}).settings
     assert nested == read_settings(SettingsFields(line.split(" ")))
     assert nested.zones == ("ruzinov", "petrzalka")
     assert nested.polls_endpoints
@@ -40,12 +40,12 @@
 
 
 def test_the_environment_stands_in_for_what_the_file_leaves_out():
-    data = {key: value for key, value in CONFIG.items() if key != "listen"}
+    data = {key: value for key, value in CONFIGURATION.items() if key != "listen"}
     assert config_from(data, {"EDGE_LISTEN": "127.0.0.1:9"}).listen == ("127.0.0.1", 9)
 
 
 def changed(path, value):
-    data = json.loads(json.dumps(CONFIG))
+    data = json.loads(json.dumps(CONFIGURATION))
     *parents, last = path
     at = data
     for name in parents:
@@ -146,7 +146,7 @@
 
 def test_check_config_and_version(tmp_path, monkeypatch, capsys):
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(CONFIG))
+    path.write_text(json.dumps(CONFIGURATION))
     monkeypatch.setenv("EDGE_CONFIG", str(path))
     assert cli.main(["check-config"]) == 0
     assert cli.main(["version"]) == 0
--- /dev/null
+++ b/tests/conftest.py
@@ -0,0 +1,37 @@
+"""Fixtures that tests of several packages share."""
+
+import contextlib
+
+import pytest
+
+from tests.http.scripted_server import ScriptedServer
+from tests.node.dispatcher_process import DispatcherProcess
+
+
+@pytest.fixture
+def start_dispatcher(tmp_path):
+    """Start dispatchers' processes, with further keys of the configuration; end them."""
+    with contextlib.ExitStack() as stack:
+
+        def start(**configuration):
+            dispatcher = DispatcherProcess(tmp_path, **configuration)
+            return stack.enter_context(contextlib.closing(dispatcher))
+
+        yield start
+
+
+@pytest.fixture
+def dispatcher(start_dispatcher):
+    """A dispatcher's process with one worker and a discovery that names it."""
+    return start_dispatcher()
+
+
+@pytest.fixture
+def start_server():
+    """Start servers with scripted answers; stop them."""
+    with contextlib.ExitStack() as stack:
+
+        def start(reply):
+            return stack.enter_context(contextlib.closing(ScriptedServer(reply)))
+
+        yield start
--- a/tests/core_helpers.py
+++ b/tests/core/harness.py
@@ -2,17 +2,17 @@
 
 from types import SimpleNamespace
 
-from net_helpers import LIMITS, SETTINGS, WORKERS, request
-
 from stepstream.core.dispatcher import Dispatcher
 from stepstream.core.events import RequestReceived
 from stepstream.model.endpoints import EndpointList, EndpointListKind
 from stepstream.model.events import TimerFired
+from tests.config.configurations import LIMITS, POLICY_SETTINGS
+from tests.core.builders import WORKERS, make_request
 
 START_US = 1_000_000
 
 
-def of_type(kind, commands):
+def commands_of_type(kind, commands):
     return [command for command in commands if isinstance(command, kind)]
 
 
@@ -32,7 +32,7 @@
 class DispatcherHarness:
     """A dispatcher with four workers, its clock, its commands and its log events."""
 
-    def __init__(self, settings=SETTINGS):
+    def __init__(self, settings=POLICY_SETTINGS):
         self.now_us = START_US
         self.commands = []
         self.log = RecordingLog()
@@ -54,7 +54,7 @@
 
     def receive(self, name="aa", **fields):
         """Post a new request; return it and the commands."""
-        received = request(name, self.now_us, **fields)
+        received = make_request(name, self.now_us, **fields)
         return received, self.post(RequestReceived(received))
 
     def decide(self, *actions):
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -4,8 +4,6 @@
 from types import SimpleNamespace
 
 import pytest
-from core_helpers import START_US, DispatcherHarness, of_type
-from net_helpers import LIMITS, SETTINGS, WORKERS, request
 
 from stepstream.core.call_handler import call_deadline_us, may_start
 from stepstream.core.commands import Answer, Outcome, PollEndpoints, Progress, StartCall, StopCall
@@ -24,10 +22,13 @@
 from stepstream.model.endpoints import EndpointList, EndpointListKind
 from stepstream.model.events import AttemptResult, SettingsChanged
 from stepstream.model.settings import Settings
+from tests.config.configurations import LIMITS, POLICY_SETTINGS
+from tests.core.builders import WORKERS, make_request
+from tests.core.harness import START_US, DispatcherHarness, commands_of_type
 
 
 def only_call(commands):
-    (start,) = of_type(StartCall, commands)
+    (start,) = commands_of_type(StartCall, commands)
     return start.call
 
 
@@ -80,8 +81,8 @@
     first = only_call(commands)
     harness.post(CallEnded(first, AttemptResult.RESET))
     commands = harness.post(JobNotification("aa", first.worker_id, JobStatus.DONE, "7"))
-    assert of_type(Answer, commands) == [Answer(received, Outcome.SERVED, "7")]
-    assert len(of_type(StopCall, commands)) == 1  # the second call serves nobody
+    assert commands_of_type(Answer, commands) == [Answer(received, Outcome.SERVED, "7")]
+    assert len(commands_of_type(StopCall, commands)) == 1  # the second call serves nobody
 
 
 def test_progress_is_reported_until_the_answer():
@@ -99,13 +100,13 @@
 
 def test_the_deadline_ends_calls_and_answers_in_time_whatever_the_threads_do():
     harness = DispatcherHarness(
-        Settings(classes=SETTINGS.classes, attempt_limit=4, may_cancel=True)
+        Settings(classes=POLICY_SETTINGS.classes, attempt_limit=4, may_cancel=True)
     )
     received, commands = harness.receive(job_class=1)
     call = only_call(commands)
     commands = harness.run_until(received.deadline_us)
     assert StopCall(call) in commands
-    assert of_type(Answer, commands) == [Answer(received, Outcome.FAILED)]
+    assert commands_of_type(Answer, commands) == [Answer(received, Outcome.FAILED)]
     # The carrier's own report comes too late to count.
     assert harness.post(CallEnded(call, AttemptResult.OK)) == []
     assert not harness.dispatcher.requests
@@ -116,9 +117,9 @@
     received, _ = harness.receive()
     harness.dispatcher.load_balancer = SimpleNamespace(handle=lambda now_us, events: [])
     deadline_us = received.deadline_us - LIMITS.loop.answer_margin_us
-    assert not of_type(Answer, harness.run_until(deadline_us))
+    assert not commands_of_type(Answer, harness.run_until(deadline_us))
     commands = harness.run_until(deadline_us + 2 * LIMITS.loop.timer_tick_us)
-    assert of_type(Answer, commands) == [Answer(received, Outcome.FAILED)]
+    assert commands_of_type(Answer, commands) == [Answer(received, Outcome.FAILED)]
 
 
 def test_a_call_past_the_limit_that_its_worker_has_set_is_stopped():
@@ -137,7 +138,7 @@
     received, _ = harness.receive()
     # The policy's patience ends far from the deadline.
     commands = harness.run_until(START_US + 400_000)
-    (answer,) = of_type(Answer, commands)
+    (answer,) = commands_of_type(Answer, commands)
     assert answer.outcome is Outcome.REJECTED
     assert answer.request is received
 
@@ -156,7 +157,7 @@
     end_us = harness.now_us + 1_000_000
     harness.post(ShutdownStarted(end_us))
     late, _ = harness.receive("bb")
-    answers = of_type(Answer, harness.run_until(end_us))
+    answers = commands_of_type(Answer, harness.run_until(end_us))
     assert {answer.request for answer in answers} == {early, late}
 
 
@@ -169,13 +170,13 @@
     second, commands = harness.receive()
     assert commands == [Answer(second, Outcome.FAILED)]
     harness.post(ClientDisconnected(second))
-    assert not of_type(Answer, first_commands)
+    assert not commands_of_type(Answer, first_commands)
     assert not first.answered
 
 
 def test_beyond_the_open_requests_allowed_the_next_is_rejected_at_once():
     harness = DispatcherHarness(
-        Settings(classes=SETTINGS.classes, max_open_requests=1, max_retry_after_us=5)
+        Settings(classes=POLICY_SETTINGS.classes, max_open_requests=1, max_retry_after_us=5)
     )
     harness.receive("aa")
     second, commands = harness.receive("bb")
@@ -217,16 +218,16 @@
     first, commands = harness.receive("aa")
     call = only_call(commands)
     second, _ = harness.receive("aa")
-    assert not of_type(StopCall, harness.post(RequestFaulted(second)))
+    assert not commands_of_type(StopCall, harness.post(RequestFaulted(second)))
     done = JobNotification("aa", call.worker_id, JobStatus.DONE, "1")
-    (answer,) = of_type(Answer, harness.post(done))
+    (answer,) = commands_of_type(Answer, harness.post(done))
     assert answer.request is first
     assert answer.outcome is Outcome.SERVED
 
 
 def test_a_failed_poll_of_the_endpoint_list_is_repeated():
     harness = DispatcherHarness()
-    assert of_type(PollEndpoints, harness.commands) == [PollEndpoints(True)]
+    assert commands_of_type(PollEndpoints, harness.commands) == [PollEndpoints(True)]
     harness.post(EndpointList(EndpointListKind.FAILED))
     assert PollEndpoints(True) in harness.run_until(START_US + 600_000)
 
@@ -240,7 +241,7 @@
     call = only_call(commands)
     commands = harness.decide(StartAttempt("aa", call.worker_id))
     assert [attempt.open for attempt in received.calls] == [True, False]
-    assert not of_type(StartCall, commands)
+    assert not commands_of_type(StartCall, commands)
 
 
 @pytest.mark.parametrize(
@@ -264,7 +265,7 @@
         first.open = False
         first.result = result
     commands = harness.decide(StartAttempt("aa", first.worker_id))
-    assert (not of_type(StartCall, commands)) == may_collide
+    assert (not commands_of_type(StartCall, commands)) == may_collide
     assert received.calls[-1].result == (AttemptResult.NOT_SENT if may_collide else None)
 
 
@@ -278,7 +279,7 @@
     ],
 )
 def test_a_call_starts_only_within_the_limits_of_its_request(number, now_us, answered, allowed):
-    received = request("aa")
+    received = make_request("aa")
     received.answered = answered
     call = Call(received, number, "s-0", sent_us=now_us, deadline_us=100)
     assert may_start(call, now_us, attempt_limit=1) == allowed
@@ -286,7 +287,7 @@
 
 @pytest.mark.parametrize(("timeout_us", "deadline_us"), [(0, 990), (20, 520), (800, 990)])
 def test_a_call_ends_at_its_own_timeout_and_before_its_request_is_answered(timeout_us, deadline_us):
-    received = request("aa", now_us=0, budget_us=1000)
+    received = make_request("aa", now_us=0, budget_us=1000)
     assert call_deadline_us(received, 500, timeout_us, answer_margin_us=10) == deadline_us
 
 
@@ -299,7 +300,7 @@
 ):
     """Connecting and queueing take time: the window holds for the write, not for the decision."""
     harness = DispatcherHarness()
-    received = replace(request("aa", harness.now_us, job_class=1), settings=SETTINGS)
+    received = replace(make_request("aa", harness.now_us, job_class=1), settings=POLICY_SETTINGS)
     first = only_call(harness.post(RequestReceived(received)))
     assert first.write_deadline_us is None
     if result is not None:
@@ -307,7 +308,7 @@
         first.result = result
     harness.now_us += 50_000
     harness.decide(StartAttempt("aa", other_worker(first)))
-    window_us = SETTINGS.classes[1].idempotency_window_us
+    window_us = POLICY_SETTINGS.classes[1].idempotency_window_us
     assert len(received.calls) == 2
     assert received.calls[-1].write_deadline_us == (
         first.sent_us + window_us if has_limit else None
@@ -316,8 +317,10 @@
 
 # -- reload -------------------------------------------------------------------------------------
 
-REVERSED = replace(SETTINGS, classes=SETTINGS.classes[::-1], tenants=SETTINGS.tenants[::-1])
-WITHOUT_FIRST_CLASS = replace(SETTINGS, classes=SETTINGS.classes[1:])
+REVERSED = replace(
+    POLICY_SETTINGS, classes=POLICY_SETTINGS.classes[::-1], tenants=POLICY_SETTINGS.tenants[::-1]
+)
+WITHOUT_FIRST_CLASS = replace(POLICY_SETTINGS, classes=POLICY_SETTINGS.classes[1:])
 
 
 def mean_run_times_us(harness):
@@ -327,7 +330,7 @@
 def test_a_request_read_before_a_reload_keeps_its_class_and_tenant_by_name():
     harness = DispatcherHarness()
     harness.post(SettingsChanged(REVERSED))
-    received = replace(request("aa", harness.now_us), settings=SETTINGS)
+    received = replace(make_request("aa", harness.now_us), settings=POLICY_SETTINGS)
     assert only_call(harness.post(RequestReceived(received))).request is received
     assert (received.job_class, received.tenant) == (1, 1)
 
@@ -335,7 +338,7 @@
 def test_a_request_of_a_class_that_a_reload_took_away_is_answered():
     harness = DispatcherHarness()
     harness.post(SettingsChanged(WITHOUT_FIRST_CLASS))
-    received = replace(request("aa", harness.now_us), settings=SETTINGS)
+    received = replace(make_request("aa", harness.now_us), settings=POLICY_SETTINGS)
     assert harness.post(RequestReceived(received)) == [Answer(received, Outcome.FAILED)]
 
 
@@ -348,7 +351,7 @@
     assert mean_run_times_us(harness) == [2.0, 1.0, 3.0]
     harness.now_us += 1_000_000
     done = JobNotification("aa", call.worker_id, JobStatus.DONE, "1")
-    assert of_type(Answer, harness.post(done))[0].outcome is Outcome.SERVED
+    assert commands_of_type(Answer, harness.post(done))[0].outcome is Outcome.SERVED
     assert mean_run_times_us(harness)[0] > 2.0
     assert mean_run_times_us(harness)[1] == 1.0
     harness.post(SettingsChanged(WITHOUT_FIRST_CLASS))
--- a/tests/core/test_dispatcher_model.py
+++ b/tests/core/test_dispatcher_model.py
@@ -1,13 +1,13 @@
 """The dispatcher against a model, over random sequences of events."""
 
-from core_helpers import DispatcherHarness
 from hypothesis import strategies as st
-from net_helpers import SETTINGS
 from walk import walks
 
 from stepstream.core.commands import Answer, StartCall
 from stepstream.core.events import CallEnded, ClientDisconnected, JobNotification, JobStatus
 from stepstream.model.events import AttemptResult
+from tests.config.configurations import POLICY_SETTINGS
+from tests.core.harness import DispatcherHarness
 
 
 class DispatcherModel:
@@ -60,7 +60,7 @@
                     self.answers[answered.id] = command.outcome
         self.checked = len(self.harness.commands)
         self.open_calls = [call for call in self.open_calls if call.open]
-        assert all(count <= SETTINGS.attempt_limit for count in self.sent.values())
+        assert all(count <= POLICY_SETTINGS.attempt_limit for count in self.sent.values())
         owed = [request for request in self.received if not request.answered]
         assert self.harness.dispatcher.open_count == len(owed)
         assert all(self.harness.now_us <= request.deadline_us for request in owed)
--- a/tests/core/test_endpoint_set.py
+++ b/tests/core/test_endpoint_set.py
@@ -1,11 +1,11 @@
 """The endpoint set merged from several sources, against a model that keeps a plain set a source."""
 
-from core_helpers import RecordingLog
 from hypothesis import strategies as st
 from walk import walks
 
 from stepstream.core.endpoint_set import EndpointSet, EndpointsUpdated
 from stepstream.model.endpoints import Endpoint, EndpointList, EndpointListKind, EndpointState
+from tests.core.harness import RecordingLog
 
 IDS = ("a", "b", "c")
 SOURCES = ("discovery", "gearman", "consul")
--- /dev/null
+++ b/tests/gearman/program.py
@@ -0,0 +1,174 @@
+"""A dispatcher's process with a Gearman listener, and raw connections to it."""
+
+import contextlib
+import json
+import signal
+import socket
+import threading
+
+from stepstream.gearman import codec
+from stepstream.gearman.codec import Kind, Parser
+from tests.config.configurations import CONFIGURATION, LIMITS
+from tests.node.dispatcher_process import end_process, start_serving
+from tests.runtime.ports import free_port
+from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
+
+SECTION = '[gearman]\nlisten = "127.0.0.1:{port}"\ntenant = "tatra-invest"\nqueue = 4\n'
+RECEIVE_BYTES = 65_536
+
+
+class GearmanPeer:
+    """A raw connection: packets out, packets in."""
+
+    def __init__(self, sock):
+        """Talk on this connected socket."""
+        self.sock = sock
+        self.parser = Parser(LIMITS, answers=True)
+
+    @classmethod
+    def connect(cls, port):
+        """Connect to a port of 127.0.0.1."""
+        return cls(socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_SECONDS))
+
+    def send(self, kind, *arguments):
+        """Send a packet."""
+        self.sock.sendall(codec.request(kind, *arguments))
+        return self
+
+    def next(self):
+        """Return the next packet; None at the end of the connection."""
+        while (packet := self.parser.next()) is None:
+            data = self.sock.recv(RECEIVE_BYTES)
+            if not data:
+                return None
+            self.parser.feed(data)
+        return packet
+
+    def until(self, *kinds):
+        """Return the next packet of these kinds; drop what comes before it."""
+        while (packet := self.next()) is None or packet.kind not in kinds:
+            assert packet is not None, "the connection ended"
+        return packet
+
+    def join(self, name="w", *functions):
+        """Register as a worker for these functions."""
+        self.send(Kind.SET_CLIENT_ID, f"{name};start=1")
+        for function in functions or ("revalue", "nav-publish"):
+            self.send(Kind.CAN_DO, function)
+        self.send(Kind.ECHO_REQ, "joined").until(Kind.ECHO_RES)
+        return self
+
+    def grab(self):
+        """Sleep until there is a job, as workers do; return its arguments."""
+        while True:
+            packet = self.send(Kind.GRAB_JOB_UNIQ).until(Kind.JOB_ASSIGN_UNIQ, Kind.NO_JOB)
+            if packet.kind is Kind.JOB_ASSIGN_UNIQ:
+                return packet.args
+            self.send(Kind.PRE_SLEEP).until(Kind.NOOP)
+
+    def complete_jobs(self, *results):
+        """Complete each job with the last of these results, the others as data before it.
+
+        Return when the connection ends.
+        """
+        *parts, result = results
+        with contextlib.suppress(OSError, AssertionError):
+            while True:
+                handle = self.grab()[0]
+                for part in parts:
+                    self.send(Kind.WORK_DATA, handle, part)
+                self.send(Kind.WORK_COMPLETE, handle, result)
+
+    def close(self):
+        """Disconnect."""
+        with contextlib.suppress(OSError):
+            self.sock.shutdown(socket.SHUT_RDWR)  # wakes up a thread that waits for a packet
+        self.sock.close()
+
+
+class GearmanProgram:
+    """A dispatcher's process with a Gearman listener; `close` ends it."""
+
+    def __init__(self, folder, section=SECTION):
+        """Start and wait until it listens; `section`: the text of the operator's file."""
+        self.http = free_port()
+        self.gearman = free_port()
+        self.config = self.configuration()
+        self.config_file = folder / "config.json"
+        self.config_file.write_text(json.dumps(self.config))
+        self.operator_file = folder / "operator.toml"
+        self.operator_file.write_text(section.format(port=self.gearman))
+        self.peers = []
+        self.threads = []
+        self.process = start_serving(self.config_file, "--operator", str(self.operator_file))
+        try:
+            wait_for(self.is_listening)
+        except BaseException:
+            self.close()
+            raise
+
+    def configuration(self):
+        """Return a configuration in which no job is rejected because the machine is busy."""
+        settings = CONFIGURATION["settings"]
+        services = [
+            {**service, "goal_time_us": service["deadline_us"]} for service in settings["services"]
+        ]
+        return {
+            **CONFIGURATION,
+            "settings": {**settings, "services": services},
+            "listen": f"127.0.0.1:{self.http}",
+            "discovery": f"127.0.0.1:{free_port()}",
+        }
+
+    def is_listening(self):
+        """Return whether the Gearman listener accepts connections."""
+        with contextlib.suppress(OSError):
+            GearmanPeer.connect(self.gearman).close()
+            return True
+        return False
+
+    def connect(self):
+        """Return a new connection; `close` ends it."""
+        peer = GearmanPeer.connect(self.gearman)
+        self.peers.append(peer)
+        return peer
+
+    def run_in_thread(self, step, *arguments):
+        """Run a step that ends with the process; `close` waits for it."""
+        thread = threading.Thread(target=step, args=arguments, daemon=True)
+        self.threads.append(thread)
+        thread.start()
+
+    def command(self, line):
+        """Send a text command on a new connection; return the answer."""
+        address = ("127.0.0.1", self.gearman)
+        with socket.create_connection(address, timeout=PATIENCE_SECONDS) as sock:
+            sock.sendall(line.encode() + b"\n")
+            text = b""
+            while not text.endswith(b".\n") and not text.startswith((b"OK", b"ERR")):
+                text += sock.recv(RECEIVE_BYTES)
+            return text.decode()
+
+    def reload(self):
+        """Send SIGHUP; return the log line that it causes."""
+        self.process.send_signal(signal.SIGHUP)
+        return next(
+            line
+            for line in self.process.stderr
+            if "configuration_reloaded" in line or "reload_failed" in line
+        )
+
+    def close(self):
+        """End the process, the connections to it and the threads that use them."""
+        end_process(self.process)
+        for peer in self.peers:
+            peer.close()
+        for thread in self.threads:
+            thread.join(PATIENCE_SECONDS)
+
+
+def revalue_with_progress(worker, job):
+    """Do a job as a task of the library's worker: report progress and a part of the result."""
+    worker.send_job_status(job, 1, 2)
+    worker.send_job_data(job, b"part ")
+    return job.data.upper()
--- a/tests/gearman_helpers.py
+++ b/tests/gearman/service_harness.py
@@ -2,9 +2,6 @@
 
 from dataclasses import replace
 
-from core_helpers import RecordingLog
-from net_helpers import LIMITS, SETTINGS
-
 from stepstream.config.operator_file import GearmanSection
 from stepstream.core.commands import Answer, Progress, StartCall, StopCall
 from stepstream.core.dispatcher import Dispatcher
@@ -17,13 +14,17 @@
 from stepstream.gearman.state import SOURCE, ServiceHost
 from stepstream.model.endpoints import Endpoint, EndpointList, EndpointListKind
 from stepstream.model.settings import Effect, JobClass
+from tests.config.configurations import LIMITS, POLICY_SETTINGS
+from tests.core.harness import RecordingLog
 
 START_US = 1_800_000_000_000_000
 SECTION = GearmanSection(listen="127.0.0.1:4730", tenant="tatra-invest", queue=2)
 UNSAFE = JobClass(
     latency_objective_us=200_000, deadline_us=5_000_000, effect=Effect.NOT_IDEMPOTENT, name="once"
 )
-SETTINGS_WITH_UNSAFE = replace(SETTINGS, classes=(*SETTINGS.classes, UNSAFE), polls_endpoints=False)
+SETTINGS_WITH_UNSAFE = replace(
+    POLICY_SETTINGS, classes=(*POLICY_SETTINGS.classes, UNSAFE), polls_endpoints=False
+)
 
 
 class FakePeer:
--- a/tests/gearman/test_connection_rules.py
+++ b/tests/gearman/test_connection_rules.py
@@ -3,7 +3,6 @@
 from dataclasses import replace
 
 import pytest
-from net_helpers import LIMITS
 
 from stepstream.gearman.codec import Kind, Line, Packet
 from stepstream.gearman.connection_rules import (
@@ -19,6 +18,7 @@
 )
 from stepstream.gearman.session import Reply
 from stepstream.http.eviction import EvictionRank
+from tests.config.configurations import LIMITS
 
 NOW = 1000.0
 CLIENT = ConnectionView(False, False, False, False, True, True, NOW, NOW, NOW)
--- a/tests/gearman/test_gearman_codec.py
+++ b/tests/gearman/test_gearman_codec.py
@@ -3,7 +3,6 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from net_helpers import LIMITS
 
 from stepstream.gearman import codec
 from stepstream.gearman.codec import (
@@ -18,6 +17,7 @@
 )
 from stepstream.gearman.errors import FramingError
 from stepstream.gearman.session import Reply, Session
+from tests.config.configurations import LIMITS
 
 WORD = st.binary(max_size=20).map(lambda data: data.replace(b"\0", b"x"))
 
--- a/tests/gearman/test_gearman_node.py
+++ b/tests/gearman/test_gearman_node.py
@@ -7,26 +7,19 @@
 import socket
 import subprocess
 import sys
-import threading
 
 import gearman
 import pytest
-from config_helpers import CONFIG
-from gearman_program import SECTION, Peer, Program, revalue
-from net_helpers import job_bytes
-from node_helpers import PATIENCE, ROOT, ask, free_port, wait_for
 
 from stepstream.gearman import codec
 from stepstream.gearman.codec import Kind
-
-
-@pytest.fixture
-def program(tmp_path):
-    made = Program(tmp_path)
-    yield made
-    if made.process.poll() is None:
-        made.process.kill()
-    made.process.communicate()
+from tests.config.configurations import CONFIGURATION
+from tests.gearman.program import SECTION, revalue_with_progress
+from tests.http.messages import job_request
+from tests.http.scripted_server import exchange
+from tests.node.dispatcher_process import ROOT
+from tests.runtime.ports import free_port
+from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
 
 
 def library_worker(program, name, functions):
@@ -40,7 +33,7 @@
         with contextlib.suppress(gearman.errors.ServerUnavailable):
             worker.work()
 
-    threading.Thread(target=run, daemon=True).start()
+    program.run_in_thread(run)
     wait_for(lambda: name.decode().partition(";")[0] in program.command("workers"))
 
 
@@ -50,19 +43,25 @@
 
 def test_pygearman_works_unchanged_as_client_worker_and_admin_client(program):
     library_worker(
-        program, b"lib;zone=ruzinov;start=1", {b"revalue": revalue, b"nav-publish": broken}
+        program,
+        b"lib;zone=ruzinov;start=1",
+        {b"revalue": revalue_with_progress, b"nav-publish": broken},
     )
     client = gearman.GearmanClient([f"127.0.0.1:{program.gearman}"])
-    done = client.submit_job("revalue", b"abc", poll_timeout=PATIENCE)
+    done = client.submit_job("revalue", b"abc", poll_timeout=PATIENCE_SECONDS)
     assert (done.state, done.result, list(done.data_updates)) == ("COMPLETE", b"ABC", [b"part "])
     assert (done.status["numerator"], done.status["denominator"]) == (1, 2)
     many = [{"task": "tatra-invest/revalue", "data": b"%d" % k} for k in range(20)]
-    results = client.submit_multiple_jobs(many, poll_timeout=PATIENCE)
+    results = client.submit_multiple_jobs(many, poll_timeout=PATIENCE_SECONDS)
     assert [r.result for r in results] == [b"%d" % k for k in range(20)]
-    failed = client.submit_job("nav-publish", b"x", unique="key", poll_timeout=PATIENCE)
+    failed = client.submit_job("nav-publish", b"x", unique="key", poll_timeout=PATIENCE_SECONDS)
     assert failed.state == "FAILED"
-    later = client.submit_job("revalue", b"x", background=True, poll_timeout=PATIENCE)
-    wait_for(lambda: client.get_job_status(later, poll_timeout=PATIENCE).status["running"] is False)
+    later = client.submit_job("revalue", b"x", background=True, poll_timeout=PATIENCE_SECONDS)
+    wait_for(
+        lambda: (
+            client.get_job_status(later, poll_timeout=PATIENCE_SECONDS).status["running"] is False
+        )
+    )
     admin = gearman.GearmanAdminClient([f"127.0.0.1:{program.gearman}"])
     assert {row["task"] for row in admin.get_status()} == {
         "tatra-invest/revalue",
@@ -70,30 +69,30 @@
     }
     assert any(row["client_id"] == "lib" for row in admin.get_workers())
     # The same worker serves the portal.
-    answer = ask(program.http, job_bytes(body=b"over http"))
+    answer = exchange(program.http, job_request(body=b"over http"))
     assert (answer.status, answer.body) == (200, b"part OVER HTTP")
 
 
 def test_a_disconnected_client_disturbs_no_other(program):
-    worker = Peer(program.gearman).join()
-    client = Peer(program.gearman).send(Kind.SUBMIT_JOB, "revalue", "", "one")
+    worker = program.connect().join()
+    client = program.connect().send(Kind.SUBMIT_JOB, "revalue", "", "one")
     client.until(Kind.JOB_CREATED)
     assigned = worker.grab()[0]
     client.close()
     wait_for(lambda: "\topen\t" not in program.command("show jobs"))
-    worker.send(Kind.WORK_COMPLETE, assigned, "nobody hears this")
-    client = Peer(program.gearman).send(Kind.SUBMIT_JOB, "revalue", "", "two")
-    worker.send(Kind.WORK_COMPLETE, worker.grab()[0], "heard")
-    assert client.until(Kind.WORK_COMPLETE).args[1] == b"heard"
+    worker.send(Kind.WORK_COMPLETE, assigned, "nobody receives this")
+    client = program.connect().send(Kind.SUBMIT_JOB, "revalue", "", "two")
+    worker.send(Kind.WORK_COMPLETE, worker.grab()[0], "received")
+    assert client.until(Kind.WORK_COMPLETE).args[1] == b"received"
 
 
 def test_the_job_of_a_worker_that_disconnects_is_done_by_another(program):
-    first = Peer(program.gearman).join("first")
-    client = Peer(program.gearman).send(Kind.SUBMIT_JOB, "revalue", "", "x")
+    first = program.connect().join("first")
+    client = program.connect().send(Kind.SUBMIT_JOB, "revalue", "", "x")
     assigned = first.grab()[0]
     first.send(Kind.WORK_STATUS, assigned, "1", "2")
     client.until(Kind.WORK_STATUS)
-    second = Peer(program.gearman).join("second")
+    second = program.connect().join("second")
     first.close()
     second.send(Kind.WORK_COMPLETE, second.grab()[0], "second")
     assert client.until(Kind.WORK_COMPLETE, Kind.WORK_FAIL).args[1:] == (b"second",)
@@ -125,32 +124,25 @@
     ],
 )
 def test_bad_input_ends_the_connection_in_time_and_disturbs_no_other(program, data):
-    bad = Peer(program.gearman)
+    bad = program.connect()
     bad.sock.sendall(data)
     while bad.sock.recv(65536):
         pass  # an error, or nothing; then the end
-    worker = Peer(program.gearman).join()
-    client = Peer(program.gearman).send(Kind.SUBMIT_JOB, "revalue", "", "x")
+    worker = program.connect().join()
+    client = program.connect().send(Kind.SUBMIT_JOB, "revalue", "", "x")
     worker.send(Kind.WORK_COMPLETE, worker.grab()[0], "r")
     assert client.until(Kind.WORK_COMPLETE).args[1] == b"r"
 
 
 def test_a_client_that_reads_too_little_is_dropped_and_delays_no_other(program):
-    worker = Peer(program.gearman).join()
-    slow, quick = Peer(program.gearman), Peer(program.gearman)
+    worker = program.connect().join()
+    slow = program.connect()
+    quick = program.connect()
     slow.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     rounds = 0
     slow.send(Kind.ECHO_REQ, "x").until(Kind.ECHO_RES)
-
-    def serve():
-        with contextlib.suppress(OSError, AssertionError):
-            while True:
-                assigned = worker.grab()[0]
-                for _ in range(3):
-                    worker.send(Kind.WORK_DATA, assigned, b"d" * 60_000)
-                worker.send(Kind.WORK_COMPLETE, assigned, "end")
-
-    threading.Thread(target=serve, daemon=True).start()
+    part = b"d" * 60_000
+    program.run_in_thread(worker.complete_jobs, part, part, part, "end")
 
     def dropped():
         nonlocal rounds
@@ -160,17 +152,16 @@
         quick.send(Kind.SUBMIT_JOB, "revalue", "", "x")
         # It may be refused while the one worker is busy; it is never left without an outcome.
         quick.until(Kind.WORK_COMPLETE, Kind.WORK_FAIL)
-        return (
-            program.command("workers").count("127.0.0.1") <= 3
-        )  # worker, quick and the asker itself
+        # The worker, the quick client and the connection of this command are left.
+        return program.command("workers").count("127.0.0.1") <= 3
 
     wait_for(dropped)
     assert program.process.poll() is None
 
 
 def test_sigterm_answers_foreground_and_background_jobs_and_exits_with_0(program):
-    worker = Peer(program.gearman).join()
-    client = Peer(program.gearman)
+    worker = program.connect().join()
+    client = program.connect()
     client.send(Kind.SUBMIT_JOB, "revalue", "", "x").until(Kind.JOB_CREATED)
     assigned = worker.grab()[0]
     client.send(Kind.SUBMIT_JOB_BG, "revalue", "", "y").until(Kind.JOB_CREATED)
@@ -179,14 +170,14 @@
     worker.send(Kind.WORK_COMPLETE, assigned, "in time")
     assert client.until(Kind.WORK_COMPLETE).args[1] == b"in time"
     worker.send(Kind.WORK_COMPLETE, worker.grab()[0], "too")
-    assert program.process.wait(PATIENCE) == 0
+    assert program.process.wait(PATIENCE_SECONDS) == 0
     log = program.process.stderr.read()
     assert "served_requests=2 rejected_requests=0 failed_requests=0" in log
     assert log.endswith("stepstream: info shutdown_finished\n")
 
 
 def test_a_reload_applies_the_operators_file_completely_or_not_at_all(program):
-    worker = Peer(program.gearman).join()
+    worker = program.connect().join()
     good = SECTION.format(port=program.gearman)
     for bad, key in (
         (good + "quue = 1\n", "quue"),
@@ -194,18 +185,18 @@
         (SECTION.format(port=1), "gearman.listen"),
         ("", "gearman is switched on or off only with a restart"),
     ):
-        program.operator.write_text(bad)
+        program.operator_file.write_text(bad)
         line = program.reload()
         assert key in line
         assert "reload_failed" in line
         assert 'in_force="previous configuration"' in line
-    program.operator.write_text(good + "allow_shutdown = true\n")
+    program.operator_file.write_text(good + "allow_shutdown = true\n")
     assert "configuration_reloaded" in program.reload()
-    client = Peer(program.gearman).send(Kind.SUBMIT_JOB, "revalue", "", "x")
+    client = program.connect().send(Kind.SUBMIT_JOB, "revalue", "", "x")
     worker.send(Kind.WORK_COMPLETE, worker.grab()[0], "r")
     assert client.until(Kind.WORK_COMPLETE).args[1] == b"r"
     assert program.command("shutdown") == "OK\n"
-    assert program.process.wait(PATIENCE) == 0
+    assert program.process.wait(PATIENCE_SECONDS) == 0
 
 
 def test_an_address_in_use_is_reported_with_its_key(program, tmp_path):
@@ -214,19 +205,19 @@
     config = {**program.config, "listen": f"127.0.0.1:{free_port()}"}
     (folder / "config.json").write_text(json.dumps(config))
     run = subprocess.run(
-        [sys.executable, "-m", "stepstream", "serve", "--operator", str(program.operator)],
+        [sys.executable, "-m", "stepstream", "serve", "--operator", str(program.operator_file)],
         cwd=ROOT,
         env={**os.environ, "EDGE_CONFIG": str(folder / "config.json")},
         capture_output=True,
         text=True,
-        timeout=PATIENCE,
+        timeout=PATIENCE_SECONDS,
     )
     assert run.returncode == 2
     assert f"gearman.listen=127.0.0.1:{program.gearman}" in run.stderr
 
 
 def test_a_faulty_operator_file_stops_the_start_with_one_line(tmp_path):
-    (tmp_path / "config.json").write_text(json.dumps(CONFIG))
+    (tmp_path / "config.json").write_text(json.dumps(CONFIGURATION))
     (tmp_path / "o.toml").write_text("[gearman]\nlisten = 3\n")
     run = subprocess.run(
         [sys.executable, "-m", "stepstream", "serve"],
@@ -238,7 +229,7 @@
         },
         capture_output=True,
         text=True,
-        timeout=PATIENCE,
+        timeout=PATIENCE_SECONDS,
     )
     assert run.returncode == 2
     assert "gearman.listen" in run.stderr
--- a/tests/gearman/test_gearman_service.py
+++ b/tests/gearman/test_gearman_service.py
@@ -3,15 +3,15 @@
 from dataclasses import replace
 
 import pytest
-from gearman_helpers import SECTION, SETTINGS_WITH_UNSAFE, ServiceHarness
 from hypothesis import strategies as st
-from net_helpers import LIMITS
 from walk import walks
 
 from stepstream.core.events import JobStatus, ShutdownStarted
 from stepstream.gearman.codec import Kind
 from stepstream.model.events import SettingsChanged
 from stepstream.ports.access_control import Rejection, RejectionKind
+from tests.config.configurations import LIMITS
+from tests.gearman.service_harness import SECTION, SETTINGS_WITH_UNSAFE, ServiceHarness
 
 FINALS = (Kind.WORK_COMPLETE, Kind.WORK_FAIL)
 
--- a/tests/golden/fronts/gearman_samples.py
+++ b/tests/golden/fronts/gearman_samples.py
@@ -2,7 +2,6 @@
 
 from collections.abc import Iterable
 
-from gearman_helpers import FakePeer, ServiceHarness
 from golden.fronts.configurations import LIMITS, Sample
 from golden.fronts.gearman_packets import (
     INPUTS,
@@ -20,6 +19,7 @@
 from stepstream.core.commands import Answer, Outcome
 from stepstream.gearman import codec
 from stepstream.gearman.errors import GearmanError
+from tests.gearman.service_harness import FakePeer, ServiceHarness
 
 
 def argument_counts(*, answers: bool) -> dict[int, int]:
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -4,17 +4,11 @@
 import os
 import re
 import signal
-import subprocess
-import sys
 import threading
 import time
 from zlib import crc32
 
 import pytest
-from admin_helpers import request
-from core_helpers import DispatcherHarness
-from net_helpers import LIMITS, SETTINGS, WORKERS, job_bytes
-from node_helpers import PATIENCE, ROOT, World, ask, free_port, wait_for
 
 from stepstream.admin.listener import AdminListener
 from stepstream.core.commands import ForwardNotification, StartCall
@@ -39,6 +33,15 @@
 from stepstream.http.discovery_api import DiscoveryApi
 from stepstream.http.worker_api import notification_body, read_notification
 from stepstream.ports.admin import AdminResponse
+from tests.admin.calls import call_admin
+from tests.config.configurations import LIMITS, POLICY_SETTINGS
+from tests.core.builders import WORKERS
+from tests.core.harness import DispatcherHarness
+from tests.http.messages import job_request
+from tests.http.scripted_server import exchange
+from tests.node.dispatcher_process import running_process
+from tests.runtime.ports import free_port
+from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
 
 OLD = ProcessRecord(100, "127.0.0.1:9901", 1_000, True)
 NEW = ProcessRecord(200, "127.0.0.1:9902", 2_000, True)
@@ -219,57 +222,40 @@
 
 
 def test_a_hot_restart_keeps_maintenance_serves_throughout_and_the_old_process_ends_cleanly(
-    tmp_path,
+    tmp_path, monkeypatch, start_dispatcher
 ):
     folder = tmp_path / "tmp"
     folder.mkdir()
-    os.environ["TMPDIR"] = str(folder)
-    try:
-        world = World(tmp_path, operator=f"127.0.0.1:{free_port()}")
-        try:
-            upgrade(world, tmp_path)
-        finally:
-            world.process.kill()
-            world.process.communicate()
-    finally:
-        del os.environ["TMPDIR"]
-
-
-def upgrade(world, tmp_path):
-    old_admin = int(world.config["operator"].rpartition(":")[2])
-    assert request(old_admin, b"PUT /workers/s-1/maint HTTP/1.1\r\n\r\n").status == 200
+    monkeypatch.setenv("TMPDIR", str(folder))
+    dispatcher = start_dispatcher(operator=f"127.0.0.1:{free_port()}")
+    old_admin = int(dispatcher.config["operator"].rpartition(":")[2])
+    assert call_admin(old_admin, b"PUT /workers/s-1/maint HTTP/1.1\r\n\r\n").status == 200
     new_admin = free_port()
     path = tmp_path / "new.json"
-    path.write_text(json.dumps({**world.config, "operator": f"127.0.0.1:{new_admin}"}))
-    new = subprocess.Popen(
-        [sys.executable, "-m", "stepstream", "serve"],
-        cwd=ROOT,
-        env={**os.environ, "EDGE_CONFIG": str(path)},
-        stderr=subprocess.PIPE,
-        text=True,
-    )
-    try:
+    path.write_text(json.dumps({**dispatcher.config, "operator": f"127.0.0.1:{new_admin}"}))
+    with running_process(path):
         wait_for(lambda: healthy(new_admin))
         # Maintenance holds in the new process: a second request changes nothing there.
-        assert request(new_admin, b"PUT /workers/s-1/maint HTTP/1.1\r\n\r\n").body.startswith(
+        assert call_admin(new_admin, b"PUT /workers/s-1/maint HTTP/1.1\r\n\r\n").body.startswith(
             b"OK: out"
         )
-        assert request(new_admin, b"PUT /workers/s-1/ready HTTP/1.1\r\n\r\n").status == 200
-        wait_for(lambda: ask(world.port, job_bytes(f"{time.monotonic_ns():016x}")).status == 200)
-        world.process.send_signal(signal.SIGTERM)
-        assert world.process.wait(timeout=PATIENCE) == 0
-        log = world.process.stderr.read()
+        assert call_admin(new_admin, b"PUT /workers/s-1/ready HTTP/1.1\r\n\r\n").status == 200
+        wait_for(
+            lambda: (
+                exchange(dispatcher.port, job_request(f"{time.monotonic_ns():016x}")).status == 200
+            )
+        )
+        dispatcher.process.send_signal(signal.SIGTERM)
+        assert dispatcher.process.wait(timeout=PATIENCE_SECONDS) == 0
+        log = dispatcher.process.stderr.read()
         assert re.search(r"shutdown_started open_requests=\d+ hot_restart=true", log)
         for k in range(5):  # the address is served on by the new process alone
-            assert ask(world.port, job_bytes(f"00000000000000e{k}")).status == 200
-    finally:
-        new.kill()
-        new.communicate()
+            assert exchange(dispatcher.port, job_request(f"00000000000000e{k}")).status == 200
 
 
 def healthy(port):
     try:
-        return request(port, b"GET /healthcheck HTTP/1.1\r\n\r\n").status == 200
+        return call_admin(port, b"GET /healthcheck HTTP/1.1\r\n\r\n").status == 200
     except OSError:
         return False
 
@@ -295,7 +281,7 @@
 
 
 def test_the_endpoint_list_is_handed_over_in_discoverys_form():
-    side = DiscoveryApi(SETTINGS)
+    side = DiscoveryApi(POLICY_SETTINGS)
     told = side.read(
         {
             "version": 41,
--- a/tests/outbound_helpers.py
+++ b/tests/http/outbound_harness.py
@@ -2,9 +2,6 @@
 
 from dataclasses import replace
 
-from net_helpers import LIMITS, SETTINGS, request
-from node_helpers import Server, wait_for
-
 from stepstream.config.limits import Limits, Timeouts
 from stepstream.core.events import CallEnded
 from stepstream.core.requests import Call
@@ -18,6 +15,10 @@
 from stepstream.runtime import log_events
 from stepstream.runtime.clock import Clock
 from stepstream.runtime.log import RateLimitedLogger
+from tests.config.configurations import LIMITS, POLICY_SETTINGS
+from tests.core.builders import make_request
+from tests.http.scripted_server import ScriptedServer
+from tests.runtime.waiting import wait_for
 
 CLOCK = Clock()
 REUSED_AT_ONCE = Limits(timeouts=Timeouts(outbound_reuse_delay_seconds=0.0))
@@ -37,9 +38,9 @@
 class OutboundHarness:
     """A carrier whose events are recorded, and one worker 'w' that answers by `reply`."""
 
-    def __init__(self, reply, limits=LIMITS, settings=SETTINGS):
+    def __init__(self, reply, limits=LIMITS, settings=POLICY_SETTINGS):
         self.events = []
-        self.server = Server(reply)
+        self.server = ScriptedServer(reply)
         self.destinations = DestinationSet()
         self.destinations.apply(endpoint_answer(w=self.server.port))
         self.settings = settings
@@ -55,7 +56,7 @@
 
     def new_call(self, name="aa", sent_us=None, worker="w"):
         now_us = CLOCK.now_us()
-        job = replace(request(name, now_us), settings=self.settings)
+        job = replace(make_request(name, now_us), settings=self.settings)
         return Call(job, 0, worker, now_us if sent_us is None else sent_us, now_us + 5_000_000)
 
     def start_call(self, name="aa", sent_us=None, worker="w"):
--- a/tests/inbound_helpers.py
+++ b/tests/http/server_harness.py
@@ -3,14 +3,13 @@
 import socket
 import threading
 
-from net_helpers import LIMITS, SETTINGS
-from node_helpers import PATIENCE, wait_for
-
 from stepstream.core.commands import Answer, Outcome
 from stepstream.http.client_api import ClientApi
 from stepstream.http.codec import write_request
 from stepstream.http.server import InboundServer
 from stepstream.runtime.clock import Clock
+from tests.config.configurations import LIMITS, POLICY_SETTINGS
+from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
 
 NOTIFICATION = write_request("POST", "/_jobs/news", {}, b'{"id":"01","from":"s","state":"started"}')
 READINESS_CHECK = b"GET /-/ready HTTP/1.1\r\n\r\n"
@@ -25,7 +24,7 @@
         self.server = InboundServer(
             limits,
             Clock(),
-            ClientApi(SETTINGS),
+            ClientApi(POLICY_SETTINGS),
             self.events.append,
             lambda host: host == WORKER_HOST,
         )
@@ -36,7 +35,7 @@
 
     def connect(self, host="127.0.0.1"):
         address = ("127.0.0.1", self.port)
-        return socket.create_connection(address, timeout=PATIENCE, source_address=(host, 0))
+        return socket.create_connection(address, timeout=PATIENCE_SECONDS, source_address=(host, 0))
 
     def check_timeouts_until(self, done):
         """Check the connections' timeouts, as the main thread does periodically, until `done()`."""
--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -8,14 +8,16 @@
 from functools import partial
 
 import pytest
-from inbound_helpers import ServerHarness, serve
-from net_helpers import LIMITS, job_bytes
-from node_helpers import PATIENCE, ask, wait_for
 
 from stepstream.config.limits import Limits, Timeouts
 from stepstream.core.events import ClientDisconnected, RequestFaulted, RequestReceived
 from stepstream.http.client_connection import counts_as_client
 from stepstream.http.session import HttpSession, SessionPhase
+from tests.config.configurations import LIMITS
+from tests.http.messages import job_request
+from tests.http.scripted_server import exchange
+from tests.http.server_harness import ServerHarness, serve
+from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
 
 
 def test_a_peer_that_does_not_finish_its_message_gets_400():
@@ -31,27 +33,27 @@
                 for connection in harness.server.connections
             )
         )
-        assert ask(0, b"", slow).status == 400
+        assert exchange(0, b"", slow).status == 400
     wait_for(lambda: not harness.server.connections)
 
 
 def test_a_new_connection_without_a_message_times_out_and_an_idle_client_does_not():
     harness = ServerHarness(Limits(timeouts=Timeouts(first_message_seconds=0.05)))
     with harness.connect() as silent, harness.connect() as client:
-        client.sendall(job_bytes())
+        client.sendall(job_request())
         (waiting,) = wait_for(lambda: harness.requests(RequestReceived))
         serve(waiting)
-        assert ask(0, b"", client).status == 200
+        assert exchange(0, b"", client).status == 200
         harness.check_timeouts_until(lambda: len(harness.server.connections) == 1)
         assert silent.recv(1) == b""
-        client.sendall(job_bytes(name="02"))
+        client.sendall(job_request("02"))
         wait_for(lambda: len(harness.requests(RequestReceived)) == 2)
 
 
 def test_a_connection_that_its_peer_keeps_open_after_an_error_times_out():
     harness = ServerHarness(Limits(timeouts=Timeouts(linger_seconds=0.05)))
     with harness.connect() as peer:
-        assert ask(0, b"GET /nowhere HTTP/1.1\r\n\r\n", peer).status == 404
+        assert exchange(0, b"GET /nowhere HTTP/1.1\r\n\r\n", peer).status == 404
         harness.check_timeouts_until(lambda: not harness.server.connections)
 
 
@@ -59,13 +61,13 @@
     harness = ServerHarness()
     with harness.connect() as peer:
         head = b"POST /revalue HTTP/1.1\r\nContent-Length: 20000000\r\n\r\n"
-        assert ask(0, head + bytes(20_000_000), peer).status == 413
+        assert exchange(0, head + bytes(20_000_000), peer).status == 413
 
 
 def test_pipelined_requests_are_all_answered_before_a_shutdown_closes_their_connection():
     harness = ServerHarness()
     with harness.connect() as peer:
-        peer.sendall(job_bytes(name="01") + job_bytes(name="02") + job_bytes(name="03")[:20])
+        peer.sendall(job_request("01") + job_request("02") + job_request("03")[:20])
         (first,) = wait_for(lambda: harness.requests(RequestReceived))
         harness.server.state.closing = True
         for name, keep_alive in (("01", True), ("02", False)):
@@ -73,7 +75,7 @@
                 lambda name=name: [r for r in harness.requests(RequestReceived) if r.id == name]
             )
             serve(waiting)
-            answer = ask(0, b"", peer)
+            answer = exchange(0, b"", peer)
             assert (answer.status, answer.keep_alive) == (200, keep_alive)
         assert peer.recv(1) == b""
 
@@ -82,10 +84,10 @@
 def test_a_client_that_disconnects_during_its_request_is_reported(how):
     harness = ServerHarness()
     with harness.connect() as peer:
-        peer.sendall(job_bytes())
+        peer.sendall(job_request())
         wait_for(lambda: harness.requests(RequestReceived))
         if how == "behind":  # bytes of its next requests come before its end
-            peer.sendall(job_bytes(name="02") + job_bytes(name="03")[:40])
+            peer.sendall(job_request("02") + job_request("03")[:40])
         if how == "half":
             peer.shutdown(socket.SHUT_WR)
             wait_for(lambda: harness.requests(ClientDisconnected))
@@ -99,11 +101,11 @@
 def test_a_client_that_sends_too_much_behind_its_request_gets_413_and_is_reported_as_gone():
     harness = ServerHarness()
     with harness.connect() as peer:
-        peer.sendall(job_bytes())
+        peer.sendall(job_request())
         wait_for(lambda: harness.requests(RequestReceived))
         with contextlib.suppress(OSError):
-            peer.sendall(job_bytes(name="02") * 1000)
-        assert ask(0, b"", peer).status == 413
+            peer.sendall(job_request("02") * 1000)
+        assert exchange(0, b"", peer).status == 413
         wait_for(lambda: harness.requests(ClientDisconnected) == harness.requests(RequestReceived))
 
 
@@ -123,11 +125,11 @@
     def __init__(self):
         self.harness = ServerHarness()
         self.peer = self.harness.connect()
-        self.peer.sendall(job_bytes(name="01"))
+        self.peer.sendall(job_request("01"))
         (waiting,) = wait_for(lambda: self.harness.requests(RequestReceived))
         self.connection = waiting.response_sink
         serve(waiting)
-        assert ask(0, b"", self.peer).status == 200
+        assert exchange(0, b"", self.peer).status == 200
 
 
 def test_a_shutdown_waits_for_an_idle_client_until_connections_close():
@@ -158,7 +160,7 @@
     }
 
     def preceded_by_a_request(name):
-        client.peer.sendall(job_bytes(name="02"))
+        client.peer.sendall(job_request("02"))
         wait_for(client.connection.transport.has_unread)
         originals[name]()
 
@@ -168,7 +170,7 @@
     assert client.peer.recv(100) == b""
     # An evicted connection's place is needed at once: bytes still on their way meet a reset.
     if close != "evicted":
-        client.peer.sendall(job_bytes(name="03"))
+        client.peer.sendall(job_request("03"))
     time.sleep(0.1)  # for a reset over unread bytes to come, if there is one
     assert client.peer.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
     client.peer.close()
@@ -186,11 +188,11 @@
     def wait_and_pause(size):
         has_input = wait(size)
         woken.set()
-        assert go.wait(PATIENCE)
+        assert go.wait(PATIENCE_SECONDS)
         return has_input
 
     monkeypatch.setattr(client.connection.transport, "wait_readable", wait_and_pause)
-    client.peer.sendall(job_bytes(name="02"))  # ends the wait that began before this hook
+    client.peer.sendall(job_request("02"))  # ends the wait that began before this hook
     (_, second) = wait_for(
         lambda: (
             len(client.harness.requests(RequestReceived)) == 2
@@ -198,9 +200,9 @@
         )
     )
     serve(second)
-    assert ask(0, b"", client.peer).status == 200
-    client.peer.sendall(job_bytes(name="03"))
-    assert woken.wait(PATIENCE)
+    assert exchange(0, b"", client.peer).status == 200
+    client.peer.sendall(job_request("03"))
+    assert woken.wait(PATIENCE_SECONDS)
     CLOSES[close](client)
     go.set()
     (*_, last) = wait_for(
@@ -210,13 +212,13 @@
         )
     )
     serve(last)
-    assert ask(0, b"", client.peer).status == 200
+    assert exchange(0, b"", client.peer).status == 200
 
 
 def test_an_answer_that_its_client_does_not_read_blocks_nobody():
     harness = ServerHarness()
     with harness.connect() as peer:
-        peer.sendall(job_bytes())
+        peer.sendall(job_request())
         (waiting,) = wait_for(lambda: harness.requests(RequestReceived))
         serve(waiting, "x" * 8_000_000)
         # The call has returned before the peer has taken the answer.
@@ -237,7 +239,7 @@
 
     monkeypatch.setattr(HttpSession, "receive", broken)
     with harness.connect() as peer:
-        peer.sendall(job_bytes())
+        peer.sendall(job_request())
         wait_for(lambda: harness.requests(RequestReceived))
         peer.sendall(b"x")
         faulted = wait_for(lambda: harness.requests(RequestFaulted))
--- a/tests/http/test_codec.py
+++ b/tests/http/test_codec.py
@@ -3,9 +3,9 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from net_helpers import LIMITS
 
 from stepstream.http.codec import Parser, ProtocolError, write_answer, write_request
+from tests.config.configurations import LIMITS
 
 STREAM = [
     (write_request("POST", "/a?user=1", {"Host": "x"}, b"hello"), b"hello"),
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -6,9 +6,6 @@
 from dataclasses import replace
 
 import pytest
-from net_helpers import LIMITS, SETTINGS
-from node_helpers import PATIENCE, Server, wait_for
-from outbound_helpers import endpoint_answer
 
 from stepstream.http.codec import write_answer
 from stepstream.http.destination_set import DestinationSet
@@ -18,6 +15,10 @@
 from stepstream.model.endpoints import EndpointListKind
 from stepstream.runtime import log_events
 from stepstream.runtime.log import RateLimitedLogger
+from tests.config.configurations import LIMITS, POLICY_SETTINGS
+from tests.http.outbound_harness import endpoint_answer
+from tests.http.scripted_server import ScriptedServer
+from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
 
 LIST = b'{"version":7,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.1:1","state":"ready"}]}'
 NEWER_LIST = LIST.replace(b"7", b"8")
@@ -31,10 +32,10 @@
     *(b'{"servers":[{"id":"s-2","addr":"h:1"},%s]}' % row for row in MALFORMED_ROWS),
 )
 UNREADABLE_ANSWERS = [b"junk\r\n\r\n", *(write_answer(200, body) for body in MALFORMED_LISTS)]
-AGENT_SETTINGS = replace(SETTINGS, polls_endpoints=False)
+AGENT_SETTINGS = replace(POLICY_SETTINGS, polls_endpoints=False)
 
 
-def make_schedule(settings=SETTINGS, **times):
+def make_schedule(settings=POLICY_SETTINGS, **times):
     """A schedule that repeats failed calls at once, and whose times may be replaced."""
     members = {"pause_after_failure_seconds": lambda self: 0.01, **times}
     schedule_class = type("AdjustedSchedule", (PollSchedule,), members)
@@ -44,9 +45,9 @@
 class DiscoveryHarness:
     """A client whose events are recorded, and a discovery service that answers by `reply`."""
 
-    def __init__(self, reply, version=None, settings=SETTINGS, schedule=None):
+    def __init__(self, reply, version=None, settings=POLICY_SETTINGS, schedule=None):
         self.events = []
-        self.server = Server(reply)
+        self.server = ScriptedServer(reply)
         self.failures = RateLimitedLogger(log_events.discovery_call_failed, LIMITS)
         self.destinations = DestinationSet()
         self.client = DiscoveryClient(
@@ -67,7 +68,7 @@
         return [event.update.kind for event in self.events]
 
     def targets(self):
-        return [message.target for message in self.server.seen]
+        return [message.target for message in self.server.requests]
 
 
 @pytest.fixture
@@ -110,11 +111,11 @@
 def test_a_watch_goes_on_from_the_version_of_the_last_list(start_client, silence):
     def reply(message):
         if "index=7" in message.target:
-            silence.wait(PATIENCE)
+            silence.wait(PATIENCE_SECONDS)
         return write_answer(200, LIST)
 
     harness = start_client(reply)
-    wait_for(lambda: len(harness.server.seen) >= 2)
+    wait_for(lambda: len(harness.server.requests) >= 2)
     fetch, watch = harness.targets()[:2]
     assert fetch == "/api/targets"
     assert watch.startswith("/api/targets?index=7&wait=")
@@ -186,7 +187,7 @@
     def reply(_):
         if answers:
             return answers.pop(0)
-        silence.wait(PATIENCE)
+        silence.wait(PATIENCE_SECONDS)
         return None
 
     schedule = make_schedule(
@@ -220,11 +221,11 @@
                 open_at_answer.append(is_open)
             return beside_watch.pop(0)
         watched_on.append(connection)
-        silence.wait(PATIENCE)
+        silence.wait(PATIENCE_SECONDS)
         return None
 
     schedule = make_schedule(
-        watch_wait_seconds=0.05, watch_overrun_seconds=0.05, call_timeout_seconds=PATIENCE
+        watch_wait_seconds=0.05, watch_overrun_seconds=0.05, call_timeout_seconds=PATIENCE_SECONDS
     )
     harness = make_client(reply, version=7, schedule=schedule)
     harness.start()
@@ -240,13 +241,13 @@
     def reply(message):
         if "wait=0" in message.target:
             return write_answer(200, answers.pop(0))
-        silence.wait(PATIENCE)
+        silence.wait(PATIENCE_SECONDS)
         return None
 
-    schedule = make_schedule(watch_wait_seconds=PATIENCE)
+    schedule = make_schedule(watch_wait_seconds=PATIENCE_SECONDS)
     harness = start_client(reply, version=7, schedule=schedule)
     client = harness.client
-    wait_for(lambda: len(harness.server.seen) == 1)
+    wait_for(lambda: len(harness.server.requests) == 1)
     watched_on = client.connection
 
     client.check_beside_watch()
@@ -262,7 +263,7 @@
 
 
 def test_a_check_that_the_watch_has_overtaken_changes_nothing(start_client, silence):
-    harness = start_client(lambda _: silence.wait(PATIENCE) and None, version=7)
+    harness = start_client(lambda _: silence.wait(PATIENCE_SECONDS) and None, version=7)
     overtaken = replace(endpoint_answer(w=1), version=8)
     assert not harness.client.adopt_list(overtaken, since=6)
     assert not harness.events
@@ -273,8 +274,8 @@
 
 
 def test_a_stopped_client_ends_its_call_and_adopts_nothing_more(start_client, silence):
-    harness = start_client(lambda _: silence.wait(PATIENCE) and write_answer(200, LIST))
-    wait_for(lambda: harness.server.seen)
+    harness = start_client(lambda _: silence.wait(PATIENCE_SECONDS) and write_answer(200, LIST))
+    wait_for(lambda: harness.server.requests)
     harness.client.stop()
     wait_for(lambda: harness.client.connection is None)
     harness.client.adopt_list(endpoint_answer(w=1))
--- a/tests/http/test_exchange.py
+++ b/tests/http/test_exchange.py
@@ -2,12 +2,12 @@
 
 import pytest
 from hypothesis import strategies as st
-from net_helpers import LIMITS
 from walk import walks
 
 from stepstream.http.codec import write_answer
 from stepstream.http.exchange import ExchangePhase, HttpExchange
 from stepstream.model.events import AttemptResult
+from tests.config.configurations import LIMITS
 
 NOT_STARTED = {"Not-Started": "1"}
 INTERIM, INCOMPLETE = "interim", "incomplete"  # answers that end nothing
--- a/tests/http/test_in_flight_call.py
+++ b/tests/http/test_in_flight_call.py
@@ -3,13 +3,13 @@
 import socket
 
 import pytest
-from net_helpers import LIMITS
 
 from stepstream.http.codec import write_answer
 from stepstream.http.connection_pool import PooledConnection
 from stepstream.http.exchange import HttpExchange
 from stepstream.http.in_flight_call import CallPhase, InFlightCall
 from stepstream.model.events import AttemptResult
+from tests.config.configurations import LIMITS
 
 ANSWERS = {
     "accepted": write_answer(202),
--- a/tests/http/test_load_reports.py
+++ b/tests/http/test_load_reports.py
@@ -6,12 +6,12 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from net_helpers import PROBED, SETTINGS
 
 from stepstream.http.codec import Message
 from stepstream.http.load_reports import LoadReportReader
 from stepstream.http.named_numbers import MAX_NUMBER
 from stepstream.http.worker_api import NOTIFICATION_PATH, read_notification
+from tests.config.configurations import HEALTH_CHECK_LOAD_REPORTS, POLICY_SETTINGS
 
 FULL = {"queue": 2.0, "free_slots": 1.5}
 READABLE = {
@@ -30,7 +30,7 @@
 
 
 def settings_with(source):
-    return replace(SETTINGS, **{**PROBED, "load_report_source": source})
+    return replace(POLICY_SETTINGS, **{**HEALTH_CHECK_LOAD_REPORTS, "load_report_source": source})
 
 
 def make_reader(source="answers"):
--- a/tests/http/test_outbound.py
+++ b/tests/http/test_outbound.py
@@ -6,15 +6,6 @@
 from dataclasses import replace
 
 import pytest
-from net_helpers import LIMITS, PROBED, SETTINGS
-from node_helpers import PATIENCE, Server, free_port, wait_for
-from outbound_helpers import (
-    CLOCK,
-    REUSED_AT_ONCE,
-    OutboundHarness,
-    accept_job,
-    endpoint_answer,
-)
 
 from stepstream.config.limits import ConnectionLimits, Limits, Timeouts
 from stepstream.http.codec import write_answer
@@ -24,6 +15,17 @@
 from stepstream.model.endpoints import EndpointListKind, EndpointState
 from stepstream.model.events import AttemptResult
 from stepstream.model.settings import Effect
+from tests.config.configurations import HEALTH_CHECK_LOAD_REPORTS, LIMITS, POLICY_SETTINGS
+from tests.http.outbound_harness import (
+    CLOCK,
+    REUSED_AT_ONCE,
+    OutboundHarness,
+    accept_job,
+    endpoint_answer,
+)
+from tests.http.scripted_server import ScriptedServer
+from tests.runtime.ports import free_port
+from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
 
 NOT_STARTED = {"Not-Started": "1"}
 
@@ -62,7 +64,7 @@
 
 def test_a_refused_connection_never_ran():
     harness = OutboundHarness(accept_job)
-    harness.server.sock.close()
+    harness.server.close()
     with socket.create_server(("127.0.0.1", 0)) as closed:
         port = closed.getsockname()[1]
     harness.destinations.apply(endpoint_answer(w=port))
@@ -107,19 +109,21 @@
 
     def reply(message):
         if message.method == "POST" and message.headers["request-id"] == "01":
-            hold.wait(PATIENCE)
+            hold.wait(PATIENCE_SECONDS)
         return write_answer(202)
 
     harness = OutboundHarness(reply)
     first = harness.start_call("01")
-    wait_for(lambda: harness.server.seen)
+    wait_for(lambda: harness.server.requests)
     harness.carrier.stop(first)
     # The core has ended the call before: this is the calling thread's report alone.
     assert harness.result(first) is AttemptResult.RESET
     hold.set()
     second = harness.start_accepted_call("02")
     harness.carrier.stop(second)
-    deleted = wait_for(lambda: [m.target for m in harness.server.seen if m.target == "/jobs/02"])
+    deleted = wait_for(
+        lambda: [m.target for m in harness.server.requests if m.target == "/jobs/02"]
+    )
     assert deleted == ["/jobs/02"]
 
 
@@ -129,7 +133,9 @@
 )
 def test_a_load_report_costs_nothing_but_itself(load, report, unreadable):
     """In a rejection's header and in a health check's body; an unreadable one is counted."""
-    settings = replace(SETTINGS, **{**PROBED, "load_report_source": "answers"})
+    settings = replace(
+        POLICY_SETTINGS, **{**HEALTH_CHECK_LOAD_REPORTS, "load_report_source": "answers"}
+    )
     reply = write_answer(503, load.encode(), {**NOT_STARTED, "Server-Load": load})
     harness = OutboundHarness(lambda _: reply, settings=settings)
     assert harness.result(harness.start_call()) is AttemptResult.FULL
@@ -137,7 +143,7 @@
     harness.carrier.check_health("w")
     checked = wait_for(lambda: harness.events[1:])[0]
     assert (checked.load_report, harness.unreadable.count) == (report, 2 * unreadable)
-    assert harness.server.seen[1].target == "/-/load"
+    assert harness.server.requests[1].target == "/-/load"
 
 
 # -- the checks before the first byte --------------------------------------------------------------
@@ -149,7 +155,7 @@
     changes = endpoint_answer(state, EndpointListKind.CHANGES, w=harness.server.port)
     harness.destinations.apply(changes)
     assert harness.result(harness.start_call()) is AttemptResult.NOT_SENT
-    assert not harness.server.seen
+    assert not harness.server.requests
 
 
 def test_a_call_queued_too_long_is_not_sent():
@@ -174,7 +180,7 @@
     )
     run_on_acquire(monkeypatch, harness, lambda _: harness.destinations.apply(changes))
     assert harness.result(harness.start_call()) is AttemptResult.NOT_SENT
-    assert not harness.server.seen
+    assert not harness.server.requests
 
 
 CHANGES_WHILE_CONNECTING = {
@@ -208,12 +214,14 @@
 )
 def test_a_change_while_connecting_is_seen_before_the_first_byte(monkeypatch, change, reason):
     # However slow the machine is, the call has not waited too long.
-    harness = OutboundHarness(accept_job, Limits(timeouts=Timeouts(call_queue_seconds=PATIENCE)))
+    harness = OutboundHarness(
+        accept_job, Limits(timeouts=Timeouts(call_queue_seconds=PATIENCE_SECONDS))
+    )
     call = harness.new_call()
     acquired = run_on_acquire(monkeypatch, harness, lambda _: change(harness, call))
     harness.carrier.start(call)
     assert harness.result(call) is AttemptResult.NOT_SENT
-    assert not harness.server.seen
+    assert not harness.server.requests
     assert harness.carrier.reason_not_to_send(call, call.carrier_state, acquired[0]) is reason
 
 
@@ -234,8 +242,8 @@
 )
 def test_what_must_not_run_twice_goes_on_a_connection_of_its_own(effect, price, opened):
     """An idle connection may have died unnoticed, and a reset under such a job is its failure."""
-    job_class = replace(SETTINGS.classes[0], effect=Effect(effect))
-    settings = replace(SETTINGS, classes=(job_class,), handshake_price=price)
+    job_class = replace(POLICY_SETTINGS.classes[0], effect=Effect(effect))
+    settings = replace(POLICY_SETTINGS, classes=(job_class,), handshake_price=price)
     harness = OutboundHarness(accept_job, REUSED_AT_ONCE, settings)
     connections = []
     for name in ("01", "02", "03"):
@@ -252,7 +260,7 @@
     connection.sock.shutdown(socket.SHUT_RDWR)  # as good as closed by the worker: reads end
     harness.start_accepted_call("02")
     assert not harness.events
-    assert [m.headers["request-id"] for m in harness.server.seen] == ["01", "02"]
+    assert [m.headers["request-id"] for m in harness.server.requests] == ["01", "02"]
 
 
 @pytest.mark.parametrize(
@@ -279,7 +287,7 @@
     """A late 'rejected, not started' would be a false proof: the next job would be sent again."""
     accepted_by_worker = []
 
-    class RecordingServer(Server):
+    class RecordingServer(ScriptedServer):
         def converse(self, peer, parser):
             accepted_by_worker.append(peer)
             super().converse(peer, parser)
--- a/tests/http/test_platform_api.py
+++ b/tests/http/test_platform_api.py
@@ -1,7 +1,6 @@
 """The platform's APIs: what clients, workers and discovery send and get."""
 
 import pytest
-from net_helpers import LIMITS, SETTINGS, job_bytes
 
 from stepstream.core.commands import Outcome
 from stepstream.core.events import JobNotification, JobStatus
@@ -9,8 +8,10 @@
 from stepstream.http.codec import Message, Parser, ProtocolError
 from stepstream.model.endpoints import Endpoint, EndpointList, EndpointListKind, EndpointState
 from stepstream.model.events import AttemptResult
+from tests.config.configurations import LIMITS, POLICY_SETTINGS
+from tests.http.messages import job_request
 
-CLIENT_API = client_api.ClientApi(SETTINGS)
+CLIENT_API = client_api.ClientApi(POLICY_SETTINGS)
 ROW = {
     "id": "s-1",
     "addr": "127.0.0.1:8081",
@@ -30,7 +31,7 @@
 
 
 def read_job(**headers):
-    return CLIENT_API.read_request(parse(job_bytes(**headers)), 1_000)
+    return CLIENT_API.read_request(parse(job_request(**headers)), 1_000)
 
 
 def test_a_request_is_read_by_the_names_in_the_settings():
@@ -56,9 +57,9 @@
         ({"path": "/nothing"}, 404),
         ({"path": "*"}, 404),
         ({"method": "GET", "body": b""}, 405),
-        ({"name": ""}, 400),
-        ({"name": "a/../b"}, 400),
-        ({"name": "a" * 65}, 400),
+        ({"request_id": ""}, 400),
+        ({"request_id": "a/../b"}, 400),
+        ({"request_id": "a" * 65}, 400),
         ({"Tenant": "nobody"}, 400),
         ({"Tenant": None}, 400),
         ({"Request_Timeout_Ms": "-1"}, 400),
@@ -96,8 +97,8 @@
 
 
 def test_a_call_carries_the_request_its_id_key_and_timeout():
-    message = parse(job_bytes(path="/nav-publish?user=1", body=b"xyz", Idempotency_Key="k"))
-    request = client_api.ClientApi(SETTINGS).read_request(message, 0)
+    message = parse(job_request(path="/nav-publish?user=1", body=b"xyz", Idempotency_Key="k"))
+    request = client_api.ClientApi(POLICY_SETTINGS).read_request(message, 0)
     sent = parse(worker_api.call_bytes("h:1", request.id, request.payload, 480))
     assert (sent.method, sent.target, sent.body) == ("POST", "/nav-publish?user=1", b"xyz")
     names = ("request-id", "idempotency-key", "request-timeout-ms")
@@ -133,7 +134,7 @@
 
 
 def test_an_endpoint_list_is_read_with_names_as_indices():
-    side = discovery_api.DiscoveryApi(SETTINGS)
+    side = discovery_api.DiscoveryApi(POLICY_SETTINGS)
     targets = side.read({"version": 4, "full": False, "servers": [ROW]})
     entry = Endpoint("s-1", 1, 1, 3, EndpointState.ACTIVE, 1.5, 7_000)
     assert targets.update == EndpointList(EndpointListKind.CHANGES, (entry,))
@@ -146,4 +147,4 @@
 )
 def test_a_malformed_endpoint_list_is_a_protocol_error(row):
     with pytest.raises(ProtocolError):
-        discovery_api.DiscoveryApi(SETTINGS).read({"servers": [row]})
+        discovery_api.DiscoveryApi(POLICY_SETTINGS).read({"servers": [row]})
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -4,25 +4,32 @@
 import time
 
 import pytest
-from inbound_helpers import NOTIFICATION, READINESS_CHECK, WORKER_HOST, ServerHarness, serve
-from net_helpers import job_bytes
-from node_helpers import PATIENCE, ask, wait_for
 
 from stepstream.config.limits import ConnectionLimits, Limits, Timeouts
 from stepstream.core.events import RequestReceived
 from stepstream.http.server import is_budget_spent
+from tests.http.messages import job_request
+from tests.http.scripted_server import exchange
+from tests.http.server_harness import (
+    NOTIFICATION,
+    READINESS_CHECK,
+    WORKER_HOST,
+    ServerHarness,
+    serve,
+)
+from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
 
 
 def test_over_budget_a_connection_gets_503_at_once_and_open_requests_stay():
     harness = ServerHarness(Limits(connections=ConnectionLimits(inbound=1, reserved_for_workers=0)))
     with harness.connect() as peer:
-        peer.sendall(job_bytes())
+        peer.sendall(job_request())
         (open_request,) = wait_for(lambda: harness.requests(RequestReceived))
-        rejected = ask(harness.port, b"")
+        rejected = exchange(harness.port, b"")
         assert rejected.status == 503
         assert rejected.headers["retry-after"] == "2.000"
         serve(open_request)
-        assert ask(0, b"", peer).status == 200
+        assert exchange(0, b"", peer).status == 200
 
 
 def test_a_notification_is_admitted_when_open_requests_occupy_all_other_connections():
@@ -30,20 +37,20 @@
         Limits(connections=ConnectionLimits(inbound=3, reserved_for_workers=0, open_requests=1))
     )
     with harness.connect() as idle, harness.connect() as first:
-        assert ask(0, READINESS_CHECK, idle).status == 200
-        first.sendall(job_bytes(name="01"))
+        assert exchange(0, READINESS_CHECK, idle).status == 200
+        first.sendall(job_request("01"))
         wait_for(lambda: harness.requests(RequestReceived))
-        assert ask(0, job_bytes(name="02"), idle).status == 503
-        assert ask(harness.port, NOTIFICATION).status == 200
+        assert exchange(0, job_request("02"), idle).status == 503
+        assert exchange(harness.port, NOTIFICATION).status == 200
 
 
 def test_reserved_connections_are_for_workers_hosts_only():
     harness = ServerHarness(Limits(connections=ConnectionLimits(inbound=2, reserved_for_workers=1)))
     with harness.connect() as client, harness.connect(WORKER_HOST) as worker:
-        client.sendall(job_bytes())
+        client.sendall(job_request())
         wait_for(lambda: harness.requests(RequestReceived))
-        assert ask(0, NOTIFICATION, worker).status == 200
-        assert ask(harness.port, b"").status == 503
+        assert exchange(0, NOTIFICATION, worker).status == 200
+        assert exchange(harness.port, b"").status == 503
 
 
 @pytest.mark.parametrize(
@@ -80,19 +87,19 @@
     )  # whether a connection is evicted does not depend on the clock
     with contextlib.ExitStack() as stack:
         client = stack.enter_context(harness.connect())
-        client.sendall(job_bytes(name="01"))
+        client.sendall(job_request("01"))
         (waiting,) = wait_for(lambda: harness.requests(RequestReceived))
         serve(waiting)
-        assert ask(0, b"", client).status == 200
+        assert exchange(0, b"", client).status == 200
         for _ in range(20):
             stack.enter_context(harness.connect())  # and send nothing
         worker = stack.enter_context(harness.connect(WORKER_HOST))
-        assert ask(0, NOTIFICATION, worker).status == 200
+        assert exchange(0, NOTIFICATION, worker).status == 200
         # A new client is admitted, and the old one has kept its connection.
         fresh = stack.enter_context(harness.connect())
-        fresh.sendall(job_bytes(name="02"))
+        fresh.sendall(job_request("02"))
         wait_for(lambda: len(harness.requests(RequestReceived)) == 2)
-        client.sendall(job_bytes(name="03"))
+        client.sendall(job_request("03"))
         wait_for(lambda: len(harness.requests(RequestReceived)) == 3)
 
 
@@ -108,7 +115,7 @@
             stack.enter_context(harness.connect())
         wait_for(lambda: harness.server.external_count == 10)
         time.sleep(0.02)
-        assert ask(harness.port, READINESS_CHECK).status == 200
+        assert exchange(harness.port, READINESS_CHECK).status == 200
         assert (
             harness.server.external_count <= 1
         )  # so the next ones are admitted without an eviction
@@ -120,19 +127,19 @@
     harness = ServerHarness(
         Limits(
             connections=ConnectionLimits(inbound=2, reserved_for_workers=0),
-            timeouts=Timeouts(evictable_idle_seconds=0.0, unproven_seconds=PATIENCE),
+            timeouts=Timeouts(evictable_idle_seconds=0.0, unproven_seconds=PATIENCE_SECONDS),
         )
     )
     with harness.connect() as new:
         wait_for(lambda: len(harness.server.connections) == 1)
         with harness.connect() as client:
-            client.sendall(job_bytes())
+            client.sendall(job_request())
             (waiting,) = wait_for(lambda: harness.requests(RequestReceived))
             serve(waiting)
-            assert ask(0, b"", client).status == 200
-            assert ask(harness.port, READINESS_CHECK).status == 200
+            assert exchange(0, b"", client).status == 200
+            assert exchange(harness.port, READINESS_CHECK).status == 200
             assert client.recv(1) == b""
-        new.sendall(job_bytes(name="02"))
+        new.sendall(job_request("02"))
         wait_for(lambda: len(harness.requests(RequestReceived)) == 2)
 
 
@@ -144,7 +151,7 @@
         )
     )
     harness.server.evicted_count = 2
-    assert ask(harness.port, b"").status == 503
+    assert exchange(harness.port, b"").status == 503
 
 
 def test_a_peer_with_half_a_message_is_evicted_for_a_new_connection():
@@ -159,7 +166,7 @@
         wait_for(
             lambda: any(not connection.session.is_idle for connection in harness.server.connections)
         )
-        assert ask(harness.port, READINESS_CHECK).status == 200
+        assert exchange(harness.port, READINESS_CHECK).status == 200
         assert slow.recv(1) == b""
 
 
@@ -167,18 +174,18 @@
     harness = ServerHarness(
         Limits(
             connections=ConnectionLimits(inbound=1, reserved_for_workers=0),
-            timeouts=Timeouts(evictable_idle_seconds=PATIENCE),
+            timeouts=Timeouts(evictable_idle_seconds=PATIENCE_SECONDS),
         )
     )
     with harness.connect() as sending:
         sending.sendall(b"POST /revalue HTTP/1.1\r\nContent-Length: 20000000\r\n\r\n")
-        assert ask(0, b"", sending).status == 413
+        assert exchange(0, b"", sending).status == 413
         (closed,) = harness.server.connections
         closed.last_activity_at_seconds = 0.0  # long ago
         sending.sendall(bytes(1000))
         wait_for(lambda: closed.last_activity_at_seconds > 0.0)
         # It is not evicted; how long it may linger counts from its error.
-        assert ask(harness.port, b"").status == 503
+        assert exchange(harness.port, b"").status == 503
         assert closed.phase_started_at_seconds < closed.last_activity_at_seconds
         assert closed in harness.server.connections
 
@@ -187,14 +194,14 @@
     """Closed at once, the connection would be reset by what its peer sends, and the 503 lost."""
     harness = ServerHarness(Limits(connections=ConnectionLimits(inbound=1, reserved_for_workers=0)))
     with harness.connect() as first:
-        first.sendall(job_bytes())
+        first.sendall(job_request())
         wait_for(lambda: harness.requests(RequestReceived))
         with harness.connect() as peer:
             wait_for(lambda: harness.server.rejected_count)
-            for part in (job_bytes()[:30], job_bytes()[30:]):
+            for part in (job_request()[:30], job_request()[30:]):
                 peer.sendall(part)
                 time.sleep(0.05)  # for a reset to come, if there is one
-            assert ask(0, b"", peer).status == 503
+            assert exchange(0, b"", peer).status == 503
 
 
 def test_rejected_connections_are_bounded_and_closed_in_time():
--- a/tests/http/test_session.py
+++ b/tests/http/test_session.py
@@ -1,7 +1,6 @@
 """Inbound sessions as state machines, by random steps against a model of their states."""
 
 from hypothesis import strategies as st
-from net_helpers import LIMITS, SETTINGS, job_bytes
 from walk import walks
 
 from stepstream.core.commands import Answer, Outcome
@@ -11,12 +10,14 @@
 from stepstream.http.codec import write_request
 from stepstream.http.server_state import ServerState
 from stepstream.http.session import HttpSession, Reply, SessionPhase
+from tests.config.configurations import LIMITS, POLICY_SETTINGS
+from tests.http.messages import job_request
 
 NOTIFICATION = write_request(
     "POST", "/_jobs/news", {}, b'{"id":"aa","from":"s-1","state":"done","result":"x"}'
 )
 MESSAGES = {
-    "request": job_bytes(),
+    "request": job_request(),
     "notification": NOTIFICATION,
     "readiness": b"GET /-/ready HTTP/1.1\r\n\r\n",
     "unknown path": b"GET /nowhere HTTP/1.1\r\n\r\n",
@@ -28,7 +29,7 @@
     """A session beside its model: complete messages that wait, and idle, open or closed."""
 
     def __init__(self):
-        self.server_state = ServerState(ClientApi(SETTINGS))
+        self.server_state = ServerState(ClientApi(POLICY_SETTINGS))
         self.session = HttpSession(LIMITS, self.server_state)
         self.rest_of_message = b""
         self.waiting_messages = []
--- a/tests/identity/conftest.py
+++ b/tests/identity/conftest.py
@@ -1,20 +1,21 @@
-"""The program with `[identity]`, without and with TLS listeners; killed after each test."""
+"""Fixtures of the identity tests: the program with `[identity]`, without and with TLS listeners."""
+
+import contextlib
 
 import pytest
-from identity_helpers import IdentityProgram
+
+from tests.identity.program import IdentityProgram
 
 
 @pytest.fixture
 def program(tmp_path):
-    running = IdentityProgram(tmp_path)
-    yield running
-    running.process.kill()
-    running.process.communicate()
+    """A dispatcher's process with `[identity]`."""
+    with contextlib.closing(IdentityProgram(tmp_path)) as program:
+        yield program
 
 
 @pytest.fixture
 def tls_program(tmp_path):
-    running = IdentityProgram(tmp_path, tls=True)
-    yield running
-    running.process.kill()
-    running.process.communicate()
+    """A dispatcher's process with `[identity]` and TLS listeners."""
+    with contextlib.closing(IdentityProgram(tmp_path, tls=True)) as program:
+        yield program
--- a/tests/identity_helpers.py
+++ b/tests/identity/program.py
@@ -1,20 +1,19 @@
 """A running dispatcher with `[identity]`, its signing keys and, if asked for, TLS listeners."""
 
-import contextlib
 import datetime
-import threading
 import time
 
 import trustme
 from cryptography import x509
 from cryptography.hazmat.primitives import hashes, serialization
-from gearman_program import Peer, Program
-from net_helpers import job_bytes
-from node_helpers import ask, free_port
 
 from stepstream.gearman.codec import Kind
 from stepstream.identity.key_rotation import SigningKeyStore
 from stepstream.identity.key_set import KeyState
+from tests.gearman.program import GearmanProgram
+from tests.http.messages import job_request
+from tests.http.scripted_server import exchange
+from tests.runtime.ports import free_port
 
 ISSUER_AND_AUDIENCE = {"iss": "https://issuer.test", "aud": "stepstream"}
 SECTION = """[gearman]
@@ -55,7 +54,7 @@
 """
 
 
-class IdentityProgram(Program):
+class IdentityProgram(GearmanProgram):
     """The program with `[identity]`: its signing keys, tokens, requests and a Gearman worker."""
 
     def __init__(self, folder, tls=False):
@@ -103,24 +102,20 @@
             {**ISSUER_AND_AUDIENCE, "sub": subject, "iat": now, "exp": now + ttl, **claims}
         )
 
-    def post(self, token=None, peer=None, tenant="tatra-invest", path="/revalue", name=None):
+    def post(self, token=None, peer=None, tenant="tatra-invest", path="/revalue", request_id=None):
         """Send a job over HTTP; return the answer."""
         headers = {"Authorization": f"Bearer {token}"} if token else {}
-        name = name or f"{time.monotonic_ns():016x}"
-        return ask(self.http, job_bytes(name=name, path=path, Tenant=tenant, **headers), peer)
+        request_id = request_id or f"{time.monotonic_ns():016x}"
+        return exchange(
+            self.http, job_request(request_id, path=path, Tenant=tenant, **headers), peer
+        )
 
     def start_worker(self, name="w"):
         """Register a Gearman worker that completes each job with 17.5, in a thread."""
-        peer = Peer(self.gearman)
+        peer = self.connect()
         peer.send(Kind.OPTION_REQ, f"token:{self.token(f'worker/{name}', 3600)}")
         peer.join(name)
-
-        def serve():
-            with contextlib.suppress(OSError, AssertionError):  # the program has ended
-                while True:
-                    peer.send(Kind.WORK_COMPLETE, peer.grab()[0], "17.5")
-
-        threading.Thread(target=serve, daemon=True).start()
+        self.run_in_thread(peer.complete_jobs, "17.5")
 
 
 def challenge(answer):
--- a/tests/identity/test_identity_commands.py
+++ b/tests/identity/test_identity_commands.py
@@ -6,11 +6,12 @@
 import sys
 
 import pytest
-from identity_helpers import ISSUER_AND_AUDIENCE
-from node_helpers import PATIENCE, ROOT
 
 from stepstream.identity.key_rotation import SigningKeyStore
 from stepstream.identity.key_set import KeyState
+from tests.identity.program import ISSUER_AND_AUDIENCE
+from tests.node.dispatcher_process import ROOT
+from tests.runtime.waiting import PATIENCE_SECONDS
 
 
 def stepstream(*words, **environment):
@@ -20,7 +21,7 @@
         env={**os.environ, **environment},
         capture_output=True,
         text=True,
-        timeout=PATIENCE,
+        timeout=PATIENCE_SECONDS,
     )
 
 
@@ -71,8 +72,8 @@
 
 def test_explain_prints_the_decision_and_its_rule(program):
     def explain(token, *more):
-        words = ("--operator", str(program.operator), "--token", token, "--class", *more)
-        return stepstream("identity", "explain", *words, EDGE_CONFIG=str(program.path))
+        words = ("--operator", str(program.operator_file), "--token", token, "--class", *more)
+        return stepstream("identity", "explain", *words, EDGE_CONFIG=str(program.config_file))
 
     good = explain(program.token(), "revalue")
     assert good.returncode == 0
--- a/tests/identity/test_identity_node.py
+++ b/tests/identity/test_identity_node.py
@@ -4,12 +4,11 @@
 import threading
 import time
 
-from gearman_program import Peer
-from identity_helpers import challenge
-from node_helpers import PATIENCE, ask, wait_for
-
 from stepstream.gearman.codec import Kind
 from stepstream.http.codec import write_request
+from tests.http.scripted_server import exchange
+from tests.identity.program import challenge
+from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
 
 
 def test_callers_are_served_within_their_permissions(program):
@@ -57,7 +56,7 @@
 
 def test_the_connection_of_a_rejected_client_stays_open(program):
     program.start_worker()
-    with socket.create_connection(("127.0.0.1", program.http), timeout=PATIENCE) as peer:
+    with socket.create_connection(("127.0.0.1", program.http), timeout=PATIENCE_SECONDS) as peer:
         statuses = [program.post(token, peer).status for token in (None, program.token())]
     assert statuses == [401, 200]
 
@@ -66,7 +65,7 @@
     def notify(token):
         headers = {"Connection": "close"} | ({"Authorization": f"Bearer {token}"} if token else {})
         body = b'{"id":"0a","from":"s-1","state":"done","result":"forged"}'
-        return ask(program.http, write_request("POST", "/_jobs/news", headers, body)).status
+        return exchange(program.http, write_request("POST", "/_jobs/news", headers, body)).status
 
     tokens = (None, program.token(), program.token("worker/s-2"), program.token("worker/s-1"))
     assert [notify(token) for token in tokens] == [401, 403, 403, 200]
@@ -77,7 +76,7 @@
         (None, b"NOT_IDENTIFIED"),
         (program.token("worker/other"), b"NOT_ALLOWED"),
     ):
-        peer = Peer(program.gearman)
+        peer = program.connect()
         if token:
             peer.send(Kind.OPTION_REQ, f"token:{token}").until(Kind.OPTION_RES)
         peer.send(Kind.SET_CLIENT_ID, "w").send(Kind.CAN_DO, "revalue")
@@ -86,7 +85,7 @@
 
 def test_gearman_clients_are_identified_by_their_token_and_see_only_their_own_jobs(program):
     program.start_worker()
-    peer = Peer(program.gearman)
+    peer = program.connect()
     assert (
         peer.send(Kind.SUBMIT_JOB, "revalue", "", "x").until(Kind.ERROR).args[0]
         == b"NOT_IDENTIFIED"
@@ -99,7 +98,7 @@
         b"class_not_allowed",
     )
     assert peer.send(Kind.GET_STATUS, handle).until(Kind.STATUS_RES).args[1] == b"1"
-    other = Peer(program.gearman).send(Kind.OPTION_REQ, f"token:{program.token('publisher')}")
+    other = program.connect().send(Kind.OPTION_REQ, f"token:{program.token('publisher')}")
     for kind, name in (
         (Kind.GET_STATUS, handle),
         (Kind.GET_STATUS_UNIQUE, "u"),
@@ -116,7 +115,9 @@
     stop = threading.Event()
 
     def load():
-        with socket.create_connection(("127.0.0.1", program.http), timeout=PATIENCE) as peer:
+        with socket.create_connection(
+            ("127.0.0.1", program.http), timeout=PATIENCE_SECONDS
+        ) as peer:
             while not stop.is_set():
                 statuses.append(program.post(program.token(ttl=30), peer).status)
 
@@ -142,7 +143,7 @@
 def test_a_revoked_key_ends_cached_tokens_on_open_connections(program):
     program.start_worker()
     token = program.token()
-    with socket.create_connection(("127.0.0.1", program.http), timeout=PATIENCE) as peer:
+    with socket.create_connection(("127.0.0.1", program.http), timeout=PATIENCE_SECONDS) as peer:
         assert program.post(token, peer).status == 200
         program.key_store.revoke("k1")
         wait_for(lambda: program.post(token, peer).status == 401)
@@ -167,6 +168,6 @@
     for token in tokens:
         program.post(token)
     program.process.terminate()
-    log = program.process.communicate(timeout=PATIENCE)[1]
+    log = program.process.communicate(timeout=PATIENCE_SECONDS)[1]
     assert '"reason": "unknown_caller"' in log
     assert not any(token.split(".")[2] in log for token in tokens)
--- a/tests/identity/test_identity_tls.py
+++ b/tests/identity/test_identity_tls.py
@@ -10,13 +10,12 @@
 from cryptography import x509
 from cryptography.hazmat.primitives import hashes, serialization
 from cryptography.hazmat.primitives.asymmetric import ec
-from gearman_program import Peer
-from identity_helpers import challenge
-from net_helpers import LIMITS, job_bytes
-from node_helpers import PATIENCE, wait_for
 
-from stepstream.gearman import codec
 from stepstream.gearman.codec import Kind
+from tests.gearman.program import GearmanPeer
+from tests.http.messages import job_request
+from tests.identity.program import challenge
+from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
 
 
 def client_context(tls_program, ca=None):
@@ -62,7 +61,7 @@
 
 
 def connect_tls(port, context):
-    plain = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE)
+    plain = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_SECONDS)
     return context.wrap_socket(plain, server_hostname="127.0.0.1")
 
 
@@ -79,8 +78,7 @@
         assert tls_program.post(peer=peer).status == 200
         assert tls_program.post(peer=peer, path="/nav-publish").status == 403
     with connect_tls(tls_program.gearman_tls_port, publisher) as sock:
-        peer = Peer.__new__(Peer)
-        peer.sock, peer.parser = sock, codec.Parser(LIMITS, answers=True)
+        peer = GearmanPeer(sock)
         done = peer.send(Kind.SUBMIT_JOB, "tatra-invest/nav-publish", "k", "x").until(
             Kind.WORK_COMPLETE
         )
@@ -134,14 +132,16 @@
 
 def test_the_wrong_protocol_on_either_port_and_a_stalled_handshake_end_in_time(tls_program):
     tls_program.start_worker()
-    with socket.create_connection(("127.0.0.1", tls_program.tls_port), timeout=PATIENCE) as peer:
-        peer.sendall(job_bytes())
+    with socket.create_connection(
+        ("127.0.0.1", tls_program.tls_port), timeout=PATIENCE_SECONDS
+    ) as peer:
+        peer.sendall(job_request())
         while peer.recv(4096):
             pass
     with pytest.raises((ssl.SSLError, OSError)):
         connect_tls(tls_program.http, client_context(tls_program))
     stalled = [
-        socket.create_connection(("127.0.0.1", tls_program.tls_port), timeout=PATIENCE)
+        socket.create_connection(("127.0.0.1", tls_program.tls_port), timeout=PATIENCE_SECONDS)
         for _ in range(20)
     ]
     for peer in stalled:
@@ -168,7 +168,7 @@
     for thread in threads:
         thread.start()
     for thread in threads:
-        thread.join(PATIENCE)
+        thread.join(PATIENCE_SECONDS)
     assert len(statuses) == 100
     assert 200 in statuses
     assert not set(statuses) & {401, 403}
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -9,7 +9,6 @@
 import numpy as np
 import pytest
 from msgspec.structs import replace as replaced
-from node_helpers import PATIENCE, ROOT, ask
 
 from stepstream.config.errors import ConfigurationError
 from stepstream.config.fields import SettingsFields, flatten
@@ -28,6 +27,9 @@
 from stepstream.lab.load.site import WireProtocol, draw_scenario, read_site, settings_of
 from stepstream.lab.verification.verifier import FinalOutcome, Verifier
 from stepstream.model.settings import Effect
+from tests.http.scripted_server import exchange as ask
+from tests.node.dispatcher_process import ROOT
+from tests.runtime.waiting import PATIENCE_SECONDS as PATIENCE
 
 SPEC = WorkerSpec(
     "s", "east", "large", 0, cores=2, speed=1.0, queue=2, cold_share=0.5, warm_us=1_000_000
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -12,13 +12,14 @@
 import time
 
 import pytest
-from config_helpers import CONFIG
-from node_helpers import ROOT, free_port
 
 from stepstream.lab.processes.cluster_load_test import play_swept
 from stepstream.lab.processes.lease_cluster import TROUBLES, TTL, LeaseDispatcherCluster, trouble
 from stepstream.lab.verification import ledger
 from stepstream.leases.commands import run
+from tests.config.configurations import CONFIGURATION as CONFIG
+from tests.node.dispatcher_process import ROOT
+from tests.runtime.ports import free_port
 
 TIMEOUT_SECONDS = 40.0
 
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -14,8 +14,6 @@
 import time
 
 import pytest
-from config_helpers import CONFIG
-from node_helpers import ROOT, free_port
 
 from stepstream.cli import main
 from stepstream.lab.processes.cluster_load_test import play
@@ -30,6 +28,9 @@
     Ping,
     encode,
 )
+from tests.config.configurations import CONFIGURATION as CONFIG
+from tests.node.dispatcher_process import ROOT
+from tests.runtime.ports import free_port
 
 # Shorter than the defaults, so that the whole of this file takes a minute and a half.
 SHORT_INTERVALS = "period_ms = 200\ntimeout_ms = 90\nsync_ms = 1000\nreach_ms = 300\nyoung_s = 2\nhold_s = 2\nslack = 3\n"
--- a/tests/model/test_pool_load.py
+++ b/tests/model/test_pool_load.py
@@ -1,10 +1,10 @@
 """The load of both pools, averaged over time."""
 
 import pytest
-from helpers import entry
 
 from stepstream.model.pool_load import AVERAGING_TIME_CONSTANT_US, PoolLoad
 from stepstream.model.worker_records import Worker
+from tests.model.builders import make_endpoint
 
 
 def test_averages_follow_the_busy_slots_within_the_time_constant():
@@ -18,7 +18,9 @@
 
 def test_a_recount_gives_each_pool_the_slots_of_its_workers():
     load = PoolLoad(0)
-    workers = [Worker(entry(k), 0, 0, load.high_set if k else load.low_set) for k in range(3)]
+    workers = [
+        Worker(make_endpoint(k), 0, 0, load.high_set if k else load.low_set) for k in range(3)
+    ]
     for worker in workers:
         worker.busy_slots, worker.running_slots = 2.0, 1.0
     load.recount(workers)
--- a/tests/node/test_decision_thread.py
+++ b/tests/node/test_decision_thread.py
@@ -4,7 +4,6 @@
 from types import SimpleNamespace
 
 import pytest
-from config_helpers import CONFIG
 
 from stepstream.config.node_config import config_from
 from stepstream.core.commands import (
@@ -19,6 +18,7 @@
 )
 from stepstream.http.destination_set import SOURCE
 from stepstream.node.node import Node
+from tests.config.configurations import CONFIGURATION
 
 
 class RecordingCarrier:
@@ -53,7 +53,7 @@
 @pytest.fixture
 def node():
     """A wired dispatcher that is not started, with a recording carrier for discovery's workers."""
-    made = Node(config_from(CONFIG, {}))
+    made = Node(config_from(CONFIGURATION, {}))
     made.carriers[SOURCE] = RecordingCarrier()
     return made
 
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -16,14 +16,17 @@
 from queue import Empty
 
 import pytest
-from config_helpers import CONFIG
-from net_helpers import job_bytes
-from node_helpers import PATIENCE, ROOT, Server, World, ask, free_port, wait_for
 
 from stepstream.config.node_config import config_from
 from stepstream.core.events import ShutdownStarted
 from stepstream.http.codec import write_answer, write_request
 from stepstream.node.node import Node
+from tests.config.configurations import CONFIGURATION
+from tests.http.messages import job_request
+from tests.http.scripted_server import ScriptedServer, exchange
+from tests.node.dispatcher_process import ROOT, is_ready, running_process
+from tests.runtime.ports import free_port
+from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
 
 
 def with_shutdown(limits, **seconds):
@@ -36,29 +39,20 @@
     return replace(limits, startup=replace(limits.startup, **seconds))
 
 
-@pytest.fixture
-def world(tmp_path):
-    made = World(tmp_path)
-    yield made
-    if made.process.poll() is None:
-        made.process.kill()
-    made.process.communicate()
-    made.worker.sock.close()
-    made.discovery.sock.close()
-
-
-def test_a_job_is_served_with_what_the_worker_gave_though_its_notification_precedes_the_202(world):
-    answer = ask(world.port, job_bytes(body=b"payload"))
+def test_a_job_is_served_with_what_the_worker_gave_though_its_notification_precedes_the_202(
+    dispatcher,
+):
+    answer = exchange(dispatcher.port, job_request(body=b"payload"))
     assert (answer.status, answer.body) == (200, b"17.5")
-    (job,) = world.jobs()
+    (job,) = dispatcher.job_calls()
     assert (job.target, job.body, job.headers["request-id"]) == (
         "/revalue",
         b"payload",
         "00000000000000aa",
     )
     # A notification that comes again, and one of a job from before a restart: both acknowledged.
-    assert world.notify("00000000000000aa", "done", "x") == 200
-    assert world.notify("00ff", "lost") == 200
+    assert dispatcher.notify("00000000000000aa", "done", "x") == 200
+    assert dispatcher.notify("00ff", "lost") == 200
 
 
 @pytest.mark.parametrize(
@@ -67,125 +61,136 @@
         (b"GET /nothing HTTP/1.1\r\n\r\n", 404),
         (b"GET /revalue HTTP/1.1\r\n\r\n", 405),
         (b"nonsense\r\n\r\n", 400),
-        (job_bytes(Tenant="nobody"), 400),
+        (job_request(Tenant="nobody"), 400),
         (b"POST /revalue HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 413),
         (b"GET / HTTP/1.1\r\nA: " + b"a" * 17_000, 431),
         (write_request("POST", "/_jobs/news", {}, b"{"), 400),
     ],
 )
-def test_malformed_peers_get_their_status_and_the_program_goes_on(world, data, status):
-    assert ask(world.port, data).status == status
-    assert ask(world.port, job_bytes()).status == 200
+def test_malformed_peers_get_their_status_and_the_program_goes_on(dispatcher, data, status):
+    assert exchange(dispatcher.port, data).status == status
+    assert exchange(dispatcher.port, job_request()).status == 200
 
 
-def test_a_pipelined_request_waits_for_the_one_before(world):
-    with socket.create_connection(("127.0.0.1", world.port), timeout=PATIENCE) as peer:
-        assert ask(0, job_bytes(name="01") + job_bytes(name="02"), peer).status == 200
+def test_a_pipelined_request_waits_for_the_one_before(dispatcher):
+    with socket.create_connection(("127.0.0.1", dispatcher.port), timeout=PATIENCE_SECONDS) as peer:
+        assert exchange(0, job_request("01") + job_request("02"), peer).status == 200
         assert (
-            ask(0, b"GET /-/ready HTTP/1.1\r\n\r\n", peer).status == 200
+            exchange(0, b"GET /-/ready HTTP/1.1\r\n\r\n", peer).status == 200
         )  # the second job's answer
-        wait_for(lambda: len(world.jobs()) == 2)
+        wait_for(lambda: len(dispatcher.job_calls()) == 2)
 
 
-def test_a_client_that_leaves_has_its_job_deleted_at_the_worker(world):
-    world.hold_jobs.set()
-    with socket.create_connection(("127.0.0.1", world.port), timeout=PATIENCE) as peer:
-        peer.sendall(job_bytes(name="0b"))
-        wait_for(world.jobs)
-    wait_for(lambda: [m.target for m in world.worker.seen if m.method == "DELETE"] == ["/jobs/0b"])
+def test_a_client_that_leaves_has_its_job_deleted_at_the_worker(dispatcher):
+    dispatcher.hold_jobs.set()
+    with socket.create_connection(("127.0.0.1", dispatcher.port), timeout=PATIENCE_SECONDS) as peer:
+        peer.sendall(job_request("0b"))
+        wait_for(dispatcher.job_calls)
+    wait_for(
+        lambda: (
+            [m.target for m in dispatcher.worker.requests if m.method == "DELETE"] == ["/jobs/0b"]
+        )
+    )
 
 
-def test_a_full_worker_is_retried_and_an_error_of_a_job_with_a_key_proves_nothing(world):
-    world.worker_answers += [write_answer(503, headers={"Not-Started": "1"})]
-    assert ask(world.port, job_bytes(name="0c", path="/nav-publish")).status == 200
-    world.worker_answers += [write_answer(500)] * 4
-    assert ask(world.port, job_bytes(name="0d", path="/nav-publish")).status not in (200, 429, 503)
+def test_a_full_worker_is_retried_and_an_error_of_a_job_with_a_key_proves_nothing(dispatcher):
+    dispatcher.worker_answers += [write_answer(503, headers={"Not-Started": "1"})]
+    assert exchange(dispatcher.port, job_request("0c", path="/nav-publish")).status == 200
+    dispatcher.worker_answers += [write_answer(500)] * 4
+    assert exchange(dispatcher.port, job_request("0d", path="/nav-publish")).status not in (
+        200,
+        429,
+        503,
+    )
 
 
-def test_sigterm_answers_what_is_open_takes_what_still_comes_and_ends_well(world):
-    world.hold_jobs.set()
+def test_sigterm_answers_what_is_open_takes_what_still_comes_and_ends_well(dispatcher):
+    dispatcher.hold_jobs.set()
     answers = []
 
     def client(name):
-        answers.append(ask(world.port, job_bytes(name=name, Request_Timeout_Ms="60000")))
+        answers.append(exchange(dispatcher.port, job_request(name, Request_Timeout_Ms="60000")))
 
     first = threading.Thread(target=client, args=("0e",))
     first.start()
-    wait_for(world.jobs)
-    world.process.send_signal(signal.SIGTERM)
-    wait_for(lambda: ask(world.port, b"GET /-/ready HTTP/1.1\r\n\r\n").status == 503)
+    wait_for(dispatcher.job_calls)
+    dispatcher.process.send_signal(signal.SIGTERM)
+    wait_for(lambda: exchange(dispatcher.port, b"GET /-/ready HTTP/1.1\r\n\r\n").status == 503)
     second = threading.Thread(target=client, args=("0f",))
     second.start()
-    wait_for(lambda: len(world.jobs()) == 2)
+    wait_for(lambda: len(dispatcher.job_calls()) == 2)
     # Notifications come on new connections: the listener must outlive the front's last one.
     for name in ("0e", "0f"):
-        assert world.notify(name, "done", "1") == 200
-    first.join(PATIENCE)
-    second.join(PATIENCE)
+        assert dispatcher.notify(name, "done", "1") == 200
+    first.join(PATIENCE_SECONDS)
+    second.join(PATIENCE_SECONDS)
     assert [a.status for a in answers] == [200] * 2
-    assert world.process.wait(PATIENCE) == 0
-    log = world.process.stderr.read()
+    assert dispatcher.process.wait(PATIENCE_SECONDS) == 0
+    log = dispatcher.process.stderr.read()
     assert "served_requests=2 rejected_requests=0 failed_requests=0" in log
     assert log.endswith("stepstream: info shutdown_finished\n")
 
 
-def test_after_sigterm_clients_go_on_with_their_connections_until_these_close(world):
-    config = config_from({**world.config, "listen": f"127.0.0.1:{free_port()}"}, {})
+def test_after_sigterm_clients_go_on_with_their_connections_until_these_close(dispatcher):
+    config = config_from({**dispatcher.config, "listen": f"127.0.0.1:{free_port()}"}, {})
     node = Node(config)
-    node.limits = with_shutdown(node.limits, serving_seconds=PATIENCE, answering_seconds=PATIENCE)
+    node.limits = with_shutdown(
+        node.limits, serving_seconds=PATIENCE_SECONDS, answering_seconds=PATIENCE_SECONDS
+    )
     node.start()
     port = node.server.listeners[0].listener.getsockname()[1]
-    with socket.create_connection(("127.0.0.1", port), timeout=PATIENCE) as peer:
+    with socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_SECONDS) as peer:
         # The stand-in worker knows the first dispatcher only: its notifications do not come here.
-        world.hold_jobs.set()
-        peer.sendall(job_bytes(name="0a"))
-        wait_for(world.jobs)
+        dispatcher.hold_jobs.set()
+        peer.sendall(job_request("0a"))
+        wait_for(dispatcher.job_calls)
         stop = threading.Thread(target=node.stop, daemon=True)
         stop.start()
         wait_for(lambda: node.server.state.shutting_down)
         notification = write_request(
             "POST", "/_jobs/news", {}, b'{"id":"0a","from":"s-1","state":"done","result":"1"}'
         )
-        assert ask(port, notification).status == 200
-        answer = ask(0, b"", peer)
+        assert exchange(port, notification).status == 200
+        answer = exchange(0, b"", peer)
         assert (answer.status, answer.keep_alive) == (200, True)
-        peer.sendall(job_bytes(name="0b"))
-        wait_for(lambda: len(world.jobs()) == 2)
+        peer.sendall(job_request("0b"))
+        wait_for(lambda: len(dispatcher.job_calls()) == 2)
         assert stop.is_alive()
         # Now its connections close, and what is open has until then to be answered.
         node.limits = with_shutdown(node.limits, serving_seconds=0.0)
         wait_for(lambda: node.server.state.closing)
         node.events.put(ShutdownStarted(node.clock.now_us()))
-        answer = ask(0, b"", peer)
+        answer = exchange(0, b"", peer)
         assert answer.status == 503
         assert not answer.keep_alive
-    stop.join(PATIENCE)
+    stop.join(PATIENCE_SECONDS)
     assert not stop.is_alive()
 
 
-def test_a_reload_polls_the_new_discovery_and_keeps_open_requests(world):
-    world.hold_jobs.set()
-    new = Server(world.on_discovery)
-    with socket.create_connection(("127.0.0.1", world.port), timeout=PATIENCE) as peer:
-        peer.sendall(job_bytes(name="0e", Request_Timeout_Ms="60000"))
-        wait_for(world.jobs)
+def test_a_reload_polls_the_new_discovery_and_keeps_open_requests(dispatcher, start_server):
+    dispatcher.hold_jobs.set()
+    new = start_server(dispatcher.discovery_reply)
+    with socket.create_connection(("127.0.0.1", dispatcher.port), timeout=PATIENCE_SECONDS) as peer:
+        peer.sendall(job_request("0e", Request_Timeout_Ms="60000"))
+        wait_for(dispatcher.job_calls)
         settings = {
-            **world.config["settings"],
-            "services": world.config["settings"]["services"][::-1],
+            **dispatcher.config["settings"],
+            "services": dispatcher.config["settings"]["services"][::-1],
         }
         where = f"127.0.0.1:{new.port}"
-        assert where in world.reload({**world.config, "discovery": where, "settings": settings})
-        wait_for(lambda: [m for m in new.seen if "wait=" in m.target])
-        before = len(world.discovery.seen)
+        assert where in dispatcher.reload(
+            {**dispatcher.config, "discovery": where, "settings": settings}
+        )
+        wait_for(lambda: [m for m in new.requests if "wait=" in m.target])
+        before = len(dispatcher.discovery.requests)
         # The job of before the reload is answered on its connection, and a new one after it.
-        assert world.notify("0e", "done", "1") == 200
-        assert ask(0, b"", peer).body == b"1"
-        world.hold_jobs.clear()
-        assert ask(0, job_bytes(name="0f"), peer).status == 200
-        wait_for(lambda: len([m for m in new.seen if "wait=" in m.target]) > 2)
-    assert new.seen[0].target == "/api/targets"
-    assert len(world.discovery.seen) == before
-    new.sock.close()
+        assert dispatcher.notify("0e", "done", "1") == 200
+        assert exchange(0, b"", peer).body == b"1"
+        dispatcher.hold_jobs.clear()
+        assert exchange(0, job_request("0f"), peer).status == 200
+        wait_for(lambda: len([m for m in new.requests if "wait=" in m.target]) > 2)
+    assert new.requests[0].target == "/api/targets"
+    assert len(dispatcher.discovery.requests) == before
 
 
 @pytest.mark.parametrize(
@@ -196,41 +201,35 @@
         ({"listen": "127.0.0.1:1"}, "listen"),
     ],
 )
-def test_a_reload_of_a_bad_file_is_one_line_and_changes_nothing(world, change, key):
-    assert key in world.reload({**world.config, **change})
-    assert ask(world.port, job_bytes()).status == 200
-    before = len(world.discovery.seen)
-    wait_for(lambda: len(world.discovery.seen) > before)
-
-
-def test_sigkill_and_a_new_start_on_the_same_address(world, tmp_path):
-    with socket.create_connection(("127.0.0.1", world.port), timeout=PATIENCE) as peer:
-        assert ask(0, job_bytes(), peer).status == 200
-        world.process.kill()
-        world.process.wait()
-        again = subprocess.Popen(
-            world.process.args,
-            cwd=ROOT,
-            env={**os.environ, "EDGE_CONFIG": str(tmp_path / "config.json")},
-        )
-        try:
-            wait_for(world.ready)
-        finally:
-            again.kill()
-            again.wait()
+def test_a_reload_of_a_bad_file_is_one_line_and_changes_nothing(dispatcher, change, key):
+    assert key in dispatcher.reload({**dispatcher.config, **change})
+    assert exchange(dispatcher.port, job_request()).status == 200
+    before = len(dispatcher.discovery.requests)
+    wait_for(lambda: len(dispatcher.discovery.requests) > before)
+
+
+def test_sigkill_and_a_new_start_on_the_same_address(dispatcher):
+    with socket.create_connection(("127.0.0.1", dispatcher.port), timeout=PATIENCE_SECONDS) as peer:
+        assert exchange(0, job_request(), peer).status == 200
+        dispatcher.process.kill()
+        dispatcher.process.wait()
+        with running_process(dispatcher.config_file):
+            wait_for(dispatcher.is_ready)
 
 
 def test_an_address_in_use_is_one_line_that_names_the_key(tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path = tmp_path / "config.json"
-        path.write_text(json.dumps({**CONFIG, "listen": f"127.0.0.1:{taken.getsockname()[1]}"}))
+        path.write_text(
+            json.dumps({**CONFIGURATION, "listen": f"127.0.0.1:{taken.getsockname()[1]}"})
+        )
         run = subprocess.run(
             [sys.executable, "-m", "stepstream", "serve"],
             cwd=ROOT,
             env={**os.environ, "EDGE_CONFIG": str(path)},
             capture_output=True,
             text=True,
-            timeout=PATIENCE,
+            timeout=PATIENCE_SECONDS,
         )
     assert run.returncode == 2
     assert "listen=" in run.stderr
@@ -251,7 +250,7 @@
 
 
 def test_sigterm_is_handled_soon_even_if_it_does_not_interrupt_the_wait(monkeypatch):
-    node = Node(config_from(CONFIG, {}))
+    node = Node(config_from(CONFIGURATION, {}))
     node.signals = Signals(after=3)
     rounds, stopped = [], []
     monkeypatch.setattr(node, "start", lambda: None)
@@ -273,20 +272,22 @@
     assert not rounds  # periodic tasks keep their own pace
 
 
-def test_a_crowd_that_never_finishes_a_message_does_not_hold_the_stop(world):
-    world.process.send_signal(signal.SIGTERM)
-    wait_for(lambda: ask(world.port, b"GET /-/ready HTTP/1.1\r\n\r\n").status == 503)
+def test_a_crowd_that_never_finishes_a_message_does_not_hold_the_stop(dispatcher):
+    dispatcher.process.send_signal(signal.SIGTERM)
+    wait_for(lambda: exchange(dispatcher.port, b"GET /-/ready HTTP/1.1\r\n\r\n").status == 503)
     time.sleep(0.5)  # the front's new connections have stopped by now; these are nobody's requests
     peers = []
     until = time.monotonic() + 10.0
     try:
-        while world.process.poll() is None and time.monotonic() < until:
+        while dispatcher.process.poll() is None and time.monotonic() < until:
             with contextlib.suppress(OSError):
-                peer = socket.create_connection(("127.0.0.1", world.port), timeout=PATIENCE)
+                peer = socket.create_connection(
+                    ("127.0.0.1", dispatcher.port), timeout=PATIENCE_SECONDS
+                )
                 peer.sendall(b"POST /revalue HTTP/1.1\r\nRequest-Id: 0")
                 peers.append(peer)
             time.sleep(0.1)
-        assert world.process.wait(PATIENCE) == 0
+        assert dispatcher.process.wait(PATIENCE_SECONDS) == 0
         assert time.monotonic() < until
     finally:
         for peer in peers:
@@ -300,13 +301,6 @@
     return thread
 
 
-def is_ready(port):
-    try:
-        return ask(port, b"GET /-/ready HTTP/1.1\r\n\r\n").status == 200
-    except ConnectionRefusedError:
-        return False
-
-
 @pytest.mark.parametrize("lists", ["automatic", "subscribe"])
 def test_a_start_is_not_ready_before_it_has_the_first_list(lists):
     """Pushed: the agent's list counts from the first request on. Polled: without a list there are no workers."""
@@ -314,16 +308,16 @@
     drained = {"id": "s-1", "addr": "127.0.0.1:1", "state": "draining", "zone": "ruzinov"}
 
     def reply(message):
-        answer.wait(PATIENCE)
+        answer.wait(PATIENCE_SECONDS)
         return write_answer(
             200, json.dumps({"version": 4, "full": True, "servers": [drained]}).encode()
         )
 
-    discovery, port = Server(reply), free_port()
+    discovery, port = ScriptedServer(reply), free_port()
     known = {"version": 3, "full": True, "servers": [{**drained, "state": "ready"}]}
-    settings = {**CONFIG["settings"], "discovery": lists}
+    settings = {**CONFIGURATION["settings"], "discovery": lists}
     config = {
-        **CONFIG,
+        **CONFIGURATION,
         "settings": settings,
         "known": known if lists == "automatic" else {},
         "listen": f"127.0.0.1:{port}",
@@ -331,15 +325,17 @@
     }
     node = Node(config_from(config, {}))
     node.limits = with_startup(
-        node.limits, first_agent_list_seconds=PATIENCE, first_endpoint_list_seconds=PATIENCE
+        node.limits,
+        first_agent_list_seconds=PATIENCE_SECONDS,
+        first_endpoint_list_seconds=PATIENCE_SECONDS,
     )
     thread = started(node)
-    wait_for(lambda: discovery.seen)
+    wait_for(lambda: discovery.requests)
     if lists == "subscribe":
-        thread.join(PATIENCE)  # it listens, and says no
+        thread.join(PATIENCE_SECONDS)  # it listens, and says no
     else:
         with pytest.raises(ConnectionRefusedError):
-            ask(port, b"")
+            exchange(port, b"")
     assert not is_ready(port)
     answer.set()
     wait_for(lambda: is_ready(port))
@@ -351,7 +347,7 @@
 def test_a_start_beside_a_discovery_that_is_down_does_not_wait_for_long():
     port = free_port()
     config = {
-        **CONFIG,
+        **CONFIGURATION,
         "known": {},
         "listen": f"127.0.0.1:{port}",
         "discovery": f"127.0.0.1:{free_port()}",
@@ -365,10 +361,15 @@
     node.discovery.stop()
 
 
-def test_a_reload_that_leaves_discovery_where_it_is_goes_on_from_the_list_that_is_held(world):
-    wait_for(lambda: world.discovery.seen)
-    settings = {**world.config["settings"], "services": world.config["settings"]["services"][::-1]}
-    assert "configuration_reloaded" in world.reload({**world.config, "settings": settings})
-    before = len(world.discovery.seen)
-    wait_for(lambda: len(world.discovery.seen) >= before + 2)
-    assert all("index=3" in m.target for m in world.discovery.seen)
+def test_a_reload_that_leaves_discovery_where_it_is_goes_on_from_the_list_that_is_held(dispatcher):
+    wait_for(lambda: dispatcher.discovery.requests)
+    settings = {
+        **dispatcher.config["settings"],
+        "services": dispatcher.config["settings"]["services"][::-1],
+    }
+    assert "configuration_reloaded" in dispatcher.reload(
+        {**dispatcher.config, "settings": settings}
+    )
+    before = len(dispatcher.discovery.requests)
+    wait_for(lambda: len(dispatcher.discovery.requests) >= before + 2)
+    assert all("index=3" in m.target for m in dispatcher.discovery.requests)
--- /dev/null
+++ b/tests/policy/harness.py
@@ -0,0 +1,83 @@
+"""A load balancer on a clock of the test's own, and the actions that it answers."""
+
+from stepstream.model.actions import Fail, PolicyAction, Reject, SetTimer, StartAttempt, TimerToken
+from stepstream.model.endpoints import EndpointList, EndpointListKind
+from stepstream.model.events import AttemptEnded, AttemptResult, JobSubmitted, TimerFired
+from stepstream.model.settings import Settings
+from stepstream.policy.load_balancer import LoadBalancer
+from tests.model.builders import IDEMPOTENT, make_endpoint
+
+START_US = 1_000_000
+
+
+class PolicyHarness:
+    """One load balancer, its clock, the actions that it has answered, and events for it."""
+
+    def __init__(self, *classes, workers=4, endpoints=None, seed=1, **settings):
+        """Start with these workers; `settings` are further fields of the policy's settings."""
+        fields = {"attempt_limit": 5, **settings}
+        self.settings = Settings(classes=classes or (IDEMPOTENT,), **fields)
+        self.now_us = START_US
+        self.balancer = LoadBalancer(self.settings, seed, self.now_us)
+        self.job_count = 0
+        self.actions: list[PolicyAction] = []
+        if endpoints is None:
+            endpoints = [make_endpoint(number) for number in range(workers)]
+        persisted = EndpointList(EndpointListKind.PERSISTED, tuple(endpoints))
+        self.start_actions = self.handle(persisted)
+
+    def handle(self, *events):
+        """Give the balancer events; return its actions."""
+        actions = self.balancer.handle(self.now_us, list(events))
+        self.actions += actions
+        return actions
+
+    def advance(self, duration_us):
+        """Let time pass without a timer."""
+        self.now_us += duration_us
+        return self
+
+    def submit(self, job_class=0, tenant=0, budget_us=None, **fields):
+        """Submit a job; return its id and the actions."""
+        self.job_count += 1
+        job_id = f"{self.job_count:016x}"
+        if budget_us is None:
+            budget_us = self.settings.classes[job_class].deadline_us
+        return job_id, self.handle(JobSubmitted(job_id, job_class, budget_us, tenant, **fields))
+
+    def end_attempt(self, job_id, worker, result, attempt=0, job_ended=None, report=None):
+        """Report the end of an attempt; only OK ends the job unless `job_ended` says so."""
+        if job_ended is None:
+            job_ended = result is AttemptResult.OK
+        return self.handle(AttemptEnded(job_id, attempt, worker, result, 1000, job_ended, report))
+
+    def finish_period(self):
+        """Go to the end of the running period, whose first one has a random length."""
+        period_end_us = max(
+            action.at_us
+            for action in self.actions
+            if isinstance(action, SetTimer) and action.token is TimerToken.PERIODIC_TASKS
+        )
+        self.fire_timers(period_end_us - self.now_us)
+        return self
+
+    def fire_timers(self, duration_us=500_000):
+        """Let time pass; fire every timer that is due by then. Return the actions."""
+        self.now_us += duration_us
+        due = [action for action in self.actions if self.is_due(action)]
+        self.actions = [action for action in self.actions if not self.is_due(action)]
+        return self.handle(*[TimerFired(timer.token) for timer in due])
+
+    def is_due(self, action):
+        """Return whether the action is a timer that has come due."""
+        return isinstance(action, SetTimer) and action.at_us <= self.now_us
+
+
+def started_attempts(actions):
+    """Return the attempts that these actions start."""
+    return [action for action in actions if isinstance(action, StartAttempt)]
+
+
+def final_actions(actions):
+    """Return the rejections and failures of jobs among these actions."""
+    return [action for action in actions if isinstance(action, Reject | Fail)]
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,7 +1,6 @@
 """Rejections on arrival, decided on the records of one dispatcher."""
 
 import pytest
-from helpers import SAFE, entry
 
 from stepstream.model.actions import Reject, StartAttempt
 from stepstream.model.events import JobSubmitted
@@ -10,13 +9,14 @@
 from stepstream.model.worker_records import Worker
 from stepstream.policy import capacity
 from stepstream.policy.admission import on_job
+from tests.model.builders import IDEMPOTENT, make_endpoint
 
 NOW_US = 10_000_000
 SETTINGS = Settings(
-    classes=(SAFE,),
+    classes=(IDEMPOTENT,),
     load_report_source=LoadReportSource.ANSWERS,
     may_advise_retry=True,
-    max_retry_after_us=2 * SAFE.latency_objective_us,
+    max_retry_after_us=2 * IDEMPOTENT.latency_objective_us,
 )
 
 
@@ -26,7 +26,7 @@
 )
 def test_a_stale_retry_needs_a_whole_workers_headroom(free_slots, client_retry, rejected):
     state = PolicyState(SETTINGS, 1, NOW_US)
-    worker = Worker(entry(0), 0, 0, state.pools.low_set)
+    worker = Worker(make_endpoint(0), 0, 0, state.pools.low_set)
     worker.busy_slots = 4.0 - free_slots
     worker.headroom = free_slots
     worker.headroom_at_us = NOW_US
--- a/tests/policy/test_capacity.py
+++ b/tests/policy/test_capacity.py
@@ -1,21 +1,21 @@
 """The caps and the headroom of single workers."""
 
 import pytest
-from helpers import SAFE, entry
 
 from stepstream.model.load_report_lag import CANDIDATE_LAGS_US
 from stepstream.model.settings import LoadReportSource, Settings
 from stepstream.model.state import PolicyState
 from stepstream.model.worker_records import Worker
 from stepstream.policy import capacity
+from tests.model.builders import IDEMPOTENT, make_endpoint
 
 START_US = 10_000_000
 
 
 def one_worker(**settings):
     """The state of a dispatcher, and its one worker."""
-    state = PolicyState(Settings(classes=(SAFE,), **settings), 1, START_US)
-    worker = Worker(entry(0), 0, 0, state.pools.low_set)
+    state = PolicyState(Settings(classes=(IDEMPOTENT,), **settings), 1, START_US)
+    worker = Worker(make_endpoint(0), 0, 0, state.pools.low_set)
     state.workers.eligible.append(worker)
     return state, worker
 
--- a/tests/policy/test_cold.py
+++ b/tests/policy/test_cold.py
@@ -15,12 +15,12 @@
 from math import sqrt
 
 import pytest
-from policy_cluster import SimulatedCluster
 
 from stepstream.model.endpoints import Endpoint, EndpointList, EndpointListKind
 from stepstream.model.settings import Effect, JobClass
 from stepstream.policy.load_balancer import LoadBalancer
 from stepstream.policy.slow_start import USED_OVERLOAD_MULTIPLE_FRACTION
+from tests.policy.cluster import SimulatedCluster
 
 WINDOW_US = 2_000_000
 MULTIPLE = 4.0
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -1,7 +1,6 @@
 """Hedged requests beside attempts whose starts are overdue."""
 
 import pytest
-from helpers import SAFE, entry
 
 from stepstream.model.actions import StartAttempt
 from stepstream.model.events import JobSubmitted
@@ -10,6 +9,7 @@
 from stepstream.model.state import PolicyState
 from stepstream.model.worker_records import Worker
 from stepstream.policy.hedging import on_starts_due
+from tests.model.builders import IDEMPOTENT, make_endpoint
 
 NOW_US = 10_000_000
 
@@ -17,14 +17,16 @@
 def hedged_to(busy_slots, **settings):
     """Workers that get a hedged request, where one of two has an overdue attempt of the job."""
     permissions = {"may_hedge": True, "attempt_limit": 2, **settings}
-    state = PolicyState(Settings(classes=(SAFE,), **permissions), 1, NOW_US)
+    state = PolicyState(Settings(classes=(IDEMPOTENT,), **permissions), 1, NOW_US)
     state.measurements.common_cap = 1.0
-    overdue, other = (Worker(entry(index), 0, 0, state.pools.high_set) for index in range(2))
+    overdue, other = (
+        Worker(make_endpoint(index), 0, 0, state.pools.high_set) for index in range(2)
+    )
     state.workers.eligible = [overdue, other]
     overdue.busy_slots = 1.0
     other.busy_slots = busy_slots
     deadline_us = NOW_US + 1_000_000
-    job = InFlightJob(JobSubmitted("a", 0, 1), SAFE, deadline_us, deadline_us, True, 1.0)
+    job = InFlightJob(JobSubmitted("a", 0, 1), IDEMPOTENT, deadline_us, deadline_us, True, 1.0)
     job.attempts.append(Attempt(overdue, NOW_US - 100_000))
     state.jobs.awaited_starts.append(AwaitedStart(NOW_US, job, job.attempts[0]))
     on_starts_due(state)
@@ -34,7 +36,7 @@
 @pytest.mark.parametrize(("busy_slots", "hedged"), [(0.0, True), (1.0, False)])
 def test_a_hedged_request_goes_to_a_worker_with_the_slots_for_it(busy_slots, hedged):
     # A cap alone holds up no priority job, but it does hold up a hedged request.
-    assert hedged_to(busy_slots) == [entry(1).worker_id] * hedged
+    assert hedged_to(busy_slots) == [make_endpoint(1).worker_id] * hedged
 
 
 @pytest.mark.parametrize("forbidden", [{"may_hedge": False}, {"attempt_limit": 1}])
--- a/tests/policy/test_idempotency.py
+++ b/tests/policy/test_idempotency.py
@@ -3,7 +3,6 @@
 from dataclasses import replace
 
 import pytest
-from helpers import KEYED_ALL, KEYED_ZONE, SAFE, UNSAFE, entry
 
 from stepstream.model.events import JobSubmitted
 from stepstream.model.job_records import Attempt, InFlightJob
@@ -16,9 +15,16 @@
     workers_in_idempotency_scope,
 )
 from stepstream.policy.retries import may_attempt
+from tests.model.builders import (
+    IDEMPOTENT,
+    NOT_IDEMPOTENT,
+    WITH_KEY,
+    WITH_KEY_IN_ZONE,
+    make_endpoint,
+)
 
 SENT_US = 1_000_000
-WORKERS = [Worker(entry(k, zone=k % 2, cell=k), 0, 0, Pool()) for k in range(4)]
+WORKERS = [Worker(make_endpoint(k, zone=k % 2, cell=k), 0, 0, Pool()) for k in range(4)]
 
 
 def tried(class_settings, *, never_ran):
@@ -31,12 +37,12 @@
 @pytest.mark.parametrize(
     ("class_settings", "never_ran", "repeats", "harmless"),
     [
-        (SAFE, False, True, True),
-        (SAFE, True, True, True),
-        (UNSAFE, False, False, False),
-        (UNSAFE, True, True, True),
-        (KEYED_ZONE, False, True, False),
-        (KEYED_ALL, False, True, True),
+        (IDEMPOTENT, False, True, True),
+        (IDEMPOTENT, True, True, True),
+        (NOT_IDEMPOTENT, False, False, False),
+        (NOT_IDEMPOTENT, True, True, True),
+        (WITH_KEY_IN_ZONE, False, True, False),
+        (WITH_KEY, False, True, True),
     ],
 )
 def test_the_effect_and_a_possible_run_decide_on_repeats(
@@ -48,8 +54,8 @@
 
 
 def test_a_key_holds_for_its_window_only():
-    job = tried(KEYED_ZONE, never_ran=False)
-    window_us = KEYED_ZONE.idempotency_window_us
+    job = tried(WITH_KEY_IN_ZONE, never_ran=False)
+    window_us = WITH_KEY_IN_ZONE.idempotency_window_us
     assert may_repeat(job, SENT_US + window_us)
     assert not may_repeat(job, SENT_US + window_us + 1)
 
@@ -59,7 +65,7 @@
     [(KeyScope.ALL, [0, 1, 2, 3]), (KeyScope.ZONE, [0, 2]), (KeyScope.CELL, [0])],
 )
 def test_repeats_stay_in_the_key_scope_of_the_first_possible_run(scope, allowed):
-    class_settings = replace(KEYED_ZONE, key_scope=scope)
+    class_settings = replace(WITH_KEY_IN_ZONE, key_scope=scope)
     job = tried(class_settings, never_ran=False)
     assert workers_in_idempotency_scope(job, WORKERS) == [WORKERS[k] for k in allowed]
     never_ran = tried(class_settings, never_ran=True)
@@ -67,7 +73,7 @@
 
 
 def test_attempts_end_with_the_limit_and_with_the_job():
-    job = tried(SAFE, never_ran=False)
+    job = tried(IDEMPOTENT, never_ran=False)
     assert may_attempt(job, 2, SENT_US)
     assert not may_attempt(job, 1, SENT_US)
     job.ended = True
--- a/tests/policy/test_many_dispatchers.py
+++ b/tests/policy/test_many_dispatchers.py
@@ -2,14 +2,13 @@
 
 import heapq
 
-from policy_cluster import SimulatedCluster
-
 from stepstream.model.actions import SetTimer, StartAttempt, WatchEndpoints
 from stepstream.model.endpoints import EndpointList, EndpointListKind
 from stepstream.model.events import JobSubmitted, TimerFired
 from stepstream.model.settings import Effect, JobClass, Settings
 from stepstream.policy.load_balancer import LoadBalancer
 from stepstream.policy.pool_capacity import MAX_FEW_DISPATCHERS
+from tests.policy.cluster import SimulatedCluster
 
 SAFE = JobClass(latency_objective_us=200_000, deadline_us=5_000_000, effect=Effect.IDEMPOTENT)
 FLEET = 40
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -3,7 +3,6 @@
 from dataclasses import replace
 
 import pytest
-from helpers import SAFE, UNSAFE, Bench, entry
 
 from stepstream.model.events import SettingsChanged
 from stepstream.model.pools import Pool
@@ -21,13 +20,15 @@
     postpone_next_probation,
     shorten_class_ejection,
 )
+from tests.model.builders import IDEMPOTENT, NOT_IDEMPOTENT, make_endpoint
+from tests.policy.harness import PolicyHarness
 
 NOW_US = 10_000_000
 
 
 @pytest.fixture
 def worker():
-    return Worker(entry(0), 0, 0, Pool())
+    return Worker(make_endpoint(0), 0, 0, Pool())
 
 
 def test_an_ejection_doubles_from_the_first_to_the_longest():
@@ -75,23 +76,23 @@
 
 
 def test_a_lost_attempt_of_a_class_that_is_gone_does_not_eject_its_worker_as_a_whole():
-    gone, stays = replace(UNSAFE, name="gone"), replace(SAFE, name="stays")
-    bench = Bench(gone, stays)
-    name, _ = bench.job(0)
-    bench.tell(SettingsChanged(replace(bench.settings, classes=(stays,))))
-    (attempt,) = bench.balancer.state.jobs.in_flight[name].attempts
+    gone, stays = replace(NOT_IDEMPOTENT, name="gone"), replace(IDEMPOTENT, name="stays")
+    harness = PolicyHarness(gone, stays)
+    name, _ = harness.submit(0)
+    harness.handle(SettingsChanged(replace(harness.settings, classes=(stays,))))
+    (attempt,) = harness.balancer.state.jobs.in_flight[name].attempts
     attempt.start_overdue = True
-    bench.later(MAX_REPORT_LAG_US + 1).tell()
-    presume_lost(bench.balancer.state, attempt.worker)
+    harness.advance(MAX_REPORT_LAG_US + 1).handle()
+    presume_lost(harness.balancer.state, attempt.worker)
     assert attempt.presumed_lost
-    assert accepts(attempt.worker, 0, bench.now)
-    assert accepts(attempt.worker, ANY_CLASS, bench.now)
+    assert accepts(attempt.worker, 0, harness.now_us)
+    assert accepts(attempt.worker, ANY_CLASS, harness.now_us)
 
 
 def test_an_ejected_class_keeps_its_ejection_by_name_over_a_reload():
-    first, second = replace(SAFE, name="first"), replace(SAFE, name="second")
-    bench = Bench(first, second)
-    worker = bench.balancer.state.workers.by_id[entry(0).worker_id]
-    eject_class(worker, 0, bench.now, bench.now)
-    bench.tell(SettingsChanged(replace(bench.settings, classes=(second, first))))
-    assert [accepts(worker, index, bench.now) for index in (0, 1)] == [True, False]
+    first, second = replace(IDEMPOTENT, name="first"), replace(IDEMPOTENT, name="second")
+    harness = PolicyHarness(first, second)
+    worker = harness.balancer.state.workers.by_id[make_endpoint(0).worker_id]
+    eject_class(worker, 0, harness.now_us, harness.now_us)
+    harness.handle(SettingsChanged(replace(harness.settings, classes=(second, first))))
+    assert [accepts(worker, index, harness.now_us) for index in (0, 1)] == [True, False]
--- a/tests/policy/test_pool_capacity.py
+++ b/tests/policy/test_pool_capacity.py
@@ -1,7 +1,6 @@
 """The cap of a worker in parts of a slot, and the headroom of whole pools."""
 
 import pytest
-from helpers import SAFE, entry
 
 from stepstream.model.pool_load import PoolLoad
 from stepstream.model.settings import Settings
@@ -20,6 +19,7 @@
     pool_headroom,
     summed_caps,
 )
+from tests.model.builders import IDEMPOTENT, make_endpoint
 
 FLEET = 40
 
@@ -68,8 +68,10 @@
     load.averaged_at_us = AVERAGES_SETTLE_US - 1
     learn_from_low_set_start(load, overdue=True)
     assert load.worker_cap == float("inf")
-    assert has_many_dispatchers(Settings(classes=(SAFE,), dispatcher_count=FLEET))
-    assert not has_many_dispatchers(Settings(classes=(SAFE,), dispatcher_count=MAX_FEW_DISPATCHERS))
+    assert has_many_dispatchers(Settings(classes=(IDEMPOTENT,), dispatcher_count=FLEET))
+    assert not has_many_dispatchers(
+        Settings(classes=(IDEMPOTENT,), dispatcher_count=MAX_FEW_DISPATCHERS)
+    )
 
 
 def test_the_high_set_is_loaded_to_the_safety_factor_of_its_caps():
@@ -81,9 +83,9 @@
 
 
 def test_the_headroom_of_a_pool_is_measured_once_a_round_without_ejected_workers():
-    state = PolicyState(Settings(classes=(SAFE,)), 1, 0)
+    state = PolicyState(Settings(classes=(IDEMPOTENT,)), 1, 0)
     low_set = state.pools.low_set
-    state.workers.eligible = [Worker(entry(index), 0, 0, low_set) for index in range(4)]
+    state.workers.eligible = [Worker(make_endpoint(index), 0, 0, low_set) for index in range(4)]
     for worker in state.workers.eligible:
         worker.cap = 3.0
     eject(state.workers.eligible[0], 1_000_000, 0)
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -1,7 +1,6 @@
 """The choice of a worker for one attempt."""
 
 import pytest
-from helpers import SAFE, entry
 
 from stepstream.model.events import JobSubmitted
 from stepstream.model.job_records import Attempt, InFlightJob
@@ -10,21 +9,22 @@
 from stepstream.model.worker_records import Worker
 from stepstream.policy.key_affinity import workers_in_key_order
 from stepstream.policy.selection import choose_worker
+from tests.model.builders import IDEMPOTENT, make_endpoint
 
 NOW_US = 10_000_000
 
 
 def state_with(worker_count, **settings):
     """A state whose workers are all in the Low Set."""
-    state = PolicyState(Settings(classes=(SAFE,), **settings), 1, NOW_US)
+    state = PolicyState(Settings(classes=(IDEMPOTENT,), **settings), 1, NOW_US)
     state.workers.eligible = [
-        Worker(entry(index), 0, 0, state.pools.low_set) for index in range(worker_count)
+        Worker(make_endpoint(index), 0, 0, state.pools.low_set) for index in range(worker_count)
     ]
     return state
 
 
 def job_of(*, priority):
-    return InFlightJob(JobSubmitted("a", 0, 1), SAFE, 0, 0, priority, 1.0)
+    return InFlightJob(JobSubmitted("a", 0, 1), IDEMPOTENT, 0, 0, priority, 1.0)
 
 
 def test_a_repeat_goes_to_a_worker_that_was_not_tried():
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,13 +1,12 @@
 """How often a worker that is warming up gets a job of one dispatcher."""
 
-from helpers import SAFE, entry
-
 from stepstream.model.events import JobSubmitted
 from stepstream.model.job_records import InFlightJob
 from stepstream.model.settings import Settings
 from stepstream.model.state import PolicyState
 from stepstream.model.worker_records import Worker
 from stepstream.policy.slow_start import is_admitted, warm_worker_interval_us
+from tests.model.builders import IDEMPOTENT, make_endpoint
 
 START_US = 10_000_000
 HOUR_US = 3_600_000_000
@@ -15,7 +14,7 @@
 
 def test_frequent_attempts_on_a_cold_worker_are_spaced():
     settings = Settings(
-        classes=(SAFE,),
+        classes=(IDEMPOTENT,),
         cold_capacity_fraction=0.5,
         slow_start_us=HOUR_US,
         overload_multiple=2.0,
@@ -24,9 +23,9 @@
     state = PolicyState(settings, 1, START_US)
     state.measurements.run_times.served_interval_us = 100_000.0
     state.workers.warm_count = 2.0
-    endpoint = entry(0, started_us=START_US)
+    endpoint = make_endpoint(0, started_us=START_US)
     worker = Worker(endpoint, START_US + HOUR_US, START_US, state.pools.low_set)
-    job = InFlightJob(JobSubmitted("a", 0, 1), SAFE, 0, 0, False, 1.0)
+    job = InFlightJob(JobSubmitted("a", 0, 1), IDEMPOTENT, 0, 0, False, 1.0)
     # A warm worker serves a job every 200 ms; the cold one gets 0.6 x 2 x 0.5 of that rate.
     state.now_us = START_US + 330_000
     assert not is_admitted(state, job, worker)
@@ -35,9 +34,13 @@
 
 
 def test_a_warm_worker_serves_its_part_of_the_jobs_by_capacity_and_run_time():
-    settings = Settings(classes=(SAFE, SAFE), dispatcher_count=3, overload_window_us=1_000_000)
+    settings = Settings(
+        classes=(IDEMPOTENT, IDEMPOTENT), dispatcher_count=3, overload_window_us=1_000_000
+    )
     state = PolicyState(settings, 1, START_US)
-    state.workers.eligible = [Worker(entry(index), 0, 0, state.pools.low_set) for index in range(4)]
+    state.workers.eligible = [
+        Worker(make_endpoint(index), 0, 0, state.pools.low_set) for index in range(4)
+    ]
     state.workers.warm_count = 2.5  # some of them are warming up
     # Before any job is served: one job in a window of all dispatchers together.
     assert warm_worker_interval_us(state, 0) == 3 * 1_000_000 * 2.5
--- a/tests/policy/test_waiting.py
+++ b/tests/policy/test_waiting.py
@@ -1,18 +1,17 @@
 """The order of the jobs that wait for headroom."""
 
-from helpers import SAFE
-
 from stepstream.model.events import JobSubmitted
 from stepstream.model.job_records import InFlightJob
 from stepstream.model.settings import Settings
 from stepstream.model.state import PolicyState
 from stepstream.policy.waiting import add_waiting_job, take_waiting_jobs
+from tests.model.builders import IDEMPOTENT
 
 
 def test_priority_jobs_that_wait_come_first_and_others_keep_their_order():
-    state = PolicyState(Settings(classes=(SAFE,)), 1, 0)
+    state = PolicyState(Settings(classes=(IDEMPOTENT,)), 1, 0)
     for name, priority in (("a", False), ("b", True), ("c", False), ("d", True), ("e", False)):
-        job = InFlightJob(JobSubmitted(name, 0, 1), SAFE, 0, 0, priority, 1.0)
+        job = InFlightJob(JobSubmitted(name, 0, 1), IDEMPOTENT, 0, 0, priority, 1.0)
         job.ended = name == "c"  # answered meanwhile
         add_waiting_job(state, job)
     assert [job.request.job_id for job in take_waiting_jobs(state)] == ["b", "d", "a", "e"]
--- a/tests/runtime/test_threads.py
+++ b/tests/runtime/test_threads.py
@@ -1,8 +1,7 @@
 """Threads that outlive a fault."""
 
-from node_helpers import wait_for
-
 from stepstream.runtime.threads import ThreadPool, run_until_closed
+from tests.runtime.waiting import wait_for
 
 
 def test_a_thread_pool_outlives_the_faults_of_its_jobs(capfd):
