--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,11 +3,33 @@
 import contextlib
 
 import pytest
+from hypothesis import HealthCheck, settings
+from hypothesis.stateful import run_state_machine_as_test
 
 from tests.http.scripted_server import ScriptedServer
 from tests.node.dispatcher_process import DispatcherProcess
 from tests.runtime.thread_ends import no_thread_left
 
+# Derandomized: CI must give the same verdict every time.
+STATE_MACHINE_SETTINGS = settings(
+    derandomize=True,
+    deadline=None,
+    max_examples=300,
+    stateful_step_count=30,
+    database=None,
+    suppress_health_check=list(HealthCheck),
+)
+
+
+@pytest.fixture
+def run_state_machine():
+    """Compare code with its model by the random steps of a `RuleBasedStateMachine`."""
+
+    def run(machine):
+        run_state_machine_as_test(machine, settings=STATE_MACHINE_SETTINGS)
+
+    return run
+
 
 @pytest.fixture
 def threads_end():
--- a/tests/core/test_endpoint_set.py
+++ b/tests/core/test_endpoint_set.py
@@ -1,7 +1,7 @@
 """The endpoint set merged from several sources, against a model that keeps a plain set a source."""
 
 from hypothesis import strategies as st
-from walk import walks
+from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from stepstream.core.endpoint_set import EndpointSet, EndpointsUpdated
 from stepstream.model.endpoints import Endpoint, EndpointList, EndpointListKind, EndpointState
@@ -16,25 +16,34 @@
     return EndpointsUpdated(source, EndpointList(kind, endpoints))
 
 
-class EndpointSetModel:
-    """What each source last listed of each id, which source owns it, and what the policy sees."""
+class EndpointSetMachine(RuleBasedStateMachine):
+    """The model: what each source last listed of each id, which source owns it, and what the policy sees."""
 
     def __init__(self):
+        super().__init__()
         self.endpoints = EndpointSet(RecordingLog())
         self.policy_view = {}
         self.listed = {source: {} for source in SOURCES}
         self.owner = {}
 
-    # -- moves ----------------------------------------------------------------------------------
+    # -- rules ----------------------------------------------------------------------------------
 
-    def change(self, move):
-        source, worker, state = move
+    @rule(
+        source=st.sampled_from(SOURCES),
+        worker=st.sampled_from(IDS),
+        state=st.sampled_from(STATES),
+    )
+    def change(self, source, worker, state):
         self.apply(source, EndpointListKind.CHANGES, {worker: state})
 
-    def list_all(self, move):
-        source, states = move
+    @rule(
+        source=st.sampled_from(SOURCES),
+        states=st.dictionaries(st.sampled_from(IDS), st.sampled_from(STATES), max_size=3),
+    )
+    def list_all(self, source, states):
         self.apply(source, EndpointListKind.COMPLETE, states)
 
+    @rule(source=st.sampled_from(SOURCES))
     def fail(self, source):
         failed = EndpointList(EndpointListKind.FAILED)
         assert self.endpoints.apply(EndpointsUpdated(source, failed)) is failed
@@ -71,7 +80,8 @@
 
     # -- checks ---------------------------------------------------------------------------------
 
-    def check(self):
+    @invariant()
+    def agrees_with_the_model(self):
         for worker in IDS:
             listing = [source for source in SOURCES if worker in self.listed[source]]
             assert self.endpoints.contains(worker) == bool(listing)
@@ -87,15 +97,8 @@
             assert self.endpoints.owner(worker) == owner
 
 
-test_endpoint_set_against_its_model = walks(
-    EndpointSetModel,
-    change=st.tuples(st.sampled_from(SOURCES), st.sampled_from(IDS), st.sampled_from(STATES)),
-    list_all=st.tuples(
-        st.sampled_from(SOURCES),
-        st.dictionaries(st.sampled_from(IDS), st.sampled_from(STATES), max_size=3),
-    ),
-    fail=st.sampled_from(SOURCES),
-)
+def test_endpoint_set_against_its_model(run_state_machine):
+    run_state_machine(EndpointSetMachine)
 
 
 def test_a_complete_list_of_one_source_keeps_the_other_sources_workers():
--- a/tests/gearman/test_gearman_service.py
+++ b/tests/gearman/test_gearman_service.py
@@ -4,7 +4,7 @@
 
 import pytest
 from hypothesis import strategies as st
-from walk import walks
+from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from stepstream.core.events import JobStatus, ShutdownStarted
 from stepstream.gearman.codec import Kind
@@ -640,122 +640,149 @@
 # -- random steps against a model -------------------------------------------------------------------------
 
 
-class ServiceModel:
-    """The model: what each client is owed, and how often each workload was handed over."""
+FUNCTIONS = ("revalue", "nav-publish", "once")
+PLACES_OF_CLIENTS = st.integers(0, 2)
+PLACES_OF_WORKERS = st.integers(0, 1)
+PAST_EVERY_DEADLINE_US = 12_000_000
+
+
+class ServiceMachine(RuleBasedStateMachine):
+    """The model: the answers due to each client, and how often each workload was assigned."""
 
     def __init__(self):
+        super().__init__()
         self.harness = ServiceHarness()
         self.clients = [self.harness.connect() for _ in range(3)]
-        self.workers = [
-            self.harness.connect().join(f"w{k}", "revalue", "nav-publish", "once") for k in range(2)
-        ]
-        self.holding = {worker: [] for worker in self.workers}
-        self.owed = {client: 0 for client in self.clients}
-        self.handed, self.serial = {}, 0
-
-    def submit(self, move):
-        k, function, unique, background = move
-        client = self.clients[k]
-        if client not in self.owed:
+        self.workers = [self.connect_worker(place) for place in range(2)]
+        self.assigned = {worker: [] for worker in self.workers}
+        self.due_answers = {client: 0 for client in self.clients}
+        self.assignments = {}  # their number by workload
+        self.submitted = 0
+
+    def connect_worker(self, place):
+        return self.harness.connect().join(f"w{place}", *FUNCTIONS)
+
+    # -- rules ----------------------------------------------------------------------------------
+
+    @rule(
+        place=PLACES_OF_CLIENTS,
+        function=st.sampled_from(FUNCTIONS),
+        unique=st.sampled_from(("", "same")),
+        background=st.booleans(),
+    )
+    def submit(self, place, function, unique, background):
+        client = self.clients[place]
+        if client not in self.due_answers:
             return
-        self.serial += 1
+        self.submitted += 1
         kind = Kind.SUBMIT_JOB_HIGH_BG if background else Kind.SUBMIT_JOB
-        unique = unique or (f"own{self.serial}" if function == "nav-publish" else "")
-        assert submit(client, function, unique, f"{function} {self.serial}", kind)
-        self.owed[client] += not background
-
-    def grab(self, k):
-        worker = self.workers[k]
+        if not unique and function == "nav-publish":
+            unique = f"own{self.submitted}"
+        assert submit(client, function, unique, f"{function} {self.submitted}", kind)
+        if not background:
+            self.due_answers[client] += 1
+
+    @rule(place=PLACES_OF_WORKERS)
+    def grab(self, place):
+        worker = self.workers[place]
         if worker.peer.disconnected:
             return
-        taken = worker.grab()
-        if taken is not None:
-            self.holding[worker].append(taken)
-            self.handed[taken[3]] = self.handed.get(taken[3], 0) + 1
-
-    def report(self, move):
-        k, kind = move
-        worker = self.workers[k]
-        if not self.holding[worker]:
+        job = worker.grab()
+        if job is not None:
+            workload = job[3]
+            self.assigned[worker].append(job)
+            self.assignments[workload] = self.assignments.get(workload, 0) + 1
+
+    @rule(
+        place=PLACES_OF_WORKERS,
+        kind=st.sampled_from((Kind.WORK_COMPLETE, Kind.WORK_FAIL, Kind.WORK_STATUS)),
+    )
+    def report(self, place, kind):
+        worker = self.workers[place]
+        if not self.assigned[worker]:
             return
-        handle, _, _, workload = self.holding[worker][0]
+        handle, _, _, workload = self.assigned[worker][0]
         if kind is Kind.WORK_STATUS:
             worker.send(kind, handle, "1", "2")
             return
-        self.holding[worker].pop(0)
-        worker.send(
-            kind, handle, *((b"made of " + workload,) if kind is Kind.WORK_COMPLETE else ())
-        )
-
-    def leave(self, k):
-        client = self.clients[k]
-        if client in self.owed:
+        self.assigned[worker].pop(0)
+        if kind is Kind.WORK_COMPLETE:
+            worker.send(kind, handle, b"made of " + workload)
+        else:
+            worker.send(kind, handle)
+
+    @rule(place=PLACES_OF_CLIENTS)
+    def disconnect_client(self, place):
+        client = self.clients[place]
+        if client in self.due_answers:
             client.disconnect()
-            del self.owed[client]
+            del self.due_answers[client]
 
-    def renew(self, k):
-        worker = self.workers[k]
+    @rule(place=PLACES_OF_WORKERS)
+    def reconnect_worker(self, place):
+        worker = self.workers[place]
         worker.disconnect()
-        del self.holding[worker]
-        self.workers[k] = again = self.harness.connect().join(
-            f"w{k}", "revalue", "nav-publish", "once"
-        )
-        self.holding[again] = []
-
-    def drain(self, k):
-        self.workers[k].send(Kind.RESET_ABILITIES)
-        assert not self.workers[k].peer.worker.queue
-
-    def undrain(self, k):
-        for function in ("revalue", "nav-publish", "once"):
-            self.workers[k].send(Kind.CAN_DO, function)
-
-    def wait(self, ms):
-        self.harness.advance(ms * 1000)
-
-    def check(self):
-        harness, jobs = self.harness, self.harness.state.jobs
-        assert not harness.log.events
-        for client, owed in self.owed.items():
-            assert len(client.of(*FINALS)) + jobs.submission_count(client.peer) == owed
+        del self.assigned[worker]
+        self.workers[place] = self.connect_worker(place)
+        self.assigned[self.workers[place]] = []
+
+    @rule(place=PLACES_OF_WORKERS)
+    def drain(self, place):
+        self.workers[place].send(Kind.RESET_ABILITIES)
+        assert not self.workers[place].peer.worker.queue
+
+    @rule(place=PLACES_OF_WORKERS)
+    def end_drain(self, place):
+        for function in FUNCTIONS:
+            self.workers[place].send(Kind.CAN_DO, function)
+
+    @rule(duration_ms=st.integers(1, 800))
+    def wait(self, duration_ms):
+        self.harness.advance(duration_ms * 1000)
+
+    # -- checks ---------------------------------------------------------------------------------
+
+    @invariant()
+    def agrees_with_the_model(self):
+        assert not self.harness.log.events
+        self.check_answers()
+        self.check_open_jobs()
+        self.check_queues()
+
+    def check_answers(self):
+        jobs = self.harness.state.jobs
+        for client, due in self.due_answers.items():
+            assert len(client.of(*FINALS)) + jobs.submission_count(client.peer) == due
             for packet in client.of(Kind.WORK_COMPLETE):
                 assert packet.args[1].startswith(b"made of ")
-        opened = [job for job in jobs.by_handle.values() if job.request is not None]
-        assert jobs.open_workload_bytes == sum(job.workload_bytes for job in opened)
-        assert jobs.open_count == len(opened)
-        assert harness.core.open_count == len(opened)
-        waiting = [w.call for m in harness.state.workers.by_id.values() for w in m.queue]
+
+    def check_open_jobs(self):
+        jobs = self.harness.state.jobs
+        open_jobs = [job for job in jobs.by_handle.values() if job.request is not None]
+        assert jobs.open_workload_bytes == sum(job.workload_bytes for job in open_jobs)
+        assert jobs.open_count == len(open_jobs)
+        assert self.harness.core.open_count == len(open_jobs)
+
+    def check_queues(self):
+        workers = self.harness.state.workers.by_id.values()
+        waiting = [waiter.call for worker in workers for waiter in worker.queue]
         assert all(call.open for call in waiting)
         assert len(set(map(id, waiting))) == len(waiting)
-        assert all(n == 1 for workload, n in self.handed.items() if workload.startswith(b"once"))
-
-    def finish(self):
-        self.harness.advance(12_000_000, step=500_000)
-        for client, owed in self.owed.items():
-            assert len(client.of(*FINALS)) == owed
+        for workload, count in self.assignments.items():
+            assert count == 1 or not workload.startswith(b"once")
+
+    def teardown(self):
+        """Check that every client has its answers past every deadline."""
+        self.harness.advance(PAST_EVERY_DEADLINE_US, step=500_000)
+        for client, due in self.due_answers.items():
+            assert len(client.of(*FINALS)) == due
         assert self.harness.core.open_count == 0
         assert not self.harness.state.jobs.submissions
         assert set(self.harness.state.jobs.by_handle) == set(self.harness.state.jobs.retained)
 
 
-test_clients_and_workers_against_their_model = walks(
-    ServiceModel,
-    submit=st.tuples(
-        st.integers(0, 2),
-        st.sampled_from(("revalue", "nav-publish", "once")),
-        st.sampled_from(("", "same")),
-        st.booleans(),
-    ),
-    grab=st.integers(0, 1),
-    report=st.tuples(
-        st.integers(0, 1), st.sampled_from((Kind.WORK_COMPLETE, Kind.WORK_FAIL, Kind.WORK_STATUS))
-    ),
-    leave=st.integers(0, 2),
-    renew=st.integers(0, 1),
-    drain=st.integers(0, 1),
-    undrain=st.integers(0, 1),
-    wait=st.integers(1, 800),
-)
+def test_clients_and_workers_against_their_model(run_state_machine):
+    run_state_machine(ServiceMachine)
 
 
 # -- access control ---------------------------------------------------------------------------------------
--- a/tests/http/test_exchange.py
+++ b/tests/http/test_exchange.py
@@ -2,7 +2,7 @@
 
 import pytest
 from hypothesis import strategies as st
-from walk import walks
+from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from stepstream.http.codec import write_answer
 from stepstream.http.exchange import ExchangePhase, HttpExchange
@@ -10,7 +10,9 @@
 from tests.config.configurations import LIMITS
 
 NOT_STARTED = {"Not-Started": "1"}
-INTERIM, INCOMPLETE = "interim", "incomplete"  # answers that end nothing
+# Answers that end nothing.
+INTERIM = "interim"
+INCOMPLETE = "incomplete"
 # By name: the worker's bytes, and the attempt's result (None: the job is accepted).
 ANSWERS = {
     "accepted": (write_answer(202), None),
@@ -25,29 +27,32 @@
 OPEN = "open"
 
 
-class ExchangeRig:
+class ExchangeMachine(RuleBasedStateMachine):
     """The model: whether the last byte is written, and the first thing that ended the exchange."""
 
     def __init__(self):
+        super().__init__()
         self.exchange = HttpExchange(LIMITS)
         self.written = False
         self.result = OPEN
         self.inside_answer = False
 
-    def write_request(self, _):
-        if self.result == OPEN and not self.written:
-            self.exchange.mark_request_written()
-            self.written = True
+    @precondition(lambda self: self.result == OPEN and not self.written)
+    @rule()
+    def write_request(self):
+        self.exchange.mark_request_written()
+        self.written = True
 
+    @precondition(lambda self: self.result == OPEN and self.written and not self.inside_answer)
+    @rule(name=st.sampled_from(list(ANSWERS)))
     def answer(self, name):
-        if self.result != OPEN or self.inside_answer or not self.written:
-            return
         data, result = ANSWERS[name]
         self.exchange.receive(data)
         self.inside_answer = result == INCOMPLETE
         if result not in (INCOMPLETE, INTERIM):
             self.result = result
 
+    @rule(worker_closes=st.booleans())
     def lose_connection(self, worker_closes):
         if worker_closes and self.written:
             self.exchange.receive(b"")
@@ -57,19 +62,16 @@
             lost = AttemptResult.RESET if self.written else AttemptResult.CONNECT_FAILED
             self.result = lost
 
-    def check(self):
+    @invariant()
+    def agrees_with_the_model(self):
         assert self.exchange.is_over == (self.result != OPEN)
         assert self.exchange.result == (None if self.result == OPEN else self.result)
         accepted = self.exchange.phase is ExchangePhase.JOB_ACCEPTED
         assert accepted == (self.result is None)
 
 
-test_exchange_against_its_model = walks(
-    ExchangeRig,
-    write_request=st.none(),
-    answer=st.sampled_from(list(ANSWERS)),
-    lose_connection=st.booleans(),
-)
+def test_exchange_against_its_model(run_state_machine):
+    run_state_machine(ExchangeMachine)
 
 
 KEPT = write_answer(202)
--- a/tests/http/test_session.py
+++ b/tests/http/test_session.py
@@ -1,7 +1,7 @@
 """Inbound sessions as state machines, by random steps against a model of their states."""
 
 from hypothesis import strategies as st
-from walk import walks
+from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from stepstream.core.commands import Answer, Outcome
 from stepstream.core.events import JobNotification
@@ -25,43 +25,52 @@
 }
 
 
-class SessionModel:
-    """A session beside its model: complete messages that wait, and idle, open or closed."""
+KINDS = st.sampled_from(list(MESSAGES))
+HALF_BYTES = 5
+
+
+class SessionMachine(RuleBasedStateMachine):
+    """The model: complete messages that wait, and whether the session is idle, open or closed."""
 
     def __init__(self):
+        super().__init__()
         self.server_state = ServerState(ClientApi(POLICY_SETTINGS))
         self.session = HttpSession(LIMITS, self.server_state)
         self.rest_of_message = b""
         self.waiting_messages = []
         self.state = "idle"
         self.is_worker = False
-        self.seen = []
+        self.replies = []
         self.expected = []
         self.request = None
 
+    @precondition(lambda self: not self.rest_of_message)
+    @rule(kind=KINDS)
     def send(self, kind):
-        if not self.rest_of_message:
-            self.waiting_messages.append(kind)
-            self.receive(MESSAGES[kind])
+        self.waiting_messages.append(kind)
+        self.receive(MESSAGES[kind])
 
+    @precondition(lambda self: not self.rest_of_message)
+    @rule(kind=KINDS)
     def send_half(self, kind):
-        if not self.rest_of_message:
-            self.rest_of_message = MESSAGES[kind][5:]
-            self.half_sent = kind
-            self.receive(MESSAGES[kind][:5])
-
-    def send_rest(self, _):
-        if self.rest_of_message:
-            self.waiting_messages.append(self.half_sent)
-            data = self.rest_of_message
-            self.rest_of_message = b""
-            self.receive(data)
+        self.rest_of_message = MESSAGES[kind][HALF_BYTES:]
+        self.half_sent = kind
+        self.receive(MESSAGES[kind][:HALF_BYTES])
+
+    @precondition(lambda self: self.rest_of_message)
+    @rule()
+    def send_rest(self):
+        self.waiting_messages.append(self.half_sent)
+        data = self.rest_of_message
+        self.rest_of_message = b""
+        self.receive(data)
 
     def receive(self, data):
         self.record(self.session.receive(data, 0))
         self.advance_model()
 
-    def answer(self, _):
+    @rule()
+    def answer(self):
         reply = self.session.answer(Answer(self.request, Outcome.SERVED, "ok"))
         assert (reply is not None) == (self.state == "open")
         if reply is not None:
@@ -70,20 +79,23 @@
             self.record(self.session.next_events(0))
             self.advance_model()
 
-    def disconnect(self, _):
+    @rule()
+    def disconnect(self):
         open_request = self.session.close()
         assert (open_request is not None) == (self.state == "open")
         self.state = "closed"
 
-    def shut_down(self, _):
-        self.server_state.shutting_down = self.server_state.closing = True
+    @rule()
+    def shut_down(self):
+        self.server_state.shutting_down = True
+        self.server_state.closing = True
 
     def record(self, events):
         for event in events:
             if isinstance(event, Request):
                 self.request = event
             status = int(event.data[9:12]) if isinstance(event, Reply) else None
-            self.seen.append((status, event.close) if status else type(event))
+            self.replies.append((status, event.close) if status else type(event))
 
     def advance_model(self):
         while self.waiting_messages and self.state == "idle":
@@ -108,8 +120,9 @@
         self.expected.append((status, close))
         self.state = "closed" if close else "idle"
 
-    def check(self):
-        assert self.seen == self.expected
+    @invariant()
+    def agrees_with_the_model(self):
+        assert self.replies == self.expected
         phases = {
             "idle": SessionPhase.READING,
             "open": SessionPhase.AWAITING_ANSWER,
@@ -120,12 +133,5 @@
             assert self.session.is_idle == (not self.rest_of_message)
 
 
-test_a_session_behaves_as_its_model = walks(
-    SessionModel,
-    send=st.sampled_from(list(MESSAGES)),
-    send_half=st.sampled_from(list(MESSAGES)),
-    send_rest=st.none(),
-    answer=st.none(),
-    disconnect=st.none(),
-    shut_down=st.none(),
-)
+def test_a_session_behaves_as_its_model(run_state_machine):
+    run_state_machine(SessionMachine)
--- a/tests/identity/test_identity_permissions.py
+++ b/tests/identity/test_identity_permissions.py
@@ -5,7 +5,7 @@
 
 import pytest
 from hypothesis import strategies as st
-from walk import walks
+from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from stepstream.identity.audit import AuditLog
 from stepstream.identity.permissions import (
@@ -147,57 +147,73 @@
     assert new.admit(by_token("few"), "revalue", "north", 1.0).verdict is Verdict.ALLOWED
 
 
-class RateLimiterRig:
-    """The model: exact arithmetic over whole milliseconds."""
+RATE_PER_SECOND = 4
+BURST = 3
+MAX_OPEN_REQUESTS = 2
+TOKEN = 1000  # what one request takes; a level counts in thousandths of a request
+# Quarters of a second and rates of four: sums that floats hold exactly.
+WAITS_MS = (125, 250, 500)
 
-    RATE, BURST, OPEN = 4, 3, 2
+
+class RateLimiterMachine(RuleBasedStateMachine):
+    """The model: exact arithmetic over whole milliseconds."""
 
     def __init__(self):
+        super().__init__()
         caller = Caller(
             "c",
             frozenset(("c",)),
             frozenset(("*",)),
             frozenset(("*",)),
-            False,
-            self.RATE,
-            self.BURST,
-            self.OPEN,
+            rate_per_second=RATE_PER_SECOND,
+            burst=BURST,
+            max_open_requests=MAX_OPEN_REQUESTS,
         )
-        self.engine, self.ms = Permissions((caller,), {}), 0
-        self.level, self.open, self.last = self.BURST * 1000, 0, 0
-
-    def wait(self, ms):
-        self.ms += ms
-
-    def ask(self, _):
-        found = self.engine.admit(by_token("c"), "revalue", "north", self.ms / 1000)
-        if self.open >= self.OPEN:
-            assert found.reason == "too_many_open"
+        self.permissions = Permissions((caller,), {})
+        self.now_ms = 0
+        self.refilled_at_ms = 0
+        self.level = BURST * TOKEN
+        self.open_requests = 0
+
+    @rule(duration_ms=st.sampled_from(WAITS_MS))
+    def wait(self, duration_ms):
+        self.now_ms += duration_ms
+
+    @rule()
+    def admit(self):
+        now_seconds = self.now_ms / 1000
+        decision = self.permissions.admit(by_token("c"), "revalue", "north", now_seconds)
+        if self.open_requests >= MAX_OPEN_REQUESTS:
+            assert decision.reason == "too_many_open"
             return
-        self.level = min(self.level + (self.ms - self.last) * self.RATE, self.BURST * 1000)
-        self.last = self.ms
-        if self.level < 1000:
-            assert found.reason == "over_rate"
-            assert found.retry_after_seconds == pytest.approx(
-                (1000 - self.level) / 1000 / self.RATE
-            )
+        self.refill()
+        if self.level < TOKEN:
+            assert decision.reason == "over_rate"
+            missing_seconds = (TOKEN - self.level) / TOKEN / RATE_PER_SECOND
+            assert decision.retry_after_seconds == pytest.approx(missing_seconds)
             return
-        assert found.verdict is Verdict.ALLOWED
-        self.level, self.open = self.level - 1000, self.open + 1
+        assert decision.verdict is Verdict.ALLOWED
+        self.level -= TOKEN
+        self.open_requests += 1
 
-    def end(self, _):
-        self.engine.release("c")
-        self.open = max(self.open - 1, 0)
+    def refill(self):
+        refilled = (self.now_ms - self.refilled_at_ms) * RATE_PER_SECOND
+        self.level = min(self.level + refilled, BURST * TOKEN)
+        self.refilled_at_ms = self.now_ms
 
-    def check(self):
-        limiter = self.engine.rate_limiters.get("c")
-        assert limiter is None or limiter.open_requests == self.open
+    @rule()
+    def end(self):
+        self.permissions.release("c")
+        self.open_requests = max(self.open_requests - 1, 0)
 
+    @invariant()
+    def agrees_with_the_model(self):
+        limiter = self.permissions.rate_limiters.get("c")
+        assert limiter is None or limiter.open_requests == self.open_requests
 
-# Quarters of a second and rates of four: sums that floats hold exactly.
-test_rate_limiters_against_their_model = walks(
-    RateLimiterRig, wait=st.sampled_from((125, 250, 500)), ask=st.none(), end=st.none()
-)
+
+def test_rate_limiters_against_their_model(run_state_machine):
+    run_state_machine(RateLimiterMachine)
 
 
 # -- audit ------------------------------------------------------------------------------------------------
