--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -2,12 +2,23 @@
 
 from stepstream.model.actions import Fail, PolicyAction, Reject, SetTimer, StartAttempt, TimerToken
 from stepstream.model.endpoints import EndpointList, EndpointListKind
-from stepstream.model.events import AttemptEnded, AttemptResult, JobSubmitted, TimerFired
-from stepstream.model.settings import Settings
+from stepstream.model.events import (
+    AttemptEnded,
+    AttemptResult,
+    HealthChecked,
+    JobSubmitted,
+    TimerFired,
+)
+from stepstream.model.settings import LoadReportSource, Settings
 from stepstream.policy.load_balancer import LoadBalancer
 from tests.model.builders import IDEMPOTENT, make_endpoint
 
 START_US = 1_000_000
+# Settings of a platform whose workers report their load in their answers.
+WITH_LOAD_REPORTS = {
+    "load_report_source": LoadReportSource.ANSWERS,
+    "load_report_columns": ("queue", "free_slots"),
+}
 
 
 class PolicyHarness:
@@ -51,6 +62,24 @@
             job_ended = result is AttemptResult.OK
         return self.handle(AttemptEnded(job_id, attempt, worker, result, 1000, job_ended, report))
 
+    def serve(self, gap_us=1000, report=None, **fields):
+        """Let time pass, submit a job and end its first attempt with OK; return the worker's id."""
+        job_id, actions = self.advance(gap_us).submit(**fields)
+        worker_id = first_worker(actions)
+        self.end_attempt(job_id, worker_id, AttemptResult.OK, report=report)
+        return worker_id
+
+    def report_headroom(self, number, headroom):
+        """Report a worker's free slots, or its queue where the number is below 0."""
+        report = {"free_slots": max(headroom, 0.0), "queue": max(-headroom, 0.0)}
+        worker_id = make_endpoint(number).worker_id
+        return self.handle(HealthChecked(worker_id, True, 500, report))
+
+    def report_headrooms(self, headrooms):
+        """Report every worker's headroom, by health checks."""
+        for number, headroom in enumerate(headrooms):
+            self.report_headroom(number, headroom)
+
     def finish_period(self):
         """Go to the end of the running period, whose first one has a random length."""
         period_end_us = max(
@@ -78,6 +107,16 @@
     return [action for action in actions if isinstance(action, StartAttempt)]
 
 
+def first_worker(actions):
+    """Return the id of the worker of the first attempt that these actions start."""
+    return started_attempts(actions)[0].worker_id
+
+
+def workers_of(actions):
+    """Return the ids of the workers of the attempts that these actions start."""
+    return [attempt.worker_id for attempt in started_attempts(actions)]
+
+
 def final_actions(actions):
     """Return the rejections and failures of jobs among these actions."""
     return [action for action in actions if isinstance(action, Reject | Fail)]
--- /dev/null
+++ b/tests/policy/test_quota_scenarios.py
@@ -0,0 +1,72 @@
+"""Tenants within and over their quotas, as the balancer treats their jobs."""
+
+from stepstream.model.actions import Reject
+from stepstream.model.events import AttemptResult
+from tests.model.builders import IDEMPOTENT
+from tests.policy.harness import (
+    WITH_LOAD_REPORTS,
+    PolicyHarness,
+    final_actions,
+    first_worker,
+    started_attempts,
+)
+
+OVER_QUOTA = 0  # a tenant
+WITHIN_QUOTA = 1  # a tenant
+
+
+def test_a_tenant_within_its_quota_is_recognized_by_its_fraction_of_the_jobs():
+    # Its quota by dispatcher is under one job a second: by that rate every tenant was over it.
+    harness = PolicyHarness(
+        IDEMPOTENT,
+        workers=6,
+        dispatcher_count=170,
+        quotas_per_s=(40.0, 13.0, 13.0),
+        over_quota_weight_fraction=0.05,
+    )
+    priorities = {0: [], 1: [], 2: []}
+    for number in range(400):
+        # The first tenant sends 8 jobs in 10, three times its quota.
+        tenant = 1 + number % 2 if number % 10 < 2 else 0
+        job_id, actions = harness.advance(10_000).submit(tenant=tenant)
+        for attempt in started_attempts(actions):
+            priorities[tenant].append(harness.balancer.state.jobs.in_flight[job_id].priority)
+            harness.end_attempt(job_id, attempt.worker_id, AttemptResult.OK)
+    within = priorities[1][20:] + priorities[2][20:]
+    over = priorities[0][100:]
+    assert sum(within) >= 0.95 * len(within)
+    assert 0.3 <= sum(over) / len(over) <= 0.75
+
+
+def harness_with_tenant_over_quota(headrooms):
+    """Return a balancer, and the id and the actions of a job of the tenant that is over quota."""
+    harness = PolicyHarness(
+        IDEMPOTENT,
+        workers=len(headrooms),
+        quotas_per_s=(1.0, 1000.0),
+        over_quota_weight_fraction=0.05,
+        **WITH_LOAD_REPORTS,
+    )
+    for number in range(60):
+        job_id, actions = harness.advance(1000).submit(tenant=number % 2)
+        for attempt in started_attempts(actions):
+            harness.end_attempt(job_id, attempt.worker_id, AttemptResult.OK)
+    harness.advance(400_000)
+    harness.report_headrooms(headrooms)
+    return harness, *harness.submit(tenant=OVER_QUOTA)
+
+
+def test_a_job_over_quota_gets_one_attempt():
+    # Retried again and again, such jobs took the workers from tenants within their quotas.
+    harness, job_id, actions = harness_with_tenant_over_quota([3.0] * 6)
+    after_full = harness.end_attempt(job_id, first_worker(actions), AttemptResult.FULL)
+    assert final_actions(after_full) == [Reject(job_id)]
+    job_id, actions = harness.submit(tenant=WITHIN_QUOTA)
+    after_full = harness.end_attempt(job_id, first_worker(actions), AttemptResult.FULL)
+    assert started_attempts(after_full)
+
+
+def test_a_job_over_quota_leaves_a_slot_free():
+    harness, _, actions = harness_with_tenant_over_quota([1.0] * 6)
+    assert not started_attempts(actions)
+    assert started_attempts(harness.submit(tenant=WITHIN_QUOTA)[1])
