--- /dev/null
+++ b/tests/policy/test_pools.py
@@ -0,0 +1,149 @@
+"""The High Set and the Low Set, as the balancer's actions and state show them."""
+
+from stepstream.model.actions import Reject
+from stepstream.model.endpoints import EndpointList, EndpointListKind, EndpointState
+from stepstream.model.events import AttemptResult
+from stepstream.model.settings import Effect, JobClass
+from tests.model.builders import HIGH_PRIORITY, IDEMPOTENT, NOT_IDEMPOTENT, make_endpoint
+from tests.policy.harness import (
+    PolicyHarness,
+    final_actions,
+    first_worker,
+    started_attempts,
+    workers_of,
+)
+
+OVER_QUOTA = 0  # a tenant that nearly always is
+WITHIN_QUOTA = 1  # a tenant that always is
+QUOTAS = {"quotas_per_s": (0.5, 1000.0), "over_quota_weight_fraction": 0.05}
+START_PRIORITY_FRACTION = 0.2
+
+
+def serve_both_tenants(harness, count=40):
+    """Serve jobs of both tenants in turn, so that the mean weight lies between theirs."""
+    for number in range(count):
+        job_id, actions = harness.advance(1000).submit(tenant=number % 2)
+        for attempt in started_attempts(actions):
+            harness.end_attempt(job_id, attempt.worker_id, AttemptResult.OK)
+
+
+def harness_with_both_tenants(workers):
+    """Return a balancer that has served both tenants."""
+    harness = PolicyHarness(IDEMPOTENT, workers=workers, **QUOTAS)
+    serve_both_tenants(harness)
+    return harness
+
+
+def workers_of_tenant(harness, tenant, count=60):
+    """Serve jobs of a tenant; return the ids of their workers."""
+    worker_ids = set()
+    for _ in range(count):
+        job_id, actions = harness.advance(1000).submit(tenant=tenant)
+        for attempt in started_attempts(actions):
+            worker_ids.add(attempt.worker_id)
+            harness.end_attempt(job_id, attempt.worker_id, AttemptResult.OK)
+    return worker_ids
+
+
+def test_the_high_set_starts_with_the_lowest_ids_by_the_formula():
+    harness = harness_with_both_tenants(workers=10)
+    # ceil(0.2 * 10 + 10 * 0.8 * (1 - 18 / 26)) = 5
+    worker_ids = sorted(make_endpoint(number).worker_id for number in range(10))
+    assert workers_of_tenant(harness, WITHIN_QUOTA) == set(worker_ids[:5])
+    assert workers_of_tenant(harness, OVER_QUOTA) == set(worker_ids[5:])
+
+
+def test_nothing_is_rejected_before_the_first_full():
+    harness = harness_with_both_tenants(workers=4)
+    for _ in range(300):
+        actions = harness.advance(1000).submit(tenant=OVER_QUOTA)[1]
+        assert started_attempts(actions)
+        assert not final_actions(actions)
+
+
+def test_ordinary_jobs_are_rejected_over_the_low_sets_caps_and_priority_jobs_are_not():
+    harness = harness_with_both_tenants(workers=4)
+    job_id, actions = harness.submit(tenant=OVER_QUOTA)
+    # Caps are known from here on.
+    harness.end_attempt(job_id, first_worker(actions), AttemptResult.FULL)
+    ordinary = [harness.advance(1000).submit(tenant=OVER_QUOTA)[1] for _ in range(30)]
+    assert any(final_actions(actions) for actions in ordinary)
+    priority = [harness.advance(1000).submit(tenant=WITHIN_QUOTA)[1] for _ in range(5)]
+    assert all(started_attempts(actions) for actions in priority)
+    assert any(isinstance(action, Reject) for actions in ordinary for action in actions)
+
+
+def test_the_high_set_borrows_when_over_its_caps_and_gives_back_when_idle():
+    harness = harness_with_both_tenants(workers=6)
+    before = workers_of_tenant(harness, WITHIN_QUOTA)
+    job_id, actions = harness.submit(tenant=WITHIN_QUOTA)
+    harness.end_attempt(job_id, first_worker(actions), AttemptResult.FULL)
+    submitted = [harness.submit(tenant=WITHIN_QUOTA) for _ in range(40)]
+    for _ in range(3):
+        harness.fire_timers()
+    for job_id, actions in submitted:
+        for worker_id in workers_of(actions):
+            harness.end_attempt(job_id, worker_id, AttemptResult.OK)
+    grown = workers_of_tenant(harness, WITHIN_QUOTA)
+    assert len(before) < len(grown) < 6  # a worker always stays in the Low Set
+    for _ in range(10):
+        harness.fire_timers()
+    assert len(workers_of_tenant(harness, WITHIN_QUOTA)) < len(grown)
+
+
+def test_a_class_that_only_the_other_pool_can_run_goes_there():
+    only_kind_1 = JobClass(400_000, 5_000_000, Effect.IDEMPOTENT, worker_kind=1)
+    for able in (0, 3):
+        endpoints = [make_endpoint(number, worker_kind=int(number == able)) for number in range(4)]
+        harness = PolicyHarness(only_kind_1, endpoints=endpoints, **QUOTAS)
+        for tenant in (0, 1):
+            for _ in range(10):
+                actions = harness.advance(1000).submit(tenant=tenant)[1]
+                assert first_worker(actions) == make_endpoint(able).worker_id
+
+
+def test_the_low_set_keeps_a_worker_when_all_of_it_is_removed():
+    harness = PolicyHarness(IDEMPOTENT, workers=6, **QUOTAS)
+    state = harness.balancer.state
+    high_set = state.pools.high_set
+    removed = tuple(
+        make_endpoint(number, state=EndpointState.REMOVED)
+        for number in range(6)
+        if state.workers.by_id[make_endpoint(number).worker_id].pool is not high_set
+    )
+    assert removed
+    harness.handle(EndpointList(EndpointListKind.CHANGES, removed))
+    assert sum(worker.pool is not high_set for worker in state.workers.eligible) == 1
+
+
+def test_equal_weights_count_as_priority():
+    harness = PolicyHarness(IDEMPOTENT, IDEMPOTENT, workers=4)
+    for number in range(50):
+        assert started_attempts(harness.advance(1000).submit(number % 2)[1])
+    job_mix = harness.balancer.state.measurements.job_mix
+    assert job_mix.priority_fraction > START_PRIORITY_FRACTION
+
+
+def test_the_class_with_the_higher_weight_is_priority():
+    harness = PolicyHarness(IDEMPOTENT, HIGH_PRIORITY, workers=10)
+    worker_ids = {0: set(), 1: set()}  # by class
+    for number in range(200):
+        worker_id = harness.serve(job_class=number % 2)
+        if number > 100:
+            worker_ids[number % 2].add(worker_id)
+    assert not worker_ids[0] & worker_ids[1]
+
+
+def test_the_rotation_is_weighted():
+    endpoints = [
+        make_endpoint(0, weight=1.0),
+        make_endpoint(1, weight=3.0),
+        make_endpoint(2, weight=1.0),
+    ]
+    weights = {endpoint.worker_id: endpoint.weight for endpoint in endpoints}
+    harness = PolicyHarness(IDEMPOTENT, NOT_IDEMPOTENT, endpoints=endpoints)
+    worker_ids = [harness.serve() for _ in range(80)]
+    total = sum(weights[worker_id] for worker_id in set(worker_ids))
+    for worker_id in set(worker_ids):
+        expected = 80 * weights[worker_id] / total
+        assert abs(worker_ids.count(worker_id) - expected) <= 1
