--- a/tests/core/harness.py
+++ b/tests/core/harness.py
@@ -13,6 +13,7 @@
 
 
 def commands_of_type(kind, commands):
+    """Return the commands of a type."""
     return [command for command in commands if isinstance(command, kind)]
 
 
@@ -23,9 +24,11 @@
         self.events = []
 
     def internal_fault(self, *, where, error):
+        """Keep the event of a fault."""
         self.events.append(("internal_fault", where, repr(error)))
 
     def worker_id_conflict(self, *, worker, source, owner):
+        """Keep the event of an id that two sources list."""
         self.events.append(("worker_id_conflict", worker, source, owner))
 
 
--- a/tests/gearman/service_harness.py
+++ b/tests/gearman/service_harness.py
@@ -2,6 +2,8 @@
 
 from dataclasses import replace
 
+import msgspec
+
 from stepstream.config.operator_file import GearmanSection
 from stepstream.core.commands import Answer, Progress, StartCall, StopCall
 from stepstream.core.dispatcher import Dispatcher
@@ -19,11 +21,12 @@
 
 START_US = 1_800_000_000_000_000
 SECTION = GearmanSection(listen="127.0.0.1:4730", tenant="tatra-invest", queue=2)
-UNSAFE = JobClass(
+FINAL_KINDS = (Kind.WORK_COMPLETE, Kind.WORK_FAIL)
+NOT_IDEMPOTENT_CLASS = JobClass(
     latency_objective_us=200_000, deadline_us=5_000_000, effect=Effect.NOT_IDEMPOTENT, name="once"
 )
 SETTINGS_WITH_UNSAFE = replace(
-    POLICY_SETTINGS, classes=(*POLICY_SETTINGS.classes, UNSAFE), polls_endpoints=False
+    POLICY_SETTINGS, classes=(*POLICY_SETTINGS.classes, NOT_IDEMPOTENT_CLASS), polls_endpoints=False
 )
 
 
@@ -40,9 +43,11 @@
         self.ended = False
 
     def send(self, kind, *args):
+        """Send a packet; return the packets that come back."""
         return self.send_bytes(codec.request(kind, *args))
 
     def send_bytes(self, data):
+        """Send bytes; return the packets that come back."""
         before = len(self.received)
         for step in self.session.feed(data):
             if isinstance(step, Reply):
@@ -57,6 +62,7 @@
         return self.received[before:]
 
     def receive(self, data, close):
+        """Keep what the service sends: packets, or the text of a command's answer."""
         if data[:1] != b"\0":
             self.text += data
             return
@@ -66,20 +72,23 @@
         self.ended = self.ended or close
 
     def of(self, *kinds):
+        """Return the received packets of these kinds."""
         return [packet for packet in self.received if packet.kind in kinds]
 
     def disconnect(self):
+        """End the connection."""
         self.harness.service.disconnect(self.peer)
         self.harness.settle()
 
     def join(self, name="w", *functions, extra=""):
+        """Register as a worker; `extra` is appended to the client id."""
         self.send(Kind.SET_CLIENT_ID, f"{name};start=1{extra}")
         for function in functions or ("revalue", "nav-publish"):
             self.send(Kind.CAN_DO, function)
         return self
 
     def grab(self):
-        """The job handed over (handle, function, unique, workload), or None."""
+        """Return the assigned job (handle, function, unique, workload), or None."""
         (packet,) = [
             p
             for p in self.send(Kind.GRAB_JOB_UNIQ)
@@ -113,23 +122,29 @@
 
     @property
     def state(self):
+        """The service's state."""
         return self.service.state
 
     def new_request_id(self):
+        """Return the next request id."""
         self.request_count += 1
         return f"{self.request_count:016x}"
 
     def on_answer(self, job, answer):
+        """Hand a final answer to the service."""
         self.service.answer(self.now_us, job, answer)
 
     def on_progress(self, job, done, of):
+        """Hand a job's progress to the service."""
         self.service.progress(job, done, of)
 
     def connect(self):
+        """Return a new peer."""
         self.peers.append(FakePeer(self))
         return self.peers[-1]
 
     def http_worker(self, name="s-1"):
+        """List a worker of discovery."""
         self.post(
             EndpointsUpdated(
                 "discovery", EndpointList(EndpointListKind.COMPLETE, (Endpoint(name),))
@@ -137,10 +152,12 @@
         )
 
     def post(self, *events):
+        """Give the core events, and deliver what comes of them."""
         self.run(list(events))
         self.settle()
 
     def settle(self):
+        """Deliver what the service sends, until nothing is left."""
         while True:
             output = self.service.take_output()
             for send in output.sends:
@@ -152,14 +169,16 @@
             self.run(output.events)
 
     def run(self, events):
+        """Run one round of the core, and execute its commands."""
         for command in self.core.handle(self.now_us, events):
             match command:
                 case StartCall(call):
                     gearman = self.core.endpoints.owner(call.worker_id) == SOURCE
                     call.carrier = self.service if gearman else None
-                    self.service.start(self.now_us, call) if gearman else self.http_calls.append(
-                        call
-                    )
+                    if gearman:
+                        self.service.start(self.now_us, call)
+                    else:
+                        self.http_calls.append(call)
                 case StopCall(call):
                     self.stopped_calls.append(call)
                     self.service.stop(call)
@@ -169,13 +188,15 @@
                     request.response_sink.progress(done, of)
 
     def notify_http(self, call, status, result=None, progress=None):
+        """Notify the core of a call's status at its worker of discovery."""
         self.post(JobNotification(call.request.id, call.worker_id, status, result, progress))
 
     def complete_http(self, call, result="17.5"):
+        """Notify the core that a call at a worker of discovery is done."""
         self.notify_http(call, JobStatus.DONE, result)
 
     def advance(self, us, step=100_000):
-        """Time passes; timers ring as they come due."""
+        """Let time pass; timers fire as they come due."""
         until = self.now_us + us
         while self.now_us < until:
             due = self.core.next_timer_us()
@@ -186,3 +207,36 @@
             self.service.run_periodic_tasks(self.now_us)
             self.settle()
         assert not self.log.events
+
+
+def make_section(**fields):
+    """Return the operator's section with other values."""
+    return msgspec.structs.replace(SECTION, **fields)
+
+
+def harness_with_worker(**options):
+    """Return a harness and a worker that has registered."""
+    harness = ServiceHarness(**options)
+    worker = harness.connect().join()
+    harness.advance(10_000)
+    return harness, worker
+
+
+def submit_job(peer, function="revalue", unique="", data="x", kind=Kind.SUBMIT_JOB):
+    """Submit a job; return its handle."""
+    packets = peer.send(kind, function, unique, data)
+    (packet,) = [packet for packet in packets if packet.kind is Kind.JOB_CREATED]
+    return packet.args[0]
+
+
+def error_code(packets):
+    """Return the code of the one error among these packets."""
+    (packet,) = [packet for packet in packets if packet.kind is Kind.ERROR]
+    return packet.args[0].decode()
+
+
+def job_status(peer, handle):
+    """Ask for a job's status; return known, running, numerator and denominator."""
+    packets = peer.send(Kind.GET_STATUS, handle)
+    (packet,) = [packet for packet in packets if packet.kind is Kind.STATUS_RES]
+    return tuple(int(number) for number in packet.args[1:])
--- /dev/null
+++ b/tests/gearman/test_gearman_clients.py
@@ -0,0 +1,130 @@
+"""Clients that disconnect, coalesce their jobs or submit them in the background."""
+
+from stepstream.gearman.codec import Kind
+from tests.gearman.service_harness import (
+    FINAL_KINDS,
+    SECTION,
+    ServiceHarness,
+    harness_with_worker,
+    job_status,
+    make_section,
+    submit_job,
+)
+
+
+def test_a_job_whose_client_disconnects_is_given_up_and_cancelled_at_the_http_node():
+    harness = ServiceHarness()
+    harness.http_worker()
+    client = harness.connect()
+    submit_job(client)
+    client.disconnect()
+    assert [call.worker_id for call in harness.stopped_calls] == ["s-1"]
+    assert not harness.core.requests
+    assert not harness.state.jobs.by_handle
+
+
+def test_a_queued_job_is_dropped_when_its_client_disconnects():
+    harness, worker = harness_with_worker()
+    client = harness.connect()
+    submit_job(client)
+    client.disconnect()
+    assert worker.grab() is None
+
+
+def test_a_coalesced_job_is_given_up_when_its_last_client_disconnects():
+    harness, worker = harness_with_worker()
+    clients = [harness.connect() for _ in range(3)]
+    handles = {submit_job(client, unique="same", data=f"{k}") for k, client in enumerate(clients)}
+    assert len(handles) == 1
+    assert len(harness.core.requests) == 1
+    assigned = worker.grab()
+    assert assigned[3] == b"0"
+    assert worker.grab() is None
+    clients[0].disconnect()
+    clients[1].disconnect()
+    assert harness.core.open_count == 1
+    worker.send(Kind.WORK_COMPLETE, assigned[0], "r")
+    assert [p.args[1] for p in clients[2].of(*FINAL_KINDS)] == [b"r"]
+    # Ended: the same unique is a new job.
+    assert submit_job(clients[2], unique="same") not in handles
+    clients[2].disconnect()
+    assert harness.core.open_count == 0
+
+
+def test_a_client_that_submits_one_unique_twice_gets_two_outcomes():
+    harness, worker = harness_with_worker()
+    client = harness.connect()
+    assert submit_job(client, unique="u") == submit_job(client, unique="u")
+    worker.send(Kind.WORK_COMPLETE, worker.grab()[0], "r")
+    assert len(client.of(Kind.WORK_COMPLETE)) == 2
+
+
+def test_the_same_unique_of_another_tenant_or_class_is_another_job():
+    harness, _ = harness_with_worker()
+    client = harness.connect()
+    functions = (
+        "tatra-invest/revalue",
+        "hron-asset/revalue",
+        "tatra-invest/nav-publish",
+        "revalue",
+    )
+    assert (
+        len({submit_job(client, function, "u") for function in functions}) == 3
+    )  # a bare one is tatra-invest's
+    assert submit_job(client, "revalue", "-", "w") == submit_job(client, "revalue", "-", "w")
+    assert submit_job(client, "revalue", "-", "v") != submit_job(client, "revalue", "-", "w")
+
+
+def test_a_background_job_goes_on_without_its_client_and_its_status_can_be_read():
+    harness, worker = harness_with_worker()
+    submitter = harness.connect()
+    client = harness.connect()
+    handle = submit_job(submitter, unique="bg", kind=Kind.SUBMIT_JOB_LOW_BG)
+    submitter.disconnect()
+    assigned = worker.grab()[0]
+    worker.send(Kind.WORK_STATUS, assigned, "3", "9")
+    assert job_status(client, handle) == (1, 1, 3, 9)
+    worker.send(Kind.WORK_COMPLETE, assigned, "r")
+    assert job_status(client, handle) == (1, 0, 9, 9)
+    (packet,) = client.send(Kind.GET_STATUS_UNIQUE, "bg")
+    assert packet.args == (b"bg", b"1", b"0", b"9", b"9", b"0")
+    harness.advance((SECTION.keep_s + 1) * 1_000_000, step=10_000_000)
+    assert job_status(client, handle) == (0, 0, 0, 0)
+    assert not harness.state.jobs.latest_by_unique
+
+
+def test_the_status_differs_for_rejected_and_failed_background_jobs():
+    harness = ServiceHarness()
+    client = harness.connect()
+    handle = submit_job(client, kind=Kind.SUBMIT_JOB_BG)
+    assert job_status(client, handle) == (1, 0, 0, 0)
+    harness.advance(1_000_000)
+    known, running, retry_after_ms, of = job_status(client, handle)
+    assert (known, running, of) == (1, 0, 0)
+    assert retry_after_ms >= 1
+    harness, worker = harness_with_worker()
+    worker.send(Kind.CAN_DO, "once")
+    client = harness.connect()
+    handle = submit_job(client, "once", kind=Kind.SUBMIT_JOB_BG)
+    worker.send(Kind.WORK_FAIL, worker.grab()[0])
+    assert job_status(client, handle) == (1, 0, 0, 1)
+
+
+def test_a_foreground_client_that_joins_a_background_job_may_disconnect_again():
+    harness, worker = harness_with_worker()
+    background_handle = submit_job(harness.connect(), unique="u", kind=Kind.SUBMIT_JOB_BG)
+    foreground = harness.connect()
+    assert submit_job(foreground, unique="u") == background_handle
+    foreground.disconnect()
+    assert worker.grab() is not None
+    assert harness.core.open_count == 1
+
+
+def test_retained_outcomes_are_bounded_and_the_oldest_go_first():
+    harness, worker = harness_with_worker(section=make_section(keep_most=2))
+    client = harness.connect()
+    handles = []
+    for _ in range(3):
+        handles.append(submit_job(client, kind=Kind.SUBMIT_JOB_BG))
+        worker.send(Kind.WORK_COMPLETE, worker.grab()[0], "")
+    assert [job_status(client, handle)[0] for handle in handles] == [0, 1, 1]
--- /dev/null
+++ b/tests/gearman/test_gearman_jobs.py
@@ -0,0 +1,144 @@
+"""Submitted jobs and their outcomes, on the real core and policy without a socket."""
+
+from dataclasses import replace
+
+import pytest
+
+from stepstream.core.events import JobStatus
+from stepstream.gearman.codec import Kind
+from tests.config.configurations import LIMITS
+from tests.gearman.service_harness import (
+    ServiceHarness,
+    error_code,
+    harness_with_worker,
+    make_section,
+    submit_job,
+)
+
+
+def test_a_job_goes_to_a_worker_and_its_result_comes_back_in_the_order_sent():
+    harness, worker = harness_with_worker()
+    client = harness.connect()
+    handle = submit_job(client, "tatra-invest/revalue+2", "u1", "body")
+    assigned, function, unique, workload = worker.grab()
+    assert (function, workload) == (b"revalue", b"body")
+    assert assigned != handle
+    worker.send(Kind.WORK_STATUS, assigned, "1", "4")
+    worker.send(Kind.WORK_DATA, assigned, "part")
+    worker.send(Kind.WORK_WARNING, assigned, "hm")
+    worker.send(Kind.WORK_COMPLETE, assigned, "end")
+    kinds = [(p.kind, p.args[1:]) for p in client.received]
+    assert kinds == [
+        (Kind.JOB_CREATED, ()),
+        (Kind.WORK_STATUS, (b"1", b"4")),
+        (Kind.WORK_DATA, (b"part",)),
+        (Kind.WORK_WARNING, (b"hm",)),
+        (Kind.WORK_COMPLETE, (b"end",)),
+    ]
+    assert not harness.core.requests
+    assert not harness.state.jobs.by_handle
+    assert harness.state.jobs.open_workload_bytes == 0
+
+
+def test_a_job_that_failed_after_data_serves_only_what_the_second_worker_made():
+    harness, first = harness_with_worker()
+    second = harness.connect().join("v")
+    client = harness.connect()
+    submit_job(client)
+    worker, other = (first, second) if (taken := first.grab()) else (second, first)
+    assigned = (taken or worker.grab())[0]
+    worker.send(Kind.WORK_DATA, assigned, "half of the first")
+    worker.disconnect()
+    other.send(Kind.WORK_COMPLETE, other.grab()[0], "whole of the second")
+    assert [p.args[1] for p in client.of(Kind.WORK_DATA, Kind.WORK_COMPLETE)] == [
+        b"whole of the second"
+    ]
+
+
+def test_a_gearman_job_runs_on_an_http_node_with_its_key_and_progress():
+    harness = ServiceHarness()
+    harness.http_worker()
+    client = harness.connect()
+    submit_job(client, "nav-publish", "key-1", "body")
+    (call,) = harness.http_calls
+    assert (call.request.payload.path, call.request.payload.body) == ("/nav-publish", b"body")
+    assert call.request.payload.idempotency_key == "key-1"
+    harness.notify_http(call, JobStatus.RUNNING, progress=(400, 1000))
+    harness.complete_http(call)
+    assert [p.args[1:] for p in client.received[1:]] == [(b"400", b"1000"), (b"17.5",)]
+
+
+def test_rejected_and_failed_jobs_differ_and_a_rejected_one_has_a_retry_after():
+    harness = ServiceHarness()  # no worker at all: refused once its patience ends
+    client = harness.connect()
+    with_exceptions = harness.connect()
+    with_exceptions.send(Kind.OPTION_REQ, "exceptions")
+    submit_job(client)
+    submit_job(with_exceptions)
+    harness.advance(1_000_000)
+    assert [p.kind for p in client.received[1:]] == [Kind.WORK_WARNING, Kind.WORK_FAIL]
+    assert client.received[1].args[1].startswith(b"refused retry-after=")
+    assert [p.kind for p in with_exceptions.received[2:]] == [Kind.WORK_EXCEPTION, Kind.WORK_FAIL]
+    harness, worker = harness_with_worker()
+    client = harness.connect()
+    submit_job(client, "once")
+    worker.send(Kind.CAN_DO, "once")
+    harness.advance(10_000)
+    worker.send(Kind.WORK_EXCEPTION, worker.grab()[0], "no market data")
+    assert client.received[-2].args[1] == b"failed no market data"
+    assert client.received[-1].kind is Kind.WORK_FAIL
+
+
+@pytest.mark.parametrize(
+    ("function", "unique", "expected"),
+    [
+        ("nothing", "", "UNKNOWN_FUNCTION"),
+        ("nobody/revalue", "", "UNKNOWN_FUNCTION"),
+        ("revalue+0", "", "BAD_FUNCTION"),
+        ("revalue+x", "", "BAD_FUNCTION"),
+        ("nav-publish", "", "BAD_UNIQUE"),
+        ("nav-publish", "two words", "BAD_UNIQUE"),
+        ("revalue", "u" * 300, "BAD_UNIQUE"),
+    ],
+)
+def test_an_invalid_submission_is_answered_with_an_error_code(function, unique, expected):
+    harness = ServiceHarness()
+    client = harness.connect()
+    assert error_code(client.send(Kind.SUBMIT_JOB, function, unique, "x")) == expected
+    assert not client.ended
+    assert not harness.core.requests
+
+
+def test_slots_beyond_the_bound_are_refused_whatever_zeros_lead_them():
+    client = ServiceHarness().connect()
+    client.send(Kind.SUBMIT_JOB, "revalue+0000010249999999", "", "x")
+    assert [(packet.kind, packet.args[0]) for packet in client.received] == [
+        (Kind.ERROR, b"BAD_FUNCTION")
+    ]
+
+
+def test_submissions_beyond_a_limit_are_rejected_with_a_retry_after():
+    small = replace(
+        LIMITS,
+        gearman=replace(LIMITS.gearman, in_flight_workload_bytes=100),
+        sizes=replace(LIMITS.sizes, body_bytes=90),
+    )
+    harness = ServiceHarness(limits=small, section=make_section(jobs_a_connection=2))
+    client = harness.connect()
+    assert error_code(client.send(Kind.SUBMIT_JOB, "revalue", "", "x" * 91)) == "WORKLOAD_TOO_LARGE"
+    submit_job(client, data="x" * 80)
+    fault = client.send(Kind.SUBMIT_JOB, "revalue", "", "x" * 30)
+    assert error_code(fault) == "JOB_QUEUE_FULL"
+    assert b"retry-after=2.000" in fault[0].args[1]
+    submit_job(client)
+    assert error_code(client.send(Kind.SUBMIT_JOB, "revalue", "", "")) == "JOB_QUEUE_FULL"
+    few = ServiceHarness(limits=replace(LIMITS, gearman=replace(LIMITS.gearman, open_jobs=2)))
+    for _ in range(2):
+        submit_job(few.connect(), kind=Kind.SUBMIT_JOB_BG)
+    assert error_code(few.connect().send(Kind.SUBMIT_JOB_BG, "revalue", "", "")) == "JOB_QUEUE_FULL"
+    harness.overloaded = True
+    assert (
+        error_code(harness.connect().send(Kind.SUBMIT_JOB, "revalue", "", "")) == "JOB_QUEUE_FULL"
+    )
+    harness.closing = True
+    assert error_code(harness.connect().send(Kind.SUBMIT_JOB, "revalue", "", "")) == "SHUTTING_DOWN"
--- /dev/null
+++ b/tests/gearman/test_gearman_operators.py
@@ -0,0 +1,94 @@
+"""Text commands of operators, and access control, on the service without a socket."""
+
+from stepstream.gearman.codec import Kind
+from stepstream.ports.access_control import Rejection, RejectionKind
+from tests.gearman.service_harness import (
+    FINAL_KINDS,
+    ServiceHarness,
+    error_code,
+    harness_with_worker,
+    make_section,
+    submit_job,
+)
+
+
+def run_command(harness, line):
+    peer = harness.connect()
+    peer.send_bytes(line.encode() + b"\n")
+    return peer.text.decode()
+
+
+def test_text_commands_report_workers_functions_and_jobs():
+    harness, worker = harness_with_worker()
+    client = harness.connect()
+    handle = submit_job(client, unique="u").decode()
+    assert "127.0.0.1 w : nav-publish revalue\n" in run_command(harness, "workers")
+    assert "tatra-invest/revalue\t1\t1\t1\n" in run_command(harness, "status")
+    assert run_command(harness, "status").endswith(".\n")
+    assert run_command(harness, "version").startswith("OK ")
+    assert f"{handle}\topen\t1\t1\ttatra-invest/revalue\n" in run_command(harness, "show jobs")
+    assert run_command(harness, "show unique jobs") == "u\n.\n"
+    assert run_command(harness, "cancel job H:none").startswith("ERR JOB_NOT_FOUND")
+    assert run_command(harness, f"cancel job {handle}") == "OK\n"
+    assert [p.kind for p in client.of(*FINAL_KINDS)] == [Kind.WORK_FAIL]
+    assert worker.grab() is None
+
+
+def test_maxqueue_bounds_a_function_and_is_lifted_again():
+    harness = ServiceHarness()
+    client = harness.connect()
+    assert run_command(harness, "maxqueue tatra-invest/revalue 1") == "OK\n"
+    submit_job(client)
+    assert error_code(client.send(Kind.SUBMIT_JOB, "revalue", "", "x")) == "JOB_QUEUE_FULL"
+    assert run_command(harness, "maxqueue tatra-invest/revalue") == "OK\n"
+    submit_job(client)
+    assert run_command(harness, "maxqueue revalue 1").startswith("ERR UNKNOWN_FUNCTION")
+    assert run_command(harness, "maxqueue tatra-invest/revalue -1").startswith("ERR BAD_NUMBER")
+
+
+def test_shutdown_is_refused_unless_the_file_allows_it():
+    harness = ServiceHarness()
+    assert run_command(harness, "shutdown").startswith("ERR NOT_ALLOWED")
+    assert not harness.shut_down
+    harness = ServiceHarness(section=make_section(allow_shutdown=True))
+    assert run_command(harness, "shutdown") == "OK\n"
+    assert harness.shut_down
+
+
+class FakeAccessControl:
+    """Admits workers with the token `good`, until it admits none; rejects all clients."""
+
+    def __init__(self):
+        self.admits_workers = True
+        self.worker_checks = 0
+
+    def authorize_request(self, front, credential, kind, tenant):
+        return Rejection(RejectionKind.UNAUTHENTICATED, "no_credential")
+
+    def authorize_worker(self, front, credential, name):
+        self.worker_checks += 1
+        good = self.admits_workers and credential.token == b"good"
+        return None if good else Rejection(RejectionKind.FORBIDDEN, "somebody_else")
+
+
+def test_a_worker_whose_credential_expired_is_assigned_nothing_more_and_may_end_its_jobs():
+    harness = ServiceHarness()
+    harness.host.access_control = access_control = FakeAccessControl()
+    worker, client = harness.connect(), harness.connect()
+    assert error_code(worker.send(Kind.CAN_DO, "revalue")) == "NOT_ALLOWED"
+    worker.send(Kind.OPTION_REQ, "token:good")
+    worker.join("w")
+    assert error_code(client.send(Kind.SUBMIT_JOB, "revalue", "", "x")) == "NOT_IDENTIFIED"
+    harness.host.access_control = None
+    submit_job(client)
+    submit_job(client)
+    harness.host.access_control = access_control
+    assigned = worker.grab()[0]
+    check_count = access_control.worker_checks
+    worker.send(Kind.GRAB_JOB)
+    assert access_control.worker_checks == check_count  # found good a moment ago
+    access_control.admits_workers = False
+    worker.send(Kind.WORK_COMPLETE, assigned, "r")
+    assert len(client.of(Kind.WORK_COMPLETE)) == 1
+    harness.now_us += 600_000
+    assert error_code(worker.send(Kind.GRAB_JOB)) == "NOT_ALLOWED"
--- a/tests/http/outbound_harness.py
+++ b/tests/http/outbound_harness.py
@@ -33,6 +33,7 @@
 
 
 def accept_job(_):
+    """Answer as a worker that accepts a job."""
     return write_answer(202)
 
 
@@ -56,27 +57,29 @@
         )
 
     def new_call(self, name="aa", sent_us=None, worker="w"):
+        """Return a call that is not started."""
         now_us = CLOCK.now_us()
         job = replace(make_request(name, now_us), settings=self.settings)
         return Call(job, 0, worker, now_us if sent_us is None else sent_us, now_us + 5_000_000)
 
     def start_call(self, name="aa", sent_us=None, worker="w"):
+        """Start a call and return it."""
         call = self.new_call(name, sent_us, worker)
         self.carrier.start(call)
         return call
 
     def start_accepted_call(self, name):
-        """A call, once its worker has accepted the job."""
+        """Return a call, once its worker has accepted the job."""
         call = self.start_call(name)
         wait_for(lambda: call.carrier_state.phase is CallPhase.ACCEPTED)
         return call
 
     def idle_connections(self):
-        """The worker's idle connections, once there is one."""
+        """Return the worker's idle connections, once there is one."""
         return wait_for(lambda: self.carrier.pool.idle.get("w"))
 
     def result(self, call):
-        """How a call ended, once it has."""
+        """Return how a call ended, once it has."""
         return wait_for(
             lambda: [e.result for e in self.events if isinstance(e, CallEnded) and e.call is call]
         )[0]
--- a/tests/http/server_harness.py
+++ b/tests/http/server_harness.py
@@ -36,6 +36,7 @@
         self.accepting.start()
 
     def connect(self, host="127.0.0.1"):
+        """Connect from this host of the loopback network."""
         address = ("127.0.0.1", self.port)
         return socket.create_connection(address, timeout=PATIENCE_SECONDS, source_address=(host, 0))
 
@@ -44,7 +45,7 @@
         wait_for(lambda: self.server.enforce_timeouts() or done())
 
     def requests(self, kind):
-        """The requests of all events of a kind, in order."""
+        """Return the requests of all events of a kind, in order."""
         return [event.request for event in self.events if isinstance(event, kind)]
 
     def close(self):
--- a/tests/policy/cluster.py
+++ b/tests/policy/cluster.py
@@ -2,6 +2,7 @@
 
 import heapq
 import random
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
@@ -30,6 +31,15 @@
     worker_id: str
 
 
+class ScheduledStep(NamedTuple):
+    """A step of the simulation; steps of one time run in the order of their numbers."""
+
+    at_us: int
+    number: int
+    step: Callable
+    arguments: tuple
+
+
 @dataclass
 class SimulatedWorker:
     """Jobs run in its slots and wait in turn; it may be dead or fail what it is sent."""
@@ -46,6 +56,8 @@
 
 @dataclass
 class SimulatedJob:
+    """A job, and what has become of it."""
+
     job_class: int
     run_us: int
     submitted_us: int
@@ -56,6 +68,8 @@
 
 
 class SimulatedCluster:
+    """Load balancers, workers and jobs on one simulated clock."""
+
     def __init__(self, classes, dispatchers=40, workers=20, zones=1, seed=1, **settings):
         common = {
             "reports_start": True,
@@ -88,8 +102,9 @@
             self.notify(dispatcher, endpoints)
 
     def call_at(self, at_us, step, *arguments):
+        """Schedule a step."""
         self.scheduled_count += 1
-        heapq.heappush(self.schedule, (at_us, self.scheduled_count, step, arguments))
+        heapq.heappush(self.schedule, ScheduledStep(at_us, self.scheduled_count, step, arguments))
 
     def submit_jobs(self, rates_per_s, mean_runs_us, until_us):
         """Schedule Poisson arrivals, by class."""
@@ -103,12 +118,15 @@
                 self.call_at(at_us, self.submit, dispatcher, job_class, run_us)
 
     def run(self, until_us):
-        while self.schedule and self.schedule[0][0] <= until_us:
-            self.now_us, _, step, arguments = heapq.heappop(self.schedule)
-            step(*arguments)
+        """Run the scheduled steps up to this time."""
+        while self.schedule and self.schedule[0].at_us <= until_us:
+            scheduled = heapq.heappop(self.schedule)
+            self.now_us = scheduled.at_us
+            scheduled.step(*scheduled.arguments)
         self.now_us = until_us
 
     def submit(self, dispatcher, job_class, run_us):
+        """Submit a job to a dispatcher."""
         job_id = f"{len(self.jobs):08x}"
         self.jobs[job_id] = SimulatedJob(job_class, run_us, self.now_us)
         self.notify(dispatcher, JobSubmitted(job_id, job_class, CLIENT_BUDGET_US))
@@ -131,6 +149,7 @@
                     self.jobs[job_id].rejected = True
 
     def deliver(self, attempt):
+        """Let an attempt arrive at its worker."""
         worker = self.workers[attempt.worker_id]
         worker.received += 1
         if worker.dead:
@@ -143,6 +162,7 @@
             self.start_queued(worker)
 
     def start_queued(self, worker):
+        """Start queued attempts while slots are free."""
         while worker.queue and len(worker.running) < worker.slots:
             attempt = worker.queue.pop(0)
             worker.running.add(attempt)
@@ -152,6 +172,7 @@
             self.call_at(self.now_us + run_us, self.finish, attempt)
 
     def finish(self, attempt):
+        """End a run, and answer its job unless another attempt did."""
         worker = self.workers[attempt.worker_id]
         if attempt in worker.running:
             worker.running.discard(attempt)
@@ -162,6 +183,7 @@
             self.start_queued(worker)
 
     def cancel(self, dispatcher, job_id, attempt_number):
+        """Remove an attempt from its worker."""
         cancelled = (dispatcher, job_id, attempt_number)
         for worker in self.workers.values():
             for attempt in [a for a in (*worker.queue, *worker.running) if a[:3] == cancelled]:
@@ -171,6 +193,7 @@
                 self.start_queued(worker)
 
     def report_end(self, attempt, result):
+        """Report an attempt's end to its dispatcher, one hop later."""
         answered = self.jobs[attempt.job_id].latency_us is not None
         ended = AttemptEnded(
             attempt.job_id, attempt.attempt_number, attempt.worker_id, result, 1000, answered
@@ -178,6 +201,7 @@
         self.call_at(self.now_us + HOP_US, self.notify, attempt.dispatcher, ended)
 
     def jobs_submitted(self, job_class, since_us, until_us):
+        """Return a class's jobs submitted in this time."""
         return [
             job
             for job in self.jobs.values()
@@ -185,7 +209,7 @@
         ]
 
     def fraction_in_time(self, job_class, since_us, until_us, objective_us):
-        """The fraction of a class's jobs that was served within its objective and twice its run."""
+        """Return the fraction of a class's jobs that was served within its objective and twice its run."""
         jobs = self.jobs_submitted(job_class, since_us, until_us)
         in_time = [
             job
@@ -195,5 +219,6 @@
         return len(in_time) / len(jobs)
 
     def fraction_rejected(self, job_class, since_us, until_us):
+        """Return the fraction of a class's jobs that was rejected or failed."""
         jobs = self.jobs_submitted(job_class, since_us, until_us)
         return sum(job.rejected for job in jobs) / len(jobs)
