--- a/tests/admin/test_admin.py
+++ b/tests/admin/test_admin.py
@@ -61,6 +61,14 @@
         ),
         ("POST", "/_jobs/news", OperatorRequest(AdminAction.TAKE_NOTIFICATION)),
     ],
+    ids=[
+        "health check",
+        "start of a drain",
+        "end of a drain",
+        "start of maintenance",
+        "end of maintenance",
+        "notification",
+    ],
 )
 def test_a_request_is_routed_by_method_and_path(method, target, expected):
     assert route(method, target) == expected
@@ -112,6 +120,16 @@
         (STARTS, False, False, Decision(AdminResponse(404, "no worker s-1"))),
         (ENDS, False, False, Decision(AdminResponse(404, "no worker s-1"))),
     ],
+    ids=[
+        "starts",
+        "has started",
+        "has started, worker unknown",
+        "ends, worker unknown",
+        "ends",
+        "has not started",
+        "start for an unknown worker",
+        "end for an unknown worker",
+    ],
 )
 def test_maintenance_ends_at_the_first_request_and_an_unknown_worker_is_refused(
     request_, known, in_maintenance, expected
--- a/tests/admin/test_admin_client.py
+++ b/tests/admin/test_admin_client.py
@@ -4,6 +4,7 @@
 
 from stepstream.subsystem_api import admin_client
 from stepstream.subsystem_api.admin_client import NO_ANSWER, AdminCallError, request_json
+from tests.case_ids import case_id
 
 AT = "127.0.0.1:9"
 
@@ -15,6 +16,7 @@
         (503, {"error": "stops"}, f"{AT}: stops", "stops"),
         (500, {}, f"{AT}: 500", ""),
     ],
+    ids=case_id,
 )
 def test_a_refusal_carries_its_status_and_reason(monkeypatch, status, answer, text, reason):
     monkeypatch.setattr(admin_client, "call_admin", lambda *_: (status, answer))
--- a/tests/admin/test_admin_service.py
+++ b/tests/admin/test_admin_service.py
@@ -121,6 +121,7 @@
         (b'{"id": "j1", "from": "s-1", "state": "unheard"}', 200, []),
         (b"[]", 400, []),
     ],
+    ids=["known status", "unknown status", "malformed"],
 )
 def test_a_forwarded_notification_is_posted_as_one(service, context, body, status, posted):
     request = OperatorRequest(AdminAction.TAKE_NOTIFICATION, body=body)
--- a/tests/cli/test_command_table.py
+++ b/tests/cli/test_command_table.py
@@ -10,6 +10,7 @@
 
 from stepstream import cli
 from stepstream.cli.errors import CommandError, command_errors, optional_packages
+from tests.case_ids import case_id
 
 ROOT = Path(__file__).parents[2]
 ALL_COMMANDS = {**cli.COMMANDS, **cli.COMMANDS_WITH_OWN_USAGE}
@@ -63,6 +64,7 @@
         (["demo"], "rich", "demo needs the package rich: .[lab]"),
         (["lab", "fleet"], "rich", "lab needs the package rich: .[lab]"),
     ],
+    ids=case_id,
 )
 def test_a_missing_package_is_one_line_and_a_bad_exit(words, module, line):
     code = NOT_INSTALLED.format(module=module, words=words)
@@ -80,6 +82,7 @@
         (["fleet", "members", "--at", "nowhere"], "--at=nowhere is not HOST:PORT"),
         (["lease", "list", "--at", "nowhere"], "--at=nowhere is not HOST:PORT"),
     ],
+    ids=case_id,
 )
 def test_a_faulty_option_is_one_line_and_a_bad_exit(words, line, capsys):
     assert cli.main(words) == 2
--- a/tests/config/test_limits.py
+++ b/tests/config/test_limits.py
@@ -31,6 +31,7 @@
         (1024, 70, (400, 400, 48, 330, 32, 16, 200), (200, 11, 1400)),
         (4, 1, (4, 4, 1, 2, 0, 0, 4), (2, 1, 100)),
     ],
+    ids=["usual", "few descriptors", "little memory", "least"],
 )
 def test_descriptors_and_memory_are_divided(descriptors, memory_mb, connections, gearman):
     divided = connection_limits(descriptors, memory_mb)
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -11,6 +11,7 @@
 from stepstream.config.node_config import config_from
 from stepstream.config.settings_reader import read_settings
 from stepstream.model.settings import Effect, JobClass
+from tests.case_ids import case_id
 from tests.config.configurations import CONFIGURATION
 
 
@@ -108,6 +109,7 @@
             "load_report.columns names queue",
         ),
     ],
+    ids=case_id,
 )
 def test_a_fault_names_its_key(path, value, words):
     with pytest.raises(ConfigurationError, match=re.escape(words)):
--- a/tests/gearman/test_assignment_rules.py
+++ b/tests/gearman/test_assignment_rules.py
@@ -40,6 +40,13 @@
         ((call(object()),), "f", 1, None),
         ((call(REQUEST),), "f", 1, AttemptResult.NOT_SENT),
     ],
+    ids=[
+        "idle",
+        "function not registered",
+        "full",
+        "full, another call waits",
+        "holds the request",
+    ],
 )
 def test_a_call_waits_unless_its_worker_is_full_or_holds_its_request(
     assigned, class_name, queue_length, reason
@@ -65,6 +72,7 @@
         (call(still_open=False), {"f"}, 99, None),
         (call(), {"g"}, 99, None),
     ],
+    ids=["open", "past its deadline", "ended", "function not registered"],
 )
 def test_only_a_call_that_is_still_needed_is_assigned(queued_call, functions, now_us, function):
     queued = QueuedCall(queued_call, "f", "t", 0)
--- a/tests/gearman/test_connection_rules.py
+++ b/tests/gearman/test_connection_rules.py
@@ -40,13 +40,14 @@
         (UNREAD, TIMEOUTS.write_seconds, TimeoutAction.CLOSE),
         (CLOSED, TIMEOUTS.linger_seconds, TimeoutAction.CLOSE),
     ],
+    ids=["client", "new", "partial message", "unread answer", "closed"],
 )
 def test_each_state_has_its_timeout(view, timeout_seconds, action):
     assert timeout_action(view, NOW + timeout_seconds, TIMEOUTS) is TimeoutAction.KEEP
     assert timeout_action(view, NOW + timeout_seconds + 0.01, TIMEOUTS) is action
 
 
-@pytest.mark.parametrize("view", [WORKER, OWED])
+@pytest.mark.parametrize("view", [WORKER, OWED], ids=["worker", "answer due"])
 def test_a_connection_in_use_has_no_idle_timeout(view):
     assert timeout_action(view, NOW + 1e6, TIMEOUTS) is TimeoutAction.KEEP
 
@@ -62,6 +63,7 @@
         (OWED, 1e6, EvictionRank.NEVER),
         (UNREAD, 1e6, EvictionRank.NEVER),
     ],
+    ids=["closed", "unused", "new", "client", "worker", "answer due", "unread answer"],
 )
 def test_a_connection_in_use_is_never_evicted_and_a_new_one_last(view, quiet_seconds, rank):
     assert eviction_rank(view, NOW + quiet_seconds, unproven_seconds=1.0)[0] is rank
@@ -100,6 +102,15 @@
         (Packet(Kind.GRAB_JOB), False, False),
         (Reply(b""), False, False),
     ],
+    ids=[
+        "CAN_DO",
+        "RESET_ABILITIES",
+        "text command",
+        "SUBMIT_JOB",
+        "SUBMIT_JOB_LOW_BG",
+        "GRAB_JOB",
+        "reply",
+    ],
 )
 def test_registrations_cost_credit_and_submissions_wait_for_the_core(step, costs_credit, waits):
     assert costs_registration_credit(step) is costs_credit
--- a/tests/gearman/test_gearman_text_commands.py
+++ b/tests/gearman/test_gearman_text_commands.py
@@ -3,6 +3,7 @@
 import pytest
 
 from stepstream.gearman.text_commands import TextCommand, error_line, parse_command
+from tests.case_ids import case_id
 
 
 @pytest.mark.parametrize(
@@ -15,6 +16,7 @@
         ("show unique jobs", TextCommand.SHOW_UNIQUE_JOBS, ()),
         ("show jobs", TextCommand.SHOW_JOBS, ()),
     ],
+    ids=case_id,
 )
 def test_a_line_is_a_command_and_its_arguments(line, command, arguments):
     assert parse_command(tuple(line.split())) == (command, arguments)
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -174,6 +174,7 @@
         (ProcessRecord(os.getppid(), "127.0.0.1:9902", 2_000, False), False),
         (ProcessRecord(os.getppid(), "127.0.0.1:9902", 500, True), False),
     ],
+    ids=["later and ready", "later and not ready", "earlier"],
 )
 def test_a_successor_started_later_and_takes_clients(tmp_path, sibling, successor):
     controller_for(tmp_path, sibling).write()
--- a/tests/http/test_eviction.py
+++ b/tests/http/test_eviction.py
@@ -42,6 +42,16 @@
         ([(NEVER, float("-inf"))], []),
         ([], []),
     ],
+    ids=[
+        "longest quiet first",
+        "least rank",
+        "least rank not evictable",
+        "active a moment ago",
+        "new",
+        "limit at once",
+        "never",
+        "none",
+    ],
 )
 def test_connections_are_evicted_by_rank_and_quiet_time(connections, evicted):
     made = [FakeConnection(*given) for given in connections]
--- a/tests/http/test_outbound.py
+++ b/tests/http/test_outbound.py
@@ -15,6 +15,7 @@
 from stepstream.model.endpoints import EndpointListKind, EndpointState
 from stepstream.model.events import AttemptResult
 from stepstream.model.settings import Effect
+from tests.case_ids import case_id
 from tests.config.configurations import HEALTH_CHECK_LOAD_REPORTS, LIMITS, POLICY_SETTINGS
 from tests.http.outbound_harness import (
     CLOCK,
@@ -128,6 +129,7 @@
 @pytest.mark.parametrize(
     ("load", "report", "unreadable"),
     [("TEXT queue=3", {"queue": 3.0}, 0), ("TEXT queue=x", None, 1)],
+    ids=case_id,
 )
 def test_a_load_report_costs_nothing_but_itself(make_carrier, load, report, unreadable):
     """In a rejection's header and in a health check's body; an unreadable one is counted."""
--- a/tests/http/test_platform_api.py
+++ b/tests/http/test_platform_api.py
@@ -8,6 +8,7 @@
 from stepstream.http.codec import Message, Parser, ProtocolError
 from stepstream.model.endpoints import Endpoint, EndpointList, EndpointListKind, EndpointState
 from stepstream.model.events import AttemptResult
+from tests.case_ids import case_id
 from tests.config.configurations import LIMITS, POLICY_SETTINGS
 from tests.http.messages import job_request
 
@@ -69,6 +70,7 @@
         ({"Request_Info": "slots=-1"}, 400),
         ({"Request_Info": "slots=1e300"}, 400),
     ],
+    ids=case_id,
 )
 def test_a_malformed_request_has_its_status(more, status):
     with pytest.raises(ProtocolError) as fault:
@@ -88,7 +90,9 @@
 
 
 @pytest.mark.parametrize(
-    "body", [b"", b"[]", b"{", b'{"id":1,"from":"s","state":"done"}', b"[" * 60_000, b"\xff"]
+    "body",
+    [b"", b"[]", b"{", b'{"id":1,"from":"s","state":"done"}', b"[" * 60_000, b"\xff"],
+    ids=["empty", "list", "no JSON", "number as id", "deeply nested", "not UTF-8"],
 )
 def test_a_malformed_notification_is_a_400(body):
     with pytest.raises(ProtocolError) as fault:
@@ -115,6 +119,7 @@
         (500, {"not-started": "1"}, AttemptResult.ERROR),
         (404, {}, AttemptResult.ERROR),
     ],
+    ids=["accepted", "full", "too late", "busy", "error not started", "not found"],
 )
 def test_the_answer_to_a_call_decides_its_result(status, headers, result):
     assert worker_api.read_call_answer(Message(status=status, headers=headers)) is result
@@ -143,7 +148,9 @@
 
 
 @pytest.mark.parametrize(
-    "row", [{}, {"id": "s"}, {**ROW, "state": "odd"}, {**ROW, "addr": "x:y"}, 5]
+    "row",
+    [{}, {"id": "s"}, {**ROW, "state": "odd"}, {**ROW, "addr": "x:y"}, 5],
+    ids=["empty row", "no address", "unknown state", "bad address", "number"],
 )
 def test_a_malformed_endpoint_list_is_a_protocol_error(row):
     with pytest.raises(ProtocolError):
--- a/tests/http/test_staleness.py
+++ b/tests/http/test_staleness.py
@@ -5,6 +5,7 @@
 import pytest
 
 from stepstream.http.staleness import MAX_REMEMBERED_WORKERS, StalenessDetector
+from tests.case_ids import case_id
 
 
 class UpperBound(random.Random):
@@ -42,6 +43,7 @@
             21.1,
         ),
     ],
+    ids=case_id,
 )
 def test_a_list_is_checked_once_several_workers_that_it_calls_active_refuse(steps, due_seconds):
     detector = StalenessDetector(3, UpperBound(0))
--- a/tests/identity/test_identity_certificates.py
+++ b/tests/identity/test_identity_certificates.py
@@ -10,6 +10,7 @@
     parse_revocation_lists,
 )
 from stepstream.identity.errors import CertificateError, RevocationListError
+from tests.case_ids import case_id
 
 NOW = 1_900_000_000
 ISSUER = b"issuer"
@@ -28,6 +29,7 @@
         ({"uri": (), "dns": (), "cn": ("c",)}, ("uri", "dns", "cn"), "cn:c"),
         ({"uri": ("https://a", "spiffe://a/b")}, ("uri",), "https://a"),
     ],
+    ids=case_id,
 )
 def test_the_subject_is_the_first_name_of_the_first_kind_present(names, name_kinds, subject):
     assert certificate(**names).subject(name_kinds) == subject
@@ -40,6 +42,7 @@
         ({}, ("uri",), "no_name"),
         ({"uri": ("spiffe://a/b", "spiffe://a/c")}, ("uri",), "two_spiffe_ids"),
     ],
+    ids=case_id,
 )
 def test_a_certificate_without_one_usable_name_identifies_nobody(names, name_kinds, reason):
     with pytest.raises(CertificateError) as fault:
@@ -59,6 +62,7 @@
         (NOW + 60, {(ISSUER, 0xAB)}, "certificate_revoked"),
         (NOW, {(b"another", 0xAB), (ISSUER, 0xAC)}, None),
     ],
+    ids=case_id,
 )
 def test_a_certificate_is_good_within_its_times_unless_revoked(now, revoked, reason):
     revocation_list = RevocationList(frozenset(revoked))
--- a/tests/identity/test_identity_permissions.py
+++ b/tests/identity/test_identity_permissions.py
@@ -106,6 +106,18 @@
             "identity.caller admin",
         ),
     ],
+    ids=[
+        "no credential",
+        "unknown caller",
+        "suspended",
+        "class not allowed",
+        "another tenant",
+        "all tenants",
+        "tenant missing",
+        "method not allowed",
+        "allowed by token",
+        "allowed by certificate",
+    ],
 )
 def test_each_decision_says_why(principal, class_name, tenant, verdict, reason, rule):
     found = permissions_with().decide(principal, class_name, tenant)
--- a/tests/identity/test_identity_tokens.py
+++ b/tests/identity/test_identity_tokens.py
@@ -353,6 +353,23 @@
         ({"keys": [row(), row()]}, "keys[1].kid: ed comes twice"),
         ({"keys": [row(kid=f"k{n}") for n in range(65)]}, "more than 64"),
     ],
+    ids=[
+        "no object",
+        "no key object",
+        "key id",
+        "symmetric algorithm",
+        "no algorithm",
+        "type of another algorithm",
+        "symmetric type",
+        "private member",
+        "short value",
+        "unknown state",
+        "retiring without an end",
+        "start that is no time",
+        "use",
+        "key id twice",
+        "too many keys",
+    ],
 )
 def test_a_faulty_key_set_names_the_member(data, text):
     with pytest.raises(KeySetError) as fault:
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -21,6 +21,7 @@
 from stepstream.core.events import ShutdownStarted
 from stepstream.http.codec import write_answer, write_request
 from stepstream.node.node import Node
+from tests.case_ids import case_id
 from tests.config.configurations import CONFIGURATION, LIMITS
 from tests.http.messages import job_request
 from tests.http.scripted_server import exchange
@@ -66,6 +67,7 @@
         (b"GET / HTTP/1.1\r\nA: " + b"a" * 17_000, 431),
         (write_request("POST", "/_jobs/news", {}, b"{"), 400),
     ],
+    ids=case_id,
 )
 def test_malformed_peers_get_their_status_and_the_program_goes_on(dispatcher, data, status):
     assert exchange(dispatcher.port, data).status == status
@@ -202,6 +204,7 @@
         ({"discovery": "x"}, "discovery"),
         ({"listen": "127.0.0.1:1"}, "listen"),
     ],
+    ids=case_id,
 )
 def test_a_reload_of_a_bad_file_is_one_line_and_changes_nothing(dispatcher, change, key):
     assert key in dispatcher.reload({**dispatcher.config, **change})
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -9,6 +9,7 @@
 from stepstream.model.state import PolicyState
 from stepstream.model.worker_records import Worker
 from stepstream.policy.hedging import on_starts_due
+from tests.case_ids import case_id
 from tests.model.builders import IDEMPOTENT, make_endpoint
 
 NOW_US = 10_000_000
@@ -39,6 +40,6 @@
     assert hedged_to(busy_slots) == [make_endpoint(1).worker_id] * hedged
 
 
-@pytest.mark.parametrize("forbidden", [{"may_hedge": False}, {"attempt_limit": 1}])
+@pytest.mark.parametrize("forbidden", [{"may_hedge": False}, {"attempt_limit": 1}], ids=case_id)
 def test_no_hedged_request_where_the_platform_or_the_limit_forbids_it(forbidden):
     assert hedged_to(0.0, **forbidden) == []
--- a/tests/policy/test_idempotency.py
+++ b/tests/policy/test_idempotency.py
@@ -44,6 +44,14 @@
         (WITH_KEY_IN_ZONE, False, True, False),
         (WITH_KEY, False, True, True),
     ],
+    ids=[
+        "idempotent",
+        "idempotent, never ran",
+        "not idempotent",
+        "not idempotent, never ran",
+        "key of a zone",
+        "key",
+    ],
 )
 def test_the_effect_and_a_possible_run_decide_on_repeats(
     class_settings, never_ran, repeats, harmless
--- a/tests/policy/test_random_outcomes.py
+++ b/tests/policy/test_random_outcomes.py
@@ -9,6 +9,7 @@
 from stepstream.model.endpoints import EndpointList, EndpointListKind, EndpointState
 from stepstream.model.events import AttemptResult, AttemptStarted, HealthChecked, JobAbandoned
 from stepstream.model.settings import Effect, KeyScope
+from tests.case_ids import case_id
 from tests.model.builders import (
     HIGH_PRIORITY,
     IDEMPOTENT,
@@ -233,7 +234,7 @@
 
 
 @pytest.mark.parametrize("fleet", [1, 500])
-@pytest.mark.parametrize("quotas", [(), (0.0, 0.0), (0.0, 5.0)])
+@pytest.mark.parametrize("quotas", [(), (0.0, 0.0), (0.0, 5.0)], ids=case_id)
 def test_unusual_settings_and_events_lose_no_job(fleet, quotas):
     harness = PolicyHarness(
         IDEMPOTENT,
--- a/tests/simulator_adapter/test_simulator_adapter.py
+++ b/tests/simulator_adapter/test_simulator_adapter.py
@@ -116,6 +116,19 @@
             "services.count",
         ),
     ],
+    ids=[
+        "no MARK",
+        "time",
+        "unknown class",
+        "missing field",
+        "unknown message",
+        "no field",
+        "unknown table",
+        "short table",
+        "no END",
+        "unknown dispatcher",
+        "no classes",
+    ],
 )
 def test_malformed_input_gets_one_plain_line_and_a_bad_exit(lines, words):
     code, out, errors = run_transcript(*lines)
