--- /dev/null
+++ b/tests/core/test_maintenance.py
@@ -0,0 +1,48 @@
+"""Maintenance of workers: its registry, and what it does to listed endpoints."""
+
+from stepstream.core.endpoint_set import EndpointSet, EndpointsUpdated
+from stepstream.core.maintenance import MaintenanceOverlay, MaintenanceRegistry, MaintenanceState
+from stepstream.model.endpoints import Endpoint, EndpointList, EndpointListKind, EndpointState
+from tests.core.harness import RecordingLog
+
+
+def test_maintenance_states_are_counted_and_ordered_by_generation():
+    registry = MaintenanceRegistry()
+    assert registry.begin("s-1")
+    assert not registry.begin("s-1")
+    assert registry.release("s-1", 5_000)
+    assert not registry.release("s-1", 6_000)
+    state = registry.snapshot()
+    assert state.in_maintenance == frozenset()
+    assert state.released == (("s-1", 5_000),)
+    assert state.generation == 2
+    assert (registry.counts.begun, registry.counts.released, registry.counts.unchanged) == (1, 1, 2)
+    assert not registry.adopt(MaintenanceState(2, frozenset({"s-9"})))
+    assert registry.adopt(MaintenanceState(3, frozenset({"s-9"})))
+    assert registry.contains("s-9")
+
+
+def test_a_worker_in_maintenance_is_draining_whatever_its_list_says_and_starts_anew():
+    members = EndpointSet(RecordingLog())
+    entries = (Endpoint("s-1", started_us=1_000), Endpoint("s-2"))
+    members.apply(EndpointsUpdated("discovery", EndpointList(EndpointListKind.COMPLETE, entries)))
+    started = members.apply_maintenance(MaintenanceState(1, frozenset({"s-1"})))
+    assert [(e.worker_id, e.state) for e in started.endpoints] == [("s-1", EndpointState.DRAINING)]
+    again = members.apply(
+        EndpointsUpdated("discovery", EndpointList(EndpointListKind.COMPLETE, entries))
+    )
+    assert {e.worker_id: e.state for e in again.endpoints}["s-1"] is EndpointState.DRAINING
+    back = members.apply_maintenance(MaintenanceState(2, frozenset(), (("s-1", 9_000),)))
+    assert [(e.state, e.started_us) for e in back.endpoints] == [(EndpointState.ACTIVE, 9_000)]
+    later = members.apply(
+        EndpointsUpdated("discovery", EndpointList(EndpointListKind.CHANGES, entries[:1]))
+    )
+    assert later.endpoints[0].started_us == 9_000  # the list's older start does not make it warm
+
+
+def test_the_overlay_changes_neither_a_later_start_nor_a_removed_worker():
+    overlay = MaintenanceOverlay()
+    overlay.update(MaintenanceState(1, frozenset(), (("s-1", 9_000),)))
+    assert overlay.apply(Endpoint("s-1", started_us=12_000)).started_us == 12_000
+    removed = Endpoint("s-1", state=EndpointState.REMOVED)
+    assert overlay.apply(removed) is removed
