--- a/tests/policy/test_many_dispatchers.py
+++ b/tests/policy/test_many_dispatchers.py
@@ -1,6 +1,8 @@
 """Many dispatchers that share nothing: what is harmless from one of them and harmful from forty."""
 
 import heapq
+from dataclasses import dataclass
+from typing import NamedTuple
 
 from stepstream.model.actions import SetTimer, StartAttempt, WatchEndpoints
 from stepstream.model.endpoints import EndpointList, EndpointListKind
@@ -10,79 +12,105 @@
 from stepstream.policy.pool_capacity import MAX_FEW_DISPATCHERS
 from tests.policy.cluster import SimulatedCluster
 
-SAFE = JobClass(latency_objective_us=200_000, deadline_us=5_000_000, effect=Effect.IDEMPOTENT)
-FLEET = 40
+POLLED_CLASS = JobClass(
+    latency_objective_us=200_000, deadline_us=5_000_000, effect=Effect.IDEMPOTENT
+)
+DISPATCHER_COUNT = 40
 
 
-def fleet(count=FLEET, **more):
-    settings = Settings(classes=(SAFE,), polls_endpoints=True, dispatcher_count=count, **more)
+def polling_balancers(count=DISPATCHER_COUNT):
+    """Return the load balancers of dispatchers that poll the endpoint list."""
+    settings = Settings(classes=(POLLED_CLASS,), polls_endpoints=True, dispatcher_count=count)
     return [LoadBalancer(settings, seed, 0) for seed in range(count)]
 
 
-class EndpointSource:
-    """Serves calls in turn, also those that were given up; a call that waits too long has failed."""
+class DiscoveryAnswer(NamedTuple):
+    """When a caller has its answer, and whether that is the list."""
+
+    at_us: int
+    is_served: bool
+
+
+class SerialDiscovery:
+    """Serve calls in turn, also those that were given up; one that waits too long has failed."""
 
     def __init__(self, call_us, timeout_us=2_000_000):
         self.call_us = call_us
         self.timeout_us = timeout_us
-        self.free_us = 0
+        self.free_at_us = 0
 
     def call(self, now_us):
-        """When the caller has its answer, and whether that is the list."""
-        done_us = max(self.free_us, now_us) + self.call_us
-        self.free_us = done_us
-        timed_out = done_us > now_us + self.timeout_us
-        return (now_us + self.timeout_us, False) if timed_out else (done_us, True)
-
-
-def poll_all(balancers, source, until_us):
-    """First calls and repeats of all; when each dispatcher had its list, and the number of calls."""
-    schedule = [(0, dispatcher, []) for dispatcher in range(len(balancers))]
-    served_us = {}
-    calls = 0
-    while schedule:
+        """Return the answer to a call that comes now."""
+        self.free_at_us = max(self.free_at_us, now_us) + self.call_us
+        timeout_at_us = now_us + self.timeout_us
+        if self.free_at_us > timeout_at_us:
+            return DiscoveryAnswer(timeout_at_us, is_served=False)
+        return DiscoveryAnswer(self.free_at_us, is_served=True)
+
+
+class ScheduledEvents(NamedTuple):
+    """Events for a dispatcher, in the order of time and of dispatchers."""
+
+    at_us: int
+    dispatcher: int
+    events: list
+
+
+@dataclass
+class PollResult:
+    """When each dispatcher had its first list, and the number of all calls."""
+
+    served_at_us: dict[int, int]
+    calls: int = 0
+
+
+def poll_all(balancers, discovery, until_us):
+    """Play the first calls and the retries of all dispatchers."""
+    schedule = [ScheduledEvents(0, dispatcher, []) for dispatcher in range(len(balancers))]
+    result = PollResult({})
+    while schedule and schedule[0].at_us <= until_us:
         now_us, dispatcher, events = heapq.heappop(schedule)
-        if now_us > until_us:
-            break
         for action in balancers[dispatcher].handle(now_us, events):
             if isinstance(action, SetTimer):
                 timer = [TimerFired(action.token)]
-                heapq.heappush(schedule, (action.at_us, dispatcher, timer))
+                heapq.heappush(schedule, ScheduledEvents(action.at_us, dispatcher, timer))
             if isinstance(action, WatchEndpoints):
-                calls += 1
-                answered_us, served = source.call(now_us)
-                kind = EndpointListKind.CHANGES if served else EndpointListKind.FAILED
-                if served:
-                    served_us[dispatcher] = answered_us
-                heapq.heappush(schedule, (answered_us, dispatcher, [EndpointList(kind)]))
-    return served_us, calls
-
-
-def test_a_fleet_that_starts_as_one_is_served_by_a_discovery_that_takes_a_seventh_of_a_second_a_call():
-    served_us, calls = poll_all(fleet(), EndpointSource(140_000), 30_000_000)
-    assert len(served_us) == FLEET
-    assert max(served_us.values()) < 8_000_000
-    assert calls <= FLEET * 1.2
-
-
-def test_a_fleet_turned_away_as_one_falls_behind_until_all_get_in():
-    source = EndpointSource(140_000)
-    source.free_us = 5_000_000  # it was down, or others have filled it
-    served_us, calls = poll_all(fleet(), source, 60_000_000)
-    assert len(served_us) == FLEET
-    assert max(served_us.values()) < 35_000_000
-    assert calls <= FLEET * 4
-
-
-def test_one_of_few_dispatchers_or_without_any_worker_asks_at_once():
-    assert all(WatchEndpoints(True) in one.handle(0, []) for one in fleet(MAX_FEW_DISPATCHERS))
-    one = fleet()[0]
-    assert WatchEndpoints(True) not in one.handle(0, [])
+                result.calls += 1
+                answer = discovery.call(now_us)
+                kind = EndpointListKind.CHANGES if answer.is_served else EndpointListKind.FAILED
+                if answer.is_served:
+                    result.served_at_us[dispatcher] = answer.at_us
+                listed = [EndpointList(kind)]
+                heapq.heappush(schedule, ScheduledEvents(answer.at_us, dispatcher, listed))
+    return result
+
+
+def test_dispatchers_that_start_together_are_all_served_by_a_slow_discovery():
+    result = poll_all(polling_balancers(), SerialDiscovery(140_000), 30_000_000)
+    assert len(result.served_at_us) == DISPATCHER_COUNT
+    assert max(result.served_at_us.values()) < 8_000_000
+    assert result.calls <= DISPATCHER_COUNT * 1.2
+
+
+def test_dispatchers_whose_polls_fail_together_back_off_until_all_are_served():
+    discovery = SerialDiscovery(140_000)
+    discovery.free_at_us = 5_000_000  # it was down, or others have filled it
+    result = poll_all(polling_balancers(), discovery, 60_000_000)
+    assert len(result.served_at_us) == DISPATCHER_COUNT
+    assert max(result.served_at_us.values()) < 35_000_000
+    assert result.calls <= DISPATCHER_COUNT * 4
+
+
+def test_one_of_few_dispatchers_or_one_with_jobs_and_no_worker_polls_at_once():
+    for balancer in polling_balancers(MAX_FEW_DISPATCHERS):
+        assert WatchEndpoints(True) in balancer.handle(0, [])
+    balancer = polling_balancers()[0]
+    assert WatchEndpoints(True) not in balancer.handle(0, [])
     jobs = [JobSubmitted("a", 0, 5_000_000), JobSubmitted("b", 0, 5_000_000)]
-    assert one.handle(0, jobs).count(WatchEndpoints(True)) == 1
+    assert balancer.handle(0, jobs).count(WatchEndpoints(True)) == 1
 
 
-# -- caps in parts of a slot -----------------------------------------------------------------------------
+# -- caps in fractions of a slot ------------------------------------------------------------------
 
 LONG = JobClass(
     latency_objective_us=200_000,
@@ -96,69 +124,82 @@
     effect=Effect.IDEMPOTENT,
     priority_weight=3.0,
 )
-DEAR = JobClass(
+HIGH_WEIGHT = JobClass(
     latency_objective_us=120_000,
     deadline_us=5_000_000,
     effect=Effect.IDEMPOTENT,
     priority_weight=10.0,
 )
-MIX, RUNS_US = (0.56, 0.26, 0.18), (340_000, 175_000, 175_000)
-GOALS_US = (200_000, 120_000, 120_000)
+CLASSES = (LONG, SHORT, HIGH_WEIGHT)
+JOB_FRACTIONS = (0.56, 0.26, 0.18)
+RUNS_US = (340_000, 175_000, 175_000)
 
 
-def loaded(load, until_us=8_000_000, **settings):
-    """Forty dispatchers and 30 workers of four slots that run this part of what they could."""
-    cluster = SimulatedCluster((LONG, SHORT, DEAR), workers=30, **settings)
+def loaded_cluster(load, until_us=8_000_000):
+    """Run forty dispatchers and 30 workers of four slots at this fraction of their capacity."""
+    cluster = SimulatedCluster(CLASSES, workers=30)
     slots = sum(worker.slots for worker in cluster.workers.values())
-    rate = load * slots / sum(part * run / 1e6 for part, run in zip(MIX, RUNS_US, strict=True))
-    cluster.submit_jobs([part * rate for part in MIX], RUNS_US, until_us)
+    mean_run_seconds = sum(
+        fraction * run_us / 1e6 for fraction, run_us in zip(JOB_FRACTIONS, RUNS_US, strict=True)
+    )
+    rate_per_second = load * slots / mean_run_seconds
+    rates = [fraction * rate_per_second for fraction in JOB_FRACTIONS]
+    cluster.submit_jobs(rates, RUNS_US, until_us)
     cluster.run(until_us + 2_000_000)
     return cluster
 
 
-def in_time(cluster, since_us, until_us):
+def fractions_in_time(cluster, since_us, until_us):
+    """Return the fraction of each class that was served in time."""
     return [
-        cluster.fraction_in_time(job_class, since_us, until_us, objective_us)
-        for job_class, objective_us in enumerate(GOALS_US)
+        cluster.fraction_in_time(number, since_us, until_us, job_class.latency_objective_us)
+        for number, job_class in enumerate(CLASSES)
     ]
 
 
-def test_an_overloaded_fleet_refuses_the_cheapest_and_serves_the_rest_in_time():
-    """One slot a dispatcher would be forty a worker: nothing refused, and nothing in time for anybody."""
-    cluster = loaded(1.4)
-    long, short, dear = in_time(cluster, 4_000_000, 8_000_000)
-    assert long > 0.3
-    assert short > 0.5
-    assert dear > 0.9
-    refused = [cluster.fraction_rejected(c, 4_000_000, 8_000_000) for c in range(3)]
-    assert refused[0] > 0.25
-    assert refused[0] > 2 * refused[1]
-    assert refused[2] < 0.01
+def fractions_rejected(cluster, since_us, until_us):
+    """Return the fraction of each class that was rejected."""
+    return [cluster.fraction_rejected(number, since_us, until_us) for number in range(len(CLASSES))]
+
+
+def test_under_overload_the_lowest_weight_is_rejected_and_the_rest_is_served_in_time():
+    """One slot a dispatcher is forty a worker: no rejection, and nothing in time for any class."""
+    cluster = loaded_cluster(1.4)
+    in_time = fractions_in_time(cluster, 4_000_000, 8_000_000)
+    assert in_time[0] > 0.3
+    assert in_time[1] > 0.5
+    assert in_time[2] > 0.9
+    rejected = fractions_rejected(cluster, 4_000_000, 8_000_000)
+    assert rejected[0] > 0.25
+    assert rejected[0] > 2 * rejected[1]
+    assert rejected[2] < 0.01
 
 
-def test_a_fleet_with_room_refuses_next_to_nothing():
-    cluster = loaded(0.6)
-    assert all(part > 0.97 for part in in_time(cluster, 2_000_000, 8_000_000))
-    assert all(cluster.fraction_rejected(c, 2_000_000, 8_000_000) < 0.02 for c in range(3))
+def test_with_headroom_next_to_nothing_is_rejected():
+    cluster = loaded_cluster(0.6)
+    assert min(fractions_in_time(cluster, 2_000_000, 8_000_000)) > 0.97
+    assert max(fractions_rejected(cluster, 2_000_000, 8_000_000)) < 0.02
 
 
 def test_high_sets_of_dispatchers_that_share_nothing_hold_the_same_ids():
-    cluster = loaded(1.0)
+    cluster = loaded_cluster(1.0)
     for balancer in cluster.balancers:
         state = balancer.state
-        high = [worker.pool is state.pools.high_set for worker in state.workers.eligible]
-        size = sum(high)
+        is_high = [worker.pool is state.pools.high_set for worker in state.workers.eligible]
+        size = sum(is_high)
         assert 1 <= size < 20
-        assert sum(high[: size + 3]) >= size - 1
+        assert sum(is_high[: size + 3]) >= size - 1
 
 
 def test_a_wide_ordinary_job_goes_to_a_worker_with_none_of_ours():
-    """A cap of one slot, which one late start brings, would hold it back until it is refused."""
-    cluster = SimulatedCluster((LONG, SHORT, DEAR), workers=4)
-    one = cluster.balancers[0]
-    one.state.measurements.observed_caps.append(1)
-    one.state.measurements.job_mix.mean_weight = 5.0  # or the first job would be a priority one
-    one.state.pools.worker_cap = 0.5
-    one.state.pools.high_set.worker_count = one.state.pools.low_set.worker_count = 2
-    actions = one.handle(1_000, [JobSubmitted("wide", 0, 5_000_000, slots=2.0)])
+    """A cap of one slot, which one overdue start brings, would hold it back until it is rejected."""
+    cluster = SimulatedCluster(CLASSES, workers=4)
+    balancer = cluster.balancers[0]
+    state = balancer.state
+    state.measurements.observed_caps.append(1)
+    state.measurements.job_mix.mean_weight = 5.0  # with less the first job would be a priority one
+    state.pools.worker_cap = 0.5
+    state.pools.high_set.worker_count = 2
+    state.pools.low_set.worker_count = 2
+    actions = balancer.handle(1_000, [JobSubmitted("wide", 0, 5_000_000, slots=2.0)])
     assert any(isinstance(action, StartAttempt) for action in actions)
