--- a/tests/case_ids.py
+++ b/tests/case_ids.py
@@ -20,6 +20,8 @@
         return value.name.lower()
     if isinstance(value, Mapping):
         return " ".join(f"{name}={text_of(part)}" for name, part in value.items()) or EMPTY
-    if isinstance(value, Sequence | Set) and not isinstance(value, str | bytes):
+    if isinstance(value, Set):  # its order differs from run to run
+        return " ".join(sorted(map(text_of, value))) or EMPTY
+    if isinstance(value, Sequence) and not isinstance(value, str | bytes):
         return " ".join(map(text_of, value)) or EMPTY
     return str(value)
--- /dev/null
+++ b/tests/golden/decision_incidents.py
@@ -0,0 +1,173 @@
+"""Incidents of the simulated platform: each changes it and returns the events that it causes.
+
+A scenario names them by their functions.
+"""
+
+from collections.abc import Callable
+
+from golden.decision_simulation import UNKNOWN_WORKER, SimulatedPlatform
+
+RUN_TIME_FACTOR_OF_HUNG_WORKER = 300.0
+
+
+def drain(platform: SimulatedPlatform) -> list[dict]:
+    """Let a worker drain, or end its drain."""
+    worker = platform.any_worker()
+    is_draining = worker.entry["state"] == "draining"
+    worker.entry["state"] = "in" if is_draining else "draining"
+    return platform.changes(worker)
+
+
+def remove(platform: SimulatedPlatform) -> list[dict]:
+    """Remove a worker while many are left."""
+    worker = platform.any_worker()
+    if not platform.has_spare_workers():
+        return []
+    worker.entry["state"] = "out"
+    return platform.changes(worker)
+
+
+def add(platform: SimulatedPlatform) -> list[dict]:
+    """Add a worker, which often has just started."""
+    return platform.changes(platform.add_worker(cold=platform.random.random() < 0.7))
+
+
+def restart(platform: SimulatedPlatform) -> list[dict]:
+    """Restart a worker: its attempts are reset, and it is sound again."""
+    worker = platform.any_worker()
+    attempts = worker.queue + worker.running
+    worker.entry["started_us"] = platform.now_us
+    worker.entry["state"] = "in"
+    events = [event for attempt in attempts for event in platform.end(attempt, "reset")]
+    worker.recover()
+    return events + platform.changes(worker)
+
+
+def change_weights(platform: SimulatedPlatform) -> list[dict]:
+    """Give two workers other weights."""
+    workers = [platform.any_worker(), platform.any_worker()]
+    for worker in workers:
+        worker.entry["weight"] = round(platform.random.uniform(0, 3), 2)
+    return platform.changes(*workers)
+
+
+def complete_list(platform: SimulatedPlatform) -> list[dict]:
+    """Send the complete list, without one of the workers while many are left."""
+    if platform.has_spare_workers():
+        platform.any_worker().entry["state"] = "out"
+    return [platform.list_of("complete", platform.listed())]
+
+
+def persisted_list(platform: SimulatedPlatform) -> list[dict]:
+    """Send the list as one from before the start."""
+    return [platform.list_of("persisted", platform.listed())]
+
+
+def break_watch(platform: SimulatedPlatform) -> list[dict]:
+    """End the watch, and let some polls after it fail."""
+    platform.watched = False
+    platform.polls_to_fail = platform.random.randrange(4)
+    return [platform.list_of("failed", [])]
+
+
+def return_errors(platform: SimulatedPlatform) -> list[dict]:
+    """Let a worker fail half or all of its jobs."""
+    platform.any_worker().error_fraction = platform.random.choice((0.5, 1.0))
+    return []
+
+
+def slow_down(platform: SimulatedPlatform) -> list[dict]:
+    """Let a worker take several times as long."""
+    platform.any_worker().run_time_factor = platform.random.choice((4.0, 8.0))
+    return []
+
+
+def hang(platform: SimulatedPlatform) -> list[dict]:
+    """Let a worker hardly end a job any more."""
+    platform.any_worker().run_time_factor = RUN_TIME_FACTOR_OF_HUNG_WORKER
+    return []
+
+
+def lose_jobs(platform: SimulatedPlatform) -> list[dict]:
+    """Let a worker never begin the jobs of one class."""
+    class_count = int(platform.settings["services.count"])
+    job_class = platform.random.randrange(class_count)
+    platform.any_worker().loses = job_class
+    return []
+
+
+def become_unreachable(platform: SimulatedPlatform) -> list[dict]:
+    """Let a worker refuse connections."""
+    platform.any_worker().reachable = False
+    return []
+
+
+def recover(platform: SimulatedPlatform) -> list[dict]:
+    """Make all workers sound again; they begin the jobs that they had lost."""
+    events = []
+    for worker in platform.listed():
+        worker.recover()
+        worker.error_fraction = platform.scenario.error_fraction
+        events += platform.begin_next(worker)
+    return events
+
+
+def change_load(platform: SimulatedPlatform) -> list[dict]:
+    """Change the rate of jobs."""
+    platform.load_factor = platform.random.choice((0.2, 1.0, 1.0, 3.0))
+    return []
+
+
+def send_unknown_events(platform: SimulatedPlatform) -> list[dict]:
+    """Send events of jobs, attempts, workers and timers that are unknown or have ended."""
+    job = platform.random.choice(list(platform.jobs)) if platform.jobs else "job0"
+    worker = platform.any_worker().entry["worker"]
+    ended = {
+        "attempt": platform.random.choice((-1, 0, 1, 7)),
+        "result": "ok",
+        "spent_us": 1,
+        "job_ended": True,
+        "report": None,
+    }
+    events = [
+        {"event": "ended", "job": "stranger", "worker": UNKNOWN_WORKER, **ended},
+        {"event": "started", "job": "stranger", "attempt": 0, "worker": UNKNOWN_WORKER},
+        {"event": "started", "job": job, "attempt": 7, "worker": worker},
+        {
+            "event": "probed",
+            "worker": UNKNOWN_WORKER,
+            "ok": True,
+            "spent_us": 9,
+            "report": {"free_slots": 1.0},
+        },
+        {"event": "left", "job": "stranger"},
+        {"event": "timer", "token": 77},
+    ]
+    ended_attempts = [attempt for attempt in platform.attempts.get(job, []) if attempt.ended]
+    if ended_attempts:
+        again = {**ended, "attempt": ended_attempts[0].number}
+        events.append({"event": "ended", "job": job, "worker": worker, **again})
+    return platform.random.sample(events, 3)
+
+
+INCIDENTS: dict[str, Callable[[SimulatedPlatform], list[dict]]] = {
+    incident.__name__: incident
+    for incident in (
+        drain,
+        remove,
+        add,
+        restart,
+        change_weights,
+        complete_list,
+        persisted_list,
+        break_watch,
+        return_errors,
+        slow_down,
+        hang,
+        lose_jobs,
+        become_unreachable,
+        recover,
+        change_load,
+        send_unknown_events,
+    )
+}
--- a/tests/golden/decision_streams.py
+++ b/tests/golden/decision_streams.py
@@ -17,8 +17,10 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[2]))
 
 from golden import decision_codec as codec
+from golden.decision_incidents import INCIDENTS
+from golden.decision_scenario import Scenario
 from golden.decision_scenarios import SCENARIOS
-from golden.decision_world import START_US, Scenario, World
+from golden.decision_simulation import START_US, SimulatedPlatform
 
 LEARNED_EVERY = 40  # rounds between two digests of what the policy has learned
 DIGEST_CHARACTERS = 12
@@ -52,7 +54,7 @@
         rounds.append(played)
         return actions
 
-    World(scenario, decide).play()
+    SimulatedPlatform(scenario, decide, INCIDENTS).play()
     rounds[-1]["learned"] = digests(policy)
     return {
         "name": scenario.name,
@@ -105,6 +107,7 @@
 
 
 def record() -> None:
+    """Write the stream of each scenario with the present policy."""
     RECORDED.mkdir(exist_ok=True)
     for scenario in SCENARIOS:
         path = RECORDED / f"{scenario.name}{SUFFIX}"
@@ -116,14 +119,16 @@
 
 
 def check() -> int:
+    """Compare the present policy with the files; return the exit code."""
     found = [first_difference(read_stream(path)) for path in stream_files()]
     differences = [difference for difference in found if difference is not None]
     print("\n\n".join(differences) or f"{len(found)} streams are decided the same")
     return 1 if differences else 0
 
 
-def main(words: list[str]) -> int:
-    match words:
+def main(arguments: list[str]) -> int:
+    """Run the command; return the exit code."""
+    match arguments:
         case ["record"]:
             record()
             return 0
