--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -279,7 +279,7 @@
 
 def test_the_endpoint_list_is_handed_over_in_discoverys_form():
     side = DiscoveryApi(POLICY_SETTINGS)
-    told = side.read(
+    listed = side.read(
         {
             "version": 41,
             "full": True,
@@ -300,14 +300,14 @@
     )
     destinations = DestinationSet()
     assert destinations.export_list() is None
-    destinations.apply(told)
+    destinations.apply(listed)
     destinations.apply(
         side.read({"version": 42, "full": False, "servers": [{"id": "s-2", "state": "gone"}]})
     )
     again = side.read(destinations.export_list(), persisted=True)
     assert again.version == 42
     assert again.addresses == {"s-1": ("127.0.0.1", 81)}
-    assert again.update.endpoints == told.update.endpoints[:1]
+    assert again.update.endpoints == listed.update.endpoints[:1]
 
 
 def test_a_newer_list_is_taken_over_and_an_older_one_is_not(tmp_path):
--- a/tests/identity/test_identity_node.py
+++ b/tests/identity/test_identity_node.py
@@ -45,7 +45,7 @@
         assert reason in header
 
 
-def test_a_caller_over_its_rate_is_told_when_to_retry(program):
+def test_a_caller_over_its_rate_gets_a_retry_after(program):
     program.start_worker()
     slow = program.token("slow")
     assert program.post(slow).status == 200
--- a/tests/identity/test_identity_permissions.py
+++ b/tests/identity/test_identity_permissions.py
@@ -128,7 +128,7 @@
     assert permissions_with().decide(by_token("portal"), "revalue", None).tenant == "north"
 
 
-def test_over_its_rate_a_caller_is_told_when_to_retry():
+def test_over_its_rate_a_caller_gets_a_retry_after():
     slow = Caller(
         "slow",
         frozenset(("slow",)),
@@ -147,7 +147,7 @@
     assert engine.admit(by_token("admin"), "revalue", "north", 10.5).verdict is Verdict.ALLOWED
 
 
-def test_a_reload_keeps_the_used_limits():
+def test_the_used_limits_outlive_a_reload():
     few = Caller(
         "few", frozenset(("few",)), frozenset(("*",)), frozenset(("*",)), max_open_requests=1
     )
@@ -261,7 +261,7 @@
     assert found[3]["decision"] == "allowed"
 
 
-def test_allowed_requests_are_written_only_if_asked_for_and_what_is_made_up_is_cut():
+def test_allowed_requests_are_written_only_if_enabled_and_long_values_are_cut():
     stream = io.StringIO()
     audit = AuditLog("json", 10, include_allowed=False, stream=stream)
     audit.record("http", "x", Decision(Verdict.ALLOWED, "allowed", "r"))
--- a/tests/simulator_adapter/test_simulator_adapter.py
+++ b/tests/simulator_adapter/test_simulator_adapter.py
@@ -5,6 +5,7 @@
 import subprocess
 import sys
 from pathlib import Path
+from typing import NamedTuple
 
 import pytest
 
@@ -30,10 +31,20 @@
 REQUEST = "REQUEST msg_id=00000000000000aa type=1 tenant=0 budget_us=5000000"
 
 
+class TranscriptResult(NamedTuple):
+    """What the adapter does with a transcript."""
+
+    code: int
+    out: list[str]
+    errors: list[str]
+
+
 def run_transcript(*lines):
-    sink, errors = io.StringIO(), []
-    code = run(io.StringIO("\n".join(lines) + "\n"), sink, errors.append)
-    return code, sink.getvalue().splitlines(), errors
+    """Run the adapter on these lines."""
+    output = io.StringIO()
+    errors = []
+    code = run(io.StringIO("\n".join(lines) + "\n"), output, errors.append)
+    return TranscriptResult(code, output.getvalue().splitlines(), errors)
 
 
 def batch(number, *lines, at=2_000_000):
@@ -41,7 +52,7 @@
 
 
 def test_a_request_is_relayed_and_answered():
-    code, out, errors = run_transcript(
+    result = run_transcript(
         "MARK t_us=1 batch=0",
         "END",
         *START,
@@ -51,10 +62,10 @@
             "ANSWER msg_id=00000000000000aa n=0 runner=10.0.0.1:5000 state_code=ABORTED spent_us=9",
         ),
     )
-    assert (code, errors) == (0, [])
-    assert out[0] == "FINISHED batch=0"
-    assert [line for line in out if line.startswith("RELAY msg_id=00000000000000aa")]
-    assert out[-3:] == [
+    assert (result.code, result.errors) == (0, [])
+    assert result.out[0] == "FINISHED batch=0"
+    assert [line for line in result.out if line.startswith("RELAY msg_id=00000000000000aa")]
+    assert result.out[-3:] == [
         "AS dispatcher=3",
         "REPORT_FAILURE msg_id=00000000000000aa",
         "FINISHED batch=3",
@@ -62,7 +73,7 @@
 
 
 def test_late_events_of_ended_requests_are_ignored():
-    code, out, _ = run_transcript(
+    result = run_transcript(
         *START,
         *batch(
             2,
@@ -72,12 +83,12 @@
             "PEER origin_peer=1 msg=68",
         ),
     )
-    assert code == 0
-    assert out[-1] == "FINISHED batch=2"
+    assert result.code == 0
+    assert result.out[-1] == "FINISHED batch=2"
 
 
 def test_a_table_number_is_used_in_the_order_of_events():
-    code, out, _ = run_transcript(
+    result = run_transcript(
         *START,
         *batch(
             2,
@@ -88,18 +99,18 @@
             REQUEST,
         ),
     )
-    assert code == 0
-    assert any(line.endswith("runner=10.0.0.9:5000") for line in out)
+    assert result.code == 0
+    assert any(line.endswith("runner=10.0.0.9:5000") for line in result.out)
 
 
 def test_an_instance_that_exits_and_comes_back_starts_anew():
-    code, out, _ = run_transcript(*START, *batch(2, REQUEST, "EXIT", *START[2:-1], REQUEST))
-    assert code == 0
-    assert len([line for line in out if line.startswith("RELAY")]) == 2
+    result = run_transcript(*START, *batch(2, REQUEST, "EXIT", *START[2:-1], REQUEST))
+    assert result.code == 0
+    assert len([line for line in result.out if line.startswith("RELAY")]) == 2
 
 
 @pytest.mark.parametrize(
-    ("lines", "words"),
+    ("lines", "reason"),
     [
         (["HELLO a=1"], "MARK"),
         (["MARK t_us=abc batch=1", "END"], "t_us=abc"),
@@ -130,13 +141,13 @@
         "no classes",
     ],
 )
-def test_malformed_input_gets_one_plain_line_and_a_bad_exit(lines, words):
-    code, out, errors = run_transcript(*lines)
-    assert code != 0
-    assert len(errors) == 1
-    assert words in errors[0]
-    assert errors[0].startswith("line ")
-    assert not out or out[-1].startswith("FINISHED")  # no half reply
+def test_malformed_input_gets_one_plain_line_and_a_bad_exit(lines, reason):
+    result = run_transcript(*lines)
+    assert result.code != 0
+    assert len(result.errors) == 1
+    assert reason in result.errors[0]
+    assert result.errors[0].startswith("line ")
+    assert not result.out or result.out[-1].startswith("FINISHED")  # no half reply
 
 
 def test_a_fault_in_deciding_is_a_panic(monkeypatch):
@@ -144,10 +155,10 @@
         raise KeyError("lost")
 
     monkeypatch.setattr(LoadBalancer, "handle", broken)
-    code, out, _ = run_transcript(*START)
-    assert code == 0
-    assert out[0].startswith("PANIC body_text=KeyError")
-    assert out[-1] == "FINISHED batch=1"
+    result = run_transcript(*START)
+    assert result.code == 0
+    assert result.out[0].startswith("PANIC body_text=KeyError")
+    assert result.out[-1] == "FINISHED batch=1"
 
 
 def transcript(instances):
@@ -155,13 +166,16 @@
     lines = []
     for number in range(1, 60):
         lines.append(f"MARK t_us={number * 50_000} batch={number}")
-        for at in instances:
-            lines.append(f"SWITCH_TO dispatcher={at}")
+        for instance in instances:
+            lines.append(f"SWITCH_TO dispatcher={instance}")
             if number == 1:
-                lines += [f"ENLIST rng_seed={at + 9} discovery=subscribe {CONF}", *START[3:-1]]
+                lines += [
+                    f"ENLIST rng_seed={instance + 9} discovery=subscribe {CONF}",
+                    *START[3:-1],
+                ]
             else:
                 lines.append(
-                    f"REQUEST msg_id={at * 1000 + number:016x} type={number % 2} budget_us=5000000"
+                    f"REQUEST msg_id={instance * 1000 + number:016x} type={number % 2} budget_us=5000000"
                 )
             if number % 7 == 0:
                 lines += ["TOPOLOGY serial=2 mode=Error", "WAKE ctx=0", "WAKE ctx=1"]
@@ -180,19 +194,20 @@
         env=environment,
         check=True,
     )
-    found, at = {}, None
+    actions = {}
+    instance = None
     for line in process.stdout.splitlines():
         if line.startswith("AS "):
-            at = line
+            instance = line
         elif not line.startswith("FINISHED"):
-            found.setdefault(at, []).append(line)
-    return found
+            actions.setdefault(instance, []).append(line)
+    return actions
 
 
 def test_one_process_and_three_act_alike():
     together = actions_by_instance([0, 1, 2])
     apart = {}
-    for k in range(3):
-        apart.update(actions_by_instance([k]))
+    for instance in range(3):
+        apart.update(actions_by_instance([instance]))
     assert together == apart
     assert len(together) == 3
