--- /dev/null
+++ b/tests/conftest.py
@@ -0,0 +1,67 @@
+"""Fixtures that tests of several packages share."""
+
+import contextlib
+
+import pytest
+from hypothesis import HealthCheck, settings
+from hypothesis.stateful import run_state_machine_as_test
+
+from tests.http.scripted_server import ScriptedServer
+from tests.node.dispatcher_process import DispatcherProcess
+from tests.runtime.thread_ends import no_thread_left
+
+# Derandomized: CI must give the same verdict every time.
+STATE_MACHINE_SETTINGS = settings(
+    derandomize=True,
+    deadline=None,
+    max_examples=300,
+    stateful_step_count=30,
+    database=None,
+    suppress_health_check=list(HealthCheck),
+)
+
+
+@pytest.fixture
+def run_state_machine():
+    """Compare code with its model by the random steps of a `RuleBasedStateMachine`."""
+
+    def run(machine):
+        run_state_machine_as_test(machine, settings=STATE_MACHINE_SETTINGS)
+
+    return run
+
+
+@pytest.fixture
+def threads_end():
+    """Fail a test that leaves a thread in the test process."""
+    with no_thread_left():
+        yield
+
+
+@pytest.fixture
+def start_dispatcher(tmp_path):
+    """Start dispatchers' processes, with further keys of the configuration; end them."""
+    with contextlib.ExitStack() as stack:
+
+        def start(**configuration):
+            dispatcher = DispatcherProcess(tmp_path, **configuration)
+            return stack.enter_context(contextlib.closing(dispatcher))
+
+        yield start
+
+
+@pytest.fixture
+def dispatcher(start_dispatcher):
+    """A dispatcher's process with one worker and a discovery that names it."""
+    return start_dispatcher()
+
+
+@pytest.fixture
+def start_server():
+    """Start servers with scripted answers; stop them."""
+    with contextlib.ExitStack() as stack:
+
+        def start(reply):
+            return stack.enter_context(contextlib.closing(ScriptedServer(reply)))
+
+        yield start
--- a/tests/outbound_helpers.py
+++ b/tests/http/outbound_harness.py
@@ -2,9 +2,6 @@
 
 from dataclasses import replace
 
-from net_helpers import LIMITS, SETTINGS, request
-from node_helpers import Server, wait_for
-
 from stepstream.config.limits import Limits, Timeouts
 from stepstream.core.events import CallEnded
 from stepstream.core.requests import Call
@@ -18,6 +15,11 @@
 from stepstream.runtime import log_events
 from stepstream.runtime.clock import Clock
 from stepstream.runtime.log import RateLimitedLogger
+from tests.config.configurations import LIMITS, POLICY_SETTINGS
+from tests.core.builders import make_request
+from tests.http.scripted_server import ScriptedServer
+from tests.runtime.thread_ends import end_carrier
+from tests.runtime.waiting import wait_for
 
 CLOCK = Clock()
 REUSED_AT_ONCE = Limits(timeouts=Timeouts(outbound_reuse_delay_seconds=0.0))
@@ -31,15 +33,16 @@
 
 
 def accept_job(_):
+    """Answer as a worker that accepts a job."""
     return write_answer(202)
 
 
 class OutboundHarness:
     """A carrier whose events are recorded, and one worker 'w' that answers by `reply`."""
 
-    def __init__(self, reply, limits=LIMITS, settings=SETTINGS):
+    def __init__(self, reply, limits=LIMITS, settings=POLICY_SETTINGS):
         self.events = []
-        self.server = Server(reply)
+        self.server = ScriptedServer(reply)
         self.destinations = DestinationSet()
         self.destinations.apply(endpoint_answer(w=self.server.port))
         self.settings = settings
@@ -54,27 +57,34 @@
         )
 
     def new_call(self, name="aa", sent_us=None, worker="w"):
+        """Return a call that is not started."""
         now_us = CLOCK.now_us()
-        job = replace(request(name, now_us), settings=self.settings)
+        job = replace(make_request(name, now_us), settings=self.settings)
         return Call(job, 0, worker, now_us if sent_us is None else sent_us, now_us + 5_000_000)
 
     def start_call(self, name="aa", sent_us=None, worker="w"):
+        """Start a call and return it."""
         call = self.new_call(name, sent_us, worker)
         self.carrier.start(call)
         return call
 
     def start_accepted_call(self, name):
-        """A call, once its worker has accepted the job."""
+        """Return a call, once its worker has accepted the job."""
         call = self.start_call(name)
         wait_for(lambda: call.carrier_state.phase is CallPhase.ACCEPTED)
         return call
 
     def idle_connections(self):
-        """The worker's idle connections, once there is one."""
+        """Return the worker's idle connections, once there is one."""
         return wait_for(lambda: self.carrier.pool.idle.get("w"))
 
     def result(self, call):
-        """How a call ended, once it has."""
+        """Return how a call ended, once it has."""
         return wait_for(
             lambda: [e.result for e in self.events if isinstance(e, CallEnded) and e.call is call]
         )[0]
+
+    def close(self):
+        """Stop the worker and end the carrier's threads."""
+        self.server.close()
+        end_carrier(self.carrier)
--- a/tests/lab/reports/test_demo.py
+++ b/tests/lab/reports/test_demo.py
@@ -6,9 +6,11 @@
 import sys
 
 import pytest
-from node_helpers import PATIENCE, ROOT, ask
 
 from stepstream.http.codec import write_request
+from tests.http.scripted_server import exchange
+from tests.node.dispatcher_process import ROOT
+from tests.runtime.waiting import PATIENCE_SECONDS
 
 
 def demo_command(*options):
@@ -56,7 +58,7 @@
         yield host, int(port)
     finally:
         process.terminate()
-        assert process.wait(PATIENCE * 2) == 0
+        assert process.wait(PATIENCE_SECONDS * 2) == 0
 
 
 def test_a_held_demo_serves_requests_of_other_clients(held_demo):
@@ -67,8 +69,8 @@
         "Request-Timeout-Ms": "4000",
     }
     for body in (b"[0,0,1000,1]", b"what others send"):
-        with socket.create_connection(held_demo, timeout=PATIENCE) as connection:
-            response = ask(0, write_request("POST", "/revalue", headers, body), connection)
+        with socket.create_connection(held_demo, timeout=PATIENCE_SECONDS) as connection:
+            response = exchange(0, write_request("POST", "/revalue", headers, body), connection)
         assert response.status == 200
         assert response.body.startswith(b"price ")
 
--- a/tests/leases/test_lease_acceptor.py
+++ b/tests/leases/test_lease_acceptor.py
@@ -1,7 +1,5 @@
 """The acceptor: promises, acceptances, releases and bounds."""
 
-from lease_builders import ACCEPTORS, CONFIGURATION
-
 from stepstream.leases.acceptor import Acceptor
 from stepstream.leases.configuration import LeaseConfiguration
 from stepstream.leases.messages import (
@@ -16,6 +14,7 @@
     Release,
     StaleBallot,
 )
+from tests.leases.lease_builders import ACCEPTORS, CONFIGURATION
 
 LONG_AGO = -100.0  # seconds: an acceptor that started then has recovered
 
--- a/tests/leases/test_lease_configuration.py
+++ b/tests/leases/test_lease_configuration.py
@@ -1,9 +1,9 @@
 """The bounds on a lease's times."""
 
 import pytest
-from lease_builders import CONFIGURATION
 
 from stepstream.leases.configuration import LeaseTimesError, check_lease_times
+from tests.leases.lease_builders import CONFIGURATION
 
 
 @pytest.mark.parametrize(
--- a/tests/leases/test_lease_messages.py
+++ b/tests/leases/test_lease_messages.py
@@ -3,7 +3,6 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from lease_builders import CONFIGURATION, recovered_participant
 
 from stepstream.leases.messages import (
     PROTOCOL_VERSION,
@@ -16,6 +15,7 @@
     decode,
     encode,
 )
+from tests.leases.lease_builders import CONFIGURATION, recovered_participant
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
--- a/tests/leases/test_lease_orders.py
+++ b/tests/leases/test_lease_orders.py
@@ -1,11 +1,11 @@
 """A small configuration of leases in every order of events; larger ones are in benchmarks/leases.py."""
 
-import planted_lease_faults as planted
 import pytest
 
 from stepstream.lab.search.lease_model import Bounds
 from stepstream.lab.search.lease_search import LeaseSearch
 from stepstream.lab.simulation.errors import TwoHoldersError
+from tests.leases import planted_lease_faults as planted
 
 
 def test_three_acceptors_and_two_proposers_have_one_holder_in_every_order():
--- a/tests/leases/test_lease_participant.py
+++ b/tests/leases/test_lease_participant.py
@@ -2,11 +2,10 @@
 
 import random
 
-from lease_builders import recovered_participant
-
 from stepstream.leases.configuration import LeaseConfiguration
 from stepstream.leases.messages import PROTOCOL_VERSION, ConfigurationMismatch, Envelope, Prepare
 from stepstream.leases.participant import Participant
+from tests.leases.lease_builders import recovered_participant
 
 
 def test_a_member_with_another_configuration_is_told_so_and_gets_no_promise():
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -12,8 +12,6 @@
 import time
 
 import pytest
-from config_helpers import CONFIG
-from node_helpers import ROOT, free_port
 
 from stepstream.lab.processes.cluster_scenarios import (
     HealthCheckRun,
@@ -24,6 +22,9 @@
 from stepstream.lab.processes.lease_faults import LEASE_FAULTS, inject
 from stepstream.lab.verification import ledger_record
 from stepstream.leases.commands import run
+from tests.config.configurations import CONFIGURATION as CONFIG
+from tests.node.dispatcher_process import ROOT
+from tests.runtime.ports import free_port
 
 TIMEOUT_SECONDS = 40.0
 
--- a/tests/leases/test_lease_proposer.py
+++ b/tests/leases/test_lease_proposer.py
@@ -2,12 +2,11 @@
 
 import random
 
-from lease_builders import CONFIGURATION
-
 from stepstream.leases.ballots import BallotSequence
 from stepstream.leases.lease_state import LeaseState
 from stepstream.leases.messages import Accepted, Promise
 from stepstream.leases.proposer import Proposer
+from tests.leases.lease_builders import CONFIGURATION
 
 
 def promised_proposer():
--- a/tests/leases/test_lease_rules.py
+++ b/tests/leases/test_lease_rules.py
@@ -3,7 +3,6 @@
 import random
 
 import pytest
-from lease_builders import CONFIGURATION
 
 from stepstream.leases.acceptor_rules import (
     blocking_grant,
@@ -39,6 +38,7 @@
 )
 from stepstream.leases.session_table import Session, is_forgettable, is_silent
 from stepstream.leases.wait_queue import WaitQueue
+from tests.leases.lease_builders import CONFIGURATION
 
 BALLOT = Ballot(5, "a.1")
 GRANT = Grant(BALLOT, token=5, expires_at=3.0)
--- a/tests/leases/test_lease_schedules.py
+++ b/tests/leases/test_lease_schedules.py
@@ -1,11 +1,11 @@
 """Leases in simulated time, under random schedules of faults; thousands are in benchmarks/leases.py."""
 
-import planted_lease_faults as planted
 import pytest
-from lease_builders import cluster_after_faults
 
 from stepstream.lab.simulation.errors import InvariantError
 from stepstream.lab.simulation.guarded_resource import GuardedResource
+from tests.leases import planted_lease_faults as planted
+from tests.leases.lease_builders import cluster_after_faults
 
 SEEDS = 40
 SEEDS_OF_A_PLANTED_FAULT = 120  # within which it must be caught
--- a/tests/membership/test_dissemination.py
+++ b/tests/membership/test_dissemination.py
@@ -1,7 +1,6 @@
 """Piggybacked updates: order, limits and sizes."""
 
 import pytest
-from membership_builders import record
 
 from stepstream.membership.dissemination import (
     MAX_PIGGYBACKED_STATUSES,
@@ -17,6 +16,7 @@
     Phase,
     encoded_bytes,
 )
+from tests.membership.membership_builders import record
 
 ENOUGH_BYTES = 100_000
 MAINTENANCE = MaintenanceRecord("s-1", 1, True, "a", 7)
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -1,7 +1,6 @@
 """Probes, indirect probes, nacks and local health of one member, datagram by datagram."""
 
 import pytest
-from membership_builders import SETTINGS, protocol, record
 
 from stepstream.membership.local_health import LocalHealth
 from stepstream.membership.messages import (
@@ -13,6 +12,7 @@
     Ping,
     PingRequest,
 )
+from tests.membership.membership_builders import SETTINGS, protocol, record
 
 INTERVAL = SETTINGS.probe_interval_seconds
 TIMEOUT = SETTINGS.probe_timeout_seconds
--- a/tests/membership/test_membership_messages.py
+++ b/tests/membership/test_membership_messages.py
@@ -3,7 +3,6 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from membership_builders import protocol
 
 from stepstream.lab.simulation.membership_cluster import CLUSTER_NAME
 from stepstream.membership.messages import (
@@ -18,6 +17,7 @@
     decode,
     encode,
 )
+from tests.membership.membership_builders import protocol
 
 LOCAL = protocol().members.local
 
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -15,8 +15,6 @@
 from dataclasses import replace
 
 import pytest
-from config_helpers import CONFIG
-from node_helpers import ROOT
 
 from stepstream.cli import main
 from stepstream.lab.processes.addresses import cluster_host, free_port
@@ -34,6 +32,8 @@
     encode,
 )
 from stepstream.membership.record_precedence import NAME_TAKEOVER_SECONDS
+from tests.config.configurations import CONFIGURATION as CONFIG
+from tests.node.dispatcher_process import ROOT
 
 # Shorter than the defaults, so that the whole of this file takes a minute and a half.
 SHORT_INTERVALS = "period_ms = 200\ntimeout_ms = 90\nsync_ms = 1000\nreach_ms = 300\nyoung_s = 2\nhold_s = 2\nslack = 3\n"
--- a/tests/membership/test_membership_rules.py
+++ b/tests/membership/test_membership_rules.py
@@ -1,7 +1,6 @@
 """Rules of the membership protocol that no longer scenario forces by itself."""
 
 import pytest
-from membership_builders import SETTINGS, protocol, record
 
 from stepstream.membership.anti_entropy import is_page_pause_over
 from stepstream.membership.local_health import failed_probe_penalty, is_stall, stall_penalty
@@ -14,6 +13,7 @@
 from stepstream.membership.messages import MemberState, Phase, Ping
 from stepstream.membership.protocol_settings import SUSPECT_NOTIFIERS
 from stepstream.membership.suspicion import is_suspect_dead, suspect_contact_probability
+from tests.membership.membership_builders import SETTINGS, protocol, record
 
 
 @pytest.mark.parametrize(
--- a/tests/membership/test_membership_simulation.py
+++ b/tests/membership/test_membership_simulation.py
@@ -2,9 +2,7 @@
 
 import random
 
-import planted_membership_faults as planted
 import pytest
-from membership_builders import SETTINGS, converged_cluster, member_names
 
 from stepstream.lab.faults.random_schedule import generate_schedule
 from stepstream.lab.faults.schedule import Fault, FaultKind, Schedule
@@ -16,6 +14,8 @@
 from stepstream.membership.messages import MemberRecord, MemberState
 from stepstream.membership.protocol import MembershipProtocol
 from stepstream.membership.protocol_settings import ProtocolSettings
+from tests.membership import planted_membership_faults as planted
+from tests.membership.membership_builders import SETTINGS, converged_cluster, member_names
 
 RECOVERY_SECONDS = 20.0  # after the last fault, at 5 members; most need one
 SEEDS_OF_A_PLANTED_FAULT = 40  # within which it must be caught
--- a/tests/membership/test_record_merge.py
+++ b/tests/membership/test_record_merge.py
@@ -3,7 +3,6 @@
 import msgspec
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from membership_builders import protocol, record
 
 from stepstream.membership.messages import (
     MaintenanceRecord,
@@ -14,6 +13,7 @@
 )
 from stepstream.membership.protocol_settings import ProtocolSettings
 from stepstream.membership.record_precedence import member_precedence
+from tests.membership.membership_builders import protocol, record
 
 RECORDS = st.builds(
     MemberRecord,
--- a/tests/membership/test_record_precedence.py
+++ b/tests/membership/test_record_precedence.py
@@ -1,7 +1,6 @@
 """The order of records and of claims about the local name."""
 
 import pytest
-from membership_builders import record
 
 from stepstream.membership.messages import MaintenanceRecord, MemberState, MemberStatus, Phase
 from stepstream.membership.record_precedence import (
@@ -12,6 +11,7 @@
     member_precedence,
     status_precedence,
 )
+from tests.membership.membership_builders import record
 
 ALIVE, SUSPECT, DEAD, LEFT = MemberState
 
