--- a/stepstream/config/operator_sections.py
+++ b/stepstream/config/operator_sections.py
@@ -67,8 +67,10 @@
         further one finds the worker full.
     queue_wait_ms (1,000 ms): a job that waits longer there is returned without having run, and may
         be sent to another worker.
-    keep_s (300 s): how long the outcome of an ended background job is retained.
-    keep_most (10,000 jobs): how many outcomes are retained; the oldest are dropped first.
+    outcome_retention_seconds (`keep_s`, 300 s): how long the outcome of an ended background job is
+        retained.
+    max_retained_outcomes (`keep_most`, 10,000 jobs): how many outcomes are retained; the oldest are
+        dropped first.
     jobs_a_connection (1,000 jobs): open jobs of one client connection; further ones are rejected.
     worker: the defaults of workers, `[gearman.worker]`.
     """
@@ -78,8 +80,8 @@
     allow_shutdown: bool = False
     queue: Annotated[int, msgspec.Meta(ge=0, le=10_000)] = 8
     queue_wait_ms: Count = 1_000
-    keep_s: Count = 300
-    keep_most: Count = 10_000
+    outcome_retention_seconds: Count = msgspec.field(name="keep_s", default=300)
+    max_retained_outcomes: Count = msgspec.field(name="keep_most", default=10_000)
     jobs_a_connection: Count = 1_000
     worker: WorkerDefaults = WorkerDefaults()
 
@@ -143,8 +145,8 @@
     longest_s (86,400 s): longest lifetime of a token, from `iat` to `exp`.
     cache (10,000 tokens): verified tokens that are cached; fewer cost more signature checks.
     workers (["worker/"]): a worker's subject is one of these prefixes and the worker's id.
-    news ("identified"): "open" accepts workers' notifications and registrations without a
-        credential.
+    notification_access (`news`, "identified"): "open" accepts workers' notifications and
+        registrations without a credential.
     admins ([]): subjects that may use Gearman's text commands.
     audit ("json"): format of audit lines, "json" or "console".
     audit_allowed (false): whether allowed requests are written too.
@@ -162,7 +164,9 @@
     longest_s: Count = 86_400
     cache: Count = 10_000
     workers: tuple[str, ...] = ("worker/",)
-    news: Literal["identified", "open"] = "identified"
+    notification_access: Literal["identified", "open"] = msgspec.field(
+        name="news", default="identified"
+    )
     admins: tuple[str, ...] = ()
     audit: LogFormat = "json"
     audit_allowed: bool = False
--- a/stepstream/gearman/assignment_rules.py
+++ b/stepstream/gearman/assignment_rules.py
@@ -25,8 +25,8 @@
         return AttemptResult.NOT_SENT
     if any(assigned.call.request is call.request for assigned in worker.assigned.values()):
         return AttemptResult.NOT_SENT
-    held_calls = len(worker.queue) + len(worker.assigned)
-    if held_calls >= worker.identity.slots + queue_length:
+    call_count = len(worker.queue) + len(worker.assigned)
+    if call_count >= worker.identity.slots + queue_length:
         return AttemptResult.FULL
     return None
 
--- a/stepstream/gearman/connection_rules.py
+++ b/stepstream/gearman/connection_rules.py
@@ -42,7 +42,7 @@
 class TimeoutAction(Enum):
     """What becomes of a connection whose timeouts are checked."""
 
-    KEEP = 1
+    NONE = 1
     CLOSE = 2
     REPLY_AND_CLOSE = 3  # with the error of a message that took too long
 
@@ -59,7 +59,7 @@
     phase_seconds = now_seconds - view.phase_started_at_seconds
     if not view.session_closed and not view.session_idle:
         is_slow = phase_seconds > timeouts.message_seconds
-        return TimeoutAction.REPLY_AND_CLOSE if is_slow else TimeoutAction.KEEP
+        return TimeoutAction.REPLY_AND_CLOSE if is_slow else TimeoutAction.NONE
     if view.session_closed:
         has_expired = phase_seconds > timeouts.linger_seconds
     elif not view.has_sent_work:
@@ -67,7 +67,7 @@
     else:
         idle_seconds = now_seconds - view.last_activity_at_seconds
         has_expired = not view.is_in_use and idle_seconds > timeouts.inbound_idle_seconds
-    return TimeoutAction.CLOSE if has_expired else TimeoutAction.KEEP
+    return TimeoutAction.CLOSE if has_expired else TimeoutAction.NONE
 
 
 def eviction_state(
--- a/stepstream/gearman/state.py
+++ b/stepstream/gearman/state.py
@@ -82,7 +82,9 @@
         self.settings = settings
         self.limits = limits
         self.host = host
-        self.jobs = JobTable(section.keep_s * SECOND_US, section.keep_most)
+        self.jobs = JobTable(
+            section.outcome_retention_seconds * SECOND_US, section.max_retained_outcomes
+        )
         self.workers = WorkerTable(
             section.queue,
             section.queue_wait_ms * MILLISECOND_US,
@@ -99,8 +101,8 @@
         self.section = section
         self.settings = settings
         self.limits = limits
-        self.jobs.retention_us = section.keep_s * SECOND_US
-        self.jobs.max_retained = section.keep_most
+        self.jobs.retention_us = section.outcome_retention_seconds * SECOND_US
+        self.jobs.max_retained = section.max_retained_outcomes
         self.workers.queue_length = section.queue
         self.workers.queue_wait_us = section.queue_wait_ms * MILLISECOND_US
 
--- a/stepstream/http/exchange.py
+++ b/stepstream/http/exchange.py
@@ -55,7 +55,7 @@
         """Whether the exchange is in a final phase."""
         return self.phase in (ExchangePhase.JOB_ACCEPTED, ExchangePhase.ENDED)
 
-    def mark_request_written(self) -> None:
+    def on_request_written(self) -> None:
         """Record that the request's last byte is written: from now on the job may run."""
         self.phase = ExchangePhase.AWAITING_ANSWER
 
--- a/stepstream/http/load_reports.py
+++ b/stepstream/http/load_reports.py
@@ -32,8 +32,8 @@
 
 def read_text(text: str) -> dict[str, str]:
     """Split a report in text form into its fields; raises ValueError."""
-    first_word, _, fields = text.strip().partition(" ")
-    if first_word != TEXT_FORMAT:
+    format_name, _, fields = text.strip().partition(" ")
+    if format_name != TEXT_FORMAT:
         raise LoadReportFormatError("it does not begin with TEXT")
     return read_pairs(fields)
 
--- a/stepstream/http/outbound.py
+++ b/stepstream/http/outbound.py
@@ -200,7 +200,7 @@
         try:
             connection.sock.sendall(data)
             in_flight.phase = CallPhase.SENT
-            exchange.mark_request_written()
+            exchange.on_request_written()
             read_by = time.monotonic() + self.limits.timeouts.call_answer_seconds
             while not exchange.is_over:
                 exchange.receive(
--- a/stepstream/identity/access_control.py
+++ b/stepstream/identity/access_control.py
@@ -153,7 +153,7 @@
     ) -> Rejection | None:
         """Authorize a notification or registration under a worker id; return None if allowed."""
         section = self.rules.section
-        if section.news == "open":
+        if section.notification_access == "open":
             return None
         subjects = [prefix + worker_id for prefix in section.workers]
         return self._authorize_subject(front, credential, f"worker {worker_id}", subjects)
--- a/stepstream/leases/command_deadlines.py
+++ b/stepstream/leases/command_deadlines.py
@@ -37,7 +37,7 @@
     return expires_at - now > term_seconds
 
 
-def held_seconds(remaining_seconds: float, max_clock_drift: float) -> float:
+def exclusive_seconds(remaining_seconds: float, max_clock_drift: float) -> float:
     """Return the time on this program's clock in which nobody else can hold the lease.
 
     `remaining_seconds` is the dispatcher's answer, on its clock. This clock may be as slow and the
--- a/stepstream/leases/command_runner.py
+++ b/stepstream/leases/command_runner.py
@@ -29,8 +29,8 @@
     HEARTBEATS_PER_TTL,
     acquire_interval_seconds,
     call_timeout_seconds,
+    exclusive_seconds,
     has_time_to_run,
-    held_seconds,
     is_kill_due,
     is_term_due,
     term_margin_seconds,
@@ -197,7 +197,7 @@
         is_held = answer.status == HTTPStatus.OK and answer.remaining_seconds > 0
         is_same_grant = self.token in (0, answer.token)
         if is_held and is_same_grant:
-            seconds = held_seconds(answer.remaining_seconds, answer.max_clock_drift)
+            seconds = exclusive_seconds(answer.remaining_seconds, answer.max_clock_drift)
             self.expires_at = max(self.expires_at, called_at + seconds)
 
     def release(self) -> None:
--- a/stepstream/leases/proposer_rules.py
+++ b/stepstream/leases/proposer_rules.py
@@ -85,17 +85,17 @@
     now: float,
     accepted_by: Collection[str],
     expires_at: float,
-    held_until: float,
+    current_expires_at: float,
     configuration: LeaseConfiguration,
 ) -> bool:
     """Return whether the acceptances of a round grant the lease, or extend it, to `expires_at`.
 
     A quorum must have accepted one and the same round in time. Answers of an earlier round must not
-    shorten a lease that is held until `held_until`.
+    shorten a lease that is held until `current_expires_at`.
     """
     is_accepted = configuration.is_quorum(accepted_by)
     is_in_time = now < expires_at
-    is_longer = expires_at > held_until
+    is_longer = expires_at > current_expires_at
     return is_accepted and is_in_time and is_longer
 
 
--- a/stepstream/leases/session_table.py
+++ b/stepstream/leases/session_table.py
@@ -82,7 +82,7 @@
         self.expire(now)
         return len(self.open_sessions) < self.max_sessions
 
-    def mark_ending(self, lease: str | None = None) -> list[Session]:
+    def request_end(self, lease: str | None = None) -> list[Session]:
         """Mark the sessions of one lease, or all, as ending; the participant winds them down."""
         ended = [
             session
--- a/stepstream/leases/sessions.py
+++ b/stepstream/leases/sessions.py
@@ -48,7 +48,7 @@
         Tasks inside this dispatcher end as well. Each ends after its operation under way.
         """
         with self.driver.state_changed:
-            ended = self.table.mark_ending(lease)
+            ended = self.table.request_end(lease)
             outgoing = self.driver.participant.wind_down(boot_time_seconds(), lease)
             self.driver.state_changed.notify_all()
         self.driver.send(outgoing)
--- a/stepstream/membership/record_precedence.py
+++ b/stepstream/membership/record_precedence.py
@@ -28,14 +28,14 @@
     return record.generation, record.address, record.incarnation, record.state
 
 
-def overrides(received: MemberRecord, held: MemberRecord) -> bool:
-    """Return whether a received claim replaces the one held."""
-    return member_precedence(received) > member_precedence(held)
+def overrides(received: MemberRecord, known: MemberRecord) -> bool:
+    """Return whether a received record replaces the known one."""
+    return member_precedence(received) > member_precedence(known)
 
 
-def repeats(received: MemberRecord, held: MemberRecord) -> bool:
-    """Return whether a received claim is the one held: its sender may confirm a suspicion."""
-    return member_precedence(received) == member_precedence(held)
+def repeats(received: MemberRecord, known: MemberRecord) -> bool:
+    """Return whether a received record is the known one: its sender may confirm a suspicion."""
+    return member_precedence(received) == member_precedence(known)
 
 
 def status_precedence(status: MemberStatus) -> tuple[int, int]:
--- a/tests/gearman/test_connection_rules.py
+++ b/tests/gearman/test_connection_rules.py
@@ -43,13 +43,13 @@
     ids=["client", "new", "partial message", "unread answer", "closed"],
 )
 def test_each_state_has_its_timeout(view, timeout_seconds, action):
-    assert timeout_action(view, NOW + timeout_seconds, TIMEOUTS) is TimeoutAction.KEEP
+    assert timeout_action(view, NOW + timeout_seconds, TIMEOUTS) is TimeoutAction.NONE
     assert timeout_action(view, NOW + timeout_seconds + 0.01, TIMEOUTS) is action
 
 
 @pytest.mark.parametrize("view", [WORKER, OWED], ids=["worker", "answer due"])
 def test_a_connection_in_use_has_no_idle_timeout(view):
-    assert timeout_action(view, NOW + 1e6, TIMEOUTS) is TimeoutAction.KEEP
+    assert timeout_action(view, NOW + 1e6, TIMEOUTS) is TimeoutAction.NONE
 
 
 @pytest.mark.parametrize(
--- a/tests/gearman/test_gearman_clients.py
+++ b/tests/gearman/test_gearman_clients.py
@@ -88,7 +88,7 @@
     assert job_status(client, handle) == (1, 0, 9, 9)
     (packet,) = client.send(Kind.GET_STATUS_UNIQUE, "bg")
     assert packet.args == (b"bg", b"1", b"0", b"9", b"9", b"0")
-    harness.advance((SECTION.keep_s + 1) * 1_000_000, step=10_000_000)
+    harness.advance((SECTION.outcome_retention_seconds + 1) * 1_000_000, step=10_000_000)
     assert job_status(client, handle) == (0, 0, 0, 0)
     assert not harness.state.jobs.latest_by_unique
 
@@ -121,7 +121,7 @@
 
 
 def test_retained_outcomes_are_bounded_and_the_oldest_go_first():
-    harness, worker = harness_with_worker(section=make_section(keep_most=2))
+    harness, worker = harness_with_worker(section=make_section(max_retained_outcomes=2))
     client = harness.connect()
     handles = []
     for _ in range(3):
--- a/tests/golden/fronts/wire_samples.py
+++ b/tests/golden/fronts/wire_samples.py
@@ -112,7 +112,7 @@
     """Return what a worker's answer to a call proves; the connection ends after it."""
     exchange = HttpExchange(LIMITS)
     if request_written:
-        exchange.mark_request_written()
+        exchange.on_request_written()
     if data:
         exchange.receive(data)
     if not exchange.is_over:
--- a/tests/http/test_exchange.py
+++ b/tests/http/test_exchange.py
@@ -40,7 +40,7 @@
     @precondition(lambda self: self.result == OPEN and not self.written)
     @rule()
     def write_request(self):
-        self.exchange.mark_request_written()
+        self.exchange.on_request_written()
         self.written = True
 
     @precondition(lambda self: self.result == OPEN and self.written and not self.inside_answer)
@@ -89,6 +89,6 @@
 def test_a_connection_is_reusable_only_between_two_messages(is_written, answer, reusable):
     exchange = HttpExchange(LIMITS)
     if is_written:
-        exchange.mark_request_written()
+        exchange.on_request_written()
     exchange.receive(answer)
     assert exchange.connection_reusable == reusable
--- a/tests/http/test_in_flight_call.py
+++ b/tests/http/test_in_flight_call.py
@@ -23,7 +23,7 @@
     in_flight = InFlightCall()
     exchange = HttpExchange(LIMITS)
     in_flight.phase = CallPhase.SENT
-    exchange.mark_request_written()
+    exchange.on_request_written()
     return in_flight, exchange
 
 
--- a/tests/leases/test_lease_rules.py
+++ b/tests/leases/test_lease_rules.py
@@ -16,8 +16,8 @@
 from stepstream.leases.command_deadlines import (
     acquire_interval_seconds,
     call_timeout_seconds,
+    exclusive_seconds,
     has_time_to_run,
-    held_seconds,
     is_kill_due,
     is_term_due,
     term_margin_seconds,
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize(
-    ("now", "accepted_by", "held_until", "expected"),
+    ("now", "accepted_by", "current_expires_at", "expected"),
     [
         (1.0, {"n0", "n1"}, 0.0, True),
         (1.0, {"n0"}, 0.0, False),
@@ -156,8 +156,10 @@
         (1.0, {"n0", "n1"}, 3.0, False),
     ],
 )
-def test_a_round_extends_a_lease_by_a_quorum_in_time(now, accepted_by, held_until, expected):
-    assert extends_lease(now, accepted_by, 3.0, held_until, CONFIGURATION) == expected
+def test_a_round_extends_a_lease_by_a_quorum_in_time(
+    now, accepted_by, current_expires_at, expected
+):
+    assert extends_lease(now, accepted_by, 3.0, current_expires_at, CONFIGURATION) == expected
 
 
 # -- sessions, commands and health checks ---------------------------------------------------------
@@ -178,7 +180,7 @@
     assert [is_term_due(now, 10.0, 2.0) for now in (7.9, 8.0)] == [False, True]
     assert [has_time_to_run(now, 10.0, 2.0) for now in (7.9, 8.0)] == [True, False]
     assert [is_kill_due(now, 10.0) for now in (9.6, 9.7)] == [False, True]
-    assert held_seconds(10.1, 0.01) == pytest.approx(9.9)
+    assert exclusive_seconds(10.1, 0.01) == pytest.approx(9.9)
 
 
 def test_calls_of_a_command_are_bounded_in_time_and_rate():
