--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -52,7 +52,7 @@
 SETTLE_SECONDS = 60.0  # longest wait for a holder after the last fault
 LONG_SECONDS = 1e6  # longer than any run
 SCHEDULE_SECONDS = 25.0
-LINK_FAULT_FRACTION = 1.0
+MAX_AFFECTED_FRACTION = 1.0  # of the members, by one fault
 TTLS_SECONDS = (5.0, 15.0)
 WAITING_MEMBERS = (0, 1, 10, 100)
 LEASES_AT_ONCE = (1, 100, 1000)
@@ -89,7 +89,7 @@
     """Play a drawn fault schedule on a drawn cluster."""
     cluster = generate_lease_cluster(seed)
     try:
-        schedule = generate_schedule(seed, cluster.names, SCHEDULE_SECONDS, LINK_FAULT_FRACTION)
+        schedule = generate_schedule(seed, cluster.names, SCHEDULE_SECONDS, MAX_AFFECTED_FRACTION)
         settled = cluster.play(schedule, SETTLE_SECONDS)
     except InvariantError as error:
         return {"seed": seed, "broken": str(error)}
@@ -214,7 +214,7 @@
     result["next_act_s"] = next_operation_seconds
     result["faults"] = ledger_record.find_breaches(rows)
     result["acts"] = sum(row["what"] == "end" for row in rows)
-    result["refused"] = sum(row["what"].startswith("refused") for row in rows)
+    result["refused"] = sum(map(ledger_record.is_rejected, rows))
     result["holders"] = len({row["token"] for row in rows})
     return result
 
@@ -282,7 +282,7 @@
     for row in rows:
         verdict = row.get("broken") or ("all tried" if row["whole"] else "unfinished")
         cells.append((row["bounds"], f"{row['states']:,}", f"{row['held']:,}", row["s"], verdict))
-    return markdown_table(("bounds", "situations", "with a holder", "s", ""), cells)
+    return markdown_table(("bounds", "states", "with a holder", "s", ""), cells)
 
 
 def crash_table(rows: list[dict[str, float]]) -> str:
@@ -292,9 +292,8 @@
         seconds = [row["s"] for row in rows if row["ttl"] == ttl_seconds]
         quantiles = [f"{value:.2f}" for value in asdict(quantiles_of(seconds)).values()]
         cells.append((f"{ttl_seconds:g}", len(seconds), *quantiles))
-    return markdown_table(
-        ("time to live, s", "plays", "crash to the next act, s: median", "p99", "most"), cells
-    )
+    header = ("time to live, s", "runs", "crash to next operation, s: median", "p99", "greatest")
+    return markdown_table(header, cells)
 
 
 def load_lines(rows: list[dict[str, float]]) -> str:
@@ -309,15 +308,15 @@
 def faults_table(rows: list[dict[str, Any]]) -> str:
     """Return what the ledger of each cluster of dispatchers shows."""
     header = (
-        "rig",
-        "voters",
-        "schedules",
-        "acts",
+        "cluster",
+        "acceptors",
+        "faults injected",
+        "operations",
         "holders",
-        "refused",
-        "next act, s: median",
-        "most",
-        "faults",
+        "rejected by the guard",
+        "next operation after recovery, s: median",
+        "greatest",
+        "violations in the ledger",
     )
     cells = []
     for row in rows:
@@ -334,7 +333,7 @@
         (row["leases"], f"{row['holder']:.1f}", f"{row['voter']:.1f}", f"{row['neither']:.1f}")
         for row in rows
     ]
-    return markdown_table(("leases held", "holder, % of a core", "voter", "neither"), cells)
+    return markdown_table(("leases held", "holder, % of a core", "acceptor", "neither"), cells)
 
 
 def measure(sizes: Sizes) -> dict[str, Any]:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -382,7 +382,7 @@
     """Return the times and the load by size."""
     header = (
         "members",
-        "plays",
+        "runs",
         "crash known, s: median",
         "p99",
         "healed, s: median",
--- a/stepstream/cli/__init__.py
+++ b/stepstream/cli/__init__.py
@@ -23,6 +23,7 @@
   token         Issue a token, or print the content of one.
   identity      Print the access decision on a token for a class and tenant, and its rule.
   fleet         Ask a running dispatcher for its membership list: stepstream fleet --help.
+  lease         List, show, revoke or hold leases of a running dispatcher: stepstream lease --help.
   lab fleet     Inject faults (drawn from the seed, or of a file) into a cluster of dispatchers and check invariants.
   demo          Run emulated workers and clients round a dispatcher on this machine, and print the outcome.
   version       Print the version.
--- a/stepstream/lab/faults/injector.py
+++ b/stepstream/lab/faults/injector.py
@@ -26,7 +26,11 @@
     END = "end"
 
 
-class Step(NamedTuple):
+class UnknownFaultKindError(Exception):
+    """A kind of fault that the injector does not apply: a new kind needs a case here."""
+
+
+class FaultStep(NamedTuple):
     """One change to the cluster, `at_seconds` after the start of the schedule.
 
     Steps sort by time, then by the fault's number in the schedule, then begin before end.
@@ -75,7 +79,7 @@
 
     def __init__(self, target: FaultTarget, schedule: Schedule) -> None:
         self.target = target
-        self.steps: list[Step] = []
+        self.steps: list[FaultStep] = []
         self._link_faults: list[Fault] = []  # those in force now
         for number, fault in enumerate(schedule.faults):
             self.steps.extend(_steps_of(number, fault))
@@ -106,6 +110,7 @@
             self.target.resume(name)
 
     def _begin_process_fault(self, fault: Fault) -> None:
+        """Apply a process fault to its running members."""
         target = self.target
         for name in filter(target.is_running, fault.members):
             match fault.kind:
@@ -118,24 +123,35 @@
                     target.leave(name)
                 case FaultKind.STALL:
                     target.stall(name)
+                case _:
+                    raise UnknownFaultKindError(fault.kind)
 
     def _end_process_fault(self, fault: Fault) -> None:
+        """End a process fault; a later one that holds a member down does not delay its start."""
         target = self.target
         for name in fault.members:
-            if fault.kind is FaultKind.STALL:
-                if target.is_running(name):
-                    target.resume(name)
-            elif not target.is_running(name):
-                target.start(name)
+            match fault.kind:
+                case FaultKind.STALL:
+                    if target.is_running(name):
+                        target.resume(name)
+                case FaultKind.CRASH | FaultKind.RESTART | FaultKind.LEAVE:
+                    if not target.is_running(name):
+                        target.start(name)
+                case _:
+                    raise UnknownFaultKindError(fault.kind)
 
     def _apply_link_faults(self) -> None:
+        """Set the links to all link faults in force together."""
         cut_pairs: set[LinkPair] = set()
         losses: list[float] = []
         for fault in self._link_faults:
-            if fault.kind is FaultKind.LOSS:
-                losses.append(fault.loss_fraction)
-            else:
-                cut_pairs |= self._cut_pairs_of(fault)
+            match fault.kind:
+                case FaultKind.LOSS:
+                    losses.append(fault.loss_fraction)
+                case FaultKind.CUT | FaultKind.FLAP | FaultKind.ONE_WAY:
+                    cut_pairs |= self._cut_pairs_of(fault)
+                case _:
+                    raise UnknownFaultKindError(fault.kind)
         self.target.set_link_faults(cut_pairs, max(losses, default=0.0))
 
     def _cut_pairs_of(self, fault: Fault) -> set[LinkPair]:
@@ -146,16 +162,16 @@
         return outgoing if fault.kind is FaultKind.ONE_WAY else outgoing | incoming
 
 
-def _steps_of(fault_number: int, fault: Fault) -> list[Step]:
+def _steps_of(fault_number: int, fault: Fault) -> list[FaultStep]:
     """Return the steps of one fault, in no particular order."""
     begin_seconds = fault.begin_seconds
-    steps = [Step(begin_seconds, fault_number, Transition.BEGIN, fault)]
+    steps = [FaultStep(begin_seconds, fault_number, Transition.BEGIN, fault)]
     if fault.kind is not FaultKind.RESTART:
         end_seconds = begin_seconds + fault.duration_seconds
-        steps.append(Step(end_seconds, fault_number, Transition.END, fault))
+        steps.append(FaultStep(end_seconds, fault_number, Transition.END, fault))
     if fault.kind is FaultKind.FLAP:
         for half in range(1, int(fault.duration_seconds / FLAP_HALF_SECONDS)):
             transition = Transition.END if half % 2 else Transition.BEGIN
             at_seconds = begin_seconds + half * FLAP_HALF_SECONDS
-            steps.append(Step(at_seconds, fault_number, transition, fault))
+            steps.append(FaultStep(at_seconds, fault_number, transition, fault))
     return steps
--- a/stepstream/lab/faults/random_schedule.py
+++ b/stepstream/lab/faults/random_schedule.py
@@ -5,7 +5,8 @@
 from stepstream.lab.faults.schedule import Fault, FaultKind, Schedule
 
 # Cuts are twice as frequent as any other kind. A seed stands for one schedule only as long as the
-# order of this tuple and of the random numbers in this module stays.
+# order of this tuple and of the random numbers in this module stays. A new kind here changes the
+# schedule of every seed: the golden transcript of the lab and the seeds of tests change with it.
 _KINDS = (
     FaultKind.CRASH,
     FaultKind.RESTART,
--- a/stepstream/lab/faults/schedule.py
+++ b/stepstream/lab/faults/schedule.py
@@ -48,11 +48,11 @@
     """Cut and heal in turn, every `FLAP_HALF_SECONDS`."""
 
     LOSS = "loss"
-    """Drop a fraction of the datagrams on every link."""
+    """Drop a fraction of the datagrams on every link; `members` has no effect."""
 
 
 PROCESS_FAULTS = frozenset({FaultKind.CRASH, FaultKind.RESTART, FaultKind.LEAVE, FaultKind.STALL})
-"""The kinds that befall processes; all others befall links."""
+"""The kinds that apply to processes; all others apply to links."""
 
 
 class Fault(
--- a/stepstream/lab/load/scenario.py
+++ b/stepstream/lab/load/scenario.py
@@ -16,7 +16,7 @@
 from stepstream.config.errors import ConfigurationError
 from stepstream.lab.emulator.clock import US_PER_MS, US_PER_SECOND
 from stepstream.lab.emulator.worker_model import WorkerSpec
-from stepstream.lab.load.site import FaultKind, FaultTable, JobClassTable, Site
+from stepstream.lab.load.site import JobClassTable, Site, WorkerFaultKind, WorkerFaultTable
 
 MIXES = ("http", "gearman", "mixed")  # of protocols
 MIXED_GEARMAN_FRACTION = 0.5  # of the requests in a mixed run
@@ -62,11 +62,11 @@
 class WorkerFault:
     """A fault that hits some of the workers; times count from the start of the run."""
 
-    kind: FaultKind
+    kind: WorkerFaultKind
     at_us: int
     end_us: int
     worker_indexes: tuple[int, ...]  # in Scenario.worker_specs
-    size: float  # as FaultTable.size
+    size: float  # as WorkerFaultTable.size
 
 
 @dataclass(frozen=True)
@@ -200,7 +200,7 @@
 
 
 def sample_fault(
-    site: Site, table: FaultTable, seconds: int, rng: np.random.Generator
+    site: Site, table: WorkerFaultTable, seconds: int, rng: np.random.Generator
 ) -> WorkerFault:
     """Draw the workers that a fault hits, at least one."""
     count = min(max(1, round(table.worker_fraction * site.worker_count)), site.worker_count)
--- a/stepstream/lab/load/site.py
+++ b/stepstream/lab/load/site.py
@@ -32,7 +32,7 @@
     NOT_IDEMPOTENT = "side_effect"
 
 
-class FaultKind(Enum):
+class WorkerFaultKind(Enum):
     """A kind of fault of a worker."""
 
     CRASH = "crash"  # the process ends at once, and restarts at the end of the fault
@@ -103,10 +103,10 @@
     share: Fraction
 
 
-class FaultTable(SiteTable, frozen=True, kw_only=True):
+class WorkerFaultTable(SiteTable, frozen=True, kw_only=True):
     """A fault that hits a random part of the workers at a given time."""
 
-    kind: FaultKind
+    kind: WorkerFaultKind
     start_fraction: Fraction = msgspec.field(name="at")  # of the run
     duration_fraction: Fraction = msgspec.field(name="length")  # of the run
     worker_fraction: Fraction = msgspec.field(name="part")
@@ -135,7 +135,7 @@
     worker_kinds: tuple[WorkerKindTable, ...] = msgspec.field(name="kind")
     job_classes: tuple[JobClassTable, ...] = msgspec.field(name="job")
     tenants: tuple[TenantTable, ...] = msgspec.field(name="tenant")
-    faults: tuple[FaultTable, ...] = msgspec.field(default=(), name="fault")
+    faults: tuple[WorkerFaultTable, ...] = msgspec.field(default=(), name="fault")
     endpoint_source: EndpointSource = msgspec.field(default=EndpointSource.POLLED, name="lists")
     load_reports: LoadReports = msgspec.field(default=LoadReports.NONE, name="reports")
     load_report_interval_ms: NonNegative = msgspec.field(default=50.0, name="report_ms")
--- a/stepstream/lab/processes/cluster_scenarios.py
+++ b/stepstream/lab/processes/cluster_scenarios.py
@@ -12,7 +12,7 @@
 
 from stepstream.lab.emulator.clock import US_PER_SECOND
 from stepstream.lab.load.scenario import Scenario, WorkerFault, generate_scenario
-from stepstream.lab.load.site import FaultKind, read_site
+from stepstream.lab.load.site import WorkerFaultKind, read_site
 from stepstream.lab.processes.cluster_load_test import ClusterLoadTest, Disturbance
 from stepstream.lab.processes.multi_listener_worker import MultiListenerWorker
 from stepstream.lab.processes.round_robin_clients import RoundRobinClients
@@ -96,7 +96,7 @@
         CRASH_WORKERS, size=CRASH_WORKERS // CRASHED_WORKERS_DIVISOR, replace=False
     )
     crash = WorkerFault(
-        FaultKind.CRASH,
+        WorkerFaultKind.CRASH,
         int(FAULT_BEGIN * US_PER_SECOND * seconds),
         int(CRASH_END * US_PER_SECOND * seconds),
         tuple(int(index) for index in crashed),
--- a/stepstream/lab/processes/lease_cluster.py
+++ b/stepstream/lab/processes/lease_cluster.py
@@ -127,9 +127,12 @@
         return ledger_record.read_entries(self.ledger_path)
 
     def holder(self) -> str | None:
-        """Return the member whose operation was admitted last; None if that is over a TTL ago."""
+        """Return the member whose operation was admitted last.
+
+        None if that was longer ago than `TTL_SECONDS`.
+        """
         recent = self.ledger_rows()[-RECENT_ROWS:]
-        admitted = [row for row in recent if not row["what"].startswith("refused")]
+        admitted = [row for row in recent if not ledger_record.is_rejected(row)]
         if not admitted or time.monotonic() - admitted[-1]["at"] > TTL_SECONDS:
             return None
         proposer_id: str = admitted[-1]["holder"]
--- a/stepstream/lab/processes/worker_faults.py
+++ b/stepstream/lab/processes/worker_faults.py
@@ -10,7 +10,7 @@
 from stepstream.lab.emulator.gearman_worker import GearmanWorker
 from stepstream.lab.emulator.http_worker import HttpWorker
 from stepstream.lab.load.scenario import Scenario, WorkerFault
-from stepstream.lab.load.site import FaultKind
+from stepstream.lab.load.site import WorkerFaultKind
 from stepstream.lab.verification.verifier import Verifier
 
 DRAIN_POLL_INTERVAL_SECONDS = 0.05
@@ -60,7 +60,7 @@
         """Put one worker at fault, and back in order when the fault's time is over."""
         duration_seconds = (fault.end_us - fault.at_us) / US_PER_SECOND
         match fault.kind:
-            case FaultKind.SLOW:
+            case WorkerFaultKind.SLOW:
                 # Work done so far counts at the speed that it was done with.
                 worker.model.advance(self.clock.now_us())
                 worker.model.slowdown_factor = fault.size
@@ -68,16 +68,16 @@
                 worker.model.advance(self.clock.now_us())
                 worker.model.slowdown_factor = 1.0
                 worker.model_changed.set()
-            case FaultKind.ERRORS:
+            case WorkerFaultKind.ERRORS:
                 worker.model.error_fraction = fault.size
                 await asyncio.sleep(duration_seconds)
                 worker.model.error_fraction = 0.0
-            case FaultKind.CRASH:
+            case WorkerFaultKind.CRASH:
                 worker.crash()
                 await self.announce(worker, "gone")
                 await asyncio.sleep(duration_seconds)
                 await self.bring_back(worker)
-            case FaultKind.DRAIN:
+            case WorkerFaultKind.DRAIN:
                 await self.drain(worker)
                 await asyncio.sleep(duration_seconds)
                 await self.bring_back(worker)
--- a/stepstream/lab/reports/fault_run.py
+++ b/stepstream/lab/reports/fault_run.py
@@ -14,7 +14,7 @@
 from rich.table import Table
 
 from stepstream.config.errors import ConfigurationError
-from stepstream.lab.faults.injector import FaultInjector, Step, Transition
+from stepstream.lab.faults.injector import FaultInjector, FaultStep, Transition
 from stepstream.lab.faults.random_schedule import generate_schedule
 from stepstream.lab.faults.schedule import Fault, FaultKind, Schedule, read_schedule
 from stepstream.lab.processes.dispatcher_cluster import DispatcherCluster
@@ -102,7 +102,7 @@
             self._observe()
             time.sleep(min(remaining_seconds, OBSERVATION_INTERVAL_SECONDS))
 
-    def _apply(self, injector: FaultInjector, step: Step) -> None:
+    def _apply(self, injector: FaultInjector, step: FaultStep) -> None:
         """Begin or end a fault, and say so."""
         injector.apply(step.transition, step.fault)
         text = f"{step.at_seconds:7.1f} s  {step.transition} of {describe(step.fault)}"
--- a/stepstream/lab/simulation/cluster.py
+++ b/stepstream/lab/simulation/cluster.py
@@ -1,8 +1,8 @@
 """Simulate the processes of a cluster and the links between them, for any protocol.
 
-`SimulatedCluster` is what the clusters of membership and of leases have in common. One seed replays
-a whole run: it owns the only random generator, and the order
-of the random numbers is part of the run.
+`SimulatedCluster` is what the clusters of membership and of leases have in common. A cluster owns
+the only random generator of its run, so a seed replays a whole run as long as the order of the
+random numbers stays.
 
 A process is in one of three states:
 
@@ -114,7 +114,10 @@
 
     @abstractmethod
     def handle_packet(self, process: ProcessT, packet: Packet) -> None:
-        """Hand a packet to a process that runs and is not stalled."""
+        """Hand a packet to a process that runs and is not stalled.
+
+        Implementations check the invariants and schedule the next tick afterwards.
+        """
 
     @abstractmethod
     def work_off_stall(self, process: ProcessT) -> None:
--- a/stepstream/lab/simulation/lease_invariants.py
+++ b/stepstream/lab/simulation/lease_invariants.py
@@ -1,6 +1,9 @@
-"""Invariants of leases, checked after every step of a simulated process.
+"""Invariants of leases in a simulated cluster.
 
-`guarded_resource` checks the order of operations from the resource's side.
+- At most one proposer holds a lease: `check`, after every step of a process.
+- A holder is rejected only for a later token: `check_fenced_by_a_later_token`, called by the tasks.
+- Tokens never fall, and operations of two holders do not overlap: `guarded_resource`, from the
+  resource's side.
 """
 
 from collections.abc import Iterable, Iterator
--- a/stepstream/lab/simulation/membership_invariants.py
+++ b/stepstream/lab/simulation/membership_invariants.py
@@ -18,7 +18,7 @@
 from stepstream.membership.protocol_settings import ProtocolSettings
 
 FALSE_DEATH_CHECK_SECONDS = 0.1
-"""Time between two checks of one member for false deaths; the bound is 200 of these."""
+"""Time between two checks of one member for false deaths."""
 
 MAX_FALSE_DEATH_PERIODS = 40
 """Probe intervals for which a reachable member may be believed dead."""
--- a/stepstream/lab/verification/ledger_record.py
+++ b/stepstream/lab/verification/ledger_record.py
@@ -93,6 +93,11 @@
         self.file.flush()
 
 
+def is_rejected(entry: LedgerEntry) -> bool:
+    """Return whether the guard rejected the operation's token."""
+    return entry["what"].startswith(REJECTED_PREFIX)
+
+
 def read_entries(path: Path) -> list[LedgerEntry]:
     """Read the entries of a ledger's file, without a last line that is not yet complete."""
     text = path.read_text(encoding="utf-8") if path.exists() else ""
@@ -105,7 +110,7 @@
     Tokens never fall, no two holders share a token, and the operations of two holders, from begin
     to end, do not overlap. Rejected operations had no effect and do not count.
     """
-    admitted = [entry for entry in entries if not entry["what"].startswith(REJECTED_PREFIX)]
+    admitted = [entry for entry in entries if not is_rejected(entry)]
     return _token_breaches(admitted) + _overlap_breaches(admitted)
 
 
--- a/stepstream/leases/command_runner.py
+++ b/stepstream/leases/command_runner.py
@@ -39,9 +39,9 @@
 from stepstream.leases.lease_state import LeaseState
 from stepstream.subsystem_api.admin_client import call_admin
 
-EXIT_LOST = os.EX_UNAVAILABLE
-EXIT_NOT_ACQUIRED = os.EX_TEMPFAIL
-EXIT_BAD_CALL = os.EX_USAGE
+EXIT_LOST = os.EX_UNAVAILABLE  # 69
+EXIT_NOT_ACQUIRED = os.EX_TEMPFAIL  # 75
+EXIT_USAGE = os.EX_USAGE  # 64
 # These three are a shell's exit codes.
 EXIT_NOT_EXECUTABLE = 126
 EXIT_NOT_FOUND = 127
@@ -130,7 +130,7 @@
             if self.answer.status in BAD_CALL_STATUSES:
                 error = self.answer.error or self.answer.status
                 print(f"stepstream: {self.address}: {error}", file=sys.stderr)
-                return EXIT_BAD_CALL
+                return EXIT_USAGE
             if self.may_start_command():
                 return self.run_command()
             if self.answer.state in OVER_STATES:
--- a/stepstream/leases/commands.py
+++ b/stepstream/leases/commands.py
@@ -45,7 +45,7 @@
 # Exit codes of all commands but `run`, whose codes are in `command_runner`.
 EXIT_OK = 0
 EXIT_NO_SUCH_LEASE = 1
-EXIT_BAD_CALL = 2
+EXIT_REQUEST_FAILED = 2
 
 # The beginning of the admin listener's error at a dispatcher without `[leases]`.
 UNKNOWN_PATH = "no such call"
@@ -63,9 +63,9 @@
         arguments = docopt(__doc__, argv)
     except DocoptExit as error:
         print(error.usage.strip(), file=sys.stderr)
-        return os.EX_USAGE if argv[1:2] == ["run"] else EXIT_BAD_CALL
+        return os.EX_USAGE if argv[1:2] == ["run"] else EXIT_REQUEST_FAILED
     if arguments["run"]:
-        return run_command(arguments)
+        return run_under_lease(arguments)
     console = console or Console(width=None if sys.stdout.isatty() else COLUMNS_WITHOUT_TERMINAL)
     at = arguments["--at"]
     try:
@@ -88,7 +88,7 @@
 def exit_code_of(error: AdminCallError) -> int:
     """Return the exit code for a call that was not answered with a success."""
     is_unknown = error.status == HTTPStatus.NOT_FOUND and not error.reason.startswith(UNKNOWN_PATH)
-    return EXIT_NO_SUCH_LEASE if is_unknown else EXIT_BAD_CALL
+    return EXIT_NO_SUCH_LEASE if is_unknown else EXIT_REQUEST_FAILED
 
 
 def print_answer(arguments: Arguments, answer: Any, console: Console) -> None:  # noqa: ANN401  parsed JSON
@@ -121,7 +121,7 @@
     return table
 
 
-def run_command(arguments: Arguments) -> int:
+def run_under_lease(arguments: Arguments) -> int:
     """Run `stepstream lease run` and return its exit code."""
     from stepstream.leases.command_runner import CommandRunner
 
--- a/stepstream/membership/commands.py
+++ b/stepstream/membership/commands.py
@@ -38,7 +38,7 @@
 
 EXIT_OK = 0
 EXIT_NEGATIVE = 1
-EXIT_BAD_CALL = 2
+EXIT_REQUEST_FAILED = 2
 
 COLUMNS_WITHOUT_TERMINAL = 160
 WATCH_INTERVAL_SECONDS = 0.5
@@ -72,8 +72,8 @@
         is_unknown = error.status == HTTPStatus.NOT_FOUND
         if is_unknown and path == "/fleet":
             text = f"{at}: this dispatcher has no [fleet]"
-            raise CommandError(text, EXIT_BAD_CALL) from error
-        exit_code = EXIT_NEGATIVE if is_unknown else EXIT_BAD_CALL
+            raise CommandError(text, EXIT_REQUEST_FAILED) from error
+        exit_code = EXIT_NEGATIVE if is_unknown else EXIT_REQUEST_FAILED
         raise CommandError(str(error), exit_code) from error
 
 
--- a/tests/lab/test_fault_schedule.py
+++ b/tests/lab/faults/test_fault_schedule.py
@@ -1,5 +1,8 @@
 """Fault schedules: their file form, their generation from a seed, and their injection."""
 
+import re
+from pathlib import Path
+
 import msgspec
 import pytest
 
@@ -9,6 +12,7 @@
 from stepstream.lab.faults.schedule import Fault, FaultKind, Schedule, read_schedule
 
 NAMES = ("n0", "n1", "n2")
+PAGE = Path(__file__).parents[3] / "docs" / "membership.md"
 
 
 class RecordingTarget:
@@ -215,3 +219,22 @@
     assert target.cut_pairs == set()
     assert target.running == set(NAMES)
     assert [name for call, name in target.calls if call == "resume"] == list(NAMES)
+
+
+@pytest.mark.parametrize("kind", FaultKind)
+def test_every_kind_of_fault_begins_and_ends(kind):
+    target = RecordingTarget()
+    injector = FaultInjector(target, Schedule())
+    fault = link_fault(kind, members=("n0",), loss_fraction=0.1)
+    injector.apply(Transition.BEGIN, fault)
+    assert target.calls or target.cut_pairs or target.loss_probability
+    injector.apply(Transition.END, fault)
+    injector.end_all()
+    assert target.running == set(NAMES)
+
+
+def test_the_page_lists_every_kind_of_fault():
+    listed = re.findall(
+        "^\\| `([a-z_]+)` \\| (?:kill|stop|suspend|drop|cut) ", PAGE.read_text(), re.M
+    )
+    assert sorted(listed) == sorted(kind.value for kind in FaultKind)
--- a/tests/leases/test_lease_cluster.py
+++ b/tests/leases/test_lease_cluster.py
@@ -1,13 +1,13 @@
 """Hard cases of several members in simulated time."""
 
 import pytest
-from planted_lease_faults import no_drift_margin
 
 from stepstream.lab.simulation.errors import TwoHoldersError
 from stepstream.lab.simulation.lease_cluster import LeaseCluster
 from stepstream.lab.simulation.lease_tasks import Task
 from stepstream.leases.configuration import LeaseConfiguration
 from tests.leases.lease_builders import ACCEPTORS, CONFIGURATION, member_names, recovered_cluster
+from tests.leases.planted_lease_faults import no_drift_margin
 
 FOREVER_SECONDS = 1e6
 
--- a/tests/node/dispatcher_process.py
+++ b/tests/node/dispatcher_process.py
@@ -67,7 +67,7 @@
             "known": self.endpoint_list,
             **configuration,
         }
-        self.config_file = folder / "config.json"
+        self.config_file = folder / f"config-{self.port}.json"
         self.config_file.write_text(json.dumps(self.config))
         self.process = start_serving(self.config_file)
         try:
