--- a/tests/gearman/program.py
+++ b/tests/gearman/program.py
@@ -121,7 +121,8 @@
         }
 
     def is_listening(self):
-        """Return whether the Gearman listener accepts connections."""
+        """Return whether the Gearman listener accepts connections; fail if the program ended."""
+        assert self.process.poll() is None, f"ended: {self.process.stderr.read()}"
         with contextlib.suppress(OSError):
             GearmanPeer.connect(self.gearman).close()
             return True
--- a/tests/golden/fronts/running_dispatcher.py
+++ b/tests/golden/fronts/running_dispatcher.py
@@ -15,6 +15,7 @@
 from golden.fronts.http_requests import END_OF_HEAD, READINESS_REQUEST, discovery_answer
 from golden.fronts.wire_samples import INPUTS, WORKER_ANSWERS
 
+from tests.runtime.ports import free_port
 from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
 
 ROOT = Path(__file__).resolve().parents[3]
@@ -78,13 +79,6 @@
     return head + END_OF_HEAD + body
 
 
-def free_ports(count: int) -> list[int]:
-    """Return ports of 127.0.0.1 on which nobody listens."""
-    with contextlib.ExitStack() as held:
-        probes = [held.enter_context(socket.create_server(("127.0.0.1", 0))) for _ in range(count)]
-        return [probe.getsockname()[1] for probe in probes]
-
-
 def exchange(port: int, data: bytes) -> bytes:
     """Send bytes on a new connection; return the message that comes back."""
     with socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_SECONDS) as peer:
@@ -100,7 +94,7 @@
         self.worker = RecordingServer(self.worker_reply)
         self.discovery = RecordingServer(self.discovery_reply)
         names = ("http", "admin", "gearman", "fleet")
-        self.ports = dict(zip(names, free_ports(len(names)), strict=True))
+        self.ports = {name: free_port() for name in names}
         self.error_file = folder / "stderr"
         self.process: subprocess.Popen | None = None
         config_file = folder / "config.json"
