--- a/stepstream/http/destination_set.py
+++ b/stepstream/http/destination_set.py
@@ -14,7 +14,7 @@
 from stepstream.http.staleness import StalenessDetector
 from stepstream.model.endpoints import Endpoint, EndpointListKind, EndpointState
 
-SOURCE = "discovery"  # the name of this source of endpoints
+DISCOVERY_SOURCE = "discovery"  # the name of this source of endpoints
 
 
 def host_and_port(address: Address) -> str:
--- a/stepstream/http/discovery_client.py
+++ b/stepstream/http/discovery_client.py
@@ -5,7 +5,7 @@
 
 - The client thread, which the node starts with `run`, makes one call after another. Only it opens
   and closes the connection.
-- A check thread, started by `check_beside_watch`, calls beside a watch that may have fallen silent.
+- A check thread, started by `start_list_check`, calls beside a watch that may have fallen silent.
   At most one runs at a time.
 - Any other thread may request a poll, adopt a list, or stop the client.
 
@@ -30,7 +30,7 @@
 from stepstream.core.endpoint_set import EndpointsUpdated
 from stepstream.core.events import Event
 from stepstream.http.codec import Parser, ProtocolError
-from stepstream.http.destination_set import SOURCE, DestinationSet, host_and_port
+from stepstream.http.destination_set import DISCOVERY_SOURCE, DestinationSet, host_and_port
 from stepstream.http.discovery_api import Address, DiscoveryApi, EndpointAnswer
 from stepstream.http.errors import HttpError
 from stepstream.http.poll_schedule import PollSchedule
@@ -156,7 +156,7 @@
             fetch_next = must_fetch_complete_list(since, answer.version)
             self.version = None if fetch_next else answer.version
             self.destinations.apply(answer)
-            self.post(EndpointsUpdated(SOURCE, answer.update))
+            self.post(EndpointsUpdated(DISCOVERY_SOURCE, answer.update))
             return True
 
     def confirm_list(self) -> None:
@@ -178,7 +178,7 @@
             self.is_confirmed = is_confirmed
             self.report_confirmation(event)
 
-    def check_beside_watch(self) -> None:
+    def start_list_check(self) -> None:
         """Check, in a thread of its own, whether the watch has fallen silent; never waits."""
         if self.check_in_progress.acquire(blocking=False):
             spawn_thread("discovery check", self.run_check)
--- a/stepstream/node/context.py
+++ b/stepstream/node/context.py
@@ -18,7 +18,7 @@
 from stepstream.core.dispatcher import Dispatcher
 from stepstream.core.events import Event
 from stepstream.http.client_api import ClientApi
-from stepstream.http.destination_set import SOURCE, DestinationSet
+from stepstream.http.destination_set import DISCOVERY_SOURCE, DestinationSet
 from stepstream.http.discovery_api import DiscoveryApi
 from stepstream.http.discovery_client import DiscoveryClient
 from stepstream.http.load_reports import LoadReportReader
@@ -73,7 +73,7 @@
         self.outbound = OutboundCarrier(
             limits, self.clock, self.destinations, self.post, self.reports, self.unreadable_answers
         )
-        self.carriers: dict[str, Carrier] = {SOURCE: self.outbound}  # by endpoint source
+        self.carriers: dict[str, Carrier] = {DISCOVERY_SOURCE: self.outbound}  # by endpoint source
         self.discovery = self.create_discovery_client(config, limits)
         # The list from before the start: the configuration's, or a newer one of a hot restart.
         self.persisted_endpoints = config.persisted_endpoints
--- a/stepstream/node/decision_thread.py
+++ b/stepstream/node/decision_thread.py
@@ -19,7 +19,7 @@
 )
 from stepstream.core.events import Event
 from stepstream.core.requests import ResponseSink
-from stepstream.http.destination_set import SOURCE
+from stepstream.http.destination_set import DISCOVERY_SOURCE
 from stepstream.node.context import NodeContext
 from stepstream.ports.carriers import Carrier
 from stepstream.runtime import log_events
@@ -101,4 +101,6 @@
 
         For a worker without an owner it is discovery's carrier, which ends the call as not sent.
         """
-        return self.context.carriers[self.context.core.endpoints.owner(worker_id) or SOURCE]
+        return self.context.carriers[
+            self.context.core.endpoints.owner(worker_id) or DISCOVERY_SOURCE
+        ]
--- a/stepstream/node/periodic_tasks.py
+++ b/stepstream/node/periodic_tasks.py
@@ -19,7 +19,7 @@
     """Poll discovery beside its watch if refused connections suggest that its list is stale."""
     if context.destinations.claim_staleness_check():
         log_events.endpoint_list_suspected_stale()
-        context.discovery.check_beside_watch()
+        context.discovery.start_list_check()
 
 
 def enforce_timeouts(context: NodeContext) -> None:
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -294,12 +294,12 @@
     wait_for(lambda: len(harness.server.requests) == 1)
     watched_on = client.connection
 
-    client.check_beside_watch()
+    client.start_list_check()
     wait_for(lambda: len(answers) == 1 and not client.check_in_progress.locked())
     assert client.connection is watched_on
     assert not harness.events
 
-    client.check_beside_watch()
+    client.start_list_check()
     wait_for(lambda: not answers and not client.check_in_progress.locked())
     wait_for(lambda: any(t.startswith("/api/targets?index=8") for t in harness.targets()))
     assert harness.adopted_kinds() == [EndpointListKind.COMPLETE]
@@ -361,7 +361,7 @@
     harness = start_client(reply, version=7, schedule=schedule)
     client = harness.client
     wait_for(lambda: calls_beside_watch)
-    client.check_beside_watch()
+    client.start_list_check()
     wait_for(lambda: client.version == 9)
     answer_late.set()
     wait_for(lambda: [t for t in harness.targets() if "wait=0" not in t][1:])
@@ -386,7 +386,7 @@
     schedule = make_schedule(watch_wait_seconds=PATIENCE_SECONDS)
     harness = start_client(reply, version=9, schedule=schedule)
     wait_for(lambda: harness.server.requests)
-    harness.client.check_beside_watch()
+    harness.client.start_list_check()
     wait_for(lambda: len(harness.server.requests) >= 3)
     assert harness.targets()[2] == "/api/targets"
 
--- a/tests/node/test_decision_thread.py
+++ b/tests/node/test_decision_thread.py
@@ -16,7 +16,7 @@
     StartCall,
     StopCall,
 )
-from stepstream.http.destination_set import SOURCE
+from stepstream.http.destination_set import DISCOVERY_SOURCE
 from stepstream.node.node import Node
 from tests.config.configurations import CONFIGURATION
 
@@ -54,7 +54,7 @@
 def node():
     """A wired dispatcher that is not started, with a recording carrier for discovery's workers."""
     made = Node(config_from(CONFIGURATION, {}))
-    made.carriers[SOURCE] = RecordingCarrier()
+    made.carriers[DISCOVERY_SOURCE] = RecordingCarrier()
     return made
 
 
@@ -82,9 +82,9 @@
 
 def test_a_call_is_stopped_at_the_carrier_that_started_it(node):
     call = SimpleNamespace(worker_id="s-1", carrier=None)
-    first = node.carriers[SOURCE]
+    first = node.carriers[DISCOVERY_SOURCE]
     node.decision_thread.execute(StartCall(call))
-    node.carriers[SOURCE] = RecordingCarrier()
+    node.carriers[DISCOVERY_SOURCE] = RecordingCarrier()
     node.decision_thread.execute(StopCall(call))
     assert first.calls == [("start", call), ("stop", call)]
 
@@ -93,7 +93,7 @@
     node.is_health_check_delegated = lambda worker_id: worker_id == "s-1"
     node.decision_thread.execute(CheckWorkerHealth("s-1"))
     node.decision_thread.execute(CheckWorkerHealth("s-2"))
-    assert node.carriers[SOURCE].calls == [("check_health", "s-2")]
+    assert node.carriers[DISCOVERY_SOURCE].calls == [("check_health", "s-2")]
 
 
 def test_answers_reach_their_sink_and_are_counted_by_outcome(node):
