--- a/stepstream/config/limits.py
+++ b/stepstream/config/limits.py
@@ -118,7 +118,7 @@
     # A connection that has brought jobs or notifications.
     inbound_idle_seconds: float = 120.0
     # A new connection without a complete message is then the next to be evicted.
-    unproven_seconds: float = 1.0
+    evict_silent_after_seconds: float = 1.0
     rejected_linger_seconds: float = 1.0
     # After a shutdown of a connection: the peer's bytes and its own close are under way.
     close_grace_seconds: float = 0.3
@@ -155,7 +155,7 @@
 
     serving_seconds: float = 2.2  # clients are served on their open connections until then
     answering_seconds: float = 3.4  # every request is answered by then
-    arrivals_seconds: float = 0.4  # the front opens no new connection afterwards
+    new_connections_seconds: float = 0.4  # the front opens no new connection afterwards
     # Without an owed answer during this time, the front has noticed the shutdown.
     quiet_seconds: float = 0.3
     min_seconds: float = 0.8  # the process does not end sooner, however quiet it is
--- a/stepstream/gearman/connection.py
+++ b/stepstream/gearman/connection.py
@@ -278,7 +278,7 @@
 
     def eviction_state(self, now: float) -> EvictionState:
         """Return the rank for eviction, and the time since which the connection is quiet."""
-        unproven_seconds = self.server.limits.timeouts.unproven_seconds
+        unproven_seconds = self.server.limits.timeouts.evict_silent_after_seconds
         return connection_rules.eviction_state(self._view(), now, unproven_seconds)
 
     def evict(self) -> bool:
--- a/stepstream/http/client_connection.py
+++ b/stepstream/http/client_connection.py
@@ -284,7 +284,7 @@
         return counts_as_client(
             self.accepted_at_seconds,
             self.server.state.shutdown_started_at,
-            self.server.limits.shutdown.arrivals_seconds,
+            self.server.limits.shutdown.new_connections_seconds,
         )
 
     def eviction_state(self, now_seconds: float) -> EvictionState:
@@ -304,7 +304,7 @@
                 is_closed=session.phase is SessionPhase.CLOSED,
                 has_sent_work=session.has_sent_work,
                 quiet_seconds=now_seconds - quiet_since_seconds,
-                unproven_seconds=self.server.limits.timeouts.unproven_seconds,
+                unproven_seconds=self.server.limits.timeouts.evict_silent_after_seconds,
             )
             return EvictionState(rank, quiet_since_seconds)
 
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -86,7 +86,7 @@
     harness = serve_inbound(
         Limits(
             connections=ConnectionLimits(inbound=6, reserved_for_workers=2),
-            timeouts=Timeouts(evictable_idle_seconds=0.0, unproven_seconds=0.0),
+            timeouts=Timeouts(evictable_idle_seconds=0.0, evict_silent_after_seconds=0.0),
         )
     )  # whether a connection is evicted does not depend on the clock
     with contextlib.ExitStack() as stack:
@@ -131,7 +131,9 @@
     harness = serve_inbound(
         Limits(
             connections=ConnectionLimits(inbound=2, reserved_for_workers=0),
-            timeouts=Timeouts(evictable_idle_seconds=0.0, unproven_seconds=PATIENCE_SECONDS),
+            timeouts=Timeouts(
+                evictable_idle_seconds=0.0, evict_silent_after_seconds=PATIENCE_SECONDS
+            ),
         )
     )
     with harness.connect() as new:
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -286,7 +286,7 @@
     dispatcher.process.send_signal(signal.SIGTERM)
     wait_for(lambda: exchange(dispatcher.port, b"GET /-/ready HTTP/1.1\r\n\r\n").status == 503)
     # Time is the subject: new peers count as clients until then, later ones are nobody's requests.
-    time.sleep(LIMITS.shutdown.arrivals_seconds + 0.1)
+    time.sleep(LIMITS.shutdown.new_connections_seconds + 0.1)
     peers = []
     until = time.monotonic() + 10.0
     try:
