--- a/stepstream/model/estimators.py
+++ b/stepstream/model/estimators.py
@@ -34,10 +34,10 @@
 
     def __init__(self, class_count: int, start_us: int) -> None:
         # Served jobs' times from the attempt to its end, by class; the last one is of all classes.
-        self.mean_us = [0.0] * (class_count + 1)
+        self.mean_elapsed_us = [0.0] * (class_count + 1)
         # Mean logarithms of the times from start to end, by class. A few long jobs must not decide
         # what is usual.
-        self.usual_log_us = [0.0] * class_count
+        self.mean_log_run_us = [0.0] * class_count
         self.served_interval_us = 0.0  # mean time between two served jobs
         self.last_served_us = start_us
 
@@ -52,23 +52,25 @@
         self.last_served_us = now_us
 
     def _record_mean(self, index: int, elapsed_us: int) -> None:
-        self.mean_us[index] = running_mean(self.mean_us[index], elapsed_us, NEWEST_JOB_WEIGHT)
+        self.mean_elapsed_us[index] = running_mean(
+            self.mean_elapsed_us[index], elapsed_us, NEWEST_JOB_WEIGHT
+        )
 
     def slowness(self, job_class: int, run_us: int) -> float:
         """Return how much longer than usual a run is, as a logarithm; 0 while that is unknown."""
-        known = 0 <= job_class < len(self.usual_log_us)
-        usual = self.usual_log_us[job_class] if known else 0.0
+        known = 0 <= job_class < len(self.mean_log_run_us)
+        usual = self.mean_log_run_us[job_class] if known else 0.0
         return log(max(run_us, MIN_RUN_US)) - usual if usual else 0.0
 
     def record_run(self, job_class: int, run_us: int) -> float:
         """Count a run and return how much longer than usual it was, as a logarithm."""
-        if 0 <= job_class < len(self.usual_log_us):
+        if 0 <= job_class < len(self.mean_log_run_us):
             run_log_us = log(max(run_us, MIN_RUN_US))
-            usual = self.usual_log_us[job_class]
-            self.usual_log_us[job_class] = running_mean(usual, run_log_us, NEWEST_JOB_WEIGHT)
+            usual = self.mean_log_run_us[job_class]
+            self.mean_log_run_us[job_class] = running_mean(usual, run_log_us, NEWEST_JOB_WEIGHT)
         return self.slowness(job_class, run_us)
 
     def carry_over(self, old_names: tuple[str, ...], new_names: tuple[str, ...]) -> None:
         """Keep what was learned of the classes that replaced settings still name."""
-        self.mean_us[:-1] = carry_over(old_names, new_names, self.mean_us, 0.0)
-        self.usual_log_us = carry_over(old_names, new_names, self.usual_log_us, 0.0)
+        self.mean_elapsed_us[:-1] = carry_over(old_names, new_names, self.mean_elapsed_us, 0.0)
+        self.mean_log_run_us = carry_over(old_names, new_names, self.mean_log_run_us, 0.0)
--- a/stepstream/model/state.py
+++ b/stepstream/model/state.py
@@ -27,7 +27,9 @@
         self.by_id: dict[str, Worker] = {}
         self.eligible: list[Worker] = []  # the active ones, in the order of their ids
         self.by_key: dict[str, list[Worker]] = {}  # eligible ones, in the order of each key
-        self.warm_count = 0.0  # eligible workers, each counted by its slow-start factor
+        self.warm_worker_equivalents = (
+            0.0  # eligible workers, each counted by its slow-start factor
+        )
         # Since when nothing has confirmed the endpoint list; None: it is confirmed.
         self.unconfirmed_since_us: int | None = None
         # Whether to try the waiting jobs again: headroom was freed or measured, or a period began.
--- a/stepstream/policy/slow_start.py
+++ b/stepstream/policy/slow_start.py
@@ -31,7 +31,9 @@
 def count_warm_workers(state: PolicyState) -> None:
     """Measure the capacity of all eligible workers, in warm workers."""
     workers = state.workers
-    workers.warm_count = sum([slow_start_factor(state, worker) for worker in workers.eligible])
+    workers.warm_worker_equivalents = sum(
+        [slow_start_factor(state, worker) for worker in workers.eligible]
+    )
 
 
 def record_attempt(worker: Worker, now_us: int) -> None:
@@ -74,8 +76,8 @@
     run_times = state.measurements.run_times
     interval_us = run_times.served_interval_us
     interval_us = interval_us or settings.overload_window_us * settings.dispatcher_count
-    class_mean_us = run_times.mean_us[job_class]
-    overall_mean_us = run_times.mean_us[ALL_CLASSES]
+    class_mean_us = run_times.mean_elapsed_us[job_class]
+    overall_mean_us = run_times.mean_elapsed_us[ALL_CLASSES]
     if class_mean_us and overall_mean_us:
         interval_us *= class_mean_us / overall_mean_us
-    return interval_us * state.workers.warm_count
+    return interval_us * state.workers.warm_worker_equivalents
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -360,7 +360,7 @@
 
 
 def mean_run_times_us(harness):
-    return harness.dispatcher.load_balancer.state.measurements.run_times.mean_us
+    return harness.dispatcher.load_balancer.state.measurements.run_times.mean_elapsed_us
 
 
 def test_a_request_read_before_a_reload_keeps_its_class_and_tenant_by_name():
--- a/tests/model/test_estimators.py
+++ b/tests/model/test_estimators.py
@@ -27,7 +27,7 @@
     runs = RunTimeEstimator(2, 0)
     runs.record_served(50_000, 0, 1_000)
     runs.record_served(100_000, 1, 3_000)
-    assert runs.mean_us == [1_000, 3_000, pytest.approx(1_000 + NEWEST_JOB_WEIGHT * 2_000)]
+    assert runs.mean_elapsed_us == [1_000, 3_000, pytest.approx(1_000 + NEWEST_JOB_WEIGHT * 2_000)]
     assert runs.served_interval_us == 50_000
 
 
@@ -39,20 +39,20 @@
     assert runs.slowness(0, 300_000) == pytest.approx(log(3))
     assert runs.slowness(0, 1) == pytest.approx(log(MIN_RUN_US / 100_000))
     assert runs.slowness(-1, 300_000) == 0.0  # of a class that is gone
-    assert exp(runs.usual_log_us[0]) == pytest.approx(100_000)
+    assert exp(runs.mean_log_run_us[0]) == pytest.approx(100_000)
 
 
 def test_a_reload_keeps_what_was_learned_of_a_class_by_its_name():
     runs = RunTimeEstimator(2, 0)
     runs.record_served(10, 0, 1_000)
     runs.record_served(20, 1, 2_000)
-    total = runs.mean_us[-1]
+    total = runs.mean_elapsed_us[-1]
     runs.carry_over(("a", "b"), ("b", "new"))
-    assert runs.mean_us == [2_000, 0.0, total]
+    assert runs.mean_elapsed_us == [2_000, 0.0, total]
 
 
 def test_a_served_job_of_a_class_that_is_gone_counts_once_in_the_mean_of_all():
     runs = RunTimeEstimator(1, 0)
     runs.record_served(10, 0, 1_000)
     runs.record_served(20, -1, 3_000)
-    assert runs.mean_us == [1_000, pytest.approx(1_000 + NEWEST_JOB_WEIGHT * 2_000)]
+    assert runs.mean_elapsed_us == [1_000, pytest.approx(1_000 + NEWEST_JOB_WEIGHT * 2_000)]
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -22,7 +22,7 @@
     )
     state = PolicyState(settings, 1, START_US)
     state.measurements.run_times.served_interval_us = 100_000.0
-    state.workers.warm_count = 2.0
+    state.workers.warm_worker_equivalents = 2.0
     endpoint = make_endpoint(0, started_us=START_US)
     worker = Worker(endpoint, START_US + HOUR_US, START_US, state.pools.low_set)
     job = InFlightJob(JobSubmitted("a", 0, 1), IDEMPOTENT, 0, 0, False, 1.0)
@@ -41,12 +41,12 @@
     state.workers.eligible = [
         Worker(make_endpoint(index), 0, 0, state.pools.low_set) for index in range(4)
     ]
-    state.workers.warm_count = 2.5  # some of them are warming up
+    state.workers.warm_worker_equivalents = 2.5  # some of them are warming up
     # Before any job is served: one job in a window of all dispatchers together.
     assert warm_worker_interval_us(state, 0) == 3 * 1_000_000 * 2.5
     run_times = state.measurements.run_times
     run_times.served_interval_us = 100_000.0
     assert warm_worker_interval_us(state, 0) == 100_000 * 2.5
-    run_times.mean_us = [100_000.0, 400_000.0, 200_000.0]
+    run_times.mean_elapsed_us = [100_000.0, 400_000.0, 200_000.0]
     assert warm_worker_interval_us(state, 0) == 50_000 * 2.5
     assert warm_worker_interval_us(state, 1) == 200_000 * 2.5
