--- a/stepstream/config/fields.py
+++ b/stepstream/config/fields.py
@@ -1,7 +1,7 @@
 """Typed reading of dotted name=value pairs, the form that both sources of settings share.
 
-The simulator's wire sends such pairs; nested JSON is flattened into them by `flatten`. Nothing here
-keeps state beyond one message.
+The simulator's wire sends such pairs; `flatten` turns a configuration file's nested JSON into them.
+The functions keep no state; a `SettingsFields` holds the pairs of one message.
 """
 
 import math
@@ -22,27 +22,27 @@
 class SettingsFields:
     """The name=value pairs of one message, each read as the type that its reader expects.
 
-    Pairs that no reader takes are ignored. Every method raises `ConfigurationError`, which names
-    the key, for a value that is missing without a default or not of the expected form.
+    Pairs that are never read are ignored. Every method raises `ConfigurationError`, which names the
+    key, if the value is missing and has no default, or is not of the expected form.
     """
 
-    def __init__(self, parts: list[str]) -> None:
+    def __init__(self, pairs: list[str]) -> None:
         self.values: dict[str, str] = {}
-        for part in parts:
-            name, equals_sign, value = part.partition("=")
+        for pair in pairs:
+            name, equals_sign, value = pair.partition("=")
             if not equals_sign or not name:
-                raise ConfigurationError(f"'{part}' is not name=value")
+                raise ConfigurationError(f"'{pair}' is not name=value")
             self.values[name] = value
 
     @classmethod
     def from_pairs(cls, values: dict[str, str]) -> "SettingsFields":
-        """Wrap pairs that are separated already."""
+        """Create the fields from a mapping of names to values."""
         fields = cls([])
         fields.values = values
         return fields
 
     def text(self, name: str, default: str | None = None) -> str:
-        """Read a text."""
+        """Read a string."""
         value = self.values.get(name, default)
         if value is None:
             raise ConfigurationError(f"{name} is missing")
@@ -93,7 +93,7 @@
         return value
 
     def flag(self, name: str) -> bool:
-        """Read a truth value; a missing one is false."""
+        """Read a boolean; false if it is missing."""
         value = self.values.get(name)
         if value is None or value in FALSE_TEXTS:
             return False
@@ -102,14 +102,14 @@
         raise ConfigurationError(f"{name}={value} is not a truth value (true or false)")
 
     def choice(self, name: str, meanings: Mapping[str, Value], default: str | None = None) -> Value:
-        """Read one of the words that `meanings` lists; return its meaning."""
+        """Read one of the words that are keys of `meanings`; return the value of that key."""
         value = self.text(name, default)
         if value not in meanings:
             raise ConfigurationError(f"{name}={value} is not known ({', '.join(meanings)} are)")
         return meanings[value]
 
     def comma_separated(self, name: str) -> list[str]:
-        """Read a list; missing, empty and `-` are the empty list."""
+        """Read a comma-separated list; it is empty if the value is missing, empty or `-`."""
         value = self.values.get(name, "")
         return [] if value in EMPTY_LIST_TEXTS else value.split(",")
 
@@ -131,35 +131,35 @@
     """
     prefix = f"{path}." if path else ""
     if isinstance(value, dict):
-        for name, part in value.items():
-            flatten(part, f"{prefix}{name}", pairs)
+        for name, member in value.items():
+            flatten(member, f"{prefix}{name}", pairs)
     elif isinstance(value, list):
         flatten_list(value, path, pairs)
     elif value is not None:
-        pairs[path] = scalar_text(value)
+        pairs[path] = format_scalar(value)
     return pairs
 
 
-def flatten_list(parts: list[object], path: str, pairs: dict[str, str]) -> None:
+def flatten_list(items: list[object], path: str, pairs: dict[str, str]) -> None:
     """Add a JSON list to `pairs`, as `flatten` describes."""
-    if any(isinstance(part, dict) for part in parts):
+    if any(isinstance(item, dict) for item in items):
         prefix = f"{path}." if path else ""
-        pairs[f"{prefix}count"] = str(len(parts))
-        for position, part in enumerate(parts):
-            flatten(part, f"{prefix}{position}", pairs)
+        pairs[f"{prefix}count"] = str(len(items))
+        for position, item in enumerate(items):
+            flatten(item, f"{prefix}{position}", pairs)
         return
-    if any("," in str(part) for part in parts):
+    if any("," in str(item) for item in items):
         raise ConfigurationError(f"{path}: a value in this list holds a comma")
-    pairs[path] = ",".join(map(scalar_text, parts))
+    pairs[path] = ",".join(map(format_scalar, items))
 
 
-def scalar_text(value: object) -> str:
-    """Write a JSON scalar as the wire does: `true` and `false` in lower case."""
+def format_scalar(value: object) -> str:
+    """Format a JSON scalar as the wire does, with `true` and `false` in lower case."""
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Split HOST:PORT, whose form has been checked."""
+    """Split HOST:PORT; the caller has checked its form."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
--- a/stepstream/config/limits.py
+++ b/stepstream/config/limits.py
@@ -1,8 +1,8 @@
 """Every size, count and time limit of the dispatcher, by concern.
 
-The main thread derives the limits from the configuration, at the start and at a reload, and hands
-them down. They are immutable, so any thread may read them. Nobody compares or prints limits, so no
-methods are generated for that: they would lengthen every start.
+The main thread derives the limits from the configuration, at the start and at a reload, and passes
+them to the other parts. They are immutable, so any thread may read them. They are records rather
+than dataclasses, because generated methods for comparing and printing would lengthen every start.
 """
 
 from dataclasses import field
@@ -32,12 +32,13 @@
 MAX_CONNECTIONS_RESERVED_FOR_WORKERS = 48
 RESERVED_FOR_WORKERS_FRACTION_OF_INBOUND = 0.25
 GEARMAN_WORKER_FRACTION_OF_INBOUND = 0.5
-# Below 1: notifications may come from hosts that discovery does not name.
+# Below 1: notifications may come from hosts that discovery does not name, on connections that count
+# as clients'.
 OPEN_REQUEST_FRACTION_OF_CLIENT_CONNECTIONS = 0.9375
 MIN_CALL_THREADS = 2
 MAX_CALL_THREADS = 200
 
-# A request must not cross the worker's closing of an idle connection.
+# A worker closes a connection that is idle for its timeout. A request sent at that moment is lost.
 OUTBOUND_IDLE_FRACTION_OF_WORKER_TIMEOUT = 0.5
 
 # Division of the time between SIGTERM and the platform's kill, which comes after the longest
@@ -54,12 +55,12 @@
     """Sizes in bytes."""
 
     head_bytes: int = 16 * KIB  # a message's first line and headers
-    body_bytes: int = 64 * KIB  # the platform's own bound
+    body_bytes: int = 64 * KIB  # the platform's own limit
     endpoint_list_bytes: int = 4 * MIB  # an answer of discovery
-    chunk_line_bytes: int = 256  # the line before a chunk
+    chunk_line_bytes: int = 256  # the line before a chunk, with its size
     read_bytes: int = 16 * KIB  # one read from a socket
     thread_stack_bytes: int = 256 * KIB  # ujson needs most of it for deep nesting
-    unsent_bytes: int = 1 * MIB  # a peer with more of them is closed
+    unsent_bytes: int = 1 * MIB  # the connection of a peer with more of them is closed
     admin_body_bytes: int = 64 * KIB  # an admin request, or a forwarded notification
     handover_bytes: int = 1 * MIB  # the state file of a hot restart; the rest is not read
 
@@ -94,11 +95,12 @@
     outbound: int = 350  # connections to workers, idle ones included
     reserved_for_workers: int = MAX_CONNECTIONS_RESERVED_FOR_WORKERS  # of the inbound ones
     open_requests: int = 430
-    call_threads: int = MAX_CALL_THREADS  # outbound calls between their start and their 202
-    # Evicted connections that their threads have yet to close; beyond, new ones are rejected.
+    call_threads: int = MAX_CALL_THREADS  # one for each outbound call, from its start to its 202
+    # Evicted connections that their threads have not closed yet. With more of them, new connections
+    # are rejected.
     evicted_unclosed: int = 32
     lingering: int = 16  # rejected connections that wait for their peer to close
-    evictions_at_once: int = 32  # for one shortage
+    evictions_at_once: int = 32  # most connections that are evicted for one shortage
     slow_writer_threads: int = 8  # for answers that a slow client does not take at once
     listen_backlog: int = 1024
     admin: int = 32  # connections to the admin listener
@@ -111,31 +113,32 @@
 
     accept_retry_seconds: float = 0.01  # after a failed accept
     connect_seconds: float = 0.25
-    write_seconds: float = 2.0  # a peer that takes no byte meanwhile is closed
+    write_seconds: float = 2.0  # a peer that takes no byte for this long is closed
     first_message_seconds: float = 2.0  # on a new connection, from the connect on
     message_seconds: float = 2.0  # a later message, from its first byte to its last
     linger_seconds: float = 2.0  # from the last answer until the peer closes
-    # A connection that has brought jobs or notifications.
+    # For a connection that has brought jobs or notifications; it is closed afterwards.
     inbound_idle_seconds: float = 120.0
-    # A new connection without a complete message is then the next to be evicted.
+    # A connection that has sent no complete message for this long is the first to be evicted.
     evict_silent_after_seconds: float = 1.0
     rejected_linger_seconds: float = 1.0
-    # After a shutdown of a connection: the peer's bytes and its own close are under way.
+    # A shutdown of the process waits this long for the peer to close a connection that is closed
+    # here.
     close_grace_seconds: float = 0.3
     evictable_idle_seconds: float = 0.05  # an inbound connection may then be evicted
-    # Well before the worker closes: a request must not cross its closing.
+    # Well below the worker's own timeout: a request sent while the worker closes is lost.
     outbound_idle_seconds: float = 5.0
     outbound_reuse_delay_seconds: float = 0.05  # from an answer to the connection's next call
     call_queue_seconds: float = 0.3  # a call that has not begun by then ends as not sent
     call_answer_seconds: float = 30.0  # a backstop: the core ends calls long before
-    # From an answer's first byte to its last; each read extends the bound of the next one.
+    # From an answer's first bytes to its last: an answer may begin and never end.
     answer_body_seconds: float = 1.0
     cancel_answer_seconds: float = 1.0
     health_check_seconds: float = 1.0
-    admin_poll_seconds: float = 0.05  # longest wait of the admin listener between two turns
+    admin_poll_seconds: float = 0.05  # longest wait for events in a turn of the admin listener
     admin_request_seconds: float = 5.0  # from the connect on; callers may take 4 s
     forward_seconds: float = 0.5  # for the sibling process to take a forwarded notification
-    # From /healthcheck/fail on. The front in front of the dispatcher goes on sending for 0.2 s
+    # From /healthcheck/fail until connections are closed. The front proxy goes on sending for 0.2 s
     # after its first failed health check.
     drain_close_seconds: float = 0.5
 
@@ -145,7 +148,8 @@
     """How long a start waits for a first endpoint list, in seconds."""
 
     first_endpoint_list_seconds: float = 6.0  # the node is then ready without a list
-    # For an agent beside the node that pushes lists. The clients' listener opens afterwards.
+    # For the list of an agent that runs beside the node and pushes lists. The clients' listener
+    # opens afterwards.
     first_agent_list_seconds: float = 0.6
 
 
@@ -155,12 +159,12 @@
 
     serving_seconds: float = 2.2  # clients are served on their open connections until then
     answering_seconds: float = 3.4  # every request is answered by then
-    new_connections_seconds: float = 0.4  # the front opens no new connection afterwards
-    # Without an owed answer during this time, the front has noticed the shutdown.
+    new_connections_seconds: float = 0.4  # the front proxy opens no new connection afterwards
+    # Once no answer has been owed for this long, the front proxy has noticed the shutdown.
     quiet_seconds: float = 0.3
-    min_seconds: float = 0.8  # the process does not end sooner, however quiet it is
-    max_seconds: float = 60.0  # the process ends then, whatever is owed
-    poll_seconds: float = 0.02  # between two checks of what is owed
+    min_seconds: float = 0.8  # the process does not end sooner, even if it owes no answer
+    max_seconds: float = 60.0  # the process ends then, even if it owes answers
+    poll_seconds: float = 0.02  # between two checks for owed answers
 
 
 @record
@@ -173,7 +177,7 @@
     max_wait_seconds: float = 0.5  # of the decision thread, for an event or a timer
     event_batch: int = 256  # events that the core takes at a time
     periodic_tasks_seconds: float = 0.5  # between two runs of the main thread's periodic tasks
-    # The main thread's longest wait: a signal is handled by then at the latest.
+    # Longest wait of the main thread, and so the longest delay until it handles a signal.
     signal_wait_seconds: float = 0.05
     status_period_seconds: float = 60.0  # between two `status` events in the log
 
@@ -219,19 +223,19 @@
 def connection_limits(descriptors: int, memory_mb: int) -> ConnectionLimits:
     """Divide the file descriptors between inbound and outbound connections, within the memory.
 
-    `descriptors` counts those that the process may open; `memory_mb` is its memory in MiB. Some
-    descriptors stay unassigned, so that an accept, a file or an evicted connection still finds one.
-    Some inbound connections are reserved for workers, because a client waits for their
-    notifications. Without these bounds a flood of connections ends every accept and every call.
+    `descriptors` is the number of descriptors that the process may open; `memory_mb` is its memory
+    in MiB. Some descriptors stay unassigned, so that some are left for accepts, files and evicted
+    connections. Some inbound connections are reserved for workers, because clients wait for their
+    notifications. Without these bounds, a flood of connections makes every accept and call fail.
     """
     unassigned = min(MAX_UNASSIGNED_DESCRIPTORS, int(descriptors * UNASSIGNED_DESCRIPTOR_FRACTION))
     assigned = descriptors - unassigned
-    fitting_memory = connections_in_memory(memory_mb)
+    max_in_memory = connections_in_memory(memory_mb)
     inbound_descriptors = (
         assigned * INBOUND_CONNECTIONS_PER_OUTBOUND // (INBOUND_CONNECTIONS_PER_OUTBOUND + 1)
     )
-    inbound = max(min(inbound_descriptors, fitting_memory), MIN_CONNECTIONS_PER_DIRECTION)
-    outbound = max(min(assigned - inbound, fitting_memory), MIN_CONNECTIONS_PER_DIRECTION)
+    inbound = max(min(inbound_descriptors, max_in_memory), MIN_CONNECTIONS_PER_DIRECTION)
+    outbound = max(min(assigned - inbound, max_in_memory), MIN_CONNECTIONS_PER_DIRECTION)
     reserved_for_workers = min(
         MAX_CONNECTIONS_RESERVED_FOR_WORKERS,
         int(inbound * RESERVED_FOR_WORKERS_FRACTION_OF_INBOUND),
@@ -248,21 +252,21 @@
 
 
 def connections_in_memory(memory_mb: int) -> int:
-    """Return how many connections the memory in MiB holds beside the program itself."""
+    """Return how many connections fit into the memory, in MiB, beside the program itself."""
     connection_memory_mb = max(memory_mb - PROGRAM_MEMORY_MB, MIN_CONNECTION_MEMORY_MB)
     return connection_memory_mb * KIB // CONNECTION_MEMORY_KIB
 
 
 def max_requests_on_connections(client_connections: int) -> int:
-    """Return the bound of open requests, a little below the connections that clients may use."""
+    """Return the bound of open requests: a little below the connections that clients may use."""
     return max(int(client_connections * OPEN_REQUEST_FRACTION_OF_CLIENT_CONNECTIONS), 1)
 
 
 def gearman_limits(memory_mb: int, inbound_connections: int) -> GearmanLimits:
     """Bound Gearman's workers by the inbound connections, its jobs by the memory in MiB.
 
-    Workers hold their connections for hours, so that they may take only a part of them. Open jobs
-    and their workloads stay in memory until their outcome.
+    Workers keep their connections open for hours, so that they may take only a part of them. Open
+    jobs and their workloads stay in memory until the jobs' outcomes.
     """
     workload_mb = max(memory_mb // MEMORY_MB_PER_GEARMAN_WORKLOAD_MB, 1)
     return GearmanLimits(
@@ -273,9 +277,9 @@
 
 
 def outbound_idle_seconds(worker_idle_timeout_us: int) -> float:
-    """Return after how many seconds an idle connection to a worker is not used again.
+    """Return the idle time in seconds after which a connection to a worker is not used again.
 
-    `worker_idle_timeout_us` is when the worker closes it, in microseconds.
+    The worker closes it after `worker_idle_timeout_us` microseconds.
     """
     worker_idle_seconds = worker_idle_timeout_us / MICROSECONDS_PER_SECOND
     return worker_idle_seconds * OUTBOUND_IDLE_FRACTION_OF_WORKER_TIMEOUT
@@ -284,14 +288,14 @@
 def shutdown_timeouts(longest_deadline_seconds: float) -> ShutdownTimeouts:
     """Fit the shutdown between SIGTERM and the platform's kill.
 
-    The platform kills a stopped dispatcher after the longest deadline of a job class, given in
-    seconds and taken as `MAX_DEADLINE_BEFORE_KILL_SECONDS` at most, and a grace period. An answer
-    that is not written by then is lost.
+    After SIGTERM, the platform waits for the longest deadline of a job class, but for
+    `MAX_DEADLINE_BEFORE_KILL_SECONDS` at most, and for a grace period. Then it kills the
+    dispatcher. An answer that is not written by then is lost.
     """
-    waited_seconds = min(longest_deadline_seconds, MAX_DEADLINE_BEFORE_KILL_SECONDS)
-    killed_at_seconds = waited_seconds + KILL_GRACE_SECONDS
-    serving_seconds = killed_at_seconds - SERVING_END_BEFORE_KILL_SECONDS
-    answering_seconds = killed_at_seconds - ANSWERING_END_BEFORE_KILL_SECONDS
+    counted_deadline_seconds = min(longest_deadline_seconds, MAX_DEADLINE_BEFORE_KILL_SECONDS)
+    kill_after_seconds = counted_deadline_seconds + KILL_GRACE_SECONDS
+    serving_seconds = kill_after_seconds - SERVING_END_BEFORE_KILL_SECONDS
+    answering_seconds = kill_after_seconds - ANSWERING_END_BEFORE_KILL_SECONDS
     return ShutdownTimeouts(
         serving_seconds=max(serving_seconds, MIN_SHUTDOWN_PHASE_SECONDS),
         answering_seconds=max(answering_seconds, MIN_SHUTDOWN_PHASE_SECONDS),
--- a/stepstream/config/node_config.py
+++ b/stepstream/config/node_config.py
@@ -16,9 +16,9 @@
 from stepstream.model.records import record
 from stepstream.model.settings import Settings
 
-# Keys of the file that become pairs; `settings` and `known` are read on their own.
-OWN_KEYS = ("name", "listen", "discovery", "operator", "seed", "limits")
-# An environment variable (EDGE_NAME and so on) supplies these where the file leaves them out.
+# Keys of the file that become name=value pairs; `settings` and `known` are read separately.
+NODE_KEYS = ("name", "listen", "discovery", "operator", "seed", "limits")
+# Keys that an environment variable, such as EDGE_NAME, supplies where the file leaves them out.
 ENVIRONMENT_KEYS = ("name", "listen", "discovery", "operator")
 
 JsonObject = dict[str, Any]
@@ -31,7 +31,7 @@
     name: str
     listen: tuple[str, int]  # where clients connect
     discovery: tuple[str, int]
-    seed: int  # of the load balancer, the poll times and the staleness detector
+    seed: int  # of the random draws of the load balancer, poll times and staleness detector
     cores: float
     memory_mb: int
     sockets: int  # file descriptors
@@ -65,7 +65,7 @@
 
     Raise `ConfigurationError`, which names the key at fault.
     """
-    fields = own_fields(data, environment)
+    fields = node_fields(data, environment)
     if not isinstance(data.get("settings"), dict):
         raise ConfigurationError("settings is missing or not an object")
     persisted_endpoints = data.get("known") or {}
@@ -90,9 +90,9 @@
     )
 
 
-def own_fields(data: JsonObject, environment: Mapping[str, str]) -> SettingsFields:
-    """Collect the file's keys that are neither settings nor endpoints, and the environment's."""
-    pairs = flatten({key: data[key] for key in OWN_KEYS if key in data}, "", {})
+def node_fields(data: JsonObject, environment: Mapping[str, str]) -> SettingsFields:
+    """Collect the keys NODE_KEYS from the file, and missing ones from the environment."""
+    pairs = flatten({key: data[key] for key in NODE_KEYS if key in data}, "", {})
     for key in ENVIRONMENT_KEYS:
         variable = f"EDGE_{key.upper()}"
         if variable in environment:
--- a/stepstream/config/settings_reader.py
+++ b/stepstream/config/settings_reader.py
@@ -1,11 +1,11 @@
-"""The one reader of settings: dotted pairs from the simulator, nested JSON from a deployment.
+"""The reader of settings: dotted pairs from the simulator, nested JSON from a deployment.
 
-Both become `model.settings.Settings` by the same checks and defaults, so that a key means one
-thing. This is the one place where the platform's keys are translated into the program's names.
-Each section function reads the keys of its section and returns the settings with them filled in;
-a refusal is a `ConfigurationError` that names the key.
+Both become `model.settings.Settings` by the same checks and defaults, so that a key has the same
+meaning in both. Only this module translates the platform's keys into the program's names. Each
+section function reads the keys of its section and returns the settings with their values filled
+in; for a faulty value it raises a `ConfigurationError` that names the key.
 
-Some keys are accepted and checked and have no effect, because no rule reads their fields:
+Some keys are accepted and checked but have no effect, because no rule reads their fields:
 `deductions.probe`, `safety.stop_sending_within_us`, `safety.grace_to_answer_us`, and the classes'
 `aim_stretch` and `extra.class_stretch`. They count only in the settings digest, by which members
 compare their settings; `model.settings` names the fields.
@@ -18,7 +18,7 @@
 from stepstream.config.fields import SettingsFields
 from stepstream.model.settings import Effect, JobClass, KeyScope, LoadReportSource, Settings
 
-# The platform's words for each choice, and what the program calls them.
+# The platform's words for each choice, with the program's values for them.
 EFFECTS = {
     "pure": Effect.IDEMPOTENT,
     "token": Effect.IDEMPOTENT_WITH_KEY,
@@ -28,7 +28,7 @@
 LOAD_REPORT_SOURCES = {source.value: source for source in LoadReportSource}
 
 ANY_WORKER_KIND = -1
-# Load report columns without a fixed meaning; `extra.report_x0` and `extra.report_x1` give it.
+# Load report columns without a fixed meaning; `extra.report_x0` and `extra.report_x1` set it.
 UNNAMED_COLUMNS = ("x0", "x1")
 
 DEFAULT_POLL_INTERVAL_US = 10_000_000
@@ -60,7 +60,7 @@
 
 
 def read_job_classes(fields: SettingsFields) -> tuple[JobClass, ...]:
-    """Read `services`: the classes of jobs, and the columns of `extra` that go with them."""
+    """Read `services`, the job classes, and the lists of `extra` with a value for each class."""
     count = fields.integer_at_least("services.count", 1)
     worker_kinds, stretches = read_class_columns(fields, count)
     return tuple(
@@ -70,7 +70,7 @@
 
 
 def read_class_columns(fields: SettingsFields, count: int) -> tuple[list[int], list[float]]:
-    """Read each class's worker kind and objective stretch, `count` of each."""
+    """Read the worker kind and the objective stretch of each of the `count` classes."""
     try:
         worker_kinds = [int(kind) for kind in fields.comma_separated("extra.class_kind")]
         stretches = [float(stretch) for stretch in fields.comma_separated("extra.class_stretch")]
@@ -94,7 +94,7 @@
 def read_job_class(
     fields: SettingsFields, path: str, worker_kind: int, objective_stretch: float
 ) -> JobClass:
-    """Read the class of jobs whose keys begin with `path`."""
+    """Read the job class whose keys begin with `path`."""
     deadline_us = fields.integer_at_least(f"{path}.deadline_us", 1)
     effect = fields.choice(f"{path}.effect", EFFECTS, "side_effect")
     key_scope = KeyScope.CELL
@@ -154,7 +154,7 @@
 
 
 def read_topology(fields: SettingsFields, settings: Settings) -> Settings:
-    """Read the place of this dispatcher, and the names of zones and of kinds of workers."""
+    """Read the count of dispatchers, this one's zone, and the names of zones and worker kinds."""
     return replace(
         settings,
         dispatcher_count=fields.integer_at_least("fleet_size", 1, 1),
@@ -176,7 +176,7 @@
 
 
 def read_retries(fields: SettingsFields, settings: Settings) -> Settings:
-    """Read the part of `limits` on what the policy may do with one job."""
+    """Read the keys of `limits` that say what the policy may do with one job."""
     return replace(
         settings,
         attempt_limit=fields.integer_at_least("limits.try_limit", 1, 1),
@@ -199,13 +199,13 @@
 
 
 def read_safety(fields: SettingsFields, settings: Settings) -> Settings:
-    """Read `safety`: the bounds on draining, slow start and overload; and the quantum."""
+    """Read `safety`, the bounds on draining, slow start and overload, and `quantum_us`."""
     return replace(
         settings,
         drain_grace_us=fields.integer_at_least("safety.stop_sending_within_us", 0, 0),
         cold_capacity_fraction=fields.number_between("safety.cold_share", 0, 1, 1.0),
         slow_start_us=fields.integer_at_least("safety.warm_within_us", 0, 0),
-        # With 0 a worker gets no job while it is cold.
+        # With a multiple of 0 a worker gets no job while it is warming up.
         overload_multiple=fields.number_between("safety.fall_multiple", 0, inf, 1.0),
         overload_window_us=fields.integer_at_least(
             "safety.tip_after_us", 0, DEFAULT_OVERLOAD_WINDOW_US
@@ -216,7 +216,7 @@
 
 
 def read_connection_limits(fields: SettingsFields, settings: Settings) -> Settings:
-    """Read the part of `limits` that only a real dispatcher needs: connections and requests."""
+    """Read the keys of `limits` on connections and requests, which the simulator does not need."""
     return replace(
         settings,
         worker_idle_timeout_us=fields.integer_at_least(
