--- a/stepstream/config/operator_checks.py
+++ b/stepstream/config/operator_checks.py
@@ -1,7 +1,7 @@
 """Checks of the operator's file that need more than one value.
 
-They compare sections with the deployment's settings and with each other. Each raises
-`ConfigurationError`, which names the key, and none changes anything.
+They compare sections with the deployment's settings and with each other. Each check raises
+`ConfigurationError`, which names the key; it does not change what it checks.
 """
 
 from stepstream.config.errors import ConfigurationError
@@ -17,14 +17,15 @@
 )
 from stepstream.model.settings import Settings
 
-ALL = "*"  # every tenant or class of a caller
-# The holder renews a lease before its end, and some of the rounds to the voters may be lost.
+WILDCARD = "*"  # stands for every tenant or class in the rights of a caller
+# A lease must last for several rounds to the voters: its holder renews it before its end, and some
+# of the rounds may be lost.
 MIN_TIMEOUTS_PER_LEASE = 4
 MILLISECONDS_PER_SECOND = 1000
 
 
 def check_operator_config(operator: OperatorConfig, settings: Settings) -> None:
-    """Check every section that is there."""
+    """Check every section that the file has."""
     if operator.gearman is not None:
         check_gearman(operator.gearman, settings)
     if operator.fleet is not None:
@@ -36,7 +37,7 @@
 
 
 def check_gearman(gearman: GearmanSection, settings: Settings) -> None:
-    """Check `[gearman]`: the settings know its names, and its port is in range."""
+    """Check `[gearman]`: its names are in the settings, and its port is in range."""
     check_name("gearman.tenant", gearman.tenant, settings.tenants)
     check_name("gearman.worker.zone", gearman.worker.zone, settings.zones)
     check_name("gearman.worker.kind", gearman.worker.kind, settings.worker_kinds)
@@ -53,7 +54,7 @@
 
 
 def check_leases(leases: LeasesSection, operator: OperatorConfig) -> None:
-    """Check `[leases]`: `[fleet]` is there, voters are distinct, times fit together."""
+    """Check `[leases]`: the file has `[fleet]`, voters are distinct, times are long enough."""
     if operator.fleet is None:
         raise ConfigurationError("leases needs [fleet]: its members carry the messages")
     check_distinct("leases.voters", leases.voters)
@@ -71,7 +72,7 @@
 
 
 def check_identity(identity: IdentitySection, operator: OperatorConfig, settings: Settings) -> None:
-    """Check `[identity]`: the settings know its names, callers are distinct, ports are in range."""
+    """Check `[identity]`: names are in the settings, callers are distinct, ports are in range."""
     for class_name in identity.methods:
         check_name(f"identity.methods.{class_name}", class_name, settings.class_names)
     owners: dict[tuple[str, str], str] = {}
@@ -93,12 +94,15 @@
     settings: Settings,
     owners: dict[tuple[str, str], str],
 ) -> None:
-    """Check a caller; `owners` collects which caller has each name and subject, by its path."""
+    """Check a caller, whose section is at `path`.
+
+    `owners` collects the path of the caller that has each name and subject.
+    """
     for tenant in caller.tenants:
-        if tenant != ALL:
+        if tenant != WILDCARD:
             check_name(f"{path}.tenants", tenant, settings.tenants)
     for class_name in caller.classes:
-        if class_name != ALL:
+        if class_name != WILDCARD:
             check_name(f"{path}.classes", class_name, settings.class_names)
     claim_name(owners, path, "name", caller.name)
     for subject in caller.subjects:
@@ -118,7 +122,7 @@
 
 
 def check_name(key: str, value: str, known: tuple[str, ...]) -> None:
-    """Check that the settings know a name; "" stands for the default and passes."""
+    """Check that a name is in the settings; "" stands for the default and passes."""
     if value and value not in known:
         raise ConfigurationError(
             f"{key}={value} is not in the settings ({', '.join(known) or 'which name none'})"
@@ -126,7 +130,10 @@
 
 
 def check_port(key: str, address: str) -> None:
-    """Check the port of an address whose form is checked already; 0 stands for any free port."""
+    """Check that the port of an address, whose form is checked already, is in range.
+
+    0 is allowed and stands for any free port.
+    """
     if int(address.rpartition(":")[2]) > MAX_PORT:
         raise ConfigurationError(f"{key}={address} is not HOST:PORT")
 
--- a/stepstream/config/operator_file.py
+++ b/stepstream/config/operator_file.py
@@ -1,8 +1,8 @@
-"""The operator's own TOML file: read, checked, and compared at a reload.
+"""Reading of the operator's own TOML file, and comparison of two versions at a reload.
 
-A subsystem whose section is missing is off: nothing of it is imported. The platform's dispatcher
-has no such file and never imports this module, nor `msgspec`. The main thread reads the file; what
-is read is immutable. Subsystems import the sections from here.
+A subsystem whose section is missing is off: none of its modules is imported. A dispatcher without
+such a file, as the platform runs it, imports neither this module nor `msgspec`. The main thread
+reads the file; the result is immutable. Subsystems import the sections from this module.
 """
 
 import tomllib
@@ -60,7 +60,7 @@
     try:
         operator = msgspec.convert(data, OperatorConfig)
     except msgspec.ValidationError as error:
-        fault = key_first(plain_forms(str(error)))
+        fault = move_key_to_front(replace_patterns(str(error)))
         raise ConfigurationError(f"operator file {path}: {fault}") from error
     try:
         check_operator_config(operator, settings)
@@ -69,19 +69,19 @@
     return operator
 
 
-def key_first(fault: str) -> str:
-    """Return the fault with its key in front.
+def move_key_to_front(fault: str) -> str:
+    """Return a fault of msgspec with its key in front.
 
-    msgspec writes "Expected `int`, got `str` - at `$.gearman.queue`". A fault at the top
-    level has no place.
+    msgspec writes "Expected `int`, got `str` - at `$.gearman.queue`". For a fault at the top level
+    of the file it names no key.
     """
     text, _, path = fault.partition(" - at `$")
     key = path.rstrip("`").lstrip(".")
     return f"{key}: {text}" if key else text
 
 
-def plain_forms(fault: str) -> str:
-    """Replace the regular expressions in a fault of msgspec by the form that they stand for."""
+def replace_patterns(fault: str) -> str:
+    """Replace each regular expression in a fault of msgspec by the words for its form."""
     for pattern, form in PATTERN_FORMS.items():
         fault = fault.replace(f"`str` matching regex {pattern!r}", form)
     return fault
@@ -98,8 +98,9 @@
 def require_unchanged(key: str, old: OperatorConfig | None, new: OperatorConfig | None) -> None:
     """Raise `ConfigurationError` if a reload would change what only a restart may change.
 
-    `key` is the path of a value, such as `gearman.listen`, or of a section, whose presence counts.
-    None stands for no operator's file: all its sections are missing.
+    `key` is the path of a value, such as `gearman.listen`, or of a section. A section may change,
+    but it may be neither added nor removed. None stands for no operator's file, in which all
+    sections are missing.
     """
     before = value_at(old, key)
     after = value_at(new, key)
@@ -111,7 +112,7 @@
 
 
 def value_at(operator: OperatorConfig | None, key: str) -> object:
-    """Return a section or a value by its path; None where a section on the way is missing."""
+    """Return a section or a value by its path; None if a section of that path is missing."""
     value: object = operator
     for name in key.split("."):
         value = getattr(value, name, None)
--- a/stepstream/config/operator_sections.py
+++ b/stepstream/config/operator_sections.py
@@ -1,9 +1,9 @@
 """The sections of the operator's TOML file, one typed structure each.
 
-Attributes are spelled as the file's keys, so that a fault and `require_unchanged` name what the
-operator wrote. Each docstring gives a key's default, unit and consequence. What concerns one value
-alone (type, bounds, form) is declared here; `operator_checks` compares values with the settings and
-with other sections. Sections are immutable.
+Most attributes are spelled as the file's keys, so that a fault and `require_unchanged` name what
+the operator wrote. Each docstring gives the default, unit and consequence of every key. Rules for a
+single value (type, bounds, form) are declared here; `operator_checks` compares values with the
+settings and with other sections. Sections are immutable.
 """
 
 from typing import Annotated, Literal
@@ -15,7 +15,7 @@
 HOST_PORT_PATTERN = r"^[^:\s]+:\d{1,5}$"
 IPV4_PORT_PATTERN = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
 IDENTIFIER_PATTERN = r"^[A-Za-z0-9._-]+$"
-# The words for each pattern in a fault.
+# The words that replace each pattern in the text of a fault.
 PATTERN_FORMS = {
     HOST_PORT_PATTERN: "HOST:PORT",
     IPV4_PORT_PATTERN: "IPv4:PORT, never a name",
@@ -33,7 +33,7 @@
 
 
 class Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Base of all sections: an unknown key is a fault, never ignored."""
+    """Base of all sections: an unknown key is a fault and is not ignored."""
 
 
 class WorkerDefaults(Section, frozen=True, kw_only=True):
@@ -43,8 +43,9 @@
         its jobs pay for crossing zones.
     kind (""): name of its kind; "" stands for the first kind of the settings. The kind decides
         which classes it may run.
-    cell (0): workers of one cell drop each other's repeats of a job with an idempotency key.
-    slots (1, 1 to 1024 jobs): jobs that it may hold at once. With too many, jobs wait inside the
+    cell (0): workers of one cell recognize repeats of a job with an idempotency key among them,
+        and drop these.
+    slots (1, 1 to 1024 jobs): jobs that it may have at once. With too many, jobs wait inside the
         worker, where the dispatcher does not see them.
     weight (1.0, above 0): its weight against the others' in the rotation.
     """
@@ -60,13 +61,13 @@
     """`[gearman]`: Gearman's front and carrier; docs/gearman.md.
 
     listen (required, HOST:PORT): where Gearman's clients and workers connect; needs a restart.
-    tenant (""): the tenant of functions that name none; "" rejects such functions where the
-        settings know tenants.
+    tenant (""): the tenant of functions that name none; "" rejects such functions if the settings
+        have tenants.
     allow_shutdown (false): whether the text command `shutdown` may end the program.
     queue (8, 0 to 10,000 jobs): jobs beyond its slots that may wait for one worker's GRAB_JOB; a
         further one finds the worker full.
-    queue_wait_ms (1,000 ms): a job that waits longer there is returned without having run, and may
-        be sent to another worker.
+    queue_wait_ms (1,000 ms): longest wait of a job for GRAB_JOB. Afterwards it is returned without
+        having run, and may be sent to another worker.
     outcome_retention_seconds (`keep_s`, 300 s): how long the outcome of an ended background job is
         retained.
     max_retained_outcomes (`keep_most`, 10,000 jobs): how many outcomes are retained; the oldest are
@@ -120,7 +121,7 @@
     clients ("required"): "wanted" lets a client without a certificate show a token.
     least ("1.3"): lowest version of TLS, "1.2" or "1.3".
     crl ("", path): PEM file of revocation lists, signed by a CA of the bundle; "" is none.
-    names (["uri", "dns"]): which name of a certificate counts: the first kind that it has.
+    names (["uri", "dns"]): kinds of names of a certificate; the first kind that it has counts.
     """
 
     listen: HostPort
@@ -143,15 +144,15 @@
     leeway_s (5, 0 to 60 s): tolerated difference between clocks.
     token_bytes (4,096, 256 to 12,288 bytes): a longer token is rejected unread.
     longest_s (86,400 s): longest lifetime of a token, from `iat` to `exp`.
-    cache (10,000 tokens): verified tokens that are cached; fewer cost more signature checks.
+    cache (10,000 tokens): verified tokens that are cached; with fewer, more signatures are checked.
     workers (["worker/"]): a worker's subject is one of these prefixes and the worker's id.
     notification_access (`news`, "identified"): "open" accepts workers' notifications and
         registrations without a credential.
     admins ([]): subjects that may use Gearman's text commands.
     audit ("json"): format of audit lines, "json" or "console".
-    audit_allowed (false): whether allowed requests are written too.
+    audit_allowed (false): whether the audit log has allowed requests too.
     denials_per_s (20 lines a second): audit lines of denials; further ones are counted.
-    methods ({}): by class, the kinds of credential that it takes; the others take any.
+    methods ({}): by class, the kinds of credential that it accepts; the other classes accept any.
     caller ([], up to 10,000): the callers.
     tls (none): TLS listeners.
     """
@@ -180,36 +181,42 @@
     """`[fleet]`: the dispatchers' membership protocol (SWIM with Lifeguard); docs/membership.md.
 
     listen (required, IPv4:PORT): UDP address of this member.
-    advertise (`listen`, IPv4:PORT): where the others send, if that is another address.
-    seeds ([], up to 64 IPv4:PORT): members to join through; without one it stays alone until
-        another member has it as a seed.
+    advertise (`listen`, IPv4:PORT): address to which the other members send.
+    seeds ([], up to 64 IPv4:PORT): members to join through; without any, this member stays alone
+        until another member has it as a seed.
     cluster (required): name of the cluster; datagrams of another one are dropped and counted.
-    share_maintenance (false): whether worker maintenance set at one dispatcher holds at all.
+    share_maintenance (false): whether maintenance of a worker that is set at one dispatcher holds
+        at all dispatchers.
     follow_size (true): whether the policy's count of dispatchers follows the membership list;
         otherwise the settings' `fleet_size` counts, even after crashes and joins.
     hold_s (30, 1 to 86,400 s): how long a dead member still counts as a dispatcher. Short: a stop
         of a few seconds changes every dispatcher's share twice.
     period_ms (400, 10 to 600,000 ms): protocol period, between two probes. Longer: crashes are
         noticed later; shorter: more datagrams.
-    timeout_ms (200 ms): of a direct probe, before indirect ones. Under the round trip every probe
-        becomes an indirect one.
+    timeout_ms (200 ms): time for the answer to a direct probe; then indirect probes are sent. If it
+        is below the round-trip time, every probe becomes an indirect one.
     helpers (3, 0 to 16 members): members that are sent an indirect probe. 0: one lossy link is
         enough for a suspicion.
-    suspicion (3, 1 to 100 periods): shortest suspicion, times the logarithm of the cluster's size.
-        Short: slow members are declared dead.
-    slack (6, 1 to 100 times): longest suspicion over the shortest, if no member confirms it.
-    confirmations (3, 0 to 16 members): independent ones that make the suspicion shortest.
-    gossip (4, 1 to 32 times): retransmissions of a message, times the logarithm of the cluster's
-        size. Less: more is left to anti-entropy.
-    sync_ms (5,000 ms): between two anti-entropy exchanges with a random member.
-    reach_ms (1,000 ms): between two attempts to reach a seed or a dead member. Longer: a healed
-        partition is noticed later.
-    young_s (10, 1 to 600 s): time after its start in which at least the settings' `fleet_size`
-        counts. Short: a member that does not know the others yet takes more than its share.
-    health (8, 0 to 32): highest local health score (Lifeguard); each point stretches its probes by
-        a period. 0 switches it off.
-    forget_s (86,400, 60 to 2,592,000 s): shortest time that a death or leave is remembered.
-    most (1,024, 2 to 4,096): names of members, and workers with a maintenance record.
+    suspicion (3, 1 to 100 periods): shortest duration of a suspicion, multiplied by the logarithm
+        of the cluster's size. Shorter: slow members are declared dead.
+    slack (6, 1 to 100 times): how many times the shortest duration a suspicion lasts if no member
+        confirms it.
+    confirmations (3, 0 to 16 members): independent confirmations after which a suspicion has its
+        shortest duration.
+    gossip (4, 1 to 32 times): retransmissions of a message, multiplied by the logarithm of the
+        cluster's size. Fewer: more changes reach a member only by anti-entropy.
+    sync_ms (5,000 ms): time between two anti-entropy exchanges with a random member.
+    reach_ms (1,000 ms): time between two attempts to reach a seed or a dead member. Longer: a
+        healed partition is noticed later.
+    young_s (10, 1 to 600 s): time after this member's start in which the policy's count of
+        dispatchers is at least the settings' `fleet_size`. Shorter: a member that does not know the
+        others yet takes more than its share.
+    health (8, 0 to 32): highest local health score (Lifeguard); each point lengthens this member's
+        probes by a period. 0 switches it off.
+    forget_s (86,400, 60 to 2,592,000 s): shortest time for which a member's death or leave is
+        remembered.
+    most (1,024, 2 to 4,096): bound of the names of members, and of the workers with a maintenance
+        record.
     log ("console"): format of its log lines, "json" or "console".
     """
 
@@ -239,21 +246,22 @@
 class LeasesSection(Section, frozen=True, kw_only=True):
     """`[leases]`: cluster-wide tasks with one holder at a time (PaxosLease); docs/leases.md.
 
-    voters (required, 1 to 15 names): the acceptors; a majority of them grants leases. Three
-        tolerate one failure, five two.
+    voters (required, 1 to 15 names): the acceptors; a majority of them grants leases. Three voters
+        tolerate one failure, five tolerate two.
     old_voters ([], up to 15 names): the previous set while the voters are changed; majorities of
         both sets are needed.
     drift (0.01, above 0 to 0.2): fraction by which a clock may run fast or slow. If it is too
         small, two may hold a lease at once; if too large, a lost holder blocks its lease longer.
     longest_s (60, 1 to 3,600 s): longest time to live of a lease. A voter is silent for this time
         after its start.
-    timeout_ms (300 ms): one round to the voters and back; below the true round trip no lease is
-        granted.
-    turn_ms (300 ms): how long the candidate that waited longest goes first once a lease is free.
+    timeout_ms (300 ms): time for one round to the voters and back. If it is below the true
+        round-trip time, no lease is granted.
+    turn_ms (300 ms): how long the candidate that waited longest has precedence once a lease is
+        free.
     most (4,096, 1 to 65,536): leases that a voter remembers.
     most_sessions (1,024, 1 to 65,536): programs and tasks that want leases through this dispatcher;
         further ones get 503.
-    probe_sweep (false): whether the health checks of one dispatcher serve all.
+    probe_sweep (false): whether one dispatcher at a time checks workers' health for all others.
     log ("console"): format of its log lines, "json" or "console".
     """
 
