--- a/stepstream/hot_restart/controller.py
+++ b/stepstream/hot_restart/controller.py
@@ -1,12 +1,14 @@
 """The controller of a hot restart: takes over and hands over state, detects the sibling process.
 
-It owns what this process knows of its siblings and of the endpoint list to be handed over. The
-admin listener's thread checks the file at every turn; the main thread loads the state before that
-thread starts, writes it once clients are taken, and checks it at a shutdown; the decision thread
-forwards notifications. A lock guards what the admin thread and the main thread share.
-
-Both processes change the maintenance state. Each keeps the state that the file last held for it,
-and merges its own changes since then with what the file holds now, so that no change is undone.
+The controller owns what this process knows of its siblings, and the endpoint list to be handed
+over. The admin listener's thread checks the state file at every turn. The main thread loads the
+state before that thread starts, writes it once clients can connect, and checks the file at a
+shutdown. The decision thread forwards notifications. A lock guards what the admin listener's thread
+and the main thread share.
+
+Both processes change the maintenance state. Each process remembers the state that it last read from
+or wrote to the file. It merges its own changes since then with the state that is in the file now,
+so that neither process undoes the other's changes.
 """
 
 import threading
@@ -33,27 +35,31 @@
 class HotRestartController:
     """Exchanges the state of this process and its sibling through the state file.
 
-    `own` describes this process; `maintenance` is the registry that adopts newer states of a
-    sibling.
+    `own_process` describes this process; `maintenance` is the registry that adopts newer states of
+    a sibling.
     """
 
     def __init__(
-        self, file: StateFile, own: ProcessRecord, maintenance: MaintenanceRegistry, limits: Limits
+        self,
+        file: StateFile,
+        own_process: ProcessRecord,
+        maintenance: MaintenanceRegistry,
+        limits: Limits,
     ) -> None:
         self.file = file
-        self.own = own
+        self.own_process = own_process
         self.maintenance = maintenance
         self.forwarder = NotificationForwarder(limits)
         self.lock = threading.RLock()  # guards the file and the fields below
-        self.synchronized_maintenance = MaintenanceState()  # as the file last held it
+        self.synchronized_maintenance = MaintenanceState()  # in the file, when last read or written
         self.is_write_due = False  # the last write failed
         self.siblings: tuple[ProcessRecord, ...] = ()
-        self.endpoint_list: EndpointListJson | None = None  # to be handed over with the rest
+        self.endpoint_list: EndpointListJson | None = None  # to be handed over
 
     def load(self) -> HandoverState | None:
-        """Take over what the process before this one left, at the start.
+        """Take over the state that an earlier process has left, at the start of this one.
 
-        Return None, with one line in the log, if there is nothing usable.
+        Return None, and log one line, if there is no usable state.
         """
         with self.lock:
             try:
@@ -71,13 +77,13 @@
     def write(self, *, ready: bool | None = None) -> bool:
         """Merge the state into the file; return whether that changed the maintenance state here.
 
-        `ready` changes this process's own record first. A failure is logged, and the next check
-        writes again.
+        `ready` first changes the record of this process. A failure is logged, and the next check of
+        the file writes again.
         """
         with self.lock:
             if ready is not None:
-                self.own = replace(self.own, ready=ready)
-            before = self.maintenance.snapshot()
+                self.own_process = replace(self.own_process, ready=ready)
+            maintenance_before = self.maintenance.snapshot()
             try:
                 written = self.file.update(self._merge)
             except OSError as error:
@@ -86,21 +92,21 @@
             else:
                 self.is_write_due = False
                 self.synchronized_maintenance = written.maintenance
-            return self.maintenance.snapshot() != before
+            return self.maintenance.snapshot() != maintenance_before
 
     def _merge(self, current: HandoverState | None) -> HandoverState:
-        """Return the state to be written over the file's, which is None if it cannot be used."""
+        """Return the state to be written; `current` is the file's, None if it cannot be used."""
         if current is not None:
             self._adopt(current)
         alive_pids = {process.pid for process in self.siblings if is_alive(process.pid)}
-        processes = replace_own_record(self.siblings, self.own, alive_pids)
+        processes = replace_own_record(self.siblings, self.own_process, alive_pids)
         self.siblings = processes[:-1]
         return HandoverState(self.maintenance.snapshot(), processes, self.endpoint_list)
 
     def check_file(self) -> bool:
         """Adopt what a sibling has written; return whether that changed the maintenance state."""
         with self.lock:
-            before = self.maintenance.snapshot()
+            maintenance_before = self.maintenance.snapshot()
             try:
                 state = self.file.read_if_changed()
             except (OSError, HandoverStateError) as error:
@@ -108,18 +114,20 @@
                 return False
             if state is not None:
                 self._adopt(state)
-            if self.is_write_due or (state is not None and not self._is_up_to_date(state)):
+            if self.is_write_due or (state is not None and not self._has_own_changes(state)):
                 self.write()
-            return self.maintenance.snapshot() != before
+            return self.maintenance.snapshot() != maintenance_before
 
-    def _is_up_to_date(self, state: HandoverState) -> bool:
-        """Return whether the file has this process's record and its changes of maintenance."""
-        has_own_record = any(process.pid == self.own.pid for process in state.processes)
+    def _has_own_changes(self, state: HandoverState) -> bool:
+        """Return whether the file's state has this process's record and changes of maintenance."""
+        has_own_record = any(process.pid == self.own_process.pid for process in state.processes)
         return has_own_record and state.maintenance == self.maintenance.snapshot()
 
     def _adopt(self, state: HandoverState) -> None:
         """Take over the siblings, their changes of maintenance and a newer endpoint list."""
-        self.siblings = tuple(process for process in state.processes if process.pid != self.own.pid)
+        self.siblings = tuple(
+            process for process in state.processes if process.pid != self.own_process.pid
+        )
         base = self.synchronized_maintenance
         self.maintenance.merge(lambda own: merge_maintenance(base, own, state.maintenance))
         self.synchronized_maintenance = state.maintenance
@@ -127,17 +135,17 @@
             self.endpoint_list = state.endpoint_list
 
     def sibling(self) -> ProcessRecord | None:
-        """Return the newest other process on the clients' address, None if it has ended."""
-        sibling = newest_sibling(self.siblings, self.own.pid)
+        """Return the newest other process on the clients' address; None without one that runs."""
+        sibling = newest_sibling(self.siblings, self.own_process.pid)
         return sibling if sibling is not None and is_alive(sibling.pid) else None
 
     def successor(self) -> ProcessRecord | None:
-        """Return the sibling if it started after this process and takes clients, else None."""
+        """Return the sibling if it started after this process and accepts clients, else None."""
         sibling = self.sibling()
-        return sibling if sibling is not None and is_successor(sibling, self.own) else None
+        return sibling if sibling is not None and is_successor(sibling, self.own_process) else None
 
     def forward_notification(self, notification: JobNotification) -> None:
-        """Forward a notification of a request that this process does not hold to its sibling."""
+        """Forward to the sibling a notification of a request that is not open in this process."""
         sibling = self.sibling()
         if sibling is not None:
             self.forwarder.submit(sibling, notification)
--- a/stepstream/hot_restart/precedence.py
+++ b/stepstream/hot_restart/precedence.py
@@ -1,4 +1,4 @@
-"""Which process and which state win in a hot restart, as pure functions."""
+"""The rules on which process and which state take precedence in a hot restart; no I/O."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -12,7 +12,7 @@
 def newest_sibling(processes: Iterable[ProcessRecord], own_pid: int) -> ProcessRecord | None:
     """Return the process other than `own_pid` that started last, None if there is no other.
 
-    Notifications are forwarded to it: after several restarts the older ones are about to end.
+    Notifications are forwarded to it. After several restarts the older processes are about to end.
     """
     siblings = [process for process in processes if process.pid != own_pid]
     return max(siblings, key=lambda process: process.started_at_us, default=None)
@@ -21,8 +21,8 @@
 def is_successor(sibling: ProcessRecord, own: ProcessRecord) -> bool:
     """Decide whether a running sibling serves the clients' address after this process ends.
 
-    It must have started later, in microseconds since the epoch, and its listener for clients must
-    be open; otherwise a shutdown would leave clients without any process.
+    The sibling must have started later than this process, and its listener for clients must be
+    open. Otherwise no process would serve clients after the shutdown of this one.
     """
     return sibling.ready and sibling.started_at_us > own.started_at_us
 
@@ -30,10 +30,10 @@
 def replace_own_record(
     processes: Iterable[ProcessRecord], own: ProcessRecord, alive_pids: set[int]
 ) -> tuple[ProcessRecord, ...]:
-    """Return the records of running processes, this process's own one renewed and last.
+    """Return the records of running processes, with `own`, this process's new one, as the last.
 
-    `alive_pids` are the process ids that exist. Records of ended processes would otherwise stay in
-    the state file, and their ids may be used again.
+    `alive_pids` are the process ids that exist. Records of ended processes are dropped: their
+    process ids may be used again.
     """
     siblings = [
         process for process in processes if process.pid != own.pid and process.pid in alive_pids
@@ -46,8 +46,8 @@
 ) -> MaintenanceState:
     """Return the state with the changes of both processes since `base`, their last common state.
 
-    A worker that only one of them has put into maintenance or released is as that one has it. The
-    generation grows where the result is neither of the two.
+    If only one process has changed a worker's maintenance, the result has that change. A result
+    that is the state of neither process gets a higher generation.
     """
     is_own_unchanged = (own.in_maintenance, own.released) == (base.in_maintenance, base.released)
     if own == theirs or is_own_unchanged:
@@ -68,7 +68,7 @@
     theirs: tuple[tuple[str, int], ...],
     in_maintenance: frozenset[str],
 ) -> tuple[tuple[str, int], ...]:
-    """Return the latest release of each worker, the oldest first."""
+    """Return the latest release of each worker, the oldest release first."""
     latest: dict[str, int] = {}
     for worker_id, at_us in (*theirs, *own):
         latest[worker_id] = max(at_us, latest.get(worker_id, at_us))
@@ -82,20 +82,21 @@
 def is_newer_list(candidate: EndpointListJson | None, current: EndpointListJson | None) -> bool:
     """Decide whether the candidate replaces the current endpoint list.
 
-    It does with a later version of discovery, and where there is no current list. A process that
-    missed a change would otherwise bring back removed workers. A candidate whose version is no
-    number does not replace any list; a current list without such a number counts as version 0.
+    It does if discovery gave it a later version, or if there is no current list. Without the
+    comparison, a process that missed a change would bring back removed workers. A candidate whose
+    version is not a number replaces no list; a current list with such a version counts as version
+    0.
     """
     if candidate is None:
         return False
-    candidate_version = _version(candidate)
+    candidate_version = _list_version(candidate)
     if candidate_version is None:
         return False
-    return current is None or candidate_version > (_version(current) or 0)
+    return current is None or candidate_version > (_list_version(current) or 0)
 
 
-def _version(endpoint_list: EndpointListJson) -> int | None:
-    """Return the list's version, 0 if it has none, None if it is no whole number."""
+def _list_version(endpoint_list: EndpointListJson) -> int | None:
+    """Return the list's version; 0 if it has none, None if the version is not a whole number."""
     try:
         return int(endpoint_list.get("version", 0))
     except (TypeError, ValueError, OverflowError):
--- a/stepstream/hot_restart/process.py
+++ b/stepstream/hot_restart/process.py
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessRecord:
-    """A dispatcher's process as the state file lists it."""
+    """A process of a dispatcher, as the state file lists it."""
 
     pid: int
     admin_address: str  # HOST:PORT of its admin listener, which takes forwarded notifications
@@ -15,7 +15,7 @@
 
 
 def own_record(admin_address: tuple[str, int], now_us: int) -> ProcessRecord:
-    """Describe this process, started at `now_us` and not yet ready."""
+    """Return the record of this process, started at `now_us` and not ready yet."""
     host, port = admin_address
     return ProcessRecord(os.getpid(), f"{host}:{port}", now_us)
 
--- a/stepstream/hot_restart/state.py
+++ b/stepstream/hot_restart/state.py
@@ -1,9 +1,9 @@
 """The handover state and its codec: what one process of a hot restart leaves to the next.
 
 The file is a JSON object of `format`, `version`, `sum` (CRC-32 of the body's UTF-8 bytes) and
-`body`, itself JSON in a string. It is accepted as a whole or not at all: each kind of deviation
-raises its own error, and the reader starts clean. There is no state here; any thread may call the
-functions.
+`body`, a string of JSON. A file that deviates from this form is rejected as a whole. Each kind of
+deviation raises its own error, and the process starts without the earlier state. The module keeps
+no state; any thread may call the functions.
 """
 
 from dataclasses import dataclass, field
@@ -21,15 +21,15 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverState:
-    """What the state file holds."""
+    """The content of the state file."""
 
     maintenance: MaintenanceState = MaintenanceState()
     processes: tuple[ProcessRecord, ...] = field(default_factory=tuple)
-    endpoint_list: EndpointListJson | None = None  # as the writer last received it
+    endpoint_list: EndpointListJson | None = None  # as its writer last received it
 
 
 class HandoverStateError(Exception):
-    """The bytes are no usable handover state; the text names the deviation in one line."""
+    """The bytes are not a usable handover state; the message names the deviation in one line."""
 
 
 class StateFormatError(HandoverStateError):
@@ -37,7 +37,7 @@
 
 
 class StateVersionError(HandoverStateError):
-    """The state was written in another version of the format."""
+    """The state has another version of the format."""
 
 
 class StateChecksumError(HandoverStateError):
@@ -49,7 +49,7 @@
 
 
 def encode(state: HandoverState) -> bytes:
-    """Write the state as the file's bytes."""
+    """Encode the state as the bytes of the file."""
     # The keys `banned`, `lifted` and `list` are part of the format and keep their names.
     body = {
         "generation": state.maintenance.generation,
@@ -72,7 +72,7 @@
 
 
 def decode(data: bytes) -> HandoverState:
-    """Read the file's bytes; raise HandoverStateError if anything in them deviates."""
+    """Decode the bytes of the file; raise HandoverStateError if they deviate from the format."""
     body_text = _open_envelope(data)
     try:
         return _read_body(ujson.loads(body_text))
--- a/stepstream/hot_restart/state_file.py
+++ b/stepstream/hot_restart/state_file.py
@@ -1,10 +1,12 @@
 """The state file in $TMPDIR, which the processes of a hot restart read and write in turn.
 
-A write goes to another name and is renamed over the old file, so that a reader finds either the old
-state or the new one, never a part. `update` reads, merges and writes under two locks: one between
-the threads of this process, and an advisory one on the folder between processes (flock(2)), which
-the kernel releases if its owner ends. The object owns the signature of the content that it last
-read or wrote; it belongs to the controller, whose lock guards it.
+A new state is written to another file, which is renamed over the old one. A reader therefore finds
+either the old state or the new one, and never a part of a state. `update` reads, merges and writes
+under two locks. The controller's lock excludes the other threads of this process. An advisory lock
+on the folder (flock(2)) excludes other processes; the kernel releases it if its owner ends.
+
+A `StateFile` remembers the signature of the content that it last read or wrote. It belongs to the
+controller, whose lock guards it.
 """
 
 import contextlib
@@ -17,19 +19,20 @@
 
 FileSignature = tuple[int, int, int]  # inode, modification time in nanoseconds, size in bytes
 
-LOCK_TIMEOUT_SECONDS = 0.2  # an operator's call, which waits for the write, is owed within 1 s
-LOCK_RETRY_SECONDS = 0.005
+LOCK_TIMEOUT_SECONDS = 0.2  # an operator's call waits for the write and must be answered within 1 s
+LOCK_RETRY_SECONDS = 0.005  # between two attempts to get the lock
 
 
 def state_folder() -> str | None:
-    """Return $TMPDIR, where both processes of a hot restart look; None where it is not set."""
+    """Return $TMPDIR, the folder of the state file of both processes; None if it is not set."""
     return os.environ.get("TMPDIR") or None
 
 
 class StateFile:
     """Reads and writes the handover state of one dispatcher's name.
 
-    At most `max_bytes` are read; `own_pid` keeps the unfinished files of two writers apart.
+    At most `max_bytes` are read. `own_pid` is part of the name of the unfinished file, so that two
+    writers do not use the same one.
     """
 
     def __init__(self, folder: str, dispatcher_name: str, own_pid: int, max_bytes: int) -> None:
@@ -45,16 +48,16 @@
         Raise OSError (FileNotFoundError if there is no file) or HandoverStateError.
         """
         with open(self.path, "rb") as file:
-            # Of the open file: by its name it could be that of a later content.
+            # The status of the open file: the name may already belong to a later file.
             self.known_signature = signature_of(os.fstat(file.fileno()))
             data = file.read(self.max_bytes)
         return decode(data)
 
     def read_if_changed(self) -> HandoverState | None:
-        """Read what another process has written since; return None if that is nothing.
+        """Read the state if it has changed since the last read or write here, else return None.
 
-        Raise as `read` does. Without a change it costs one stat. A state that cannot be used is
-        read only once.
+        Raise as `read` does. Without a change the only cost is one call of stat(2). A state that
+        cannot be used is read only once.
         """
         try:
             signature = signature_of(os.stat(self.path))
@@ -63,10 +66,11 @@
         return None if signature == self.known_signature else self.read()
 
     def update(self, merge: Callable[[HandoverState | None], HandoverState]) -> HandoverState:
-        """Replace the file by what `merge` makes of its state, None if that cannot be used.
+        """Replace the state by the result of `merge`, and return that.
 
-        No other process updates it meanwhile. Return the new state; raise OSError if it could not
-        be written, TimeoutError if another process holds the lock for too long.
+        `merge` gets the file's state, or None if that cannot be used. No other process updates the
+        file meanwhile. Raise OSError if the new state could not be written, TimeoutError if another
+        process holds the lock for too long.
         """
         with self._locked_folder():
             state = merge(self._read_or_none())
@@ -80,7 +84,7 @@
             return None
 
     def _replace(self, state: HandoverState) -> None:
-        """Replace the file atomically, its content on disk first; raise OSError if that fails."""
+        """Replace the file atomically, after its content is on disk; raise OSError on failure."""
         with open(self.unfinished_path, "wb") as file:
             file.write(encode(state))
             file.flush()
@@ -91,7 +95,7 @@
 
     @contextlib.contextmanager
     def _locked_folder(self) -> Iterator[None]:
-        """Hold the lock between processes."""
+        """Hold the lock that excludes other processes."""
         descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             lock_within(descriptor, LOCK_TIMEOUT_SECONDS)
@@ -101,7 +105,10 @@
 
 
 def lock_within(descriptor: int, timeout_seconds: float) -> None:
-    """Lock an open file against other processes; raise TimeoutError if one of them holds it."""
+    """Lock an open file against other processes.
+
+    Raise TimeoutError if another process still holds the lock after `timeout_seconds`.
+    """
     deadline = time.monotonic() + timeout_seconds
     while True:
         try:
@@ -115,5 +122,5 @@
 
 
 def signature_of(status: os.stat_result) -> FileSignature:
-    """Identify a file's content."""
+    """Return the signature of a file's content: it differs once the file is replaced."""
     return status.st_ino, status.st_mtime_ns, status.st_size
