--- a/stepstream/admin/connection.py
+++ b/stepstream/admin/connection.py
@@ -1,6 +1,6 @@
-"""One connection to the admin listener: its parser, its response's unsent bytes and its age.
+"""One connection to the admin listener: its parser, the unsent bytes of its response and its age.
 
-Only the listener's thread touches it.
+Only the listener's thread uses it.
 """
 
 import contextlib
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, eq=False)
 class AdminConnection:
-    """A caller's connection, for one request and its response; the socket does not block."""
+    """A caller's connection for one request and its response, on a non-blocking socket."""
 
     sock: socket.socket
     parser: Parser
@@ -22,11 +22,14 @@
     responded: bool = False  # the response is sent or queued; no more requests are read
 
     def receive(self, max_bytes: int) -> bytes:
-        """Read what has arrived; b"" at the end. Raise OSError if the connection has broken."""
+        """Return the bytes that have arrived, b"" once the caller has closed the connection.
+
+        Raise OSError if the connection has broken.
+        """
         return self.sock.recv(max_bytes)
 
     def parse(self, received: bytes) -> Message | None:
-        """Return the request once it is complete; raise ProtocolError if it is malformed."""
+        """Return the request if it is complete, else None; raise ProtocolError if malformed."""
         self.parser.feed(received)
         return self.parser.next()
 
@@ -39,7 +42,7 @@
         self.responded = True
 
     def flush(self) -> bool:
-        """Send what the socket takes now; return whether all is sent.
+        """Send as many bytes as the socket takes now; return whether all are sent.
 
         Raise OSError if the connection has broken.
         """
--- a/stepstream/admin/decisions.py
+++ b/stepstream/admin/decisions.py
@@ -1,7 +1,7 @@
-"""Every decision of the admin listener and its service, as pure functions.
+"""The decisions of the admin listener and its service, as pure functions.
 
-They decide on requests, on the steps of a drain, and on which connections of callers are closed.
-The service and the listener carry the decisions out.
+They decide on requests, on the steps of a drain, and on which of the callers' connections are
+closed. The service and the listener carry the decisions out.
 """
 
 from collections.abc import Collection
@@ -23,10 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessView:
-    """What a decision needs to know of the process, taken by its caller."""
+    """The state of the process at the time of a request, for the decision on it."""
 
     serving: bool  # as `is_serving` decides
-    worker_known: bool  # an endpoint list or the Gearman front has the request's worker
+    worker_known: bool  # discovery's endpoint list or the Gearman front has the request's worker
     worker_in_maintenance: bool
 
 
@@ -35,23 +35,24 @@
     """The response to a request, and the action to carry out before it is sent, if any."""
 
     response: AdminResponse
-    effect: AdminAction | None = None
+    action: AdminAction | None = None
 
 
 def is_serving(*, started: bool, shutting_down: bool, draining: bool) -> bool:
-    """Decide whether health checks succeed, so that the front sends new connections.
+    """Decide whether health checks succeed, so that the front proxy sends new connections.
 
-    They fail before the clients' listener accepts and from the start of a shutdown or drain on;
-    otherwise the front goes on sending to a dispatcher that is about to close.
+    They fail until the clients' listener accepts, and from the start of a shutdown or drain on.
+    Otherwise the front proxy would send connections to a dispatcher that is about to close.
     """
     return started and not shutting_down and not draining
 
 
 def decide(request: OperatorRequest, view: ProcessView) -> Decision:
-    """Decide on any action but a forwarded notification, which depends on its body alone.
+    """Decide on a request of any action but `TAKE_NOTIFICATION`, which depends on its body alone.
 
-    Maintenance does not count its starts: one end is enough. A worker id that no endpoint source
-    knows is rejected, unless it is in maintenance: a mistyped id would have no effect later.
+    Starts of maintenance are not counted: one request ends it, after any number of starts. A worker
+    id that no endpoint source knows is rejected, unless the worker is in maintenance. It may be
+    mistyped, and its maintenance would have no effect.
     """
     match request.action:
         case AdminAction.CHECK_HEALTH if view.serving:
@@ -62,26 +63,26 @@
             return Decision(AdminResponse(HTTP_OK, "OK"), request.action)
     if not view.worker_known and not view.worker_in_maintenance:
         return Decision(AdminResponse(HTTP_NOT_FOUND, f"no worker {request.worker_id}"))
-    starts = request.action is AdminAction.START_MAINTENANCE
-    if starts == view.worker_in_maintenance:
-        return Decision(AdminResponse(HTTP_OK, "OK: out already" if starts else "OK: in already"))
+    is_start = request.action is AdminAction.START_MAINTENANCE
+    if is_start == view.worker_in_maintenance:
+        return Decision(AdminResponse(HTTP_OK, "OK: out already" if is_start else "OK: in already"))
     return Decision(AdminResponse(HTTP_OK, "OK"), request.action)
 
 
-def spreads_to_members(request: OperatorRequest, decision: Decision) -> bool:
+def should_notify_members(request: OperatorRequest, decision: Decision) -> bool:
     """Decide whether the other dispatchers are notified of a request.
 
-    Every accepted maintenance request is spread, even without a change here: another dispatcher
-    may have received the opposite request.
+    They are notified of every accepted maintenance request, even if it changes nothing here:
+    another dispatcher may have received the opposite request.
     """
     return request.action in MAINTENANCE_ACTIONS and decision.response.status == HTTP_OK
 
 
-def closes_idle_now(*, drain_closes: bool, seconds_since_last_close: float) -> bool:
+def should_close_idle_connections(*, drain_closes: bool, seconds_since_last_close: float) -> bool:
     """Decide whether a drain closes the clients' idle connections in this turn.
 
-    `drain_closes` is whether the drain has reached the step that closes connections. Once a period
-    is enough: each pass goes through all connections.
+    `drain_closes` is whether the drain has reached the step that closes connections. This is done
+    only once in IDLE_CLOSE_PERIOD_SECONDS, because it goes through all connections.
     """
     return drain_closes and seconds_since_last_close >= IDLE_CLOSE_PERIOD_SECONDS
 
@@ -89,10 +90,10 @@
 def connection_to_evict(
     connections: Collection[AdminConnection], max_connections: int
 ) -> AdminConnection | None:
-    """Return the connection that makes room for a new one; None while there is room.
+    """Return the connection to close before a new one is accepted; None while there is room.
 
-    It is the oldest: otherwise callers that hold connections without a request would keep operators
-    out.
+    It is the oldest one. If new connections were rejected instead, callers that hold connections
+    without a request would keep operators out.
     """
     if len(connections) < max_connections:
         return None
@@ -102,7 +103,7 @@
 def has_expired(connection: AdminConnection, now: float, max_age_seconds: float) -> bool:
     """Decide whether a connection is closed at the monotonic time `now`, in seconds.
 
-    Its one request must be complete and answered within `max_age_seconds` of its accept; a caller
-    that sends or reads slowly would hold its place otherwise.
+    Its one request must be complete and answered within `max_age_seconds` after its accept.
+    Otherwise a caller that sends or reads slowly would keep the connection.
     """
     return now - connection.opened_at > max_age_seconds
--- a/stepstream/admin/listener.py
+++ b/stepstream/admin/listener.py
@@ -1,8 +1,8 @@
-"""The driver of the admin listener: one thread, non-blocking sockets and poll(2).
+"""The I/O of the admin listener: one thread, non-blocking sockets and poll(2).
 
-A caller that holds a connection without a complete request delays no other caller. Connections are
-bounded in number and each of them in time. The listener owns its sockets and connections, and only
-its thread touches them. `AdminSubsystem.start` starts that thread.
+A caller that holds a connection without a complete request delays no other caller. The number of
+connections and the age of each connection are bounded. The listener owns its sockets and
+connections, and only its thread uses them. `AdminSubsystem.start` starts that thread.
 """
 
 import contextlib
@@ -34,19 +34,19 @@
 WRITABLE = select.POLLOUT
 BROKEN = select.POLLERR | select.POLLHUP | select.POLLNVAL
 MILLISECONDS_PER_SECOND = 1000
-# An accept that fails for one of these fails again until something is closed.
+# An accept that fails for one of these reasons fails again until a descriptor or memory is freed.
 EXHAUSTED_RESOURCES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 ACCEPT_PAUSE_SECONDS = 0.1  # after such a failure
-FAULT_PAUSE_SECONDS = 1.0  # after a fault of the periodic tasks, or of a turn
+FAULT_PAUSE_SECONDS = 1.0  # after a fault in the periodic tasks or in a turn
 
 
 class AdminListener:
-    """Accepts operators' connections and passes complete requests on.
+    """Accepts operators' connections and has complete requests answered.
 
-    `answer` gets the requests to the listener's own routes; each of `subsystem_routes` answers its
-    own. `run_periodic_tasks` is called with the monotonic time in seconds at every turn, at least
-    once in `admin_poll_seconds`. All of them run in the listener's thread. The constructor raises
-    OSError if the address cannot be bound.
+    `answer` answers the requests to the listener's own routes; each of `subsystem_routes` answers
+    the requests to its path. `run_periodic_tasks` is called with the monotonic time in seconds at
+    every turn, at least once in `admin_poll_seconds`. All these functions run in the listener's
+    thread. The constructor raises OSError if the address cannot be bound.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self.connections: dict[int, AdminConnection] = {}  # by file descriptor
         self.bad_requests = RateLimitedLogger(log_events.admin_request_rejected, limits)
         self.failed_accepts = RateLimitedLogger(log_events.accept_failed, limits, max_lines=1)
-        self.accept_again_at: float | None = None  # monotonic seconds; None: it accepts
+        self.accept_again_at: float | None = None  # monotonic seconds; None: not paused
         self.tasks_again_at = 0.0  # monotonic seconds
 
     def _listen(self, address: tuple[str, int]) -> socket.socket:
@@ -92,9 +92,10 @@
         )
 
     def poll_once(self) -> None:
-        """Wait for events, serve them, and run what is due by time."""
+        """Wait for events and handle them; then do what is due by time."""
         poll_milliseconds = self.limits.timeouts.admin_poll_seconds * MILLISECONDS_PER_SECOND
-        # A descriptor that is closed in this turn may be another connection's at once.
+        # The connection is remembered with its event: once its descriptor is closed in this turn, a
+        # new connection may get the same descriptor.
         ready = [
             (descriptor, self.connections.get(descriptor), events)
             for descriptor, events in self.poll.poll(poll_milliseconds)
@@ -113,7 +114,7 @@
         self._run_tasks(now)
 
     def _run_tasks(self, now: float) -> None:
-        """Run the periodic tasks; after a fault in them, the next time after a pause."""
+        """Run the periodic tasks; after a fault in them, pause before the next run."""
         if now < self.tasks_again_at:
             return
         try:
@@ -123,7 +124,7 @@
             self.tasks_again_at = now + FAULT_PAUSE_SECONDS
 
     def _accept(self) -> None:
-        """Accept the waiting connections; one beyond the bound evicts another."""
+        """Accept the waiting connections; each one beyond the bound evicts the oldest."""
         max_connections = self.limits.connections.admin
         for _ in range(max_connections):
             try:
@@ -131,7 +132,7 @@
             except OSError as error:
                 if error.errno in EXHAUSTED_RESOURCES:
                     self._pause_accepting(error)
-                return  # none is left, or the caller has gone before the accept
+                return  # no connection waits, or the caller has closed it before the accept
             evicted = decisions.connection_to_evict(self.connections.values(), max_connections)
             if evicted is not None:
                 self._close(evicted)
@@ -141,7 +142,11 @@
             self.poll.register(sock, READABLE)
 
     def _pause_accepting(self, error: OSError) -> None:
-        """Accept nothing for a while: the waiting caller would end each wait for events at once."""
+        """Stop accepting for a while.
+
+        A caller that cannot be accepted ends every wait for events at once, so that the thread
+        would run without rest.
+        """
         self.failed_accepts.add(str(error))
         self.poll.unregister(self.listening_socket)
         self.accept_again_at = time.monotonic() + ACCEPT_PAUSE_SECONDS
@@ -152,7 +157,7 @@
             self.poll.register(self.listening_socket, READABLE)
 
     def _close_expired(self, now: float) -> None:
-        """Close the connections whose time for a request is over."""
+        """Close the connections whose age is over the bound."""
         max_age_seconds = self.limits.timeouts.admin_request_seconds
         for connection in list(self.connections.values()):
             if decisions.has_expired(connection, now, max_age_seconds):
@@ -165,15 +170,15 @@
             elif events & (READABLE | BROKEN):
                 self._read(connection)
         except BlockingIOError:
-            return  # nothing has arrived after all
+            return  # the event was spurious: no bytes have arrived
         except OSError:
             self._close(connection)
 
     def _read(self, connection: AdminConnection) -> None:
-        """Read, and respond once the request is complete or cannot become so."""
+        """Read, and respond once the request is complete or found malformed."""
         received = connection.receive(self.limits.sizes.read_bytes)
         if not received or connection.responded:
-            # The caller has closed it, or sends more than its one request.
+            # The caller has closed the connection, or sends more than its one request.
             self._close(connection)
             return
         try:
@@ -207,12 +212,12 @@
                 return request.route.answer(replace(request.request, body=body))
             return self.answer(replace(request, body=body))
         except Exception as error:  # noqa: BLE001  a fault must not end the listener
-            # Guards the caller too: the fault is a response, not a silence.
+            # The caller gets a response instead of waiting for its timeout.
             log_events.internal_fault(where="an admin call", error=error)
             return AdminResponse(HTTP_SERVER_ERROR, "fault")
 
     def _flush(self, connection: AdminConnection) -> None:
-        """Send what is left; close after the last byte, or wait until the socket takes more."""
+        """Send unsent bytes; close after the last one, or wait until the socket takes more."""
         if connection.flush():
             self._close(connection)
         else:
--- a/stepstream/admin/routing.py
+++ b/stepstream/admin/routing.py
@@ -1,8 +1,8 @@
 """The routing table of the admin listener; free of I/O.
 
-A connection carries one HTTP/1.1 request. 2xx means done, 4xx and 5xx mean rejected. Changes come
-by PUT; POST is accepted as well, as at other proxies' admin listeners. There is no state here; any
-thread may call the functions.
+A connection carries one HTTP/1.1 request. The status 2xx means done, 4xx and 5xx mean rejected.
+Operators make changes with PUT; POST is accepted as well, as other proxies' admin listeners do. The
+module keeps no state; any thread may call the functions.
 """
 
 import re
@@ -25,25 +25,25 @@
 
 
 class AdminAction(Enum):
-    """The action of a request. The response to a wrong method names it by the value."""
+    """The action of a request. The response to a wrong method names the action by this value."""
 
     CHECK_HEALTH = "healthcheck"
     START_DRAIN = "healthcheck/fail"
     CANCEL_DRAIN = "healthcheck/ok"
-    START_MAINTENANCE = "maint"  # one worker's
+    START_MAINTENANCE = "maint"  # of one worker
     END_MAINTENANCE = "ready"
     TAKE_NOTIFICATION = "news"  # forwarded by the sibling process of a hot restart
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What the requests to a path do, and the methods that they may have."""
+    """The action of the requests to a path, and the methods that they may have."""
 
     action: AdminAction
     methods: frozenset[str]
 
 
-# By path; `*` stands for a worker's id.
+# The listener's own routes by path; `*` stands for a worker's id.
 ROUTES = {
     "/healthcheck": Route(AdminAction.CHECK_HEALTH, READ_METHODS),
     "/healthcheck/fail": Route(AdminAction.START_DRAIN, WRITE_METHODS),
@@ -74,7 +74,7 @@
 
 
 class AdminRequestError(Exception):
-    """A request that no route takes; the text is the reason, for the response and the log."""
+    """No route accepts a request; the text is the reason, for the response and the log."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -113,8 +113,8 @@
     return OperatorRequest(table_route.action, worker_id)
 
 
-def _check_method(method: str, allowed: frozenset[str], what: str) -> None:
+def _check_method(method: str, allowed: frozenset[str], path_or_action: str) -> None:
     if method not in allowed:
         raise AdminRequestError(
-            HTTP_METHOD_NOT_ALLOWED, f"{what} takes {' or '.join(sorted(allowed))}"
+            HTTP_METHOD_NOT_ALLOWED, f"{path_or_action} takes {' or '.join(sorted(allowed))}"
         )
--- a/stepstream/admin/service.py
+++ b/stepstream/admin/service.py
@@ -1,9 +1,9 @@
-"""The admin service: what operators' requests do to the process, and what follows from them later.
+"""The admin service: carries out operators' requests and the periodic tasks that follow from them.
 
-Each effect holds before its request is answered: a worker in maintenance is marked in the
-destination set, so that no call is written to it from then on, and the core gets it with its next
-events. The service owns the maintenance registry and the drain. Everything here runs in the
-admin listener's thread, except where a docstring says otherwise.
+A request is answered after it has taken effect. A worker in maintenance, for example, is already
+marked in the destination set, so that no further call is written to it, and the change is posted to
+the core. The service owns the maintenance registry and the drain. All methods run in the admin
+listener's thread, unless their docstring says otherwise.
 """
 
 import time
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from stepstream.hot_restart.controller import HotRestartController
 
-THIS_DISPATCHER = "local"  # in the log, where the operators' request was made here
+THIS_DISPATCHER = "local"  # `requested_at` in the log, for an operators' request to this dispatcher
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,9 +43,9 @@
 class AdminService:
     """Carries out maintenance of workers, drains, and the admin part of a hot restart.
 
-    `context` is the node that it acts on. `started` is set once the clients' listener is open,
-    `hot_restart` where there is a state folder, and `on_maintenance_change` by the subsystem that
-    spreads maintenance to other dispatchers.
+    `context` is the node that the service acts on. `started` is set once the clients' listener is
+    open, and `hot_restart` if there is a state folder. `on_maintenance_change` is set by the
+    subsystem that notifies other dispatchers of maintenance.
     """
 
     def __init__(self, context: SubsystemContext, drain: DrainState) -> None:
@@ -57,13 +57,14 @@
         self.on_maintenance_change: Callable[[str, bool], None] | None = None
         self.remote_changes: SimpleQueue[RemoteMaintenanceChange] = SimpleQueue()
         self.sibling_present = False
-        self.handed_over_updates = 0  # of the destination set, that the state file holds
+        # The destination set's `update_count` when its list was last handed over.
+        self.handed_over_update_count = 0
         self.idle_closed_at = 0.0  # monotonic seconds
 
     # -- requests ----------------------------------------------------------------------------------
 
     def answer(self, request: OperatorRequest) -> AdminResponse:
-        """Decide on a request and carry out its effect."""
+        """Decide on a request, carry out its action, and return the response."""
         if request.action is AdminAction.TAKE_NOTIFICATION:
             return self._take_notification(request.body)
         worker_id = request.worker_id
@@ -71,15 +72,15 @@
             self.is_serving(), self._is_known(worker_id), self.maintenance.contains(worker_id)
         )
         decision = decisions.decide(request, view)
-        if decision.effect is not None:
-            self._carry_out(decision.effect, worker_id)
+        if decision.action is not None:
+            self._carry_out(decision.action, worker_id)
         elif decision.response.status == HTTP_NOT_FOUND:
             self.maintenance.counts.unknown += 1
-        if self.on_maintenance_change is not None and decisions.spreads_to_members(
+        if self.on_maintenance_change is not None and decisions.should_notify_members(
             request, decision
         ):
-            starts = request.action is AdminAction.START_MAINTENANCE
-            self.on_maintenance_change(worker_id, starts)
+            is_start = request.action is AdminAction.START_MAINTENANCE
+            self.on_maintenance_change(worker_id, is_start)
         return decision.response
 
     def is_serving(self) -> bool:
@@ -105,8 +106,8 @@
             self.context.post(notification)
         return AdminResponse(HTTP_OK, "OK")
 
-    def _carry_out(self, effect: AdminAction, worker_id: str) -> None:
-        match effect:
+    def _carry_out(self, action: AdminAction, worker_id: str) -> None:
+        match action:
             case AdminAction.START_MAINTENANCE:
                 self._start_maintenance(worker_id)
             case AdminAction.END_MAINTENANCE:
@@ -129,7 +130,7 @@
     def _end_maintenance(
         self, worker_id: str, at_us: int, requested_at: str = THIS_DISPATCHER
     ) -> None:
-        """Release the worker, which starts over as one that has started at `at_us`."""
+        """Release the worker; the policy then sees it as started at `at_us`."""
         if not self.maintenance.release(worker_id, at_us):
             return
         count = self._apply_and_hand_over_maintenance()
@@ -138,10 +139,10 @@
         )
 
     def _apply_and_hand_over_maintenance(self) -> int:
-        """Apply the changed state here and in the state file; return how many workers it holds."""
+        """Apply the changed state here and in the state file; return its count of workers."""
         count = self._apply_maintenance()
         if self.hot_restart is not None and self.hot_restart.write():
-            count = self._apply_maintenance()  # with what a sibling has changed
+            count = self._apply_maintenance()  # the write has merged a sibling's changes
         return count
 
     def adopt_maintenance(self) -> None:
@@ -153,7 +154,7 @@
         log_events.maintenance_state_adopted(in_maintenance=count)
 
     def _apply_maintenance(self) -> int:
-        """Pass the state to the destination set and the core; return how many workers it holds."""
+        """Pass the state to the destination set and the core; return its count of workers."""
         state = self.maintenance.snapshot()
         self.context.destinations.set_in_maintenance(state.in_maintenance)
         self.context.post(MaintenanceChanged(state))
@@ -187,8 +188,8 @@
             log_events.drain_ended()
 
     def _close_idle_connections(self, now: float) -> None:
-        """Close clients' idle connections where a drain has come to that step."""
-        if not decisions.closes_idle_now(
+        """Close clients' idle connections if a drain has reached the step that closes them."""
+        if not decisions.should_close_idle_connections(
             drain_closes=self.drain.closes_connections(now),
             seconds_since_last_close=now - self.idle_closed_at,
         ):
@@ -203,7 +204,7 @@
     # -- every turn of the listener ----------------------------------------------------------------
 
     def run_periodic_tasks(self, now: float) -> None:
-        """Apply what other dispatchers and the sibling process have changed, and advance a drain.
+        """Apply the changes of other dispatchers and of the sibling process, and advance a drain.
 
         `now` is in monotonic seconds.
         """
@@ -216,10 +217,10 @@
         self._close_idle_connections(now)
 
     def _hand_over_endpoint_list(self, hot_restart: "HotRestartController") -> None:
-        """Pass discovery's list to the next process, at most one turn after it has changed."""
+        """Write discovery's list to the state file, at most one turn after it has changed."""
         destinations = self.context.destinations
-        if destinations.update_count != self.handed_over_updates:
-            self.handed_over_updates = destinations.update_count
+        if destinations.update_count != self.handed_over_update_count:
+            self.handed_over_update_count = destinations.update_count
             hot_restart.endpoint_list = destinations.export_list()
             if hot_restart.write():
                 self.adopt_maintenance()
--- a/stepstream/admin/subsystem.py
+++ b/stepstream/admin/subsystem.py
@@ -1,6 +1,7 @@
-"""How the admin listener plugs into the node, and with it maintenance, drains and the hot restart.
+"""The subsystem of the admin listener, with maintenance of workers, drains and the hot restart.
 
-The main thread creates and starts it; the service's docstrings name what other threads may call.
+The main thread creates and starts it; the service's docstrings name the methods that other threads
+may call.
 """
 
 from collections.abc import Callable, Mapping
@@ -57,7 +58,7 @@
         )
 
     def _prepare_hot_restart(self) -> None:
-        """Take over the state in $TMPDIR: its maintenance holds before a client is taken."""
+        """Take over the state in $TMPDIR; its maintenance applies before a client can connect."""
         folder = state_folder()
         if folder is None:
             return
@@ -71,7 +72,7 @@
             self._adopt(state)
 
     def _adopt(self, state: HandoverState) -> None:
-        """Apply the predecessor's maintenance, and its endpoint list if newer than ours."""
+        """Apply the predecessor's maintenance, and its endpoint list if that is newer than ours."""
         if state.maintenance.in_maintenance:
             self.service.adopt_maintenance()
         handed_over = state.endpoint_list
@@ -81,10 +82,10 @@
             log_events.endpoint_list_adopted(version=handed_over.get("version"))
 
     def on_serving(self) -> None:
-        """Record that clients are taken.
+        """Record in the state file that clients can connect; then let health checks succeed.
 
-        The state file comes before the answers to health checks: SIGTERM may reach the
-        predecessor as soon as a health check has succeeded.
+        The order matters: SIGTERM may reach the predecessor as soon as a health check has
+        succeeded. The predecessor must then find its successor in the state file.
         """
         hot_restart = self.service.hot_restart
         if hot_restart is not None and hot_restart.write(ready=True):
@@ -92,21 +93,22 @@
         self.service.started = True
 
     def begin_shutdown(self) -> bool:
-        """Return whether this is a hot restart: a successor takes clients on the same address.
+        """Return whether this is a hot restart: a successor accepts clients on the same address.
 
-        New connections go to it. This process answers what it has taken and closes idle
-        connections; the notifications of its requests that reach the successor are forwarded to it.
+        New connections then go to the successor. This process answers the requests that it has
+        received and closes idle connections. The successor forwards to this process the
+        notifications of these requests that reach it.
         """
         hot_restart = self.service.hot_restart
         if hot_restart is None:
             return False
-        # The successor may be ready since the listener's last turn, and have changed maintenance.
+        # The successor may have become ready or changed maintenance after the listener's last turn.
         if hot_restart.check_file():
             self.service.adopt_maintenance()
         return hot_restart.successor() is not None
 
     def command_handlers(self) -> Mapping[type, Callable[[Command], None]]:
-        """Return the handler that forwards notifications, on the decision thread."""
+        """Return the handler that forwards notifications; the decision thread calls it."""
         return {ForwardNotification: self._forward_notification}
 
     def _forward_notification(self, command: Command) -> None:
@@ -117,7 +119,7 @@
 
     @property
     def on_change(self) -> Callable[[str, bool], None] | None:
-        """The callback for each maintenance request accepted here: worker id, whether it starts."""
+        """The callback for each accepted maintenance request: worker id, whether it is a start."""
         return self.service.on_maintenance_change
 
     @on_change.setter
--- a/tests/admin/test_admin_decisions.py
+++ b/tests/admin/test_admin_decisions.py
@@ -119,7 +119,7 @@
 def test_a_health_check_succeeds_while_clients_are_taken(serving, status):
     decision = decide(HEALTH_CHECK, ProcessView(serving, False, False))
     assert decision.response.status == status
-    assert decision.effect is None
+    assert decision.action is None
 
 
 @pytest.mark.parametrize(
