--- a/stepstream/subsystem_api/admin_client.py
+++ b/stepstream/subsystem_api/admin_client.py
@@ -1,4 +1,4 @@
-"""One request to a dispatcher's admin listener, for commands on a running program."""
+"""A client of the admin listener, for commands that ask or change a running dispatcher."""
 
 import http.client
 from http import HTTPStatus
@@ -10,40 +10,41 @@
 from stepstream.config.fields import MAX_PORT
 
 TIMEOUT_SECONDS = 5.0
-NO_ANSWER = 0  # the status of a request without an answer
+NO_ANSWER = 0  # stands for the status of an answer that has not come
 
 
 class AdminCallError(Exception):
-    """The dispatcher rejected a request or gave no answer; the text says where and why.
+    """The dispatcher rejected a request or gave no answer.
 
-    `status` is the answer's, or NO_ANSWER; `reason` is the answer's error text, "" without one.
+    The message has the dispatcher's address and the reason. `status` is the answer's HTTP status,
+    or NO_ANSWER; `reason` is the answer's error text, "" if it has none.
     """
 
-    def __init__(self, text: str, status: int, reason: str) -> None:
-        super().__init__(text)
+    def __init__(self, message: str, status: int, reason: str) -> None:
+        super().__init__(message)
         self.status = status
         self.reason = reason
 
 
 def call_admin(
-    at: str, path: str, method: str = "GET", timeout_seconds: float = TIMEOUT_SECONDS
+    address: str, path: str, method: str = "GET", timeout_seconds: float = TIMEOUT_SECONDS
 ) -> tuple[int, Any]:
-    """Send a request to the admin listener at HOST:PORT; return status and JSON of the answer.
+    """Send a request to the admin listener at `address`; return status and JSON of the answer.
 
-    The text of an answer that is not JSON is returned under `error`. Raise ConnectionError if there
-    is no answer within `timeout_seconds`, and `ConfigurationError` if `at`, the option `--at`, is
-    not HOST:PORT.
+    The text of an answer that is not JSON is returned under the key `error`. Raise ConnectionError
+    if there is no answer within `timeout_seconds`, and `ConfigurationError` if `address`, the value
+    of the option `--at`, is not HOST:PORT.
     """
-    host, _, port = at.rpartition(":")
+    host, _, port = address.rpartition(":")
     if not host or not (port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
-        raise ConfigurationError(f"--at={at} is not HOST:PORT")
+        raise ConfigurationError(f"--at={address} is not HOST:PORT")
     connection = http.client.HTTPConnection(host, int(port), timeout=timeout_seconds)
     try:
         connection.request(method, path)
         response = connection.getresponse()
         body = response.read()
     except (OSError, http.client.HTTPException) as error:
-        raise ConnectionError(f"{at}: {error}") from error
+        raise ConnectionError(f"{address}: {error}") from error
     finally:
         connection.close()
     try:
@@ -52,13 +53,13 @@
         return response.status, {"error": body.decode("utf-8", "replace").strip()}
 
 
-def request_json(at: str, path: str, method: str = "GET") -> Any:  # noqa: ANN401  parsed JSON
-    """Call `call_admin`; return the JSON of a success, raise `AdminCallError` otherwise."""
+def request_json(address: str, path: str, method: str = "GET") -> Any:  # noqa: ANN401  parsed JSON
+    """Send a request as `call_admin` does; return a 200 answer's JSON or raise `AdminCallError`."""
     try:
-        status, answer = call_admin(at, path, method)
+        status, answer = call_admin(address, path, method)
     except ConnectionError as error:
         raise AdminCallError(str(error), NO_ANSWER, "") from error
     if status != HTTPStatus.OK:
-        text = f"{at}: {answer.get('error', status)}"
-        raise AdminCallError(text, status, str(answer.get("error", "")))
+        message = f"{address}: {answer.get('error', status)}"
+        raise AdminCallError(message, status, str(answer.get("error", "")))
     return answer
--- a/stepstream/subsystem_api/admin_json.py
+++ b/stepstream/subsystem_api/admin_json.py
@@ -23,7 +23,7 @@
 
 
 def json_or_not_found(found: object | None, error: str) -> AdminResponse:
-    """Return what was found as JSON; 404 with `error` for None."""
+    """Return `found` as JSON, or a 404 response with `error` if it is None."""
     if found is None:
         return json_error(HTTP_NOT_FOUND, error)
     return json_response(HTTP_OK, found)
--- a/stepstream/subsystem_api/context.py
+++ b/stepstream/subsystem_api/context.py
@@ -39,20 +39,24 @@
     core: Dispatcher  # read only; changes go through `post`
     server: InboundServer
     destinations: DestinationSet
-    signals: "SimpleQueue[int]"  # handled as if the process had received them; any thread
+    signals: "SimpleQueue[int]"  # signals to handle as if received; any thread may add one
     events: "SimpleQueue[Event]"  # events that the core has not taken yet; `post` adds to it
     carriers: dict[str, Carrier]  # by endpoint source; a subsystem adds its own
     outbound: HealthChecker  # for discovery's workers
     subsystems: dict[str, Subsystem]  # by section, those already created
-    # The endpoint list from before the start, in discovery's form. A subsystem may set a newer one.
+    # The endpoint list from before the start (`known` in the configuration), in discovery's form. A
+    # subsystem may set a newer one.
     persisted_endpoints: dict[str, Any]
     # Returns whether another dispatcher has checked a worker's health recently, so that this one
     # need not. A subsystem may set it; the decision thread calls it.
     is_health_check_delegated: Callable[[str], bool]
-    hot_restarting: bool  # this process stops, and a sibling process continues
+    hot_restarting: bool  # this process shuts down, and a sibling process serves the clients
 
     def set_dispatcher_count(self, dispatchers: int) -> None:
-        """Divide the workers among this many dispatchers, this one included; any thread."""
+        """Set the count of dispatchers, this one included, among which the workers are divided.
+
+        Any thread may call it.
+        """
 
 
 def worker_maintenance(context: SubsystemContext) -> WorkerMaintenance | None:
@@ -62,16 +66,16 @@
 
 def open_listener(
     key: str,
-    text: str,
+    address_text: str,
     create_listener: Callable[[tuple[str, int]], ListenerSpec],
     protocol: str,
 ) -> BoundListener:
-    """Open a listener at HOST:PORT; `ConfigurationError` names the key if that fails.
+    """Open a listener at `address_text`, HOST:PORT; `ConfigurationError` names the key on failure.
 
-    `protocol` is its name in the log.
+    `protocol` is the listener's name in the log.
     """
-    address = split_address(text)
+    address = split_address(address_text)
     try:
         return BoundListener(address, create_listener(address), protocol)
     except OSError as error:
-        raise ConfigurationError(f"{key}={text}: {error}") from error
+        raise ConfigurationError(f"{key}={address_text}: {error}") from error
--- a/stepstream/subsystem_api/subsystem.py
+++ b/stepstream/subsystem_api/subsystem.py
@@ -15,42 +15,45 @@
 class Subsystem:
     """A part of the program that the operator's file switches on, with defaults that do nothing.
 
-    Base of the class in each package's `subsystem` module, which the node creates from the
-    operator's file before anything listens. The main thread calls all methods; the admin routes'
-    functions run on the admin listener's thread and the command handlers on the decision thread.
-    Subclasses override what they need.
+    The `subsystem` module of each subsystem's package has a subclass. The node creates it from the
+    operator's file before it opens any listener. The main thread calls all methods; the functions
+    of the admin routes run on the admin listener's thread and the command handlers on the decision
+    thread. Subclasses override the methods that they need.
     """
 
     def start(self) -> None:
-        """Start its threads and listeners, before the clients' listener opens.
+        """Start threads and listeners, before the clients' listener opens.
 
-        Raise `ConfigurationError`, which names the key, for what cannot be opened.
+        Raise `ConfigurationError`, which names the key, if a listener or file cannot be opened.
         """
 
     def open_listeners(self) -> Sequence[BoundListener]:
         """Open further listeners for clients or workers, once the clients' listener is open.
 
-        Raise `ConfigurationError`, which names the key, for one that cannot be opened.
+        Raise `ConfigurationError`, which names the key, if one cannot be opened.
         """
         return ()
 
     def on_serving(self) -> None:
-        """Act on the clients' listener having opened."""
+        """Do what must follow the opening of the clients' listener."""
 
     def prepare_reload(
         self,
         config: "NodeConfig",  # noqa: ARG002  for those that override it
         operator: "OperatorConfig | None",  # noqa: ARG002  for those that override it
     ) -> Callable[[], None]:
-        """Check a new configuration without changing anything; return what puts it into force.
+        """Check a new configuration without changing anything; return a function that applies it.
 
         Raise `ConfigurationError` for a fault. The returned function must not fail; it is called
-        once every subsystem has found the configuration good.
+        after every subsystem has accepted the configuration.
         """
         return lambda: None
 
     def run_periodic_tasks(self) -> None:
-        """Run what is due; called twice a second, more often in a shutdown; must not wait."""
+        """Run the tasks that are due; must not wait.
+
+        Called twice a second, and more often in a shutdown.
+        """
 
     def begin_shutdown(self) -> bool:
         """Begin the shutdown on SIGTERM.
@@ -60,22 +63,22 @@
         return False
 
     def stop(self) -> None:
-        """End its work, after all requests are answered and before the process ends.
+        """Stop the subsystem, after all requests are answered and before the process ends.
 
-        It may take a moment, but must not wait for a peer.
+        The method may take a moment, but must not wait for a peer.
         """
 
     def admin_routes(self) -> Sequence[AdminRoute]:
-        """Return the routes that it adds to the admin listener."""
+        """Return the routes that the subsystem adds to the admin listener."""
         return ()
 
     def command_handlers(self) -> Mapping[type[Command], Callable[[Any], None]]:
-        """Return the handlers of the core's commands that it carries out, by the command's type.
+        """Return the handlers for the core's commands that the subsystem carries out, by type.
 
         The decision thread calls the functions, which must not wait.
         """
         return {}
 
     def status_counts(self) -> Mapping[str, int]:
-        """Return the fields that it adds to the status event."""
+        """Return the fields that the subsystem adds to the log event `status`."""
         return {}
