--- a/stepstream/cli/__init__.py
+++ b/stepstream/cli/__init__.py
@@ -68,8 +68,8 @@
 
 from stepstream.cli.errors import CommandError
 
-# The module of each command, loaded once the command is called: its `run` takes docopt's arguments
-# and returns the exit code.
+# The module of each command, imported only when the command is called. Its `run` takes docopt's
+# arguments and returns the exit code.
 COMMANDS = {
     "version": "stepstream.cli.version",
     "demo": "stepstream.cli.demo",
@@ -80,15 +80,16 @@
     "serve": "stepstream.cli.serve",
     "check-config": "stepstream.cli.check_config",
 }
-# These have a usage of their own: their `run` takes the command line, which begins with their name.
+# These commands parse their own usage: their `run` takes the command line, which begins with the
+# command's name.
 COMMANDS_WITH_OWN_USAGE = {"fleet": "stepstream.cli.fleet", "lease": "stepstream.cli.lease"}
 
 
 def main(argv: list[str] | None = None) -> int:
     """Run the command line `argv`, the process's own by default, and return its exit code.
 
-    A `CommandError` becomes one line on standard error. Raise docopt's SystemExit for a command
-    line that does not fit the usage, and after the help.
+    A `CommandError` is printed as one line on standard error. Raise docopt's SystemExit if the
+    command line does not match the usage, and after the help.
     """
     command_line = sys.argv[1:] if argv is None else argv
     try:
@@ -100,9 +101,9 @@
 
 def run_command(command_line: list[str]) -> int:
     """Run the command that the command line names; return its exit code."""
-    first = command_line[0] if command_line else ""
-    if first in COMMANDS_WITH_OWN_USAGE:
-        return load_command(COMMANDS_WITH_OWN_USAGE[first])(command_line)
+    first_word = command_line[0] if command_line else ""
+    if first_word in COMMANDS_WITH_OWN_USAGE:
+        return load_command(COMMANDS_WITH_OWN_USAGE[first_word])(command_line)
     arguments = docopt(__doc__, command_line)
     name = next(name for name in COMMANDS if arguments[name])
     return load_command(COMMANDS[name])(arguments)
--- a/stepstream/cli/arguments.py
+++ b/stepstream/cli/arguments.py
@@ -1,16 +1,17 @@
-"""The arguments that docopt has read, and the checks that several commands make on them."""
+"""The type of the parsed arguments, and the reading of options that several commands share."""
 
 from typing import Any
 
 from stepstream.config.errors import ConfigurationError
 from stepstream.config.fields import parse_whole_number
 
-Arguments = dict[str, Any]  # docopt's: option, argument or command name -> text, list or flag
+# As docopt returns them: a string, list or flag by the name of an option, argument or command.
+Arguments = dict[str, Any]
 
 MAX_OPTION_DIGITS = 9
 
 
-def whole_number_option(option: str, text: str) -> int:
+def read_whole_number_option(option: str, text: str) -> int:
     """Return an option's whole number; `ConfigurationError` unless it is 1 to 9 ASCII digits."""
     number = parse_whole_number(text, MAX_OPTION_DIGITS)
     if number is None:
--- a/stepstream/cli/check_config.py
+++ b/stepstream/cli/check_config.py
@@ -1,4 +1,4 @@
-"""`stepstream check-config`: read the configuration and sum up what it sets."""
+"""`stepstream check-config`: read the configuration and print a summary."""
 
 from typing import TYPE_CHECKING
 
@@ -19,7 +19,7 @@
 
 
 def print_summary(config: NodeConfig, operator: "OperatorConfig | None") -> None:
-    """Print a line each on the addresses, classes, tenants and limits."""
+    """Print a line on each of these: address, classes, tenants, limits and Gearman's address."""
     settings = config.settings
     print(f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}")
     print(f"classes: {', '.join(job_class.name for job_class in settings.classes)}")
--- a/stepstream/cli/keys_and_token.py
+++ b/stepstream/cli/keys_and_token.py
@@ -1,16 +1,16 @@
-"""`stepstream keys` and `stepstream token`: the keys that tokens are signed by, and tokens."""
+"""`stepstream keys` and `stepstream token`: manage signing keys; issue and inspect tokens."""
 
 from stepstream.cli.arguments import Arguments
-from stepstream.cli.errors import command_errors, optional_packages
+from stepstream.cli.errors import as_command_error, optional_packages
 
 
 def run(arguments: Arguments) -> int:
-    """Make, rotate, revoke or list keys, or issue or inspect a token; return the exit code.
+    """Create, rotate, revoke or list keys, or issue or inspect a token; return the exit code.
 
-    Raise CommandError if the command cannot be carried out or the key folder not be accessed.
+    Raise CommandError if the command or an access to the key folder fails.
     """
-    with optional_packages("this", extra="identity"):
+    with optional_packages("this command", extra="identity"):
         from stepstream.identity import commands
         from stepstream.identity.errors import IdentityCommandError
-    with command_errors(IdentityCommandError, OSError):
+    with as_command_error(IdentityCommandError, OSError):
         return commands.keys(arguments) if arguments["keys"] else commands.token(arguments)
--- a/stepstream/cli/serve.py
+++ b/stepstream/cli/serve.py
@@ -1,8 +1,8 @@
-"""`stepstream serve`: one dispatcher, until SIGTERM."""
+"""`stepstream serve`: run one dispatcher until SIGTERM."""
 
 from stepstream.cli.arguments import Arguments
 from stepstream.cli.configuration import ERROR_PREFIX, operator_path, read_configuration
-from stepstream.cli.errors import command_errors
+from stepstream.cli.errors import as_command_error
 from stepstream.config.errors import ConfigurationError
 
 
@@ -13,11 +13,11 @@
     """
     path = operator_path(arguments)
     config, operator = read_configuration(path)
-    from stepstream.node.node import Node  # not loaded where the configuration is at fault
+    from stepstream.node.node import Node  # not loaded if the configuration is faulty
 
     host, port = config.listen
     with (
-        command_errors(ConfigurationError, prefix=ERROR_PREFIX),
-        command_errors(OSError, prefix=f"{ERROR_PREFIX}listen={host}:{port}: "),
+        as_command_error(ConfigurationError, prefix=ERROR_PREFIX),
+        as_command_error(OSError, prefix=f"{ERROR_PREFIX}listen={host}:{port}: "),
     ):
         return Node(config, operator, path).run()
--- a/tests/cli/test_command_table.py
+++ b/tests/cli/test_command_table.py
@@ -9,7 +9,7 @@
 import pytest
 
 from stepstream import cli
-from stepstream.cli.errors import CommandError, command_errors, optional_packages
+from stepstream.cli.errors import CommandError, as_command_error, optional_packages
 from tests.case_ids import case_id
 
 ROOT = Path(__file__).parents[2]
@@ -59,8 +59,8 @@
     [
         (["fleet", "members", "--at", "a:1"], "rich", "fleet needs the package rich: .[fleet]"),
         (["lease", "list", "--at", "a:1"], "rich", "lease needs the package rich: .[fleet]"),
-        (["keys", "list", "--dir", "d"], "jwt", "this needs the package jwt: .[identity]"),
-        (["token", "inspect", "t"], "jwt", "this needs the package jwt: .[identity]"),
+        (["keys", "list", "--dir", "d"], "jwt", "this command needs the package jwt: .[identity]"),
+        (["token", "inspect", "t"], "jwt", "this command needs the package jwt: .[identity]"),
         (["demo"], "rich", "demo needs the package rich: .[lab]"),
         (["lab", "fleet"], "rich", "lab needs the package rich: .[lab]"),
     ],
@@ -100,11 +100,11 @@
 def test_only_the_named_kinds_become_command_errors():
     with (
         pytest.raises(CommandError, match=r"^where: lost$") as caught,
-        command_errors(OSError, prefix="where: "),
+        as_command_error(OSError, prefix="where: "),
     ):
         raise ConnectionError("lost")
     assert caught.value.exit_code == 2
-    with pytest.raises(ValueError, match="other"), command_errors(OSError):
+    with pytest.raises(ValueError, match="other"), as_command_error(OSError):
         raise ValueError("other")
 
 
