--- a/stepstream/http/destination_set.py
+++ b/stepstream/http/destination_set.py
@@ -1,9 +1,9 @@
 """The destination set: the addresses of discovery's workers, and which of them may get new work.
 
 State: the endpoint list as discovery last reported it, the workers in maintenance, and the detector
-of a stale list. The discovery client's thread replaces the list before it notifies the core, so
-that a call in flight sees a change at the last check before its first byte. Any thread may read.
-All methods take the lock, unless a comment says why they need none.
+of a stale list. The discovery client's thread replaces the list before it notifies the core. A
+call that is not written yet therefore sees a change in the last check before its first byte. Any
+thread may read. All methods take the lock, unless a comment says why they need none.
 """
 
 import random
@@ -26,14 +26,14 @@
     """The current endpoint list, merged from complete lists and changes."""
 
     def __init__(self, staleness: StalenessDetector | None = None) -> None:
-        """`staleness` defaults to the detector of a dispatcher that alone calls discovery."""
+        """`staleness` defaults to a detector for the only dispatcher that calls discovery."""
         # Guards all fields. No other lock is taken while it is held.
         self.lock = threading.Lock()
         self.staleness = staleness or StalenessDetector(1, random.Random(0))
         self.addresses: dict[str, Address] = {}
         self.active_workers: set[str] = set()
         self.worker_hosts: frozenset[str] = frozenset()
-        self.in_maintenance: frozenset[str] = frozenset()  # get no new work, listed or not
+        self.in_maintenance: frozenset[str] = frozenset()  # get no new work, even if listed
         self.endpoints: dict[str, Endpoint] = {}  # handed over in a hot restart
         self.version: int | None = None  # discovery's version of the list; None: no list yet
         self.update_count = 0
@@ -111,13 +111,14 @@
 
     def report_reachable(self, worker: str) -> None:
         """Report that a worker accepts connections."""
-        # Read without the lock, so that calls do not wait for it: it is nearly always empty.
+        # Checked without the lock, so that calls do not wait for it: nearly always, no worker is
+        # recorded as refusing.
         if self.staleness.first_refusal_seconds:
             with self.lock:
                 self.staleness.record_connect(worker)
 
     def claim_staleness_check(self) -> bool:
-        """Return whether the list must be checked now; after True the caller must check it."""
+        """Return whether the list must be checked now; if so, the caller must check it."""
         with self.lock:
             return self.staleness.claim_check(time.monotonic())
 
--- a/stepstream/http/discovery_api.py
+++ b/stepstream/http/discovery_api.py
@@ -1,6 +1,6 @@
 """The platform's discovery API: polls of the endpoint list and the answers to them.
 
-The paths and field names are the platform's. They are translated only here. `DiscoveryApi` is
+The platform defines the paths and field names. Only this module translates them. `DiscoveryApi` is
 immutable, and any thread may use it.
 """
 
@@ -34,11 +34,11 @@
 
 
 class DiscoveryApi:
-    """Writes polls and reads endpoint lists by the names in the settings."""
+    """Writes polls and reads endpoint lists; the settings name the zones and worker kinds."""
 
     def __init__(self, settings: Settings) -> None:
-        self.zone_index = {name: k for k, name in enumerate(settings.zones)}
-        self.worker_kind_index = {name: k for k, name in enumerate(settings.worker_kinds)}
+        self.zone_index = {name: index for index, name in enumerate(settings.zones)}
+        self.worker_kind_index = {name: index for index, name in enumerate(settings.worker_kinds)}
 
     @staticmethod
     def fetch_bytes(host: str) -> bytes:
@@ -52,22 +52,22 @@
         return write_request("GET", f"{ENDPOINT_LIST_PATH}?{query}", {"Host": host})
 
     def read_answer(self, message: Message) -> EndpointAnswer:
-        """Return the list in an answer of discovery; ProtocolError if there is none."""
+        """Return the list in an answer of discovery; raises ProtocolError if there is none."""
         if message.status != OK_STATUS:
             raise ProtocolError(400, f"discovery answered {message.status}")
         return self.read(read_json_object(message.body))
 
     def read(self, data: dict[str, Any], *, persisted: bool = False) -> EndpointAnswer:
-        """Return a list from its JSON object; ProtocolError if it is malformed.
+        """Return a list from its JSON object; raises ProtocolError if it is malformed.
 
-        `persisted` is True for a list from before this start, which may be outdated.
+        `persisted` is True for a list from before the process started, which may be outdated.
         """
         try:
             rows = [self._read_row(row) for row in data.get("servers", ())]
             version = int(data.get("version", 0))
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-            text = f"the list is malformed: {type(error).__name__} {error}"
-            raise ProtocolError(400, text) from error
+            description = f"the list is malformed: {type(error).__name__} {error}"
+            raise ProtocolError(400, description) from error
         if persisted:
             kind = EndpointListKind.PERSISTED
         elif data.get("full", True):
@@ -85,7 +85,7 @@
         if not host and state is not EndpointState.REMOVED:
             raise ValueError(f"{row['id']} has no addr")
         if not isinstance(row["id"], str):
-            raise ValueError("an id is not text")  # noqa: TRY004  its name is part of log lines
+            raise ValueError("an id is not text")  # noqa: TRY004  the log names its type
         endpoint = Endpoint(
             worker_id=row["id"],
             zone=index_of(self.zone_index, row.get("zone", 0)),
@@ -102,5 +102,6 @@
     """Return the index of a name that the settings list; a number is an index already."""
     if isinstance(name, int):
         return name
-    # A value that is no text is not found, or raises TypeError: then the list is malformed.
+    # A value that is not a string is not found, or raises TypeError, and `read` then reports the
+    # list as malformed.
     return indices.get(cast("str", name), UNKNOWN_NAME_INDEX)
--- a/stepstream/http/discovery_client.py
+++ b/stepstream/http/discovery_client.py
@@ -1,18 +1,18 @@
 """The client of the discovery service: it follows the endpoint list by a watch.
 
 A watch is a long poll with the current version. Discovery answers it once the list has changed, or
-when its wait is over. Threads:
+when its wait is over. A watch that is not answered even then is called silent. Threads:
 
 - The client thread, which the node starts with `run`, makes one call after another. Only it opens
   and closes the connection.
-- A check thread, started by `start_list_check`, calls beside a watch that may have fallen silent.
-  At most one runs at a time.
+- A check thread, started by `start_list_check`, polls on a second connection during a watch that
+  may have fallen silent. At most one check runs at a time.
 - Any other thread may request a poll, adopt a list, or stop the client.
 
-A list is adopted only if the version that it was polled from is still the current one. Calls beside
-each other can be answered in any order, and discovery may start its count of versions anew, so the
-version of the answer itself does not tell whether it is newer. After a list that was not adopted,
-the next call continues from the current version, so that no change is missed.
+A list is adopted only if the version that it was polled from is still the current one. Concurrent
+calls can be answered in any order, and discovery may restart its version count, so the version of
+an answer alone does not tell whether the answer is newer. After a list that was not adopted, the
+next call continues from the current version, so that no change is missed.
 
 State: the version of the current list, the client's state, and the connection. A comment at each
 lock says what it guards. `PollSchedule` decides all pauses and timeouts.
@@ -43,11 +43,11 @@
 
 MICROSECONDS_PER_SECOND = 1e6
 
-ListConfirmation = EndpointCallFailed | EndpointListConfirmed
+ListConfirmationEvent = EndpointCallFailed | EndpointListConfirmed
 
 
-def ignore_confirmation(event: ListConfirmation) -> None:
-    """Do nothing: for a client whose reports nobody uses."""
+def ignore_confirmation(event: ListConfirmationEvent) -> None:
+    """Do nothing; the default of `report_confirmation`."""
 
 
 class ClientState(Enum):
@@ -69,9 +69,9 @@
 class DiscoveryClient:
     """Follows the endpoint list at one address; a reload retires the client and starts another.
 
-    A watch that is not answered in time stays open beside the next call. Once the client closes the
-    watch, it must know the changes that the watch missed. It therefore closes the watch only after
-    the next answer.
+    A silent watch stays open during the next call. A client that has closed a watch must know the
+    changes that the watch missed. This client therefore closes a silent watch only after the next
+    call is answered.
     """
 
     def __init__(  # noqa: PLR0913, PLR0917  the composition root hands over each collaborator once
@@ -83,11 +83,12 @@
         post: Callable[[Event], None],
         failures: RateLimitedLogger,
         schedule: PollSchedule,
-        report_confirmation: Callable[[ListConfirmation], None] = ignore_confirmation,
+        report_confirmation: Callable[[ListConfirmationEvent], None] = ignore_confirmation,
     ) -> None:
         """`post` hands an event to the core; `failures` counts and logs calls that fail.
 
-        `report_confirmation` is called when answers begin or end to confirm the list.
+        `report_confirmation` is called when the list becomes confirmed (by an answer) or
+        unconfirmed (by a call that fails).
         """
         self.limits = limits
         self.address = address
@@ -139,39 +140,39 @@
                 shut_down(self.connection)
         self.poll_now()
 
-    def adopt_list(self, answer: EndpointAnswer, since: int | None = None) -> bool:
+    def adopt_list(self, answer: EndpointAnswer, base_version: int | None = None) -> bool:
         """Adopt a list, and continue the watch from its version; return whether it was adopted.
 
-        `since` is the version that the list was polled from; None: a complete list, polled or from
-        before the start while there was no version.
+        `base_version` is the version that the list was polled from. None: there was no version, and
+        the complete list was polled or comes from before the start.
         """
         with self.lock:
             if self.retired:
                 return False
-            if self.version != since:
+            if self.version != base_version:
                 log_events.endpoint_list_overtaken(
                     version=answer.version, current_version=self.version
                 )
                 return False
-            fetch_next = must_fetch_complete_list(since, answer.version)
+            fetch_next = must_fetch_complete_list(base_version, answer.version)
             self.version = None if fetch_next else answer.version
             self.destinations.apply(answer)
             self.post(EndpointsUpdated(DISCOVERY_SOURCE, answer.update))
             return True
 
-    def confirm_list(self) -> None:
-        """Report that an answer confirms the list, unless that is known."""
+    def report_list_confirmed(self) -> None:
+        """Report that an answer confirms the list, unless that was the last report."""
         self._report_confirmation(EndpointListConfirmed(), is_confirmed=True)
 
-    def doubt_list(self, unconfirmed_seconds: float = 0.0) -> None:
-        """Report that a call has failed, unless that is known.
+    def report_list_unconfirmed(self, unconfirmed_seconds: float = 0.0) -> None:
+        """Report that a call has failed, unless that was the last report.
 
-        `unconfirmed_seconds` is for how long the list may have been outdated already.
+        `unconfirmed_seconds` is how long the list may already have been outdated.
         """
         unconfirmed_us = int(unconfirmed_seconds * MICROSECONDS_PER_SECOND)
         self._report_confirmation(EndpointCallFailed(unconfirmed_us), is_confirmed=False)
 
-    def _report_confirmation(self, event: ListConfirmation, *, is_confirmed: bool) -> None:
+    def _report_confirmation(self, event: ListConfirmationEvent, *, is_confirmed: bool) -> None:
         with self.lock:
             if self.retired or self.is_confirmed is is_confirmed:
                 return
@@ -179,24 +180,25 @@
             self.report_confirmation(event)
 
     def start_list_check(self) -> None:
-        """Check, in a thread of its own, whether the watch has fallen silent; never waits."""
+        """Start a thread that checks the list, unless a check is running; never waits."""
         if self.check_in_progress.acquire(blocking=False):
             spawn_thread("discovery check", self.run_check)
 
     # -- the check thread --------------------------------------------------------------------------
 
     def run_check(self) -> None:
-        """Fetch the changes beside the watch; if there are any, adopt them and reopen the watch.
+        """Poll the changes during the watch; if there are any, adopt them and reopen the watch.
 
-        Without changes the watch stays open: refused connections do not prove that it is silent.
+        Without changes the watch stays open, because refused connections, which cause the check, do
+        not prove that the watch is silent.
         """
         try:
             version = self.version
             if version is None or self.retired:
                 return
-            answer = self.fetch_beside_watch(version)
-            self.confirm_list()
-            if answer.version != version and self.adopt_list(answer, since=version):
+            answer = self.poll_changes(version)
+            self.report_list_confirmed()
+            if answer.version != version and self.adopt_list(answer, base_version=version):
                 self.reopen_watch()
         except (OSError, ProtocolError) as error:
             self.failures.add(str(error))
@@ -228,9 +230,9 @@
     def call_once(self) -> float:
         """Make one call, act on its outcome, and return the pause before the next one in seconds.
 
-        The call is a watch from the current version. Only without a list it fetches the complete
-        list, which is expensive when many dispatchers do it. A failure changes nothing and is
-        followed by a backoff.
+        The call is a watch from the current version. It fetches the complete list only if there is
+        no version, because complete lists are expensive when many dispatchers fetch them. After a
+        failure the list and its version stay as they are, and the pause is a backoff.
         """
         begun_seconds = time.monotonic()
         version = self.version
@@ -238,14 +240,14 @@
             answer = self.call_discovery(version)
         except Exception as error:  # noqa: BLE001  the thread must outlive any fault
             return self.pause_after_failure(error)
-        # A later failure must not count as the end of the watch that was to be reopened.
+        # Otherwise a later failure would be taken for the end of the watch to be reopened.
         self.end_reopening()
-        self.adopt_list(answer, since=version)
-        self.confirm_list()
+        self.adopt_list(answer, base_version=version)
+        self.report_list_confirmed()
         self.first_answer_received.set()
         unchanged = version is not None and answer.version == version
-        took_seconds = time.monotonic() - begun_seconds
-        return self.schedule.pause_after_answer_seconds(took_seconds, unchanged=unchanged)
+        call_seconds = time.monotonic() - begun_seconds
+        return self.schedule.pause_after_answer_seconds(call_seconds, unchanged=unchanged)
 
     def pause_after_failure(self, error: Exception) -> float:
         """Close the connection and return the pause before the next call in seconds."""
@@ -254,11 +256,11 @@
             return 0.0
         if not self.retired:
             self.failures.add(str(error))
-            self.doubt_list()
+            self.report_list_unconfirmed()
         return self.schedule.pause_after_failure_seconds()
 
     def end_reopening(self) -> bool:
-        """Return whether the watch was being reopened, and continue in state FOLLOWING."""
+        """Return whether the watch was being reopened; if so, change the state to FOLLOWING."""
         with self.lock:
             if self.state is not ClientState.REOPENING:
                 return False
@@ -266,7 +268,7 @@
             return True
 
     def call_discovery(self, version: int | None) -> EndpointAnswer:
-        """Return the answer to a fetch, to a watch, or to a call beside a silent watch.
+        """Return the answer to a fetch, to a watch, or to a poll during a silent watch.
 
         Raises OSError, ProtocolError or ClientRetiredError.
         """
@@ -281,21 +283,21 @@
                 connection, data, wait_seconds + self.schedule.watch_overrun_seconds
             )
         except TimeoutError:
-            self.failures.add("a watch fell silent")
-            # It may have fallen silent as soon as it was opened.
-            self.doubt_list(wait_seconds + self.schedule.watch_overrun_seconds)
-        answer = self.fetch_until_answered(version)
+            self.failures.add("discovery did not answer a watch in time")
+            # The watch may have been silent ever since it was opened.
+            self.report_list_unconfirmed(wait_seconds + self.schedule.watch_overrun_seconds)
+        answer = self.poll_changes_until_answered(version)
         self.close_connection()  # not before the changes that the silent watch missed are known
         return answer
 
-    def fetch_until_answered(self, version: int) -> EndpointAnswer:
-        """Call beside a silent watch until a call is answered, with backoff after failures.
+    def poll_changes_until_answered(self, version: int) -> EndpointAnswer:
+        """Poll the changes during a silent watch until a poll is answered; back off after failures.
 
         Raises OSError or ProtocolError only after the client was stopped.
         """
         while True:
             try:
-                return self.fetch_beside_watch(version)
+                return self.poll_changes(version)
             except (OSError, ProtocolError) as error:
                 if self.retired:
                     raise
@@ -315,7 +317,7 @@
             with self.lock:
                 self.connection = connection
         if self.retired:
-            # stop() may have been called before it had a connection to shut down.
+            # stop() may have been called before there was a connection to shut down.
             raise ClientRetiredError("retired")
         return self.connection
 
@@ -329,8 +331,8 @@
 
     # -- the client thread and the check thread ----------------------------------------------------
 
-    def fetch_beside_watch(self, version: int) -> EndpointAnswer:
-        """Return the changes since a version, by a poll on a connection of its own."""
+    def poll_changes(self, version: int) -> EndpointAnswer:
+        """Poll the changes since a version on a new connection and return the answer."""
         begun_seconds = time.monotonic()
         timeout_seconds = self.schedule.call_timeout_seconds
         connection = connect(self.address, timeout_seconds, self.limits.timeouts.write_seconds)
@@ -370,7 +372,7 @@
     """Decide whether the next call fetches the complete list, after the answer to a watch.
 
     `version` is the version that the watch was made from; None: the call was a fetch. A lower
-    version in the answer means that discovery has restarted its count. The versions before and
-    after cannot be compared, so a watch could miss changes.
+    version in the answer means that discovery has restarted its version count. Versions from before
+    and after the restart cannot be compared, so a watch could miss changes.
     """
     return version is not None and answered_version < version
--- a/stepstream/http/poll_schedule.py
+++ b/stepstream/http/poll_schedule.py
@@ -2,19 +2,20 @@
 
 No I/O and no clock: durations are seconds, passed in and returned.
 
-The platform sets these bounds. A dispatcher must know a change 6 s after discovery had it and could
-be reached, whatever has failed in between. If a silent watch missed the change, the bound is 6 s
-after the watch fell silent, or 2 s after the end of its wait if that is later. If an agent beside
-the dispatcher gets the lists by push, the dispatcher must know a list as soon as the agent has it.
+The platform sets these bounds. A dispatcher must know a change within 6 s after discovery has it
+and can be reached, whatever has failed in between. If a silent watch missed the change, the bound
+is 6 s after the watch fell silent, or 2 s after the end of its wait if that is later. If lists are
+pushed to an agent on the dispatcher's machine, the dispatcher must know a list as soon as the agent
+has it.
 
-Between two answers that discovery could give, a dispatcher that shares discovery with at most three
-others therefore takes at most
+While discovery can be reached, a dispatcher that shares it with at most three others therefore gets
+its next answer after at most
 
     watch wait + overrun (2.75 s) + timeout of a call that hangs (2.2 s) + backoff (0.25 s) = 5.2 s
 
-and the round trip of the next call. Discovery serves only a few calls a second. With more
-dispatchers, watches therefore wait longer, and a silent watch stays open until the call beside it
-is answered. A call's timeout is longer than the 2 s after which discovery fails a queued call.
+plus the round trip of the next call. Discovery serves only a few calls a second. With more
+dispatchers, watches therefore wait longer, and a silent watch stays open until the next call is
+answered. A call's timeout is longer than the 2 s after which discovery fails a queued call.
 Otherwise discovery would still serve the abandoned call, and its replacements would keep the queue
 full.
 """
@@ -24,40 +25,41 @@
 
 from stepstream.model.settings import Settings
 
-# How long discovery may hold a watch. Shorter waits cost discovery more calls; with longer ones a
-# silent watch is noticed later.
+# How long discovery may wait before it answers a watch. Shorter waits cost discovery more calls.
+# With longer waits a silent watch is noticed later.
 MIN_WATCH_WAIT_SECONDS = 2.35
 WATCH_WAIT_PER_DISPATCHER_SECONDS = 0.55
 MAX_WATCH_WAIT_SECONDS = 60.0  # the platform's bound
 
 # A watch counts as silent once this time has passed after the end of its wait.
 WATCH_OVERRUN_SECONDS = 0.4
-# Of a call that does not wait. Longer than the 2 s after which discovery fails a queued call.
+# Of a call that discovery answers without waiting. Longer than the 2 s after which discovery fails
+# a queued call.
 CALL_TIMEOUT_SECONDS = 2.2
 
-# The first calls of a large fleet that starts at one time are spread, or they would fill
-# discovery's queue. Until its first call a dispatcher serves from the list of before its start.
+# The first calls of a large fleet that starts at one time are spread, because they would otherwise
+# fill discovery's queue. Until its first call, a dispatcher uses the list from before its start.
 MAX_DISPATCHERS_WITHOUT_SPREAD = 8
 FIRST_CALL_SPREAD_PER_DISPATCHER_SECONDS = 0.1
 MAX_FIRST_CALL_SPREAD_SECONDS = 4.0
 
-# Exponential backoff after failed calls. Shorter pauses overload discovery with a fleet whose calls
-# all fail; longer ones break the bound of 6 s.
+# Exponential backoff after failed calls. With shorter pauses, a fleet whose calls all fail would
+# overload discovery. Longer pauses would break the bound of 6 s.
 MIN_INITIAL_BACKOFF_SECONDS = 0.25
 INITIAL_BACKOFF_PER_DISPATCHER_SECONDS = 0.05
 MIN_BACKOFF_CAP_SECONDS = 0.5
 BACKOFF_CAP_PER_DISPATCHER_SECONDS = 0.35
 MAX_BACKOFF_CAP_SECONDS = 3.0
-MAX_BACKOFF_DOUBLINGS = 8  # keeps the power small; the cap is reached sooner
+MAX_BACKOFF_DOUBLINGS = 8  # bounds the exponent; fewer reach the cap
 MIN_JITTER_FRACTION = 0.5  # each pause is multiplied by a random number from this to 1
 
-# An agent on the same machine answers at no cost, so it is called often.
+# An agent on the same machine costs discovery nothing, so it is called often.
 AGENT_WATCH_WAIT_SECONDS = 0.25
 AGENT_WATCH_OVERRUN_SECONDS = 0.1
 AGENT_CALL_TIMEOUT_SECONDS = 0.25
 AGENT_BACKOFF_SECONDS = 0.05
 
-# Keeps a discovery service that answers watches without waiting from being called in a loop.
+# Prevents a busy loop if discovery answers watches without waiting.
 PAUSE_AFTER_UNCHANGED_SECONDS = 0.1
 
 
@@ -83,19 +85,19 @@
 
     @property
     def watch_wait_seconds(self) -> float:
-        """How long discovery may hold a watch before it answers."""
+        """How long discovery may wait before it answers a watch."""
         if self.agent_pushes:
             return AGENT_WATCH_WAIT_SECONDS
         return fleet_watch_wait_seconds(self.dispatcher_count)
 
     @property
     def watch_overrun_seconds(self) -> float:
-        """How long after its wait a watch counts as silent."""
+        """How long after the end of its wait a watch counts as silent."""
         return AGENT_WATCH_OVERRUN_SECONDS if self.agent_pushes else WATCH_OVERRUN_SECONDS
 
     @property
     def call_timeout_seconds(self) -> float:
-        """The timeout of a call that does not wait, and of connecting."""
+        """The timeout of connecting, and of a call that discovery answers without waiting."""
         return AGENT_CALL_TIMEOUT_SECONDS if self.agent_pushes else CALL_TIMEOUT_SECONDS
 
     def first_pause_seconds(self) -> float:
@@ -112,30 +114,30 @@
         pause_seconds = backoff_seconds(self.consecutive_failures, self.dispatcher_count)
         return pause_seconds * self.rng.uniform(MIN_JITTER_FRACTION, 1.0)
 
-    def pause_after_answer_seconds(self, took_seconds: float, *, unchanged: bool) -> float:
+    def pause_after_answer_seconds(self, call_seconds: float, *, unchanged: bool) -> float:
         """Count an answer and return the pause before the next call.
 
-        `took_seconds` is the duration of the call. `unchanged` is True for a watch whose answer has
+        `call_seconds` is the duration of the call. `unchanged` is True for a watch whose answer has
         nothing new.
         """
         self.consecutive_failures = 0
-        if unchanged and took_seconds < PAUSE_AFTER_UNCHANGED_SECONDS:
+        if unchanged and call_seconds < PAUSE_AFTER_UNCHANGED_SECONDS:
             return PAUSE_AFTER_UNCHANGED_SECONDS
         return 0.0
 
 
 def fleet_watch_wait_seconds(dispatcher_count: int) -> float:
-    """Decide how long discovery may hold a watch.
+    """Decide how long discovery may wait before it answers a watch.
 
-    The wait grows with the number of dispatchers, so that up to 109 of them end less than two
-    watches a second in all.
+    The wait grows with the number of dispatchers: with up to 109 of them, fewer than two watches a
+    second end in all.
     """
     fleet_wait_seconds = WATCH_WAIT_PER_DISPATCHER_SECONDS * dispatcher_count
     return min(max(MIN_WATCH_WAIT_SECONDS, fleet_wait_seconds), MAX_WATCH_WAIT_SECONDS)
 
 
 def first_call_spread_seconds(dispatcher_count: int) -> float:
-    """Decide over how long the first calls of a fleet are spread that starts at one time."""
+    """Decide over how long the first calls of a fleet that starts at one time are spread."""
     fleet_spread_seconds = FIRST_CALL_SPREAD_PER_DISPATCHER_SECONDS * dispatcher_count
     return min(fleet_spread_seconds, MAX_FIRST_CALL_SPREAD_SECONDS)
 
--- a/stepstream/http/staleness.py
+++ b/stepstream/http/staleness.py
@@ -17,7 +17,7 @@
 MIN_REFUSING_WORKERS = 2
 # The list reports a crash with about this delay. An earlier check would not show the crash yet.
 CRASH_REPORT_DELAY_SECONDS = 2.0
-# All dispatchers see a crash at one time, and discovery answers one call after another.
+# All dispatchers notice a crash at the same time, and discovery answers one call after another.
 CHECK_SPREAD_PER_DISPATCHER_SECONDS = 0.05
 MAX_CHECK_SPREAD_SECONDS = 10.0
 MIN_CHECK_INTERVAL_SECONDS = 15.0
@@ -34,7 +34,7 @@
 
     dispatcher_count: int
     rng: random.Random
-    # By worker: the time of its first refusal since it was last listed or reached.
+    # By worker: the time of its first refusal since a list last had it or it accepted a connection.
     first_refusal_seconds: dict[str, float] = field(default_factory=dict)
     check_due_seconds: float = inf  # infinite: no check is scheduled
     last_check_seconds: float = -inf
@@ -42,7 +42,7 @@
     def record_refusal(self, worker: str, now_seconds: float) -> None:
         """Record that a worker listed as active refuses connections.
 
-        The first refusal of the last worker that was missing for a check schedules the check.
+        Once MIN_REFUSING_WORKERS workers refuse, a check is scheduled.
         """
         is_known = worker in self.first_refusal_seconds
         if is_known or len(self.first_refusal_seconds) >= MAX_REMEMBERED_WORKERS:
@@ -75,7 +75,7 @@
     def claim_check(self, now_seconds: float) -> bool:
         """Return whether the list must be checked now, and count the check as made.
 
-        True at most once for each scheduled check. The next one comes at least
+        Returns True at most once for each scheduled check. The next check follows at least
         MIN_CHECK_INTERVAL_SECONDS later.
         """
         if now_seconds < self.check_due_seconds:
@@ -89,14 +89,17 @@
 def earliest_check_seconds(now_seconds: float, last_check_seconds: float) -> float:
     """Decide from when on the list may be checked, if enough workers refuse at `now_seconds`.
 
-    Not before the list has had time to report their crash, and not soon after another check: if a
-    list that was just checked shows the workers as active, they are.
+    Not before the list has had time to report the crash of these workers, and not soon after
+    another check: if a list that was just checked shows workers as active, they are active.
     """
     refusals_count_from = max(now_seconds, last_check_seconds + MIN_CHECK_INTERVAL_SECONDS)
     return refusals_count_from + CRASH_REPORT_DELAY_SECONDS
 
 
 def check_spread_seconds(dispatcher_count: int) -> float:
-    """Decide the longest random delay of a check, so that a fleet does not call all at one time."""
+    """Decide the longest random delay of a check.
+
+    The delay keeps the dispatchers of a fleet from calling discovery at the same time.
+    """
     other_dispatchers = dispatcher_count - 1
     return min(CHECK_SPREAD_PER_DISPATCHER_SECONDS * other_dispatchers, MAX_CHECK_SPREAD_SECONDS)
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -309,7 +309,7 @@
 def test_a_check_that_the_watch_has_overtaken_changes_nothing(start_client, silence):
     harness = start_client(lambda _: silence.wait(PATIENCE_SECONDS) and None, version=7)
     overtaken = replace(endpoint_answer(w=1), version=8)
-    assert not harness.client.adopt_list(overtaken, since=6)
+    assert not harness.client.adopt_list(overtaken, base_version=6)
     assert not harness.events
     assert harness.client.version == 7
 
@@ -332,7 +332,7 @@
 ):
     harness = make_client(lambda _: None, version=current)
     answer = replace(endpoint_answer(w=1), version=answered)
-    assert harness.client.adopt_list(answer, since=since) is adopted
+    assert harness.client.adopt_list(answer, base_version=since) is adopted
     assert harness.client.version == continued_from
     assert len(harness.events) == adopted
     assert (harness.destinations.usable_address("w") is not None) is adopted
--- a/tests/http/test_poll_schedule.py
+++ b/tests/http/test_poll_schedule.py
@@ -105,13 +105,13 @@
 
 
 @pytest.mark.parametrize(
-    ("took_seconds", "unchanged", "pause_seconds"),
+    ("call_seconds", "unchanged", "pause_seconds"),
     [(0.05, True, 0.1), (0.1, True, 0.0), (0.05, False, 0.0)],
 )
 def test_only_a_watch_answered_at_once_with_nothing_new_is_followed_by_a_pause(
-    took_seconds, unchanged, pause_seconds
+    call_seconds, unchanged, pause_seconds
 ):
-    pause = schedule_of(1).pause_after_answer_seconds(took_seconds, unchanged=unchanged)
+    pause = schedule_of(1).pause_after_answer_seconds(call_seconds, unchanged=unchanged)
     assert pause == pause_seconds
 
 
