--- a/stepstream/http/client_api.py
+++ b/stepstream/http/client_api.py
@@ -1,7 +1,7 @@
 """The platform's API for clients: their requests and the answers to them.
 
-The paths, header names and spellings on the wire are the platform's. They are translated only here.
-`ClientApi` is immutable, and a reload creates a new one. Any thread may use this module.
+The platform defines the paths, header names and values on the wire. Only this module translates
+them. `ClientApi` is immutable, and a reload creates a new one. Any thread may use this module.
 """
 
 import re
@@ -23,35 +23,38 @@
 
 
 class ClientApi:
-    """Reads clients' requests by the names in the settings."""
+    """Reads clients' requests; the settings name the job classes and tenants."""
 
     def __init__(self, settings: Settings, load_reports: LoadReportReader | None = None) -> None:
         """Index the names of job classes and tenants.
 
-        `load_reports` reads the load reports in workers' notifications; None: they are not read.
+        `load_reports` reads the load reports in workers' notifications; with None they are ignored.
         """
         self.settings = settings
         self.load_reports = load_reports
-        self.class_index = {job_class.name: k for k, job_class in enumerate(settings.classes)}
-        self.tenant_index = {name: k for k, name in enumerate(settings.tenants)}
+        self.class_index = {
+            job_class.name: index for index, job_class in enumerate(settings.classes)
+        }
+        self.tenant_index = {name: index for index, name in enumerate(settings.tenants)}
 
     def job_class_of(self, message: Message) -> int:
         """Return the index of the job class that the path's first segment names.
 
-        ProtocolError 404 for an unknown class, 405 for a method other than POST.
+        Raises ProtocolError: 404 for an unknown class, 405 for a method other than POST.
         """
         path = path_of(message)
         job_class = self.class_index.get(unquote(path[1:].partition("/")[0]))
         if not path.startswith("/") or job_class is None:
             raise ProtocolError(404, "no such class")
         if message.method != "POST":
-            raise ProtocolError(405, "a job arrives by POST")
+            raise ProtocolError(405, "a job must be submitted by POST")
         return job_class
 
     def read_request(self, message: Message, now_us: int, tenant: str | None = None) -> Request:
-        """Return the request in a message that arrived at `now_us`; ProtocolError if malformed.
+        """Return the request in a message that arrived at `now_us`.
 
         `tenant` is the tenant of the authenticated caller; None: the header names the tenant.
+        Raises ProtocolError if the message is malformed.
         """
         job_class = self.job_class_of(message)
         headers = message.headers
@@ -69,7 +72,7 @@
             deadline_us=now_us + timeout_us,
             tenant=tenant_index,
             key=parse_qs(query).get("user", [None])[0],
-            # The platform uses two names for each.
+            # Each of these numbers has two names on the platform.
             slots=info.get("cores_needed", info.get("slots", 1.0)),
             memory=info.get("ram_units", info.get("memory", 0.0)),
             client_retry=headers.get("client-retry") == "1",
@@ -99,7 +102,10 @@
 
 
 def read_request_info(text: str) -> dict[str, float]:
-    """Return the numbers of a Request-Info header (`name=number, ...`); ProtocolError 400."""
+    """Return the numbers of a Request-Info header (`name=number, ...`).
+
+    Raises ProtocolError 400 if it is malformed.
+    """
     try:
         return {name: bounded_number(value) for name, value in read_pairs(text).items()}
     except ValueError as error:
@@ -138,7 +144,10 @@
 
 
 def overload_answer(retry_after_us: int, *, close: bool) -> bytes:
-    """Return 503 with Retry-After in decimal seconds, the platform's form; 0 omits the header."""
+    """Return 503 with Retry-After in decimal seconds, as the platform writes it.
+
+    The header is omitted if `retry_after_us` is 0.
+    """
     headers = None
     if retry_after_us:
         headers = {"Retry-After": f"{retry_after_us / MICROSECONDS_PER_SECOND:.3f}"}
--- a/stepstream/http/client_connection.py
+++ b/stepstream/http/client_connection.py
@@ -1,23 +1,23 @@
-"""The driver of an inbound HTTP connection: its socket, its threads, and the session between them.
+"""The driver of an inbound HTTP connection: its threads move bytes between socket and session.
 
 Three kinds of threads work on a connection:
 
-- The reader, a thread of the server's pool, runs `run` from the accept to the end. Only it reads
-  the socket and closes it, with the exception below.
+- The reader, a thread of the server's pool, executes `run` until the connection ends. Only the
+  reader reads the socket. It also closes the socket, with the exception below.
 - The thread that has a reply writes it: the reader (errors, acknowledgements), the decision thread
   (`answer`) or the main thread (`enforce_timeouts`). None of them waits for the peer: they send
   what the kernel accepts at once.
 - A slow-writer thread of the server's pool sends the rest of a reply that the peer did not accept
   at once, and the replies queued after it. Meanwhile no other thread sends, which keeps the bytes
-  in order. It closes the socket if the reader has ended.
+  in order. It closes the socket if the reader has ended before it.
 
 `lock` guards the session, the fields of this object and the socket's calls that do not wait. Bytes
 are received from the kernel only under the lock. A thread that closes the connection under the lock
 therefore sees either all unread bytes or a session that has none of them.
 
-A step of the session and what follows from it are one critical section: the reply is sent or
-queued, and the events are posted, before the lock is released. Otherwise another thread could close
-the connection before the reply, or send the reply of a later message first.
+A step of the session and its consequences are one critical section: the reply is sent or queued,
+and the events are posted, before the lock is released. Otherwise another thread could close the
+connection before the reply, or send the reply to a later message first.
 """
 
 import math
@@ -97,7 +97,8 @@
                 open_request = self.session.close()
                 self.reader_ended = True
                 if self.slow_writer_active:
-                    # Closed now, its descriptor could be another socket's when the writer sends.
+                    # If the socket were closed now, another one could get its descriptor while the
+                    # slow writer still sends.
                     self.transport.shut_down()
                 else:
                     self.transport.close()
@@ -155,7 +156,9 @@
             events = session.receive(data, now_us)
             # Guards the thread against a peer that sends its message byte by byte.
             if session.is_reading_message and self._has_timed_out(now_seconds):
-                events.append(session.fail(ProtocolError(400, "too slow")))
+                events.append(
+                    session.fail(ProtocolError(400, "the message took too long to arrive"))
+                )
             self._dispatch(events)
         return True
 
@@ -166,7 +169,7 @@
                 case Reply():
                     self._send(event)
                     if event.close:
-                        # An error closes the connection: its open request has lost its client.
+                        # An error reply closes the connection, so an open request loses its client.
                         self._report_disconnect(self.session.close())
                 case Request():
                     event.response_sink = self
@@ -176,19 +179,20 @@
 
     def _report_disconnect(self, open_request: Request | None) -> None:
         if open_request is not None:
-            # Set before the event, so that no call of it starts even before the core handles it.
+            # Set before the event is posted, so that no call for this request starts while the
+            # event waits for the core.
             open_request.client_disconnected = True
             self.server.post(ClientDisconnected(open_request))
 
     # -- writing ----------------------------------------------------------------------------------
 
     def answer(self, answer: Answer) -> None:
-        """Give a request its final answer, without waiting for the peer; the decision thread."""
+        """Give a request its final answer; the decision thread calls this and never waits."""
         with self.lock:
             reply = self.session.answer(answer)
             if reply is None:
                 return
-            # A message that arrived during the request is timed from now on.
+            # The time limit of a message that arrived during the request starts now.
             now_seconds = time.monotonic()
             self.last_activity_at_seconds = now_seconds
             self.phase_started_at_seconds = now_seconds
@@ -250,7 +254,7 @@
         self.phase_started_at_seconds = now_seconds
         self.transport.half_close()
 
-    # -- as the server sees it: `ports.Connection` ------------------------------------------------
+    # -- called by the server: `ports.Connection` -------------------------------------------------
 
     def has_open_request(self) -> bool:
         """Return whether a request awaits its answer."""
@@ -259,9 +263,12 @@
     def busy(self) -> bool:
         """Decide whether a shutdown must wait for this connection.
 
-        It waits for answers that are owed or being written, for the peer's end during
-        `close_grace_seconds` after a close, and for idle clients until connections are closed,
-        because they may send another request.
+        It waits
+
+        - for open and for partly read requests, and for replies that a slow writer still sends;
+        - after the connection's sending side was closed, for the peer to close its side, during
+          `close_grace_seconds` at most;
+        - for idle clients, which may send another request, until the server closes connections.
         """
         if self._owes_answer() or self.slow_writer_active:
             return True
@@ -293,8 +300,8 @@
             session = self.session
             if session.has_open_request or self.slow_writer_active:
                 return EvictionState(EvictionRank.NEVER, math.inf)
-            # A closed session is quiet from the last byte on: a peer that still sends must not lose
-            # the error that is on its way by a reset.
+            # A closed session counts as quiet from the last received byte on. Evicting a peer that
+            # still sends would reset the connection, and the peer might lose the error reply.
             quiet_since_seconds = (
                 self.phase_started_at_seconds
                 if session.is_reading_message
@@ -349,7 +356,7 @@
             if self.slow_writer_active or not self._has_timed_out(now_seconds):
                 return
             if session.is_reading_message:
-                self._send(session.fail(ProtocolError(400, "too slow")))
+                self._send(session.fail(ProtocolError(400, "the message took too long to arrive")))
             elif session.phase is SessionPhase.CLOSED:
                 self.transport.shut_down()
             elif not self.transport.has_unread():
@@ -357,7 +364,7 @@
                 self._half_close(now_seconds)
 
     def _has_timed_out(self, now_seconds: float) -> bool:
-        """Return whether the session has stayed in its state for too long; with the lock held."""
+        """Return whether the session's state has timed out; the caller holds the lock."""
         session = self.session
         state_since_seconds = (
             self.last_activity_at_seconds if session.is_idle else self.phase_started_at_seconds
@@ -371,10 +378,10 @@
 ) -> bool:
     """Decide whether a peer that has sent only a part of its first message counts as a client.
 
-    After SIGTERM, the front proxy opens connections for at most
-    `arrivals_seconds`. The message of a later connection is no client's request. Without this rule
-    peers that connect and never finish a message would hold up the shutdown. Times are monotonic
-    seconds; without a shutdown (None) every peer counts.
+    After SIGTERM, the front proxy opens connections for at most `arrivals_seconds`. A connection
+    that opens later does not carry a client's request. Without this rule, peers that connect and
+    never finish a message would delay the shutdown. Times are monotonic seconds. Before a shutdown
+    (`shutdown_started_at` is None) every peer counts as a client.
     """
     if shutdown_started_at is None:
         return True
--- a/stepstream/http/codec.py
+++ b/stepstream/http/codec.py
@@ -18,8 +18,8 @@
 CRLF = b"\r\n"
 HEAD_END = b"\r\n\r\n"
 TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")  # RFC 9110, 5.6.2
-# Characters that a field value must not contain (RFC 9110, 5.5). Bytes outside ASCII are rejected
-# before.
+# Characters that a field value must not contain (RFC 9110, 5.5). Bytes outside ASCII have been
+# rejected before, when the head was decoded.
 FIELD_VALUE_CONTROL = re.compile(r"[\x00-\x08\x0a-\x1f]")
 REQUEST_TARGET = re.compile(r"[\x21-\x7e]+")
 REQUEST_LINE_PARTS = 3  # method, target, version
@@ -32,7 +32,7 @@
 UNREPEATABLE_FIELDS = ("content-length", "transfer-encoding", "host")
 FIRST_FINAL_STATUS = 200
 STATUSES_WITHOUT_BODY = (204, 304)
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     401: "Unauthorized",
@@ -51,8 +51,8 @@
 class ProtocolError(HttpError):
     """The peer broke the protocol; `status` is the HTTP status of the answer, if one is sent."""
 
-    def __init__(self, status: int, text: str) -> None:
-        super().__init__(text)
+    def __init__(self, status: int, description: str) -> None:
+        super().__init__(description)
         self.status = status
 
 
@@ -121,7 +121,7 @@
     def next(self) -> Message | None:
         """Return the next complete message, or None until more bytes are fed."""
         if self.state is ParserState.BROKEN:
-            raise ProtocolError(400, "the connection broke the protocol before")
+            raise ProtocolError(400, "an earlier message on this connection was malformed")
         try:
             while self.STEPS[self.state](self):
                 if self.state is ParserState.HEAD:
@@ -172,7 +172,7 @@
         try:
             first, *lines = self.buffer[:end].decode("ascii").split("\r\n")
         except UnicodeDecodeError as error:
-            raise ProtocolError(400, "the head holds bytes outside ASCII") from error
+            raise ProtocolError(400, "the head contains bytes outside ASCII") from error
         del self.buffer[: end + len(HEAD_END)]
         self.searched_bytes = 0
         self.empty_line_skipped = False
@@ -212,11 +212,11 @@
         return self._parse_version(version)
 
     @staticmethod
-    def _parse_version(text: str) -> int:
+    def _parse_version(version: str) -> int:
         """Return the minor version of HTTP/1 (RFC 9112, 2.3)."""
-        if text not in ("HTTP/1.1", "HTTP/1.0"):
+        if version not in ("HTTP/1.1", "HTTP/1.0"):
             raise ProtocolError(400, "the version is not HTTP/1.0 or HTTP/1.1")
-        return int(text[-1])
+        return int(version[-1])
 
     @staticmethod
     def _parse_fields(lines: list[str]) -> dict[str, str]:
@@ -257,7 +257,9 @@
             self._expect_body(0)
         elif coding is not None:
             if coding.lower() != "chunked" or length is not None:
-                raise ProtocolError(400, "the framing is not understood")
+                raise ProtocolError(
+                    400, "unsupported Transfer-Encoding, or Content-Length beside it"
+                )
             self.chunks = []
             self.chunked_bytes = 0
             self.state = ParserState.CHUNK_SIZE
@@ -327,7 +329,7 @@
         if len(self.buffer) < size + len(CRLF):
             return False
         if self.buffer[size : size + len(CRLF)] != CRLF:
-            raise ProtocolError(400, "a chunk does not end where it should")
+            raise ProtocolError(400, "a chunk is not followed by CRLF")
         self.chunks.append(bytes(self.buffer[:size]))
         del self.buffer[: size + len(CRLF)]
         self.state = ParserState.CHUNK_SIZE
@@ -381,4 +383,4 @@
     framed = {**(headers or {}), "Content-Length": str(len(body))}
     if close:
         framed["Connection"] = "close"
-    return write_head(f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}", framed) + body
+    return write_head(f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Status')}", framed) + body
--- a/stepstream/http/eviction.py
+++ b/stepstream/http/eviction.py
@@ -12,11 +12,11 @@
 def evict_connections(
     connections: Sequence[Connection], now_seconds: float, limits: Limits
 ) -> Iterator[Connection]:
-    """Evict connections in their order, all of one rank; yield each.
+    """Evict connections of one rank, in the order of `eviction_order`; yield each.
 
-    Several are evicted at one time, `evictions_at_once` at most: otherwise each new connection of a
-    flood would rank all connections again. After the first eviction connections of a higher rank
-    stay open, because there is room and their eviction costs their clients more. `now_seconds` is
+    Up to `evictions_at_once` connections are evicted at one time: otherwise each new connection of
+    a flood would rank all connections again. After the first eviction, connections of a higher rank
+    stay open: there is room, and their eviction would cost their clients more. `now_seconds` is
     monotonic.
     """
     states = [connection.eviction_state(now_seconds) for connection in connections]
@@ -39,9 +39,9 @@
 ) -> list[int]:
     """Decide which connections may be evicted, and in which order; return their indexes.
 
-    The lowest rank comes first and, within a rank, the connection that has been
-    quiet for the longest time. A connection that was active within `min_quiet_seconds` is not
-    evicted: its peer may be about to send or to read.
+    The lowest rank comes first and, within a rank, the connection that has been quiet for the
+    longest time. A connection that was active within `min_quiet_seconds` is not evicted, because
+    its peer may be about to send or to read.
     """
     quiet_enough = [
         index
@@ -56,9 +56,9 @@
 ) -> EvictionRank:
     """Decide the rank of a connection without an open request.
 
-    `is_closed` means that its last answer is given, `has_sent_work` that it has sent a request or a
-    notification. A peer that has sent neither counts as new for `unproven_seconds`, and then as
-    unused: a flood of silent connections must not keep out clients and workers.
+    `is_closed` means that its last answer has been sent, `has_sent_work` that its peer has sent a
+    request or a notification. A peer that has sent neither counts as new for `unproven_seconds`,
+    and then as unused: a flood of silent connections must not keep out clients and workers.
     """
     if is_closed:
         return EvictionRank.DONE
--- a/stepstream/http/lingering.py
+++ b/stepstream/http/lingering.py
@@ -14,7 +14,7 @@
 
 
 class LingeringSocket:
-    """A socket that is shut down for sending, and when it is closed (monotonic seconds)."""
+    """A socket that is shut down for sending, and the time to close it (monotonic seconds)."""
 
     __slots__ = ("sock", "close_at_seconds")
 
@@ -23,7 +23,7 @@
         self.close_at_seconds = close_at_seconds
 
     def is_due(self, now_seconds: float) -> bool:
-        """Decide whether the socket is closed now: its peer has had the time to read the answer."""
+        """Decide whether to close the socket: its peer has had time to read the answer."""
         return now_seconds > self.close_at_seconds
 
     def discard_received(self, read_bytes: int) -> None:
@@ -36,7 +36,7 @@
 
 
 class LingeringSockets:
-    """The sockets that are closed later, at most `lingering` of the limits.
+    """The sockets that are closed later, at most `limits.connections.lingering`.
 
     Threads that accept connections add sockets; the main thread closes those that are due. The lock
     guards `queue` and `taken_count`.
@@ -46,15 +46,15 @@
         self.limits = limits  # replaced by a reload
         self.lock = threading.Lock()
         self.queue: deque[LingeringSocket] = deque()  # in the order in which they were added
-        self.taken_count = 0  # out of the queue, while `close_due` works on them
+        self.taken_count = 0  # removed from the queue while `close_due` checks them
 
     def __len__(self) -> int:
         return len(self.queue) + self.taken_count
 
     def add(self, sock: socket.socket, seconds: float) -> None:
-        """Close a socket after `seconds`; beyond the limit, close the oldest of the queue at once.
+        """Close a socket after `seconds`; beyond the limit, close the oldest in the queue at once.
 
-        Each socket occupies a descriptor, and a flood of rejected peers must not take them all.
+        Each socket uses a descriptor, and a flood of rejected peers must not use all of them.
         """
         oldest = None
         with self.lock:
--- a/stepstream/http/server.py
+++ b/stepstream/http/server.py
@@ -59,12 +59,12 @@
         self.lock = threading.Lock()
         self.connections: set[Connection] = set()
         self.external_count = 0  # of `connections`
-        self.evicted_count = 0  # evicted, and not yet closed by their reader threads
+        self.evicted_count = 0  # evicted connections that their reader threads have not closed yet
         self.lingering = LingeringSockets(limits)
         self.rejected_count = 0
         self.failed_accepts = RateLimitedLogger(log_events.accept_failed, limits, max_lines=1)
         self.listeners: list[ListenerSpec] = []
-        self.is_ending = False  # no request that arrives would be answered
+        self.is_ending = False  # if True, no request that arrives would be answered
 
     def reconfigure(self, limits: Limits, client_api: ClientApi) -> None:
         """Apply a reload; connections beyond a smaller budget stay open until they end."""
@@ -149,7 +149,8 @@
             except OSError as error:
                 if spec.closing.is_set():
                     return
-                # A peer gone before its accept, or no descriptor left: neither may end the loop.
+                # The peer has disconnected before the accept, or no descriptor is left. Neither may
+                # end the loop.
                 self.failed_accepts.add(str(error))
                 time.sleep(self.limits.timeouts.accept_retry_seconds)
                 continue
@@ -158,8 +159,8 @@
     def close_listeners(self) -> None:
         """Close every listener at the end of the process.
 
-        A connection that arrives from now on is closed unread, so that its peer may send its
-        request elsewhere; read, it would have no answer.
+        A connection that arrives from now on is closed without reading its request, so that its
+        peer may send the request elsewhere. A request that was read would stay unanswered.
         """
         self.is_ending = True
         for spec in self.listeners:
@@ -168,7 +169,8 @@
     def close_listener(self, spec: ListenerSpec) -> None:
         """Close a listener, after accepting the connections in its backlog.
 
-        One that arrives between the last accept and the shutdown is reset by the kernel, unread.
+        The kernel resets a connection that arrives between the last accept and `shut_down`; its
+        request is not read.
         """
         if spec.closing.is_set():
             return
@@ -203,7 +205,7 @@
                 self.external_count += 1
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # Workers open a connection for each notification: a pool saves starting as many threads.
+        # Workers open a connection for each notification. A pool avoids starting a thread for each.
         self.reader_threads.submit(connection.run)
 
     def _is_full(self, *, is_external: bool) -> bool:
@@ -219,14 +221,15 @@
     def _evict_connections(self) -> None:
         now_seconds = time.monotonic()
         for connection in evict_connections(self._snapshot(), now_seconds, self.limits):
-            # Its place is free at once; its descriptor once its reader thread has closed it.
+            # Its place in the budget is free now. Its descriptor is free once its reader thread has
+            # closed it.
             with self.lock:
                 if self._discard(connection):
                     self.evicted_count += 1
                     connection.evicted = True
 
     def _reject(self, spec: ListenerSpec, sock: socket.socket) -> None:
-        """Send the overload response without reading a byte, and without a thread."""
+        """Send the overload response, without reading and without another thread."""
         with self.lock:
             self.rejected_count += 1
         try:
@@ -265,9 +268,9 @@
     def is_overloaded(self) -> bool:
         """Decide whether the next request is rejected.
 
-        It is once `open_requests` connections have an open request. The other connections remain
-        for notifications, without which no request would end. Connections between requests do not
-        count, because a notification's connection evicts them.
+        It is rejected once `open_requests` connections have an open request. The other connections
+        remain for notifications, without which no request would end. Connections between requests
+        do not count, because they are evicted when a notification needs a connection.
         """
         max_open_requests = self.limits.connections.open_requests
         if len(self.connections) < max_open_requests:
--- a/stepstream/http/server_state.py
+++ b/stepstream/http/server_state.py
@@ -22,8 +22,8 @@
         # Whether another open request would leave no connection for notifications.
         self.is_overloaded: Callable[[], bool] = lambda: False
 
-        # Each of these makes the readiness check fail, so that the front proxy of the
-        # dispatcher sends no new clients.
+        # Each of these makes the readiness check fail, so that the front proxy sends no new clients
+        # to this dispatcher.
         self.starting = False  # there is no endpoint list yet
         self.shutting_down = False  # after SIGTERM
         self.draining = False  # by an operator's drain
--- a/stepstream/http/session.py
+++ b/stepstream/http/session.py
@@ -108,7 +108,7 @@
             # Guards memory against a peer that keeps sending while its request is open.
             max_bytes = self.limits.sizes.head_bytes + self.limits.sizes.body_bytes
             if len(self.parser.buffer) > max_bytes:
-                return [self.fail(ProtocolError(413, "too much behind an open request"))]
+                return [self.fail(ProtocolError(413, "too many bytes after an open request"))]
             return []
         return self.next_events(now_us)
 
@@ -152,7 +152,7 @@
 
     def _handle_readiness_check(self, message: Message) -> Reply:
         if message.method != "GET":
-            raise ProtocolError(405, "only GET")
+            raise ProtocolError(405, "the readiness check must use GET")
         return self._reply(200 if self.server_state.is_ready else 503)
 
     def _handle_request(self, message: Message, now_us: int) -> SessionEvent:
@@ -164,11 +164,11 @@
             tenant = authorization.tenant if authorization else None
             request = client_api.read_request(message, now_us, tenant)
         except ProtocolError:
-            release(authorization)
+            release_authorization(authorization)
             raise
         if self.server_state.is_overloaded():
-            release(authorization)
-            # With an open request on every connection, no notification could arrive to end one.
+            release_authorization(authorization)
+            # If every connection had an open request, no notification could arrive to end one.
             self.phase = SessionPhase.CLOSED
             retry_after_us = client_api.settings.max_retry_after_us
             return Reply(overload_answer(retry_after_us, close=True), close=True)
@@ -204,7 +204,7 @@
         data = final_answer(answer.outcome, answer.result, answer.retry_after_us, close=close)
         self.request = None
         self._finish_exchange(close=close)
-        release(self.authorization)
+        release_authorization(self.authorization)
         return Reply(data, close)
 
     def fail(self, error: ProtocolError) -> Reply:
@@ -217,19 +217,19 @@
         return Reply(write_answer(error.status, close=True), close=True)
 
     def close(self) -> Request | None:
-        """End the session without an answer; return the request that stays open, if any."""
+        """End the session without an answer; return the request that was open, if any."""
         open_request = self.request
         self.request = None
         self.phase = SessionPhase.CLOSED
-        release(self.authorization)
+        release_authorization(self.authorization)
         return open_request
 
     def state_timeout_seconds(self, limits: Limits) -> float:
         """Decide for how many seconds the session may stay in its present state.
 
-        An idle session counts them from its last activity, any other from the start of its state. A
-        peer that has sent work before may be silent for longer than a new one. A request is open
-        without a limit here, because the core answers it by its deadline.
+        For an idle session they count from its last activity, for any other from the start of its
+        state. A peer that has sent work before may be silent for longer than a new one. An open
+        request has no limit here, because the core answers it by its deadline.
         """
         timeouts = limits.timeouts
         if self.has_open_request:
@@ -258,8 +258,8 @@
     def _closes_with_answer(self) -> bool:
         """Decide whether the connection closes with the answer that is sent now.
 
-        It does if the peer wants it (RFC 9112, 9.6). While the server closes connections, those of
-        workers stay open, because open requests await their notifications. A client's connection
+        It closes if the peer wants it (RFC 9112, 9.6). While the server closes connections, those
+        of workers stay open, because open requests await their notifications. A client's connection
         stays open if another complete message has arrived, which is answered first.
         """
         if not self.keep_alive:
@@ -273,7 +273,7 @@
         self.has_answered = True
 
 
-def release(authorization: Authorization | None) -> None:
-    """Release an authorization; any number of times."""
+def release_authorization(authorization: Authorization | None) -> None:
+    """Release an authorization, if there is one; repeated calls have no effect."""
     if authorization is not None:
         authorization.release()
