--- a/stepstream/http/connection_pool.py
+++ b/stepstream/http/connection_pool.py
@@ -29,8 +29,9 @@
     def may_be_reused(self, address: Address, now_seconds: float, max_idle_seconds: float) -> bool:
         """Decide, without I/O, whether an idle connection may carry a request to `address`.
 
-        Not after `max_idle_seconds`, which end before the worker's own idle timeout: a request that
-        crosses the worker's close is reset. And not if the worker has moved.
+        It may not after `max_idle_seconds` without use, or if the worker's address has changed. The
+        limit is shorter than the worker's own idle timeout, because a request that the worker
+        receives after closing the connection is reset.
         """
         is_fresh = now_seconds - self.idle_since < max_idle_seconds
         return is_fresh and self.address == address
@@ -46,7 +47,7 @@
     def __init__(self, limits: Limits) -> None:
         self.limits = limits  # replaced as a whole at a reload
         self.lock = threading.Lock()  # guards `idle` and `open_count`; not held during I/O
-        # By worker, in the order in which they were put back: the longest idle one is first.
+        # By worker, in the order in which they were put back, so the longest idle one is first.
         self.idle: dict[str, list[PooledConnection]] = {}
         self.open_count = 0  # idle, in use or being opened
 
@@ -103,8 +104,8 @@
     def pop_reusable(self, worker: str) -> PooledConnection | None:
         """Remove and return the worker's most recently used connection past the reuse delay.
 
-        A worker may send a second answer, or a part of one, a moment after the first. On a
-        connection in use it would pass for the answer to the next call.
+        A worker may send a second answer, or a part of one, shortly after the first. If the
+        connection were in use again, that would be taken for the answer to the next call.
         """
         latest_idle_since = time.monotonic() - self.limits.timeouts.outbound_reuse_delay_seconds
         with self.lock:
@@ -128,7 +129,7 @@
             if not candidates:
                 raise PoolExhaustedError("all outbound connections are in use")
             evicted = min(candidates, key=lambda idle: idle[0].idle_since).pop(0)
-        evicted.sock.close()  # its slot goes to the new connection: the count stays the same
+        evicted.sock.close()  # the new connection takes its slot, so `open_count` stays the same
 
     def release_slot(self) -> None:
         """Count a connection as closed, or as not opened."""
--- a/stepstream/http/exchange.py
+++ b/stepstream/http/exchange.py
@@ -8,7 +8,7 @@
 
 from stepstream.config.limits import Limits
 from stepstream.http.codec import Message, Parser, ProtocolError, is_interim
-from stepstream.http.load_reports import HEADER
+from stepstream.http.load_reports import LOAD_REPORT_HEADER
 from stepstream.http.worker_api import read_call_answer
 from stepstream.model.events import AttemptResult
 
@@ -21,7 +21,7 @@
     - WRITING, request written: AWAITING_ANSWER
     - WRITING, connection lost: ENDED (CONNECT_FAILED: an incomplete request never runs)
     - AWAITING_ANSWER, 202: JOB_ACCEPTED
-    - AWAITING_ANSWER, any other answer: ENDED (with what the answer says)
+    - AWAITING_ANSWER, any other answer: ENDED (with the result that the answer states)
     - AWAITING_ANSWER, connection lost: ENDED (RESET: the job may have run)
     - AWAITING_ANSWER, unreadable bytes: ENDED (RESET)
 
@@ -56,7 +56,7 @@
         return self.phase in (ExchangePhase.JOB_ACCEPTED, ExchangePhase.ENDED)
 
     def on_request_written(self) -> None:
-        """Record that the request's last byte is written: from now on the job may run."""
+        """Record that the request's last byte is written, so that the job may run from now on."""
         self.phase = ExchangePhase.AWAITING_ANSWER
 
     def receive(self, data: bytes) -> None:
@@ -83,7 +83,7 @@
         if result is None:
             self.phase = ExchangePhase.JOB_ACCEPTED
         else:
-            self.load_report_text = message.headers.get(HEADER)
+            self.load_report_text = message.headers.get(LOAD_REPORT_HEADER)
             self.end(result)
 
     def _is_between_messages(self, message: Message) -> bool:
@@ -96,7 +96,7 @@
         return message.keep_alive and self.parser.idle and is_request_written
 
     def connection_lost(self) -> None:
-        """Decide how an exchange ends whose connection broke or timed out.
+        """Decide how the exchange ends after its connection broke or timed out.
 
         A worker does not run a job whose request is incomplete. After the request's last byte, the
         job may have run.
--- a/stepstream/http/in_flight_call.py
+++ b/stepstream/http/in_flight_call.py
@@ -1,7 +1,7 @@
 """The state of an outbound call between its start and the worker's answer.
 
-Two threads meet here: the calling thread, which a pool of `OutboundCarrier` runs, and the decision
-thread, which may stop the call at any time. `InFlightCall` orders them by its lock.
+Two threads use it: the calling thread, from a pool of `OutboundCarrier`, and the decision thread,
+which may stop the call at any time. The lock of `InFlightCall` orders their steps.
 """
 
 import threading
@@ -15,7 +15,7 @@
 
 
 class CallPhase(Enum):
-    """How much of a call has been written; each phase follows the one before it.
+    """The progress of a call; each phase follows the one before it.
 
     UNSENT -- the request's last byte is written --> SENT -- 202, and no stop before it --> ACCEPTED
     """
@@ -31,7 +31,9 @@
     STOPPED = "the core has stopped it"
     NOT_NEEDED = "its client has disconnected, or another attempt was answered"
     QUEUED_TOO_LONG = "it has waited too long for a thread or a connection"
-    WINDOW_OVER = "the worker no longer recognizes it as a repeat of an earlier attempt"
+    IDEMPOTENCY_WINDOW_ENDED = (
+        "the worker no longer recognizes it as a repeat of an earlier attempt"
+    )
     ADDRESS_CHANGED = "the worker drains, is in maintenance or has moved"
 
 
@@ -42,7 +44,7 @@
 
     def __init__(self) -> None:
         # Guards `connection` and `stop_requested`, and the transition to ACCEPTED: a stop either
-        # closes the connection before the answer counts, or finds the job accepted.
+        # closes the connection before the answer is processed, or finds the job accepted.
         self.lock = threading.Lock()
         self.connection: PooledConnection | None = None  # while an exchange is under way
         self.stop_requested = False
@@ -70,7 +72,7 @@
             return exchange.connection_reusable
 
     def may_run_after_stop(self, result: AttemptResult | None) -> bool:
-        """Decide whether the worker may run the job of a stopped call, so that it is cancelled.
+        """Decide whether the worker may run the job of a stopped call; if so, it must be cancelled.
 
         The worker may have sent its 202 before it saw the connection close. The job cannot run if
         the request was not written, or if the worker answered that it has not started the job.
--- a/stepstream/http/json_body.py
+++ b/stepstream/http/json_body.py
@@ -8,7 +8,7 @@
 
 
 def read_json_object(body: bytes) -> dict[str, Any]:
-    """Return the JSON object in `body`; ProtocolError 400 for anything else."""
+    """Return the JSON object in `body`; raises ProtocolError 400 for anything else."""
     try:
         data = ujson.loads(body)
     except (ValueError, RecursionError) as error:
--- a/stepstream/http/named_numbers.py
+++ b/stepstream/http/named_numbers.py
@@ -10,11 +10,11 @@
 
 
 class PairFormatError(HttpError, ValueError):
-    """A part of a peer's text is not `name=value`."""
+    """A part of a text that a peer sent is not `name=value`."""
 
 
 def read_pairs(text: str) -> dict[str, str]:
-    """Split `name=value, name=value`; the values stay text.
+    """Split `name=value, name=value`; the values stay strings.
 
     Raises PairFormatError for a part without an equals sign.
     """
@@ -30,8 +30,8 @@
 def bounded_number(value: object) -> float:
     """Return a number from 0 to MAX_NUMBER that is given as a number or as text.
 
-    Raises ValueError for anything else. The bound guards the sums over workers: next to a number
-    like 1e300 all others would be lost to rounding.
+    Raises ValueError for anything else. The bound protects sums over workers: beside a number like
+    1e300, rounding would lose all others.
     """
     number = float(value) if isinstance(value, str) else value
     if (
--- a/stepstream/http/outbound.py
+++ b/stepstream/http/outbound.py
@@ -1,7 +1,7 @@
 """The carrier of calls to discovery's workers: a thread for each exchange, over pooled connections.
 
-A call uses a thread only until its 202. The outcome of the job arrives later, as a notification on
-an inbound connection.
+A call uses a thread only until the worker accepts the job by a 202. The outcome of the job arrives
+later, as a notification on an inbound connection.
 
 State: the connection pool, and the pool of calling threads, which also send cancellations and
 health checks. The state of each call is in its `InFlightCall`. The decision thread starts and stops
@@ -79,7 +79,7 @@
         self.threads.submit(self.run_call, call, in_flight)
 
     def stop(self, call: Call) -> None:
-        """Give up a call: close its connection before the 202, cancel its job after it.
+        """Stop a call: close its connection before the 202, or cancel its job after it.
 
         Never waits.
         """
@@ -96,7 +96,7 @@
         """Make a call, and post its end if the worker has not accepted the job."""
         try:
             result = self.call_worker(call, in_flight)
-        except Exception as error:  # noqa: BLE001  a fault here must still end its call
+        except Exception as error:  # noqa: BLE001  any fault must end the call
             log_events.internal_fault(where="a call", error=error)
             unsent = in_flight.phase is CallPhase.UNSENT
             result = AttemptResult.NOT_SENT if unsent else AttemptResult.RESET
@@ -136,7 +136,7 @@
     def claim_connection(
         self, call: Call, in_flight: InFlightCall, connection: PooledConnection
     ) -> bool:
-        """Make the last check before the first byte; from then on, a stop closes the connection."""
+        """Check for the last time before the first byte; later a stop closes the connection."""
         with in_flight.lock:
             if self.reason_not_to_send(call, in_flight, connection) is not None:
                 return False
@@ -148,11 +148,11 @@
     ) -> UnsentReason | None:
         """Decide whether a call must not be written; return why, or None if it may.
 
-        The check runs twice. Without a `connection` it saves the cost of acquiring one for a call
-        that is already useless. With the acquired connection, under the call's lock, it is the last
-        check before the first byte. While the call waited for a thread or a connection, the core
-        may have stopped it, its client may have disconnected, its idempotency window may have
-        ended, and its worker may have begun to drain.
+        The check runs twice. The first one, without a `connection`, saves the cost of acquiring one
+        for a call that is already useless. The second one, with the acquired connection and under
+        the call's lock, is the last check before the first byte. While the call waited for a thread
+        or a connection, the core may have stopped it, its client may have disconnected, its
+        idempotency window may have ended, and its worker may have begun to drain.
         """
         if in_flight.stop_requested:
             return UnsentReason.STOPPED
@@ -163,7 +163,7 @@
         if now_us - call.sent_us > max_wait_us:
             return UnsentReason.QUEUED_TOO_LONG
         if call.write_deadline_us is not None and now_us > call.write_deadline_us:
-            return UnsentReason.WINDOW_OVER
+            return UnsentReason.IDEMPOTENCY_WINDOW_ENDED
         if connection is not None and self._is_outdated(connection):
             return UnsentReason.ADDRESS_CHANGED
         return None
@@ -202,14 +202,16 @@
             connection.sock.sendall(data)
             in_flight.phase = CallPhase.SENT
             exchange.on_request_written()
-            read_by = time.monotonic() + self.limits.timeouts.call_answer_seconds
+            read_deadline_seconds = time.monotonic() + self.limits.timeouts.call_answer_seconds
             while not exchange.is_over:
                 exchange.receive(
-                    receive_until(connection.sock, read_by, self.limits.sizes.read_bytes)
+                    receive_until(
+                        connection.sock, read_deadline_seconds, self.limits.sizes.read_bytes
+                    )
                 )
                 # Guards the thread against an answer that begins and never ends.
-                body_by = time.monotonic() + self.limits.timeouts.answer_body_seconds
-                read_by = min(read_by, body_by)
+                body_deadline_seconds = time.monotonic() + self.limits.timeouts.answer_body_seconds
+                read_deadline_seconds = min(read_deadline_seconds, body_deadline_seconds)
         except OSError:
             exchange.connection_lost()
 
--- a/stepstream/http/worker_api.py
+++ b/stepstream/http/worker_api.py
@@ -1,7 +1,7 @@
 """The platform's API for workers: calls to them, and the notifications that they send.
 
-The platform calls a notification "news". Its paths, header and field names are translated only
-here. There is no state; any thread may use this module.
+The platform calls a notification "news". It defines the paths, header and field names, and only
+this module translates them. There is no state; any thread may use this module.
 """
 
 import ujson
@@ -19,18 +19,18 @@
 STATUS_BY_WIRE_NAME = {status.value: status for status in JobStatus}
 PROGRESS_STEPS = 1000  # the whole of a job; the wire has a fraction from 0 to 1
 JOB_ACCEPTED_STATUS = 202
-# Together with the header "Not-Started: 1".
+# With the header "Not-Started: 1", the worker states that it has not started the job.
 NOT_STARTED_STATUSES = (503, 504)
 
 
 def read_notification(
     message: Message, load_reports: LoadReportReader | None = None, *, forwarded: bool = False
 ) -> JobNotification | None:
-    """Return the notification in a message; ProtocolError if it is malformed.
+    """Return the notification in a message; raises ProtocolError if it is malformed.
 
-    None means an unknown status. Such a notification is acknowledged all the same, because its
-    sender would otherwise repeat it. `forwarded` marks one that the sibling process has forwarded;
-    it is not forwarded again.
+    Return None for an unknown status. Such a notification is acknowledged all the same, because its
+    sender would otherwise repeat it. `forwarded` marks a notification that the sibling process has
+    forwarded; it is not forwarded again.
     """
     if message.method != "POST":
         raise ProtocolError(405, "news arrives by POST")
@@ -56,7 +56,7 @@
 
 
 def read_progress(fraction: object) -> tuple[int, int] | None:
-    """Return a progress from 0 to 1 as (parts complete, parts in all); None for anything else."""
+    """Return a progress from 0 to 1 as (steps done, steps in all); None for anything else."""
     if isinstance(fraction, int | float) and 0 <= fraction <= 1:
         return int(fraction * PROGRESS_STEPS), PROGRESS_STEPS
     return None
@@ -98,8 +98,8 @@
 def read_call_answer(message: Message) -> AttemptResult | None:
     """Decide how a call ended by its worker's answer; None if the worker has accepted the job.
 
-    FULL only if the worker states that it has not started the job. After any other answer the job
-    may have run.
+    It is FULL only if the worker states that it has not started the job. After any other answer
+    the job may have run.
     """
     if message.status == JOB_ACCEPTED_STATUS:
         return None
--- a/tests/http/test_outbound.py
+++ b/tests/http/test_outbound.py
@@ -195,7 +195,7 @@
     ),
     "window ends": (
         lambda harness, call: setattr(call, "write_deadline_us", CLOCK.now_us() - 1),
-        UnsentReason.WINDOW_OVER,
+        UnsentReason.IDEMPOTENCY_WINDOW_ENDED,
     ),
     "worker moves": (
         lambda harness, call: harness.destinations.apply(endpoint_answer(w=free_port())),
