--- a/stepstream/model/actions.py
+++ b/stepstream/model/actions.py
@@ -10,13 +10,13 @@
 
     PERIODIC_TASKS = 0
     POLL_ENDPOINTS = 1
-    WAIT_EXPIRED = 2  # the wait of a job for headroom has ended
+    WAIT_EXPIRED = 2  # a job has waited for headroom for as long as it may
     START_DUE = 3  # an attempt should have started by now
 
 
 @record
 class StartAttempt:
-    """Start an attempt; attempts of a job count 0, 1, 2 ... in the order of their starts."""
+    """Send a job to a worker; attempts of a job are numbered 0, 1, 2 ... in this order."""
 
     job_id: str
     worker_id: str
@@ -25,7 +25,7 @@
 
 @record
 class Reject:
-    """A final answer that promises: the job never ran, or a repeat is harmless."""
+    """Reject a job as its final answer: it never ran, or another run is harmless."""
 
     job_id: str
     retry_after_us: int = 0
@@ -33,14 +33,14 @@
 
 @record
 class Fail:
-    """A final answer that promises nothing."""
+    """Fail a job as its final answer: it may have run, and another run may do harm."""
 
     job_id: str
 
 
 @record
 class CancelAttempt:
-    """Cancel an attempt, whether it waits or runs; its end is reported in any case."""
+    """Cancel a waiting or running attempt; the attempt's end is reported in any case."""
 
     job_id: str
     attempt_number: int
@@ -55,7 +55,7 @@
 
 @record
 class SetTimer:
-    """Report at this time that a timer has fired."""
+    """Set a timer: the dispatcher notifies the policy at this time by `TimerFired`."""
 
     token: TimerToken
     at_us: int
@@ -70,12 +70,12 @@
 
 @record
 class FetchEndpoints:
-    """Call for the complete endpoint list once. The wire has it; no rule uses it yet."""
+    """Fetch the complete endpoint list once. The simulator's wire has it; no rule uses it."""
 
 
 @record
 class WriteLog:
-    """Write a line to the log. The wire has it; no rule uses it yet."""
+    """Write a line to the log. The simulator's wire has it; no rule uses it."""
 
     text: str
 
--- a/stepstream/model/endpoints.py
+++ b/stepstream/model/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints: the workers that a source of endpoints lists."""
+"""Endpoints: the workers that discovery or another source lists."""
 
 from enum import Enum
 
@@ -6,7 +6,7 @@
 
 
 class EndpointState(Enum):
-    """Whether a worker may get new jobs. The values are the simulator's words."""
+    """Whether a worker may get new jobs. The values follow the simulator's terms."""
 
     ACTIVE = "in"
     DRAINING = "draining"
@@ -18,8 +18,8 @@
 
     CHANGES = "changes"  # they stay as they are
     COMPLETE = "complete"  # they are removed
-    PERSISTED = "persisted"  # they are removed; the list is from before a restart, maybe old
-    FAILED = "failed"  # they stay; a call for the list has failed, and it has no endpoints
+    PERSISTED = "persisted"  # they are removed; the list was saved before a restart, maybe outdated
+    FAILED = "failed"  # they stay as they are; the call for the list failed, so it has no endpoints
 
 
 @record
@@ -33,7 +33,7 @@
     state: EndpointState = EndpointState.ACTIVE
     weight: float = 1.0
     started_us: int = 0  # 0: unknown or long ago
-    # Names, as CLASS or TENANT/CLASS; None: every class of its kind.
+    # Names, as CLASS or TENANT/CLASS; None: every class that its worker kind runs.
     supported_jobs: frozenset[str] | None = None
 
 
--- a/stepstream/model/estimators.py
+++ b/stepstream/model/estimators.py
@@ -7,7 +7,7 @@
 from math import log
 
 NEWEST_JOB_WEIGHT = 0.02
-# The length of shorter runs says nothing about their worker.
+# Shorter runs count as this long: their exact length says nothing about their worker.
 MIN_RUN_US = 1_000
 # Index of the mean over all classes, behind those of the classes.
 ALL_CLASSES = -1
@@ -18,25 +18,29 @@
     return mean + weight * (newest - mean) if mean else max(newest, 1.0)
 
 
-def carry_over(
+def reorder_by_name(
     old_names: tuple[str, ...],
     new_names: tuple[str, ...],
     values: Sequence[float],
     default: float,
 ) -> list[float]:
-    """Return values that were learned by name in the order of the new names."""
-    known = dict(zip(old_names, values, strict=False))
-    return [known.get(name, default) for name in new_names]
+    """Return the values, which follow the old names, in the order of the new names.
+
+    A name that is new gets the default.
+    """
+    value_by_name = dict(zip(old_names, values, strict=False))
+    return [value_by_name.get(name, default) for name in new_names]
 
 
 class RunTimeEstimator:
     """How long jobs have taken, in running means by class."""
 
     def __init__(self, class_count: int, start_us: int) -> None:
-        # Served jobs' times from the attempt to its end, by class; the last one is of all classes.
+        # Mean times of served jobs from the sending of the attempt to its end, by class. The last
+        # mean is of all classes.
         self.mean_elapsed_us = [0.0] * (class_count + 1)
-        # Mean logarithms of the times from start to end, by class. A few long jobs must not decide
-        # what is usual.
+        # Mean logarithms of the times from start to end, by class. With logarithms a few long jobs
+        # do not decide what is usual.
         self.mean_log_run_us = [0.0] * class_count
         self.served_interval_us = 0.0  # mean time between two served jobs
         self.last_served_us = start_us
@@ -57,20 +61,25 @@
         )
 
     def slowness(self, job_class: int, run_us: int) -> float:
-        """Return how much longer than usual a run is, as a logarithm; 0 while that is unknown."""
-        known = 0 <= job_class < len(self.mean_log_run_us)
-        usual = self.mean_log_run_us[job_class] if known else 0.0
-        return log(max(run_us, MIN_RUN_US)) - usual if usual else 0.0
+        """Return the logarithm of the ratio of a run to the usual run of its class.
+
+        It is 0 while no run of the class is known.
+        """
+        is_current_class = 0 <= job_class < len(self.mean_log_run_us)
+        usual_log_us = self.mean_log_run_us[job_class] if is_current_class else 0.0
+        return log(max(run_us, MIN_RUN_US)) - usual_log_us if usual_log_us else 0.0
 
     def record_run(self, job_class: int, run_us: int) -> float:
-        """Count a run and return how much longer than usual it was, as a logarithm."""
+        """Count a run and return its `slowness`."""
         if 0 <= job_class < len(self.mean_log_run_us):
             run_log_us = log(max(run_us, MIN_RUN_US))
-            usual = self.mean_log_run_us[job_class]
-            self.mean_log_run_us[job_class] = running_mean(usual, run_log_us, NEWEST_JOB_WEIGHT)
+            mean_log_us = self.mean_log_run_us[job_class]
+            self.mean_log_run_us[job_class] = running_mean(
+                mean_log_us, run_log_us, NEWEST_JOB_WEIGHT
+            )
         return self.slowness(job_class, run_us)
 
     def carry_over(self, old_names: tuple[str, ...], new_names: tuple[str, ...]) -> None:
-        """Keep what was learned of the classes that replaced settings still name."""
-        self.mean_elapsed_us[:-1] = carry_over(old_names, new_names, self.mean_elapsed_us, 0.0)
-        self.mean_log_run_us = carry_over(old_names, new_names, self.mean_log_run_us, 0.0)
+        """Keep what was learned of the classes that the new settings still name."""
+        self.mean_elapsed_us[:-1] = reorder_by_name(old_names, new_names, self.mean_elapsed_us, 0.0)
+        self.mean_log_run_us = reorder_by_name(old_names, new_names, self.mean_log_run_us, 0.0)
--- a/stepstream/model/events.py
+++ b/stepstream/model/events.py
@@ -8,7 +8,7 @@
 
 
 class AttemptResult(Enum):
-    """How an attempt ended. The last three prove that the job never ran there."""
+    """How an attempt ended. The last three prove that the job never ran on that worker."""
 
     OK = "ok"
     ERROR = "error"
@@ -21,12 +21,12 @@
 
     @property
     def never_ran(self) -> bool:
-        """Return whether it proves that the job never ran on that worker."""
+        """Return whether this result proves that the job never ran on that worker."""
         return self in (AttemptResult.FULL, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT)
 
     @property
     def reflects_health(self) -> bool:
-        """Return whether it says anything about the worker's health."""
+        """Return whether this result says anything about the worker's health."""
         neutral = (AttemptResult.FULL, AttemptResult.NOT_SENT, AttemptResult.CANCELLED)
         return self not in neutral
 
@@ -79,9 +79,9 @@
 
 @record
 class JobAbandoned:
-    """No answer to the job is owed any more.
+    """The policy need not answer the job any more.
 
-    Its client has disconnected, or it was answered without the policy.
+    The job's client has disconnected, or the dispatcher has answered the job itself.
     """
 
     job_id: str
@@ -89,16 +89,16 @@
 
 @record
 class AnswerDue:
-    """The job's answer has to be given now to be in time; no attempt of it is open any more."""
+    """The job has to be answered now to meet its deadline; no attempt of the job is open."""
 
     job_id: str
 
 
 @record
 class EndpointCallFailed:
-    """A call for the endpoint list has failed: nothing confirms the list any more."""
+    """A call for the endpoint list has failed, so the list may be outdated."""
 
-    unconfirmed_us: int = 0  # for how long the list may have been outdated already
+    unconfirmed_us: int = 0  # for how long before the failure the list may have been outdated
 
 
 @record
@@ -108,7 +108,7 @@
 
 @record
 class ConnectionRefused:
-    """A worker's machine has refused a connection: its process had ended."""
+    """A worker's machine has refused a connection, so the worker's process has ended."""
 
     worker_id: str
 
@@ -122,7 +122,7 @@
 
 @record
 class SettingsChanged:
-    """The settings were replaced; what was learned of classes and tenants stays, by name."""
+    """The settings were replaced; what was learned of classes and tenants is kept by name."""
 
     settings: Settings
 
--- a/stepstream/model/job_mix.py
+++ b/stepstream/model/job_mix.py
@@ -5,9 +5,9 @@
 
 from stepstream.model.estimators import NEWEST_JOB_WEIGHT
 
-# Stands for the fraction of priority jobs before any job is seen.
+# The assumed fraction of priority jobs before any job is seen.
 INITIAL_PRIORITY_FRACTION = 0.2
-# Past this count the counts are halved, so that old jobs weigh less.
+# With more jobs the counts are halved, so that old jobs weigh less.
 MAX_JOBS_COUNTED = 1000
 
 
@@ -27,12 +27,12 @@
         self.jobs_by_key[key] = self.jobs_by_key.get(key, 0) + 1
 
     def record_weight(self, weight: float) -> None:
-        """Count a job's weight."""
-        self.mean_weight = _mean(self.mean_weight, weight)
+        """Include a job's weight in the mean of all jobs."""
+        self.mean_weight = _update_mean(self.mean_weight, weight)
 
     def record_ordinary_weight(self, weight: float) -> None:
-        """Count an ordinary job's weight."""
-        self.mean_ordinary_weight = _mean(self.mean_ordinary_weight, weight)
+        """Include a job's weight in the mean of the ordinary jobs."""
+        self.mean_ordinary_weight = _update_mean(self.mean_ordinary_weight, weight)
 
     def record_priority(self, *, priority: bool) -> None:
         """Count a job as a priority job or as an ordinary one."""
@@ -40,11 +40,11 @@
 
     def key_fraction(self, key: str | None) -> float:
         """Return the fraction of recent jobs with this key, without the present job."""
-        others = self.jobs_by_key.get(key, 1) - 1
-        return others / (self.jobs_seen + 1 / NEWEST_JOB_WEIGHT)
+        earlier_jobs = self.jobs_by_key.get(key, 1) - 1
+        return earlier_jobs / (self.jobs_seen + 1 / NEWEST_JOB_WEIGHT)
 
     def forget_old_jobs(self) -> None:
-        """Halve the counts once there are too many."""
+        """Halve the counts if they include more than MAX_JOBS_COUNTED jobs."""
         if self.jobs_seen > MAX_JOBS_COUNTED:
             self.jobs_seen //= 2
             self.jobs_by_key = {
@@ -52,6 +52,6 @@
             }
 
 
-def _mean(mean: float, newest: float) -> float:
+def _update_mean(mean: float, newest: float) -> float:
     """Return a running mean whose first value counts in full; 0 stands for no value yet."""
     return mean + NEWEST_JOB_WEIGHT * (newest - mean) if mean else mean + newest
--- a/stepstream/model/job_records.py
+++ b/stepstream/model/job_records.py
@@ -22,7 +22,7 @@
     open: bool = True
     started_us: int = 0  # 0: no start was reported
     start_overdue: bool = False  # it had not started when its start was due
-    presumed_lost: bool = False  # by a load report of its worker
+    presumed_lost: bool = False  # by a load report of its worker: it will never start
     never_ran: bool = False  # its result proves that the job did not run
 
     @property
@@ -37,11 +37,11 @@
 
     request: JobSubmitted
     class_settings: JobClass  # as they were when the job arrived
-    wait_until_us: int  # the end of its wait for headroom
+    wait_until_us: int  # how long it may wait for headroom
     deadline_us: int  # when its client gives up
     priority: bool  # served by the High Set
     priority_weight: float
-    over_quota: bool = False  # its tenant is over its quota
+    over_quota: bool = False  # its tenant was over its quota when it arrived
     stale_retry: bool = False  # a client's retry that has already missed its latency objective
     attempts: list[Attempt] = field(default_factory=list)
     wait_timer_set: bool = False
@@ -54,15 +54,15 @@
 
     @property
     def tried_workers(self) -> list[Worker]:
-        """Return the workers of its attempts, in their order."""
+        """Return the workers of the job's attempts, in the order of the attempts."""
         return [attempt.worker for attempt in self.attempts]
 
-    def attempt_at(self, number: int) -> Attempt | None:
-        """Return the attempt of this number, or None if there was none."""
-        return self.attempts[number] if 0 <= number < len(self.attempts) else None
+    def attempt_at(self, attempt_number: int) -> Attempt | None:
+        """Return the attempt with this number, or None if there is none."""
+        return self.attempts[attempt_number] if 0 <= attempt_number < len(self.attempts) else None
 
     def reclassify(self, class_names: tuple[str, ...]) -> None:
-        """Find its class in new settings by name, `REMOVED_CLASS` if they lack it."""
+        """Set the index of the job's class by its name in new settings, or to `REMOVED_CLASS`."""
         name = self.class_settings.name
         index = class_names.index(name) if name in class_names else REMOVED_CLASS
         self.request = replace(self.request, job_class=index)
--- a/stepstream/model/load_report_lag.py
+++ b/stepstream/model/load_report_lag.py
@@ -14,10 +14,11 @@
 
 
 class LoadReportLag:
-    """The candidate lag by which reports agree best with our own attempts.
+    """Finds the candidate lag at which reports agree best with this dispatcher's attempts.
 
-    Between two reports of a worker its free slots change by the attempts that we started and that
-    ended a lag earlier. What other dispatchers do there adds the same error to all candidates.
+    Between two reports of a worker, its reported free slots change by this dispatcher's attempts
+    that were sent or ended one lag before the reports. Attempts of other dispatchers on the worker
+    add the same error to all candidates.
     """
 
     def __init__(self) -> None:
@@ -29,7 +30,7 @@
         return CANDIDATE_LAGS_US[self.errors.index(min(self.errors))]
 
     def unreported_slots(self, worker: Worker, now_us: int) -> float:
-        """Return the slots of our own changes that a report arriving now does not include."""
+        """Return the change of our busy slots that a report arriving now does not include."""
         since_us = now_us - self.lag_us
         unreported = 0.0
         for at_us, slots in reversed(worker.busy_history):
@@ -41,13 +42,13 @@
     def record_report(self, worker: Worker, now_us: int, headroom: float) -> None:
         """Compare a report's headroom, in slots, with the worker's previous report."""
         previous_us = worker.last_report_us
-        previous = worker.last_report_headroom
+        previous_headroom = worker.last_report_headroom
         worker.last_report_us = now_us
         worker.last_report_headroom = headroom
         if now_us - previous_us > MAX_REPORT_INTERVAL_US:
             return
         own_changes = [0.0] * len(CANDIDATE_LAGS_US)
-        # Newest first: reports come often, so few changes are looked at.
+        # Newest first: reports come often, so the loop ends after a few changes.
         for at_us, slots in reversed(worker.busy_history):
             if at_us + MAX_REPORT_LAG_US < previous_us:
                 break
@@ -55,5 +56,5 @@
                 if previous_us <= at_us + lag_us < now_us:
                     own_changes[index] += slots
         for index, slots in enumerate(own_changes):
-            squared_error = (headroom - previous + slots) ** 2
+            squared_error = (headroom - previous_headroom + slots) ** 2
             self.errors[index] += NEWEST_ERROR_WEIGHT * (squared_error - self.errors[index])
--- a/stepstream/model/pool_load.py
+++ b/stepstream/model/pool_load.py
@@ -21,13 +21,13 @@
         self.averaged_at_us = start_us
         self.high_set = Pool()
         self.low_set = Pool()
-        # Slots of ours that one worker may be loaded with, often a fraction of one slot.
+        # How many slots of this dispatcher's attempts one worker may have; often less than one.
         self.worker_cap = inf
-        # Measured at most once a round, by pool.
+        # The headroom of each pool, measured at most once a round.
         self.headrooms: dict[Pool, float] = {}
 
     def advance(self, now_us: int) -> None:
-        """Bring the averages up to the present."""
+        """Update the averages to the present time."""
         weight = 1 - exp(-(now_us - self.averaged_at_us) / AVERAGING_TIME_CONSTANT_US)
         self.averaged_at_us = now_us
         for pool in (self.high_set, self.low_set):
--- a/stepstream/model/records.py
+++ b/stepstream/model/records.py
@@ -1,8 +1,8 @@
 """Immutable records that are cheap to define.
 
-A frozen dataclass has six methods that are generated and compiled for each class. With some seventy
-records that was half of the time that a dispatcher needs to import its modules, and operators wait
-for each start. A record has one generated method, its initializer, and shares all others.
+For a frozen dataclass six methods are generated and compiled for each class. With some seventy
+records this took half of the time that a dispatcher needs to import its modules, and operators wait
+for each start. Of a record only the initializer is generated; all records share the other methods.
 """
 
 from dataclasses import dataclass, field
@@ -19,24 +19,24 @@
     """
     cls.__eq__ = _is_equal  # type: ignore[method-assign]
     cls.__hash__ = _hash  # type: ignore[method-assign]
-    cls.__repr__ = _text  # type: ignore[method-assign]
+    cls.__repr__ = _repr  # type: ignore[method-assign]
     return dataclass(eq=False, repr=False, slots=True)(cls)
 
 
-def _values(instance: Any) -> tuple[object, ...]:  # noqa: ANN401  a record of any class
+def _field_values(instance: Any) -> tuple[object, ...]:  # noqa: ANN401  a record of any class
     return tuple(getattr(instance, name) for name in instance.__dataclass_fields__)
 
 
 def _is_equal(self: object, other: object) -> Any:  # noqa: ANN401  a bool or NotImplemented
     if type(self) is not type(other):
         return NotImplemented
-    return _values(self) == _values(other)
+    return _field_values(self) == _field_values(other)
 
 
 def _hash(self: object) -> int:
-    return hash(_values(self))
+    return hash(_field_values(self))
 
 
-def _text(self: Any) -> str:  # noqa: ANN401  a record of any class
+def _repr(self: Any) -> str:  # noqa: ANN401  a record of any class
     fields = (f"{name}={getattr(self, name)!r}" for name in self.__dataclass_fields__)
     return f"{type(self).__qualname__}({', '.join(fields)})"
--- a/stepstream/model/settings.py
+++ b/stepstream/model/settings.py
@@ -1,6 +1,6 @@
 """Settings of one deployment, as the policy and the dispatcher read them.
 
-Times are whole microseconds on the caller's clock, which only moves forward.
+Times are whole microseconds on the caller's monotonic clock.
 
 Four fields have no effect: `JobClass.objective_stretch`, `Settings.health_check_price`,
 `Settings.drain_grace_us` and `Settings.answer_grace_us`. Their keys are valid and checked, and
@@ -14,7 +14,7 @@
 
 
 class Effect(Enum):
-    """What a repeat of a job of this class may do."""
+    """Whether a job of a class may run more than once."""
 
     IDEMPOTENT = "safe"  # may be repeated freely
     IDEMPOTENT_WITH_KEY = "keyed"  # repeats are dropped inside the key's scope and window
@@ -22,7 +22,7 @@
 
 
 class KeyScope(StrEnum):
-    """How far an idempotency key reaches: repeats inside the scope are dropped."""
+    """Where workers recognize an idempotency key: they drop repeats inside this scope."""
 
     ALL = "all"
     ZONE = "zone"
@@ -39,7 +39,7 @@
 
 @record
 class JobClass:
-    """The terms of one class of jobs."""
+    """Settings of one job class."""
 
     latency_objective_us: int  # an answer within it earns the full weight
     deadline_us: int
@@ -99,4 +99,4 @@
     @property
     def class_names(self) -> tuple[str, ...]:
         """Return the names of the classes in their order."""
-        return tuple(kind.name for kind in self.classes)
+        return tuple(job_class.name for job_class in self.classes)
--- a/stepstream/model/state.py
+++ b/stepstream/model/state.py
@@ -1,4 +1,4 @@
-"""What one load balancer knows, by owner: workers, pools, jobs, measurements, outgoing actions.
+"""The state of one load balancer: workers, pools, jobs, measurements, outgoing actions.
 
 The policy's modules read and change these records; only the decision thread touches them.
 """
@@ -16,7 +16,7 @@
 from stepstream.model.tenant_usage import TenantUsage
 from stepstream.model.worker_records import Worker
 
-# One start on a slow worker must not stand for the whole fleet.
+# Several caps are kept, so that one start on a slow worker does not decide for the whole fleet.
 MAX_CAPS_OBSERVED = 15
 
 
@@ -26,10 +26,8 @@
     def __init__(self) -> None:
         self.by_id: dict[str, Worker] = {}
         self.eligible: list[Worker] = []  # the active ones, in the order of their ids
-        self.by_key: dict[str, list[Worker]] = {}  # eligible ones, in the order of each key
-        self.warm_worker_equivalents = (
-            0.0  # eligible workers, each counted by its slow-start factor
-        )
+        self.key_orders: dict[str, list[Worker]] = {}  # the eligible workers in each key's order
+        self.warm_worker_equivalents = 0.0  # the sum of the eligible workers' slow-start factors
         # Since when nothing has confirmed the endpoint list; None: it is confirmed.
         self.unconfirmed_since_us: int | None = None
         # Whether to try the waiting jobs again: headroom was freed or measured, or a period began.
@@ -37,7 +35,7 @@
 
 
 class JobTable:
-    """The jobs in flight, and what they wait for."""
+    """The jobs in flight, those that wait for headroom, and the awaited starts."""
 
     def __init__(self) -> None:
         self.in_flight: dict[str, InFlightJob] = {}  # by job id
@@ -53,14 +51,14 @@
         self.tenant_usage = TenantUsage(settings.quotas_per_s)
         self.run_times = RunTimeEstimator(len(settings.classes), start_us)
         self.report_lag = LoadReportLag()
-        # Slots; the median of the known caps, which stands for an unknown one.
+        # Slots; the median of the known caps, which is used for a worker without a known cap.
         self.common_cap: float | None = None
         # Slots; caps that recent attempts' starts have shown.
         self.observed_caps: deque[float] = deque(maxlen=MAX_CAPS_OBSERVED)
         self.health_check_credit = 0.0  # health checks that may be sent at the end of the period
 
     def carry_over(self, old: Settings, new: Settings) -> None:
-        """Keep what was learned of classes and tenants that replaced settings still name."""
+        """Keep what was learned of the classes and tenants that the new settings still name."""
         self.run_times.carry_over(old.class_names, new.class_names)
         self.tenant_usage.carry_over(old.tenants, new.tenants)
 
@@ -80,7 +78,7 @@
         self.actions: list[PolicyAction] = []
 
     def begin_round(self, now_us: int) -> None:
-        """Set the time of the events that follow."""
+        """Begin a round: set the time of its events, and update the pools' averages."""
         self.now_us = now_us
         self.pools.headrooms = {}
         self.pools.advance(now_us)
@@ -92,7 +90,7 @@
         return actions
 
     def replace_settings(self, new: Settings) -> None:
-        """Go on under new settings, and keep what was learned by the names of classes, tenants."""
+        """Replace the settings; keep what was learned of classes and tenants by their names."""
         old = self.settings
         self.settings = new
         self.has_load_reports = new.load_report_source != LoadReportSource.NONE
--- a/stepstream/model/tenant_usage.py
+++ b/stepstream/model/tenant_usage.py
@@ -1,16 +1,16 @@
-"""Running statistics of each tenant's part of the jobs.
+"""Running statistics of each tenant's fraction of the jobs.
 
 State: each tenant's fraction of the jobs and its credit. Only the decision thread touches it.
 """
 
-from stepstream.model.estimators import NEWEST_JOB_WEIGHT, carry_over
+from stepstream.model.estimators import NEWEST_JOB_WEIGHT, reorder_by_name
 
 # The first estimate weighs as much as this many jobs.
 PRIOR_JOBS = 10
 
 
 class TenantUsage:
-    """Each tenant's fraction of the jobs seen here, and the jobs it may still send."""
+    """Each tenant's fraction of the jobs seen here, and the jobs left in its quota."""
 
     def __init__(self, quotas_per_s: tuple[float, ...]) -> None:
         total = sum(quotas_per_s) or 1.0
@@ -19,7 +19,7 @@
         self.credit_jobs = [1.0] * len(quotas_per_s)
 
     def record_job(self, tenant: int, jobs_seen: int) -> None:
-        """Count a job of the tenant, which is the `jobs_seen`th job of all."""
+        """Count a job of the tenant; `jobs_seen` is the number of all jobs with this one."""
         weight = max(NEWEST_JOB_WEIGHT, 1 / (jobs_seen + PRIOR_JOBS))
         self.job_fractions = [
             fraction + weight * ((index == tenant) - fraction)
@@ -27,6 +27,6 @@
         ]
 
     def carry_over(self, old_names: tuple[str, ...], new_names: tuple[str, ...]) -> None:
-        """Keep what was learned of the tenants that replaced settings still name."""
-        self.job_fractions = carry_over(old_names, new_names, self.job_fractions, 0.0)
-        self.credit_jobs = carry_over(old_names, new_names, self.credit_jobs, 1.0)
+        """Keep what was learned of the tenants that the new settings still name."""
+        self.job_fractions = reorder_by_name(old_names, new_names, self.job_fractions, 0.0)
+        self.credit_jobs = reorder_by_name(old_names, new_names, self.credit_jobs, 1.0)
--- a/stepstream/model/worker_records.py
+++ b/stepstream/model/worker_records.py
@@ -24,11 +24,11 @@
 
 @dataclass(eq=False, slots=True)
 class ClassEjection:
-    """A job class that a worker gets no jobs of, as it did not start earlier ones."""
+    """The ejection of one job class from a worker that did not start earlier jobs of it."""
 
     ejection_time_us: int = 0
     next_probation_us: int = 0  # when the next probation attempt may be sent
-    ejected_at_us: int = 0  # the latest ejection; older attempts led to it
+    ejected_at_us: int = 0  # when it was last ejected; attempts sent before do not extend that
 
 
 @dataclass(eq=False, slots=True)
@@ -39,12 +39,12 @@
     slow_start_ends_us: int  # when the worker has warmed up
     last_attempt_us: float  # our last attempt on it, or when we learned that it had started
     pool: Pool
-    slow_start_window_ends_us: float = -inf  # of the window that `admitted_in_window` is for
-    admitted_in_window: bool = False  # whether one attempt may go to it within that window
+    slow_start_window_ends_us: float = -inf  # end of the window that `admitted_in_window` is for
+    admitted_in_window: bool = False  # whether it may get one attempt within that window
     current_weight: float = 0.0  # of smooth weighted round robin
     busy_slots: float = 0.0  # slots of our unfinished attempts
     running_slots: float = 0.0  # the busy slots whose attempts have started
-    cap: float | None = None  # slots that it may be loaded with; None: not learned yet
+    cap: float | None = None  # slots that it may be loaded with; None: not known yet
     headroom: float = 0.0  # free slots when last measured, less our own changes since
     headroom_at_us: float = -inf  # when the headroom was measured
     last_report_us: float = -inf
@@ -64,8 +64,8 @@
     def __post_init__(self) -> None:
         self.id_hash = crc32(self.endpoint.worker_id.encode())
 
-    def change_busy(self, now_us: int, slots: float) -> None:
-        """Change the slots of our unfinished attempts on it, and its headroom with them."""
+    def change_busy_slots(self, now_us: int, slots: float) -> None:
+        """Add to the slots of our unfinished attempts on it, and take them off its headroom."""
         self.busy_slots += slots
         self.busy_history.append((now_us, slots))
         while self.busy_history[0][0] < now_us - BUSY_HISTORY_US:
@@ -73,7 +73,7 @@
         self.headroom -= slots
 
     def reclassify_ejections(self, old_names: tuple[str, ...], new_names: tuple[str, ...]) -> None:
-        """Find the ejected classes among replaced settings by name; drop those that are gone."""
+        """Replace the ejected classes' indexes by those of new settings; drop removed classes."""
         self.class_ejections = {
             new_names.index(old_names[job_class]): ejection
             for job_class, ejection in self.class_ejections.items()
--- a/stepstream/policy/capacity.py
+++ b/stepstream/policy/capacity.py
@@ -102,7 +102,7 @@
 
 def change_busy_slots(state: PolicyState, worker: Worker, slots: float) -> None:
     """Change the slots of our unfinished attempts on a worker, and note whether that frees one."""
-    worker.change_busy(state.now_us, slots)
+    worker.change_busy_slots(state.now_us, slots)
     worker.pool.busy_slots += slots
     if slots < 0 and headroom(state, worker) >= MIN_USEFUL_HEADROOM_SLOTS:
         state.workers.waiting_jobs_due = True
--- a/stepstream/policy/endpoint_updates.py
+++ b/stepstream/policy/endpoint_updates.py
@@ -21,7 +21,7 @@
         for _, worker in sorted(workers.by_id.items())
         if worker.endpoint.state is EndpointState.ACTIVE
     ]
-    workers.by_key = {}
+    workers.key_orders = {}
     workers.waiting_jobs_due = True
     slow_start.count_warm_workers(state)
 
--- a/stepstream/policy/key_affinity.py
+++ b/stepstream/policy/key_affinity.py
@@ -17,7 +17,7 @@
 
     Orders are kept for as many keys as there may be open requests; the oldest one makes room.
     """
-    orders = state.workers.by_key
+    orders = state.workers.key_orders
     if key not in orders:
         if len(orders) >= max(state.settings.max_open_requests, 1):
             del orders[next(iter(orders))]
--- a/tests/model/test_estimators.py
+++ b/tests/model/test_estimators.py
@@ -8,7 +8,7 @@
     MIN_RUN_US,
     NEWEST_JOB_WEIGHT,
     RunTimeEstimator,
-    carry_over,
+    reorder_by_name,
     running_mean,
 )
 
@@ -20,7 +20,7 @@
 
 
 def test_values_follow_their_names_and_new_names_get_the_default():
-    assert carry_over(("a", "b"), ("b", "c"), [1.0, 2.0], 0.5) == [2.0, 0.5]
+    assert reorder_by_name(("a", "b"), ("b", "c"), [1.0, 2.0], 0.5) == [2.0, 0.5]
 
 
 def test_served_jobs_give_means_by_class_and_of_all():
--- a/tests/model/test_load_report_lag.py
+++ b/tests/model/test_load_report_lag.py
@@ -20,7 +20,7 @@
     busy = [(0, 0.0)]
     for step in range(4000):
         now, slots = busy[-1][0] + draw.randrange(10_000, 50_000), draw.choice((1.0, -1.0))
-        worker.change_busy(now, slots)
+        worker.change_busy_slots(now, slots)
         busy.append((now, busy[-1][1] + slots))
         if step % 10 == 0:
             told = next(held for at, held in reversed(busy) if at <= max(now - true_us, 0))
@@ -32,7 +32,7 @@
 def test_changes_within_the_lag_are_not_in_a_report():
     lag, worker = LoadReportLag(), Worker(make_endpoint(0), 0, 0, Pool())
     for at_us, slots in ((10_000, 3.0), (85_000, 2.0), (95_000, -1.0)):
-        worker.change_busy(at_us, slots)
+        worker.change_busy_slots(at_us, slots)
     assert lag.lag_us == CANDIDATE_LAGS_US[0] == 20_000
     assert lag.unreported_slots(worker, 100_000) == 1.0
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -80,4 +80,4 @@
     limit = state.settings.max_open_requests  # no more keys can be in use at once
     for number in range(limit + 1):
         workers_in_key_order(state, f"key-{number}")
-    assert len(state.workers.by_key) <= limit
+    assert len(state.workers.key_orders) <= limit
