--- a/stepstream/model/job_records.py
+++ b/stepstream/model/job_records.py
@@ -37,7 +37,7 @@
 
     request: JobSubmitted
     class_settings: JobClass  # as they were when the job arrived
-    wait_until_us: int  # how long it may wait for headroom
+    wait_until_us: int  # until when it may wait for headroom
     deadline_us: int  # when its client gives up
     priority: bool  # served by the High Set
     priority_weight: float
--- a/stepstream/policy/admission.py
+++ b/stepstream/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission: what kind of job arrives, and whether it is rejected at once."""
+"""Admission: classify each job that arrives, and decide whether to reject it at once."""
 
 from stepstream.model.events import JobSubmitted
 from stepstream.model.job_records import InFlightJob
@@ -6,11 +6,12 @@
 from stepstream.model.state import PolicyState
 from stepstream.policy import load_reports, pool_capacity, pools, priority, quotas, retries, waiting
 
-# With many dispatchers; heavy jobs are worth a little overload, light ones are not.
+# With many dispatchers the Low Set may exceed its caps by this fraction of them for a heavy
+# ordinary job. Heavy jobs are worth a little overload, light ones are not.
 MAX_HEAVY_OVERLOAD_FRACTION_OF_CAPS = 0.5
 
 
-def on_job(state: PolicyState, request: JobSubmitted) -> None:
+def on_job_submitted(state: PolicyState, request: JobSubmitted) -> None:
     """Reject the job or start its first attempt."""
     load_reports.credit_health_checks(state)
     job = _classify(state, request)
@@ -22,7 +23,7 @@
 
 
 def _classify(state: PolicyState, request: JobSubmitted) -> InFlightJob:
-    """Count a job that has arrived and return its record, with its priority and its quota."""
+    """Count a job that has arrived; return its record, with its priority and its quota's state."""
     job_class = state.settings.classes[request.job_class]
     over_quota = _charge_quota(state, request)
     weight = job_class.priority_weight
@@ -43,7 +44,7 @@
 
 
 def _charge_quota(state: PolicyState, request: JobSubmitted) -> bool:
-    """Charge a job to its tenant's quota; return whether it is over it and loses weight."""
+    """Charge a job to its tenant's quota; return whether the job loses weight by being over it."""
     measurements = state.measurements
     measurements.job_mix.record_arrival(request.key)
     within_quota = quotas.charge_quota(
@@ -67,10 +68,11 @@
 
 
 def _has_missed_objective(settings: Settings, request: JobSubmitted, job_class: JobClass) -> bool:
-    """Return whether a client's retry has already missed its objective and earns nothing.
+    """Return whether a client's retry has already missed its latency objective and earns nothing.
 
-    The client has waited as the earlier rejection advised. Where that is longer than the objective,
-    and the class earns nothing after it, its first attempt can still be in time, a retry cannot.
+    The client has waited as long as the earlier rejection advised. If this wait is longer than the
+    objective, no retry can meet the objective. Only a class with a late weight still earns anything
+    then.
     """
     if not request.client_retry or job_class.late_weight_fraction:
         return False
@@ -114,9 +116,10 @@
 
 
 def _is_soon_served(state: PolicyState, job: InFlightJob) -> bool:
-    """Return whether the job's turn is likely to come in time, at the rate at which our jobs end.
+    """Return whether the job is likely to start in time, at the rate at which our jobs end.
 
-    Only load reports tell. Without them the caps come from overdue starts, which count a queue.
+    Without load reports this is not known: the caps come from overdue starts, and include attempts
+    that wait in the workers' queues.
     """
     if not state.has_load_reports:
         return False
@@ -125,9 +128,9 @@
 
 
 def _yields_to_first_attempts(state: PolicyState, job: InFlightJob) -> bool:
-    """Return whether a stale retry is rejected: the Low Set has less than a worker's headroom.
+    """Return whether a job is a stale retry and the Low Set's headroom is below one worker's cap.
 
-    First attempts would wait behind a retry that earns nothing.
+    Such a retry is rejected: first attempts would wait behind a job that earns nothing.
     """
     if not job.stale_retry:
         return False
--- a/stepstream/policy/attempts.py
+++ b/stepstream/policy/attempts.py
@@ -1,7 +1,7 @@
 """Attempts from their sending to their end: what each change does to the records.
 
-A start, an overdue start and an end are evidence of a worker's capacity and health; it is passed to
-the modules that learn from it.
+A start, an overdue start and an end are evidence of a worker's capacity and health. They are passed
+to the modules that learn from them.
 """
 
 from stepstream.model.actions import CancelAttempt, StartAttempt
@@ -24,14 +24,14 @@
 
 
 def cancel_attempts(state: PolicyState, job: InFlightJob, attempts: list[Attempt]) -> None:
-    """Cancel those of the job's attempts that are open, where the platform can cancel."""
+    """Cancel those of the given attempts that are open, where the platform can cancel."""
     for number, attempt in enumerate(job.attempts):
         if state.settings.may_cancel and attempt.open and attempt in attempts:
             state.actions.append(CancelAttempt(job.request.job_id, number))
 
 
 def end_job(state: PolicyState, job: InFlightJob) -> None:
-    """Note that no answer is owed any more, and cancel the attempts that nobody needs now."""
+    """Record that no answer is owed any more, and cancel the job's open attempts."""
     job.ended = True
     cancel_attempts(state, job, job.attempts)
     if not job.has_open_attempt:
@@ -39,7 +39,7 @@
 
 
 def record_start(state: PolicyState, job: InFlightJob, attempt: Attempt) -> None:
-    """Note that a worker has started an attempt; a start may be reported twice."""
+    """Record that a worker has started an attempt; a start may be reported twice."""
     worker = attempt.worker
     if not attempt.started:
         _change_running_slots(worker, job.request.slots)
@@ -51,7 +51,7 @@
 
 
 def record_overdue_start(state: PolicyState, attempt: Attempt) -> None:
-    """Note that an attempt has not started when it was due: its worker has no headroom."""
+    """Record that an attempt did not start by its due time: its worker has no headroom."""
     worker = attempt.worker
     attempt.start_overdue = True
     if worker.pool is state.pools.low_set:
@@ -60,7 +60,7 @@
 
 
 def record_end(state: PolicyState, job: InFlightJob, attempt: Attempt, ended: AttemptEnded) -> None:
-    """Note that an attempt is over, and how long it took if its job was served."""
+    """Record that an attempt is over, and how long it took if its job was served."""
     attempt.open = False
     attempt.never_ran = ended.result.never_ran
     capacity.change_busy_slots(state, attempt.worker, -job.request.slots)
@@ -71,7 +71,7 @@
 
 
 def _record_served(state: PolicyState, job: InFlightJob, attempt: Attempt, elapsed_us: int) -> None:
-    """Count a served job in the run times of its class and its worker."""
+    """Include a served job in the run times of its class and of its worker."""
     job_class = job.request.job_class
     state.measurements.run_times.record_served(state.now_us, job_class, elapsed_us)
     if attempt.started:
--- a/stepstream/policy/capacity.py
+++ b/stepstream/policy/capacity.py
@@ -1,9 +1,10 @@
 """Capacity of single workers: their caps and their headroom, in slots.
 
-A cap is the number of slots that a worker may be loaded with. Headroom is what is free of it. Caps
-are learned, as no dispatcher knows them beforehand. `Worker.cap` is a worker's own cap, by its last
-answer 'full'; the common cap is the median of all known ones and stands for an unknown cap. With
-many dispatchers a pool has caps instead, see `policy.pool_capacity`.
+A cap is the number of slots that a worker may be loaded with. Headroom is the free part of the cap.
+Caps are learned, as no dispatcher knows them beforehand. `Worker.cap` is a worker's own cap: it is
+set by the worker's last answer 'full'. The common cap is the median of all known caps; it is used
+for a worker whose own cap is unknown. With many dispatchers a pool has caps instead, see
+`policy.pool_capacity`.
 """
 
 from math import inf
@@ -12,12 +13,12 @@
 from stepstream.model.worker_records import Worker
 
 HEADROOM_VALID_US = 2_000_000
-# Part of its slots at 'full' that a worker may be loaded with and still meet the latency
-# objectives: the figures of Andreolini et al., "A cluster-based Web system providing differentiated
-# and guaranteed services".
+# The fraction of its busy slots at an answer 'full' that a worker may be loaded with and still meet
+# the latency objectives. The figures are those of Andreolini et al., "A cluster-based Web system
+# providing differentiated and guaranteed services".
 SAFETY_FACTOR = 18 / 26
 MIN_CAP_SLOTS = 1.0
-# Freed headroom below this does not wake the waiting jobs.
+# With less headroom on a worker the waiting jobs are not tried again.
 MIN_USEFUL_HEADROOM_SLOTS = 1.0
 
 
@@ -25,9 +26,9 @@
     """Return the slots that a worker has free.
 
     A measurement counts for HEADROOM_VALID_US. After that the headroom is the worker's cap less its
-    busy slots; the common cap stands for an unknown cap. Where load is reported the common cap
-    stands for every cap: a worker's own cap from an old 'full' could look larger than the others'
-    and draw the attempts.
+    busy slots; the common cap is used if the worker's own cap is unknown. Where workers report
+    their load, the common cap is used for all of them: an own cap from an old 'full' could be
+    larger than the others' caps and attract the attempts.
     """
     if state.now_us - worker.headroom_at_us <= HEADROOM_VALID_US:
         return worker.headroom
@@ -55,8 +56,9 @@
 def median_cap(state: PolicyState) -> float | None:
     """Return the median of the known caps in slots, or None while no cap is known.
 
-    Three kinds of evidence give caps: a valid measurement of headroom together with the busy slots,
-    an answer 'full', and the starts of recent attempts. Starts count only without load reports.
+    Caps are known from three kinds of evidence: a valid measurement of headroom together with the
+    busy slots, an answer 'full', and the starts of recent attempts. Starts count only without load
+    reports.
     """
     valid_since_us = state.now_us - HEADROOM_VALID_US
     if state.has_load_reports:
@@ -89,19 +91,19 @@
 
 
 def measure_common_cap(state: PolicyState) -> None:
-    """Measure anew the cap that stands for unknown ones."""
+    """Measure the common cap anew."""
     state.measurements.common_cap = median_cap(state)
 
 
 def measure_missing_common_cap(state: PolicyState) -> None:
-    """Measure the common cap as soon as the first cap is known, not only with the next period."""
+    """Measure the common cap as soon as a first cap is known, without waiting for the period."""
     measurements = state.measurements
     if measurements.common_cap is None:
         measurements.common_cap = median_cap(state)
 
 
 def change_busy_slots(state: PolicyState, worker: Worker, slots: float) -> None:
-    """Change the slots of our unfinished attempts on a worker, and note whether that frees one."""
+    """Add to a worker's busy slots; if this frees enough headroom, try the waiting jobs again."""
     worker.change_busy_slots(state.now_us, slots)
     worker.pool.busy_slots += slots
     if slots < 0 and headroom(state, worker) >= MIN_USEFUL_HEADROOM_SLOTS:
@@ -109,9 +111,10 @@
 
 
 def learn_from_load_report(state: PolicyState, worker: Worker, reported_headroom: float) -> None:
-    """Note a worker's reported headroom in slots: its free slots less its queued jobs.
+    """Take a worker's headroom in slots from its report: its free slots less its queued jobs.
 
-    A report is old when it arrives, so our own changes within its lag are added.
+    A report is old when it arrives. So the slots that our attempts took or freed within the
+    report's lag are accounted for.
     """
     report_lag = state.measurements.report_lag
     report_lag.record_report(worker, state.now_us, reported_headroom)
@@ -128,13 +131,13 @@
 
 
 def learn_from_overdue_start(state: PolicyState, worker: Worker) -> None:
-    """Note that a worker did not start an attempt in time: it is full at its busy slots."""
+    """Learn that a worker is full at its present busy slots, as it did not start one in time."""
     state.measurements.observed_caps.append(worker.busy_slots)
     _set_no_headroom(state, worker)
 
 
 def learn_from_start(state: PolicyState, worker: Worker) -> None:
-    """Note a start on a worker that is at the common cap: its own cap is larger by a slot."""
+    """Learn from a start on a worker that is at the common cap: its own cap is a slot larger."""
     common_cap = state.measurements.common_cap
     at_cap = common_cap is not None and worker.busy_slots >= common_cap
     if at_cap and not has_valid_headroom(worker, state.now_us):
@@ -142,9 +145,9 @@
 
 
 def _set_no_headroom(state: PolicyState, worker: Worker) -> None:
-    """Note that a worker has no headroom now, whatever an older report says.
+    """Record that a worker has no headroom now, whatever an older report says.
 
-    Without this, a worker that rejects jobs at once would look idle and draw the next ones.
+    Otherwise a worker that rejects jobs at once would look idle and get the next jobs too.
     """
     worker.headroom = min(headroom(state, worker), 0.0)
     worker.headroom_at_us = state.now_us
--- a/stepstream/policy/endpoint_polling.py
+++ b/stepstream/policy/endpoint_polling.py
@@ -1,7 +1,8 @@
 """Endpoint polling: when to call for the endpoint list, with backoff after a failed call.
 
-The first call holds everywhere. The backoff holds on the simulator alone: the discovery client of a
-dispatcher repeats its own calls, see `http/poll_schedule.py`, and reports no failed one.
+The first call is made in every deployment. The backoff takes effect on the simulator alone: the
+discovery client of a dispatcher repeats its own calls, see `http/poll_schedule.py`, and sends no
+`FAILED` list.
 """
 
 from stepstream.model.actions import TimerToken, WatchEndpoints
@@ -9,11 +10,11 @@
 from stepstream.policy.pool_capacity import has_many_dispatchers
 from stepstream.policy.timers import set_timer
 
-# Of the first backoff; each failed call doubles it.
+# The least first backoff, where the poll interval allows it; each failed call doubles the backoff.
 MIN_FIRST_BACKOFF_US = 500_000
-# Dispatchers that started, or failed, together share this rate of calls.
+# Where many dispatchers started or failed together, about one of them calls in this time.
 CALL_INTERVAL_US = 100_000
-# A call after a failure is not made earlier than this part of the backoff.
+# A call after a failure waits for at least this fraction of the backoff.
 MIN_BACKOFF_FRACTION = 0.5
 MAX_TO_FIRST_BACKOFF_RATIO = 3
 
@@ -23,13 +24,13 @@
 
     def __init__(self, state: PolicyState) -> None:
         self.state = state
-        # Where the list is pushed no call is made: one counts as open for ever.
+        # Where the list is pushed, a call counts as open for ever, so that none is made.
         self.call_open = not state.settings.polls_endpoints
         self.backoff_us = self._first_backoff_us()
         self.poll_first()
 
     def poll_first(self) -> None:
-        """Call at once, or at random where many dispatchers may have started together."""
+        """Call at once, or at a random time where many dispatchers may have started together."""
         settings = self.state.settings
         if has_many_dispatchers(settings):
             self._poll_later(0.0, CALL_INTERVAL_US * settings.dispatcher_count)
@@ -45,19 +46,19 @@
     def on_failure(self) -> None:
         """Call again after the backoff, as a call has failed, and double the backoff.
 
-        A call that was given up is work for the source too. If many dispatchers did not back off,
-        it would serve none of them.
+        A call that was given up still costs the list's source work. Without a backoff of many
+        dispatchers the source would serve none of them in time.
         """
         self.call_open = False
         self._poll_later(MIN_BACKOFF_FRACTION, self.backoff_us)
         self.backoff_us = min(2 * self.backoff_us, self._max_backoff_us())
 
     def on_success(self) -> None:
-        """Begin with the first backoff again; the call stays open, as a watch."""
+        """Reset the backoff; the answered call stays open as a watch for changes."""
         self.backoff_us = self._first_backoff_us()
 
     def _first_backoff_us(self) -> int:
-        """Return the first backoff: longer with more dispatchers, within half a poll interval."""
+        """Return the first backoff: longer with more dispatchers, at most half a poll interval."""
         settings = self.state.settings
         shared_us = CALL_INTERVAL_US * settings.dispatcher_count
         backoff_us = max(MIN_FIRST_BACKOFF_US, shared_us)
@@ -69,6 +70,6 @@
         return max(half_interval_us, MAX_TO_FIRST_BACKOFF_RATIO * self._first_backoff_us())
 
     def _poll_later(self, min_fraction: float, max_wait_us: int) -> None:
-        """Call at a random time: of many calls at once the source serves only the first few."""
+        """Call at a random time, as the source serves only the first few of many calls at once."""
         delay_us = int(max_wait_us * self.state.rng.uniform(min_fraction, 1.0))
         set_timer(self.state, TimerToken.POLL_ENDPOINTS, self.state.now_us + delay_us)
--- a/stepstream/policy/endpoint_updates.py
+++ b/stepstream/policy/endpoint_updates.py
@@ -7,14 +7,14 @@
 from stepstream.policy import slow_start
 
 
-def apply_endpoint_list(state: PolicyState, listed: EndpointList) -> None:
+def apply_endpoint_list(state: PolicyState, endpoint_list: EndpointList) -> None:
     """Add, change and remove workers as an endpoint list says."""
-    for endpoint in listed.endpoints:
+    for endpoint in endpoint_list.endpoints:
         _apply_endpoint(state, endpoint)
     workers = state.workers
-    if listed.kind is not EndpointListKind.CHANGES:
-        listed_ids = {endpoint.worker_id for endpoint in listed.endpoints}
-        for worker_id in [known for known in workers.by_id if known not in listed_ids]:
+    if endpoint_list.kind is not EndpointListKind.CHANGES:
+        listed_ids = {endpoint.worker_id for endpoint in endpoint_list.endpoints}
+        for worker_id in [known_id for known_id in workers.by_id if known_id not in listed_ids]:
             _remove_worker(state, worker_id)
     workers.eligible = [
         worker
@@ -32,19 +32,20 @@
     if endpoint.state is EndpointState.REMOVED:
         _remove_worker(state, endpoint.worker_id)
         return
-    known = workers.get(endpoint.worker_id)
-    if known is None or endpoint.started_us > known.endpoint.started_us:
-        pool = known.pool if known is not None else state.pools.low_set
+    known_worker = workers.get(endpoint.worker_id)
+    if known_worker is None or endpoint.started_us > known_worker.endpoint.started_us:
+        pool = known_worker.pool if known_worker is not None else state.pools.low_set
         _remove_worker(state, endpoint.worker_id)
         workers[endpoint.worker_id] = _new_worker(state, endpoint, pool)
     else:
-        known.endpoint = endpoint
+        known_worker.endpoint = endpoint
 
 
 def _remove_worker(state: PolicyState, worker_id: str) -> None:
-    """Forget a process; its attempts that are still open leave its pool now, and not at their end.
+    """Remove a worker, and take the slots of its open attempts off its pool now.
 
-    The next recount of the pools would leave them out as well, and their ends take them off again.
+    The worker gets a pool of its own, as the pools' next recount leaves its slots out. Otherwise
+    the ends of these attempts would take their slots off the old pool a second time.
     """
     worker = state.workers.by_id.pop(worker_id, None)
     if worker is not None:
@@ -56,12 +57,12 @@
 def _new_worker(state: PolicyState, endpoint: Endpoint, pool: Pool) -> Worker:
     """Return the record of a process that has just appeared or was restarted.
 
-    A restarted process is cold and healthy, and its old cap says nothing. Its turns begin at
-    random, or all dispatchers would begin with the same worker.
+    A restarted process is cold and healthy, and its old cap says nothing. Its weight in the round
+    robin begins at random; otherwise all dispatchers would begin with the same worker.
     """
-    # Without a start time a process has surely warmed up.
-    has_start = endpoint.started_us != 0
-    slow_start_ends_us = endpoint.started_us + state.settings.slow_start_us if has_start else 0
+    # A process without a start time counts as warmed up.
+    has_start_time = endpoint.started_us != 0
+    slow_start_ends_us = endpoint.started_us + state.settings.slow_start_us if has_start_time else 0
     worker = Worker(endpoint, slow_start_ends_us, state.now_us, pool)
     worker.current_weight = -state.rng.random() * endpoint.weight
     return worker
--- a/stepstream/policy/hedging.py
+++ b/stepstream/policy/hedging.py
@@ -1,6 +1,6 @@
 """Hedged requests: a second attempt beside one whose start is overdue.
 
-The first of them to start cancels the other, see `policy.retries`.
+As soon as one of the two starts, the other is cancelled, see `policy.retries`.
 """
 
 from stepstream.model.job_records import InFlightJob
@@ -10,17 +10,17 @@
 
 
 def on_starts_due(state: PolicyState) -> None:
-    """Hedge the attempts that should have started by now: their workers have no headroom."""
-    for start in timers.take_overdue_starts(state):
-        attempts.record_overdue_start(state, start.attempt)
-        if _may_hedge(state, start.job):
-            _hedge(state, start.job)
+    """Record the attempts that should have started by now, and hedge their jobs where allowed."""
+    for awaited_start in timers.take_overdue_starts(state):
+        attempts.record_overdue_start(state, awaited_start.attempt)
+        if _may_hedge(state, awaited_start.job):
+            _hedge(state, awaited_start.job)
 
 
 def _may_hedge(state: PolicyState, job: InFlightJob) -> bool:
     """Return whether the platform and the job's attempts allow a hedged request.
 
-    The overdue attempt may still run, so a job that is not idempotent may not repeat.
+    The overdue attempt may still run, so a job that is not idempotent may not be sent again.
     """
     if not state.settings.may_hedge:
         return False
@@ -28,7 +28,7 @@
 
 
 def _hedge(state: PolicyState, job: InFlightJob) -> None:
-    """Send the job to a worker that it was not sent to and that has the slots for it."""
+    """Send the job to a worker that was not tried and has the slots for it, if one is found."""
     worker = choose_worker(state, job)
     if worker is None or worker in job.tried_workers:
         return
--- a/stepstream/policy/key_affinity.py
+++ b/stepstream/policy/key_affinity.py
@@ -15,7 +15,7 @@
 def workers_in_key_order(state: PolicyState, key: str) -> list[Worker]:
     """Return the eligible workers in the key's order, which is the same at every dispatcher.
 
-    Orders are kept for as many keys as there may be open requests; the oldest one makes room.
+    At most as many orders are kept as there may be open requests; a new one replaces the oldest.
     """
     orders = state.workers.key_orders
     if key not in orders:
@@ -34,7 +34,8 @@
 ) -> list[Worker]:
     """Return the first of the workers in the key's order, from the job's own pool if it has any.
 
-    A hot key's jobs are more than two workers of a large fleet can run, so it gets more.
+    A frequent key gets more than MIN_WORKERS_PER_KEY workers, as these few could not run all of its
+    jobs in a large fleet.
     """
     own_pool = pools.own_pool(state, job)
     workers = [worker for worker in workers if worker.pool is own_pool] or workers
--- a/stepstream/policy/load_balancer.py
+++ b/stepstream/policy/load_balancer.py
@@ -47,7 +47,7 @@
         self.endpoint_poller = EndpointPoller(self.state)
 
     def handle(self, now_us: int, events: list[PolicyEvent]) -> list[PolicyAction]:
-        """Take the events of one round and return the actions that they call for, in order."""
+        """Process the events of one round; return the actions that follow from them, in order."""
         self.state.begin_round(now_us)
         capacity.measure_missing_common_cap(self.state)
         for event in events:
@@ -78,21 +78,21 @@
 
     def _on_job_submitted(self, event: JobSubmitted) -> None:
         if not self.state.workers.by_id:
-            # Nothing can be served without the list, so the poll does not wait for its time.
+            # Without the endpoint list no job can be served, so the poll is not left to its timer.
             self.endpoint_poller.poll()
-        admission.on_job(self.state, event)
+        admission.on_job_submitted(self.state, event)
 
     def _on_attempt_started(self, event: AttemptStarted) -> None:
         job = self.state.jobs.in_flight.get(event.job_id)
         if job is not None:
             retries.on_attempt_started(self.state, job, event.attempt_number)
 
-    def _on_endpoint_list(self, listed: EndpointList) -> None:
-        if listed.kind is EndpointListKind.FAILED:
+    def _on_endpoint_list(self, endpoint_list: EndpointList) -> None:
+        if endpoint_list.kind is EndpointListKind.FAILED:
             self.endpoint_poller.on_failure()
             return
         self.endpoint_poller.on_success()
-        endpoint_updates.apply_endpoint_list(self.state, listed)
+        endpoint_updates.apply_endpoint_list(self.state, endpoint_list)
         pools.fill_empty_pool(self.state)
 
     def _on_timer_fired(self, event: TimerFired) -> None:
@@ -130,7 +130,7 @@
                 unconfirmed_list.on_connection_refused(self.state, event)
 
     def _run_periodic_tasks(self) -> None:
-        """Measure anew what changes slowly, and decide what is decided once a period."""
+        """Update the measurements and make the decisions that are due once a period."""
         state = self.state
         outliers.update_slow_ejections(state, spare_capacity=pools.has_spare_capacity(state))
         capacity.measure_common_cap(state)
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -8,7 +8,7 @@
 from stepstream.model.state import PolicyState
 from stepstream.model.worker_records import Worker
 from stepstream.policy import capacity
-from stepstream.policy.admission import on_job
+from stepstream.policy.admission import on_job_submitted
 from tests.model.builders import IDEMPOTENT, make_endpoint
 
 NOW_US = 10_000_000
@@ -33,6 +33,6 @@
     state.workers.eligible = [worker]
     state.measurements.job_mix.mean_weight = 5.0  # the job below is an ordinary one
     capacity.measure_common_cap(state)
-    on_job(state, JobSubmitted("a", 0, 5_000_000, client_retry=client_retry))
+    on_job_submitted(state, JobSubmitted("a", 0, 5_000_000, client_retry=client_retry))
     (action,) = state.actions
     assert isinstance(action, Reject if rejected else StartAttempt)
