--- a/stepstream/policy/load_reports.py
+++ b/stepstream/policy/load_reports.py
@@ -15,7 +15,7 @@
 
 
 def on_load_report(state: PolicyState, worker: Worker, report: dict[str, float] | None) -> None:
-    """Take a worker's load report, from an answer or a health check, if it holds free slots."""
+    """Learn from a worker's load report, in an answer or a health check, if it has free slots."""
     if not report or FREE_SLOTS not in report:
         return
     reported_headroom = report[FREE_SLOTS] - report.get(QUEUED_JOBS, 0.0)
@@ -25,28 +25,29 @@
 
 
 def _shows_empty_queue(report: dict[str, float]) -> bool:
-    """Return whether a report says that no job waits; a report without the queue does not."""
+    """Return whether a report says that no job is queued; without that column it does not."""
     return QUEUED_JOBS in report and report[QUEUED_JOBS] < 1
 
 
 def credit_health_checks(state: PolicyState) -> None:
-    """Allow for health checks by one job: they are bounded by our jobs, not by the workers."""
+    """Add one job's credit for health checks: our jobs bound them, not the number of workers."""
     state.measurements.health_check_credit += HEALTH_CHECKS_PER_JOB
 
 
 def check_silent_workers(state: PolicyState, silence_us: int) -> None:
-    """Check the health of workers without a recent measurement of headroom: they may be jammed.
+    """Check the health of workers without a recent measurement of headroom: they may be stuck.
 
-    Workers are silent after `silence_us`. Of them as many are drawn at random as the credit allows.
+    A worker is silent if its headroom was measured `silence_us` ago or earlier. As many of the
+    silent workers are drawn at random as the credit allows.
     """
     if not state.has_load_reports or not state.settings.may_check_health:
         return
-    silent = [
+    silent_workers = [
         worker
         for worker in state.workers.eligible
         if state.now_us - worker.headroom_at_us >= silence_us
     ]
-    count = min(ceil(state.measurements.health_check_credit), len(silent))
-    for worker in state.rng.sample(silent, count):
+    count = min(ceil(state.measurements.health_check_credit), len(silent_workers))
+    for worker in state.rng.sample(silent_workers, count):
         state.actions.append(CheckHealth(worker.endpoint.worker_id))
     state.measurements.health_check_credit = 0.0
--- a/stepstream/policy/lost_attempts.py
+++ b/stepstream/policy/lost_attempts.py
@@ -11,9 +11,9 @@
     """Presume the overdue attempts on a worker lost, as it reports free slots and no queue.
 
     The job's class is ejected from the worker, unless a reload has removed the class. An attempt of
-    an idempotent job is cancelled, and its end brings the next attempt.
+    an idempotent job is cancelled, and the next attempt is made when its end is reported.
     """
-    # The report may be older than later attempts.
+    # The report may be from before an attempt that was sent later.
     sent_before_us = state.now_us - MAX_REPORT_LAG_US
     lost = [
         (job, attempt)
@@ -32,6 +32,6 @@
 
 
 def _is_start_missing(attempt: Attempt) -> bool:
-    """Return whether an open attempt is overdue to start and not yet presumed lost."""
-    is_waited_for = attempt.open and not attempt.started
-    return is_waited_for and attempt.start_overdue and not attempt.presumed_lost
+    """Return whether the start of an open attempt is overdue, and it is not yet presumed lost."""
+    is_unstarted = attempt.open and not attempt.started
+    return is_unstarted and attempt.start_overdue and not attempt.presumed_lost
--- a/stepstream/policy/outliers.py
+++ b/stepstream/policy/outliers.py
@@ -1,7 +1,7 @@
 """Outlier ejection: workers that fail or run slowly get no work until a probation attempt succeeds.
 
-Envoy's terms: outlier detection, ejection time, panic threshold. A single job class can be ejected
-from a worker too; other classes go on there.
+The terms are Envoy's: outlier detection, ejection time, panic threshold. A single job class can be
+ejected from a worker too; the worker still gets jobs of other classes.
 """
 
 from stepstream.model.state import PolicyState
@@ -9,27 +9,27 @@
 
 BASE_EJECTION_TIME_US = 1_000_000
 MAX_EJECTION_TIME_US = 8_000_000
-# If fewer workers are available, the fault is not theirs, and none counts as ejected.
+# If fewer of the workers are available, the workers are not at fault, and ejections are ignored.
 PANIC_THRESHOLD_FRACTION = 0.5
 # Three failures in a row exceed it.
 MAX_FAILURE_RATE = 0.6
 NEWEST_OUTCOME_WEIGHT = 0.3
-# The natural logarithm of 3: runs take three times as long as usual.
+# About the natural logarithm of 3: runs take three times as long as usual.
 MAX_SLOWNESS_LOGARITHM = 1.1
 NEWEST_RUN_WEIGHT = 0.15
 SLOW_EJECTION_TIME_US = 3_000_000
-# Stands for a job class where a question is about the worker as a whole.
+# Given instead of a job class where the worker as a whole is meant.
 ANY_CLASS = -1
 
 
 def available_workers(state: PolicyState, workers: list[Worker], job_class: int) -> list[Worker]:
-    """Return the workers that are not ejected for the class, or all of them in a panic."""
+    """Return the workers that accept the class, or all if too few do: the panic threshold."""
     available = accepting_workers(workers, job_class, state.now_us)
     return workers if _is_panic(len(available), len(workers)) else available
 
 
 def accepting_workers(workers: list[Worker], job_class: int, now_us: int) -> list[Worker]:
-    """Return the workers that accept the class; most have no ejection and need no closer look."""
+    """Return the workers that accept the class; those without an ejection are not looked into."""
     return [
         worker
         for worker in workers
@@ -39,41 +39,41 @@
 
 
 def _is_panic(available_count: int, worker_count: int) -> bool:
-    """Return whether too many workers are ejected for the fault to be theirs."""
+    """Return whether so many workers are ejected that they cannot be at fault themselves."""
     return available_count < PANIC_THRESHOLD_FRACTION * worker_count
 
 
 def accepts(worker: Worker, job_class: int, now_us: int) -> bool:
-    """Return whether a worker may get a job of the class: not ejected, or due for probation."""
+    """Return whether a worker may get a job of the class: no ejection, or probation is due."""
     return _accepts_jobs(worker, now_us) and _accepts_class(worker, job_class, now_us)
 
 
 def _accepts_jobs(worker: Worker, now_us: int) -> bool:
-    """Return whether the worker itself is not ejected, or due for probation."""
+    """Return whether the worker itself is not ejected, or its probation is due."""
     return not worker.ejection_time_us or now_us >= worker.next_probation_us
 
 
 def _accepts_class(worker: Worker, job_class: int, now_us: int) -> bool:
-    """Return whether the class is not ejected from the worker, or due for probation."""
+    """Return whether the class is not ejected from the worker, or its probation is due."""
     ejection = worker.class_ejections.get(job_class)
     return ejection is None or now_us >= ejection.next_probation_us
 
 
 def next_ejection_time_us(previous_us: int) -> int:
-    """Return the length of an ejection that follows one of `previous_us`: doubled, bounded."""
+    """Return the time of an ejection after one of `previous_us`: twice as long, within bounds."""
     return min(max(2 * previous_us, BASE_EJECTION_TIME_US), MAX_EJECTION_TIME_US)
 
 
 def eject(worker: Worker, ejection_time_us: int, now_us: int) -> None:
-    """Eject a worker until a probation attempt, sent after this time, succeeds."""
+    """Eject a worker until a probation attempt succeeds; the first is due in `ejection_time_us`."""
     worker.ejection_time_us = ejection_time_us
     worker.next_probation_us = now_us + ejection_time_us
 
 
 def eject_class(worker: Worker, job_class: int, attempt_sent_us: int, now_us: int) -> None:
-    """Eject a class from a worker that lost an attempt of it, sent at `attempt_sent_us`.
+    """Eject a class from a worker that lost an attempt of the class, sent at `attempt_sent_us`.
 
-    Attempts from before the latest ejection do not extend it: they led to it.
+    Attempts that were sent before the latest ejection do not extend it: they belong to its cause.
     """
     ejection = worker.class_ejections.setdefault(job_class, ClassEjection())
     if attempt_sent_us >= ejection.ejected_at_us:
@@ -85,7 +85,7 @@
 def postpone_next_probation(worker: Worker, job_class: int, now_us: int) -> None:
     """Allow the next probation attempt of a worker, or a class, one ejection time from now.
 
-    To be called for each attempt; it changes nothing where there is no ejection.
+    Called for each attempt. Without an ejection it changes nothing.
     """
     if worker.ejection_time_us:
         worker.next_probation_us = now_us + worker.ejection_time_us
@@ -95,7 +95,7 @@
 
 
 def shorten_class_ejection(worker: Worker, job_class: int) -> None:
-    """Halve the ejection of a class of which the worker has started a job, and end a short one."""
+    """Halve a class's ejection time after the worker has started a job of it; end a short one."""
     ejection = worker.class_ejections.get(job_class)
     if ejection is not None:
         ejection.ejection_time_us //= 2
@@ -105,7 +105,7 @@
 
 
 def on_outcome(state: PolicyState, worker: Worker, *, failed: bool) -> None:
-    """Eject a worker that fails steadily, and return it once a probation attempt succeeds."""
+    """Eject a worker that fails steadily; end the ejection once a probation attempt succeeds."""
     worker.failure_rate += NEWEST_OUTCOME_WEIGHT * (failed - worker.failure_rate)
     if not failed and not _is_slow(worker):
         worker.ejection_time_us = 0
@@ -114,15 +114,15 @@
 
 
 def record_run(state: PolicyState, worker: Worker, job_class: int, run_us: int) -> None:
-    """Count the time of an ended run in its worker's slowness."""
+    """Include the time of an ended run in its worker's slowness."""
     slowness = state.measurements.run_times.record_run(job_class, run_us)
     worker.slowness += NEWEST_RUN_WEIGHT * (slowness - worker.slowness)
 
 
 def update_slow_ejections(state: PolicyState, *, spare_capacity: bool) -> None:
-    """Eject slow workers while the others have spare capacity, and return them when they have none.
+    """Eject slow workers while there is spare capacity; end their ejections while there is none.
 
-    A crowded fleet needs its slow workers.
+    A fleet without spare capacity needs its slow workers.
     """
     _measure_open_runs(state)
     for worker in state.workers.eligible:
@@ -152,7 +152,7 @@
 
 
 def _measure_open_runs(state: PolicyState) -> None:
-    """Measure workers' slowness with the open runs, as on a slow worker few runs end."""
+    """Measure workers' slowness with their open runs, as few runs end on a slow worker."""
     run_times = state.measurements.run_times
     for worker in state.workers.eligible:
         worker.slowness_with_open_runs = worker.slowness
--- a/stepstream/policy/pool_capacity.py
+++ b/stepstream/policy/pool_capacity.py
@@ -1,8 +1,8 @@
-"""Capacity of whole pools: their headroom, and the cap that one of many dispatchers goes by.
+"""Capacity of whole pools: their headroom, and the cap that each of many dispatchers applies.
 
-With many dispatchers each seldom has a job of its own on a given worker, so its jobs there say
-nothing of the worker's cap. Its jobs on a whole pool do: the cap of one worker is the mean number
-of its slots there, often below one, at which starts begin to be overdue.
+With many dispatchers each one seldom has a job on a given worker, so its jobs there do not show the
+worker's cap. Its jobs on a whole pool do. The cap is then a number of the dispatcher's own slots
+per worker, often below one: the mean at which starts begin to be overdue.
 """
 
 from math import inf
@@ -13,11 +13,11 @@
 from stepstream.model.state import PolicyState
 from stepstream.policy import capacity, outliers
 
-# More dispatchers than this are many.
+# With more dispatchers than this, caps are learned for whole pools.
 MAX_FEW_DISPATCHERS = 8
 # The averages of a dispatcher that has just started are too low.
 AVERAGES_SETTLE_US = 2_000_000
-# With less a pool would never be tried again.
+# A pool with a smaller cap would never be tried again.
 MIN_POOL_CAP_SLOTS = 1.5
 OVERDUE_START_FRACTION_AT_CAP = 0.4
 CAP_DECREASE_FRACTION = 0.1
@@ -26,12 +26,12 @@
     CAP_DECREASE_FRACTION * OVERDUE_START_FRACTION_AT_CAP / (1 - OVERDUE_START_FRACTION_AT_CAP)
 )
 MAX_CAP_TO_RUNNING_SLOTS_RATIO = 2
-# A cap far above the load is not put to the test by starts in time.
+# Starts in time do not raise a larger cap: they do not test a cap far above the load.
 MAX_CAP_TO_BUSY_SLOTS_RATIO = 3
 
 
 def has_many_dispatchers(settings: Settings) -> bool:
-    """Return whether caps are learned for whole pools instead of single workers."""
+    """Return whether there are so many dispatchers that caps are learned for whole pools."""
     return settings.dispatcher_count > MAX_FEW_DISPATCHERS
 
 
@@ -47,20 +47,20 @@
     return headrooms[pool]
 
 
-def mean_pool_headroom(pools: PoolLoad, pool: Pool) -> float:
+def mean_pool_headroom(pool_load: PoolLoad, pool: Pool) -> float:
     """Return the pool's summed caps less its mean busy slots, for one of many dispatchers."""
-    if pools.worker_cap == inf:
+    if pool_load.worker_cap == inf:
         return inf
-    return summed_caps(pools, pool) - pool.mean_busy_slots
+    return summed_caps(pool_load, pool) - pool.mean_busy_slots
 
 
-def summed_caps(pools: PoolLoad, pool: Pool) -> float:
+def summed_caps(pool_load: PoolLoad, pool: Pool) -> float:
     """Return the slots that a pool may be loaded with, for one of many dispatchers.
 
     Priority jobs have to meet their latency objectives, so the High Set is loaded less.
     """
-    safety_factor = capacity.SAFETY_FACTOR if pool is pools.high_set else 1.0
-    return pools.worker_cap * safety_factor * pool.worker_count
+    safety_factor = capacity.SAFETY_FACTOR if pool is pool_load.high_set else 1.0
+    return pool_load.worker_cap * safety_factor * pool.worker_count
 
 
 def typical_cap(state: PolicyState) -> float:
@@ -71,30 +71,30 @@
     return inf if common_cap is None else max(common_cap, capacity.MIN_CAP_SLOTS)
 
 
-def learn_from_low_set_start(pools: PoolLoad, *, overdue: bool) -> None:
+def learn_from_low_set_start(pool_load: PoolLoad, *, overdue: bool) -> None:
     """Adjust the cap by one start in the Low Set, which was overdue or in time.
 
     The cap settles where OVERDUE_START_FRACTION_AT_CAP of the starts are overdue.
     """
-    if pools.averaged_at_us < pools.started_us + AVERAGES_SETTLE_US:
+    if pool_load.averaged_at_us < pool_load.started_us + AVERAGES_SETTLE_US:
         return
-    worker_count = max(pools.low_set.worker_count, 1)
-    busy_slots = pools.low_set.mean_busy_slots / worker_count
-    running_slots = pools.low_set.mean_running_slots / worker_count
+    worker_count = max(pool_load.low_set.worker_count, 1)
+    busy_slots = pool_load.low_set.mean_busy_slots / worker_count
+    running_slots = pool_load.low_set.mean_running_slots / worker_count
     if overdue and running_slots:
-        _lower_cap(pools, busy_slots, running_slots)
-    elif not overdue and pools.worker_cap < MAX_CAP_TO_BUSY_SLOTS_RATIO * busy_slots:
-        pools.worker_cap *= 1 + CAP_INCREASE_FRACTION
-    pools.worker_cap = max(pools.worker_cap, MIN_POOL_CAP_SLOTS / worker_count)
+        _lower_cap(pool_load, busy_slots, running_slots)
+    elif not overdue and pool_load.worker_cap < MAX_CAP_TO_BUSY_SLOTS_RATIO * busy_slots:
+        pool_load.worker_cap *= 1 + CAP_INCREASE_FRACTION
+    pool_load.worker_cap = max(pool_load.worker_cap, MIN_POOL_CAP_SLOTS / worker_count)
 
 
-def _lower_cap(pools: PoolLoad, busy_slots: float, running_slots: float) -> None:
-    """Lower the cap after an overdue start, by our mean busy and running slots of a worker.
+def _lower_cap(pool_load: PoolLoad, busy_slots: float, running_slots: float) -> None:
+    """Lower the cap after an overdue start; the slots are our mean busy and running ones a worker.
 
-    Where jobs wait, all slots of the workers run something, so our running slots show our part of
-    them. Over the cap overdue starts are expected and lower it no further: it would sink with the
-    load that the rejections take away.
+    Where jobs wait, all slots of the workers run something, so our running slots show our share of
+    them. While the load is over the cap, overdue starts are expected, and the cap is not lowered
+    further. Otherwise it would fall together with the load, which the rejections reduce.
     """
-    pools.worker_cap = min(pools.worker_cap, MAX_CAP_TO_RUNNING_SLOTS_RATIO * running_slots)
-    if busy_slots <= pools.worker_cap:
-        pools.worker_cap *= 1 - CAP_DECREASE_FRACTION
+    pool_load.worker_cap = min(pool_load.worker_cap, MAX_CAP_TO_RUNNING_SLOTS_RATIO * running_slots)
+    if busy_slots <= pool_load.worker_cap:
+        pool_load.worker_cap *= 1 - CAP_DECREASE_FRACTION
--- a/stepstream/policy/pools.py
+++ b/stepstream/policy/pools.py
@@ -13,11 +13,11 @@
 from stepstream.policy.capacity import SAFETY_FACTOR
 from stepstream.policy.pool_capacity import has_many_dispatchers, pool_headroom, typical_cap
 
-# Headrooms in caps of one worker. Without load reports caps are estimates, so more has to be free.
+# Headrooms, in caps of one worker. Without load reports caps are estimates, so more must be free.
 MIN_OVERFLOW_HEADROOM_CAPS = 1.0
 MIN_OVERFLOW_HEADROOM_CAPS_WITH_REPORTS = 0.25
 MIN_SPARE_HEADROOM_CAPS = 2
-# A resizing moves one worker of each group of this size, and at least one.
+# Each resizing moves up to one worker for every so many, and up to one in a smaller fleet.
 WORKERS_PER_MOVED_WORKER = 16
 
 
@@ -45,7 +45,7 @@
     """Give a pool without workers its first ones.
 
     The High Set begins with the expected fraction of priority jobs and a safety margin. It takes
-    the first ids, so that dispatchers that share nothing agree.
+    the workers with the first ids, so that dispatchers agree without communicating.
     """
     workers = state.workers.eligible
     high_set = state.pools.high_set
@@ -59,16 +59,16 @@
 
 
 def resize(state: PolicyState) -> None:
-    """Move workers to the High Set while it is over its caps, and back while it has spare ones.
+    """Move workers to the High Set while it is over its caps, and back while it has spare caps.
 
-    Waiting priority jobs are load too: without them a full High Set would never be over its caps.
+    Waiting priority jobs count as load. Otherwise a full High Set would never be over its caps.
     """
     waiting_slots = waiting.waiting_priority_slots(state)
     headroom = pool_headroom(state, state.pools.high_set) - waiting_slots
     workers = state.workers.eligible
     min_high_set_size = 1.0
     if _knows_few_headrooms(state):
-        # Without a minimum all dispatchers would return all workers but one, and keep the same one.
+        # Without this minimum all dispatchers would move all workers back but the same one.
         min_high_set_size = max(state.measurements.job_mix.priority_fraction * len(workers), 1)
         workers = state.rng.sample(workers, len(workers))
     workers = outliers.available_workers(state, workers, outliers.ANY_CLASS)
@@ -97,7 +97,8 @@
         return cap
     if headroom > cap and len(high_set) > min_high_set_size:
         if has_many_dispatchers(state.settings):
-            # The last id of equal headrooms goes, so that their High Sets stay the same.
+            # Of workers with equal headrooms the last id is moved, so that the High Sets of the
+            # dispatchers stay the same.
             high_set.reverse()
         _least_loaded(state, high_set).pool = state.pools.low_set
         return -cap
@@ -105,5 +106,5 @@
 
 
 def _least_loaded(state: PolicyState, workers: list[Worker]) -> Worker:
-    """Return the first worker of those with the largest headroom."""
+    """Return the worker with the largest headroom, the first one if several have it."""
     return max(workers, key=lambda worker: capacity.headroom(state, worker))
--- a/stepstream/policy/retries.py
+++ b/stepstream/policy/retries.py
@@ -1,4 +1,4 @@
-"""Retries: a job's next attempt, its wait for one, or its answer where no attempt is good."""
+"""Retries: a job's next attempt, its wait for one, or its answer if there is no further attempt."""
 
 from stepstream.model.actions import Fail, Reject
 from stepstream.model.events import AttemptEnded, AttemptResult
@@ -16,14 +16,15 @@
 from stepstream.policy.selection import choose_worker
 
 BEST_EFFORT_ATTEMPT_LIMIT = 1
-# The rest of the attempts waits until headroom has changed, or a crowded fleet uses all at once.
+# The other attempts wait until headroom has changed. Otherwise a job on a full fleet would use up
+# all of its attempts at once.
 IMMEDIATE_RETRY_FRACTION = 0.5
 
 
 def attempt_or_wait(state: PolicyState, job: InFlightJob, *, defer: bool = False) -> bool:
     """Start the job's next attempt, give the job up, or let it wait; return False if it waits.
 
-    With `defer` the job waits until headroom has changed.
+    With `defer` the job waits until headroom has changed, even if a worker has headroom now.
     """
     too_late = state.now_us >= waiting.latest_start_us(state, job)
     if too_late or not may_attempt(job, attempt_limit(state, job), state.now_us):
@@ -52,7 +53,7 @@
 
 
 def give_up(state: PolicyState, job: InFlightJob) -> None:
-    """Answer a job that has no good attempt left; a rejection says that a retry is harmless."""
+    """Answer a job that gets no further attempt: reject it if a client's retry is harmless."""
     if idempotency.is_client_retry_harmless(job):
         retry_after_us = _retry_after_us(state, job)
         state.actions.append(Reject(job.request.job_id, retry_after_us))
@@ -62,7 +63,7 @@
 
 
 def _retry_after_us(state: PolicyState, job: InFlightJob) -> int:
-    """Return how long the client should wait before its retry: longest for ordinary jobs."""
+    """Return how long the client should wait before its retry; priority jobs need not wait."""
     advises_wait = state.settings.may_advise_retry and not job.priority
     return state.settings.max_retry_after_us if advises_wait else 0
 
@@ -70,20 +71,20 @@
 def retry_waiting_jobs(state: PolicyState) -> None:
     """Give new headroom to waiting jobs, priority jobs first; give up those that are too late."""
     is_due = waiting.take_waiting_jobs_due(state)
-    # Priority and class of jobs for which no worker has headroom.
-    stuck_categories = set()
+    # Pairs of priority and class: for such jobs no worker has headroom in this round.
+    categories_without_headroom = set()
     for job in waiting.take_waiting_jobs(state):
         category = (job.priority, job.request.job_class)
-        may_start = is_due and category not in stuck_categories
+        may_start = is_due and category not in categories_without_headroom
         if not may_start and state.now_us < waiting.latest_start_us(state, job):
             state.jobs.waiting_for_headroom.append(job)
         elif not attempt_or_wait(state, job):
-            stuck_categories.add(category)
+            categories_without_headroom.add(category)
 
 
-def on_attempt_started(state: PolicyState, job: InFlightJob, number: int) -> None:
-    """Let the attempt that has started run on, and cancel those that have not started."""
-    attempt = job.attempt_at(number)
+def on_attempt_started(state: PolicyState, job: InFlightJob, attempt_number: int) -> None:
+    """Record an attempt's start, and cancel the job's attempts that have not started."""
+    attempt = job.attempt_at(attempt_number)
     if attempt is not None:
         attempts.record_start(state, job, attempt)
         not_started = [other for other in job.attempts if not other.started]
@@ -107,9 +108,9 @@
 def _learn_from_end(
     state: PolicyState, job: InFlightJob, attempt: Attempt, event: AttemptEnded
 ) -> None:
-    """Take an attempt's end as evidence of its worker's load, cap and health."""
+    """Learn from an attempt's end about its worker's load, cap and health."""
     worker = attempt.worker
-    busy_slots = worker.busy_slots  # with this attempt
+    busy_slots = worker.busy_slots  # with the slots of this attempt
     attempts.record_end(state, job, attempt, event)
     load_reports.on_load_report(state, worker, event.load_report)
     if event.result is AttemptResult.FULL:
--- a/stepstream/policy/selection.py
+++ b/stepstream/policy/selection.py
@@ -17,10 +17,10 @@
     weighted_round_robin,
 )
 
-# More candidates would only cost time on large fleets.
+# On large fleets more candidates would only cost time.
 MAX_CANDIDATES = 64
 SLOTS_RESERVED_FROM_BEST_EFFORT = 1.0
-MIN_FRACTION_OF_BEST_HEADROOM = 0.5
+MIN_FRACTION_OF_LARGEST_HEADROOM = 0.5
 MIN_ENDPOINT_WEIGHT = 1e-6
 ANY_WORKER_KIND = -1
 # Free slots by worker, in the order of the candidates.
@@ -30,22 +30,26 @@
 def choose_worker(state: PolicyState, job: InFlightJob) -> Worker | None:
     """Return the worker for the job's next attempt, or None if the job has to wait.
 
-    The choice is among the workers with headroom: of the own pool first, then those with the larger
-    headrooms, then those of the own zone, then by turns.
+    The choice is among the workers with headroom. These are narrowed to the job's own pool if it
+    has any, to the larger headrooms, and to the own zone. The round robin chooses among the rest.
     """
-    candidates = _candidates(state, job)
+    candidates = _candidate_workers(state, job)
     headrooms = dict(zip(candidates, capacity.headrooms(state, candidates), strict=True))
-    workers = _own_pool_or_overflow(state, job, headrooms)
+    workers = _workers_of_own_pool_or_overflow(state, job, headrooms)
     if not workers:
         return None
     if job.request.key is not None and len(candidates) <= key_affinity.MIN_WORKERS_PER_KEY:
         return workers[0]
-    workers = _in_own_zone(state, _with_large_headroom(workers, headrooms))
-    return _next_round_robin(state, workers)
+    workers = _workers_of_own_zone(state, _workers_with_large_headroom(workers, headrooms))
+    return _choose_by_round_robin(state, workers)
 
 
-def _candidates(state: PolicyState, job: InFlightJob) -> list[Worker]:
-    """Return the workers that may run the job, by ejections, list, slow start, key, attempts."""
+def _candidate_workers(state: PolicyState, job: InFlightJob) -> list[Worker]:
+    """Return the workers that may run the job, whatever their headroom.
+
+    They depend on the job's class, tenant, key and earlier attempts, on the workers' slow start and
+    ejections, and on the age of the endpoint list.
+    """
     now_us = state.now_us
     workers = _sample_of_capable_workers(state, job)
     workers = [
@@ -63,21 +67,21 @@
 
 
 def _sample_of_capable_workers(state: PolicyState, job: InFlightJob) -> list[Worker]:
-    """Return a bounded number of workers that can run the job; for a key the first in its order."""
+    """Return at most MAX_CANDIDATES workers that can run the job: a sample, or the key's first."""
     key = job.request.key
     job_class = job.class_settings
     tenant = state.settings.tenant_name(job.request.tenant)
     workers = (
         state.workers.eligible if key is None else key_affinity.workers_in_key_order(state, key)
     )
-    workers = able_workers(workers, job_class, tenant)
+    workers = capable_workers(workers, job_class, tenant)
     if key is None and len(workers) > MAX_CANDIDATES:
         workers = state.rng.sample(workers, MAX_CANDIDATES)
     return workers[:MAX_CANDIDATES]
 
 
-def able_workers(workers: list[Worker], job_class: JobClass, tenant: str) -> list[Worker]:
-    """Return the workers that run a tenant's jobs of the class.
+def capable_workers(workers: list[Worker], job_class: JobClass, tenant: str) -> list[Worker]:
+    """Return the workers that can run a tenant's jobs of the class.
 
     The worker's kind has to fit. Where its endpoint names the jobs that it supports, they have to
     include the class, or the class for this tenant.
@@ -102,27 +106,27 @@
 def _workers_for_repeat(job: InFlightJob, workers: list[Worker]) -> list[Worker]:
     """Return the workers that may repeat the job, without those that were tried if others exist."""
     workers = idempotency.workers_in_idempotency_scope(job, workers)
-    tried = job.tried_workers
-    return [worker for worker in workers if worker not in tried] or workers
+    tried_workers = job.tried_workers
+    return [worker for worker in workers if worker not in tried_workers] or workers
 
 
-def _own_pool_or_overflow(
+def _workers_of_own_pool_or_overflow(
     state: PolicyState, job: InFlightJob, headrooms: Headrooms
 ) -> list[Worker]:
     """Return workers with headroom of the own pool, or of the other one if the job may use it."""
-    workers = _with_headroom(state, job, headrooms)
+    workers = _workers_with_headroom(state, job, headrooms)
     own_pool = pools.own_pool(state, job)
-    own = [worker for worker in workers if worker.pool is own_pool]
-    if own:
-        return own
+    own_workers = [worker for worker in workers if worker.pool is own_pool]
+    if own_workers:
+        return own_workers
     return workers if _may_overflow(state, job, headrooms) else []
 
 
 def _may_overflow(state: PolicyState, job: InFlightJob, headrooms: Headrooms) -> bool:
     """Return whether a job may go to the pool that is not its own.
 
-    Priority jobs always may. Ordinary jobs may where the High Set takes overflow, or has all
-    candidates.
+    A priority job always may. An ordinary job may if the High Set takes overflow, or if all
+    candidates are in the High Set.
     """
     if job.priority or pools.high_set_takes_overflow(state):
         return True
@@ -130,65 +134,68 @@
     return all(worker.pool is high_set for worker in headrooms)
 
 
-def _with_headroom(state: PolicyState, job: InFlightJob, headrooms: Headrooms) -> list[Worker]:
+def _workers_with_headroom(
+    state: PolicyState, job: InFlightJob, headrooms: Headrooms
+) -> list[Worker]:
     """Return the workers that have the slots for the job, of both pools.
 
-    A cap is an estimate. Without a valid measurement it holds up no priority job, and with many
-    dispatchers no job for a worker that has none of ours: the pool's caps were kept at admission.
+    A cap is an estimate. Without a valid measurement a worker's cap holds up no priority job. With
+    many dispatchers it also holds up no ordinary job for a worker without attempts of ours, as
+    admission has already applied the pool's caps.
     """
-    needed = job.request.slots
+    needed_slots = job.request.slots
     if priority.is_best_effort(job):
-        needed += SLOTS_RESERVED_FROM_BEST_EFFORT
+        needed_slots += SLOTS_RESERVED_FROM_BEST_EFFORT
     valid_since_us = state.now_us - capacity.HEADROOM_VALID_US
     if job.priority:
         return [
             worker
             for worker, headroom in headrooms.items()
-            if headroom >= needed or worker.headroom_at_us < valid_since_us
+            if headroom >= needed_slots or worker.headroom_at_us < valid_since_us
         ]
     if pool_capacity.has_many_dispatchers(state.settings):
         return [
             worker
             for worker, headroom in headrooms.items()
-            if headroom >= needed
+            if headroom >= needed_slots
             or (worker.headroom_at_us < valid_since_us and not worker.busy_slots)
         ]
-    return [worker for worker, headroom in headrooms.items() if headroom >= needed]
+    return [worker for worker, headroom in headrooms.items() if headroom >= needed_slots]
 
 
-def _with_large_headroom(workers: list[Worker], headrooms: Headrooms) -> list[Worker]:
-    """Return the workers with at least half of the best headroom.
+def _workers_with_large_headroom(workers: list[Worker], headrooms: Headrooms) -> list[Worker]:
+    """Return the workers with at least half of the largest headroom.
 
-    Headrooms are old and inexact when they are used, so more than the best worker takes turns.
+    Headrooms are old and inexact when they are used, so not only the best worker gets jobs.
     """
-    best = max([headrooms[worker] for worker in workers])
-    if best <= 0:
+    largest_headroom = max([headrooms[worker] for worker in workers])
+    if largest_headroom <= 0:
         return workers
-    least = MIN_FRACTION_OF_BEST_HEADROOM * best
-    return [worker for worker in workers if headrooms[worker] >= least]
+    min_headroom = MIN_FRACTION_OF_LARGEST_HEADROOM * largest_headroom
+    return [worker for worker in workers if headrooms[worker] >= min_headroom]
 
 
-def _in_own_zone(state: PolicyState, workers: list[Worker]) -> list[Worker]:
+def _workers_of_own_zone(state: PolicyState, workers: list[Worker]) -> list[Worker]:
     """Return the workers of the own zone, if it has any and crossing zones has a price.
 
-    A worker that is warming up counts as near: it must be warm before it is needed.
+    A worker that is warming up counts as one of the own zone: it must be warm before it is needed.
     """
     if not state.settings.cross_zone_price:
         return workers
     zone = state.settings.zone
-    near = [
+    workers_of_zone = [
         worker
         for worker in workers
         if worker.endpoint.zone == zone or state.now_us < worker.slow_start_ends_us
     ]
-    return near or workers
+    return workers_of_zone or workers
 
 
-def _next_round_robin(state: PolicyState, workers: list[Worker]) -> Worker:
+def _choose_by_round_robin(state: PolicyState, workers: list[Worker]) -> Worker:
     """Return the worker whose turn it is, by the endpoints' weights and slow start."""
     weights = [
         max(worker.endpoint.weight, MIN_ENDPOINT_WEIGHT)
         * slow_start.slow_start_factor(state, worker)
         for worker in workers
     ]
-    return weighted_round_robin.take_next(workers, weights)
+    return weighted_round_robin.choose_next(workers, weights)
--- a/stepstream/policy/slow_start.py
+++ b/stepstream/policy/slow_start.py
@@ -1,7 +1,8 @@
-"""Slow start: how much work a worker gets that is still warming up.
+"""Slow start: how much work a worker gets while it is warming up.
 
-Dispatchers share nothing. So each gives such a worker what a warm worker did for it recently, times
-the overload multiple and the slow-start factor; tests/policy/test_cold.py has the arithmetic.
+Dispatchers do not communicate. So each one sends such a worker as many attempts as a warm worker
+served for this dispatcher recently, times a part of the overload multiple and the slow-start
+factor. The arithmetic is in tests/policy/test_cold.py.
 """
 
 from math import inf
@@ -11,14 +12,14 @@
 from stepstream.model.state import PolicyState
 from stepstream.model.worker_records import Worker
 
-# The rest of the overload multiple is a margin for chance.
+# The rest of the overload multiple is a margin for random variation.
 USED_OVERLOAD_MULTIPLE_FRACTION = 0.6
 
 
 def slow_start_factor(state: PolicyState, worker: Worker) -> float:
     """Return the least fraction of its capacity that a worker has by now, from 0 to 1.
 
-    It grows linearly within the slow-start time, from that of a process that has just started to 1.
+    It grows linearly within the slow-start time, from the cold capacity fraction to 1.
     """
     if state.now_us >= worker.slow_start_ends_us:
         return 1.0
@@ -29,7 +30,7 @@
 
 
 def count_warm_workers(state: PolicyState) -> None:
-    """Measure the capacity of all eligible workers, in warm workers."""
+    """Measure the capacity of all eligible workers, in warm-worker equivalents."""
     workers = state.workers
     workers.warm_worker_equivalents = sum(
         [slow_start_factor(state, worker) for worker in workers.eligible]
@@ -37,7 +38,7 @@
 
 
 def record_attempt(worker: Worker, now_us: int) -> None:
-    """Note an attempt on a worker: it uses up the admission of the window."""
+    """Record an attempt on a worker: it uses up the one that the window allows."""
     worker.last_attempt_us = now_us
     worker.admitted_in_window = False
 
@@ -45,8 +46,9 @@
 def is_admitted(state: PolicyState, job: InFlightJob, worker: Worker) -> bool:
     """Return whether a worker that is warming up may get this job.
 
-    Frequent attempts are spaced. Attempts rarer than one in an overload window go by chance, drawn
-    once for each window: dispatchers that saved up unused attempts would send them in one burst.
+    If at least one attempt is due in each overload window, attempts are spaced evenly. Rarer ones
+    are admitted at random, by one draw for each window. Unused attempts are not saved up, as all
+    dispatchers would send the saved ones in one burst.
     """
     window_us = state.settings.overload_window_us
     interval_us = _attempt_interval_us(state, job, worker)
--- a/stepstream/policy/timers.py
+++ b/stepstream/policy/timers.py
@@ -8,8 +8,8 @@
 
 PERIOD_US = 500_000
 START_DUE_OBJECTIVE_FRACTION = 0.4
-# Many dispatchers learn their caps by overdue starts, so they look earlier.
-START_DUE_OBJECTIVE_FRACTION_OF_MANY = 0.2
+# With many dispatchers caps are learned from overdue starts, so starts are due earlier.
+START_DUE_OBJECTIVE_FRACTION_WITH_MANY = 0.2
 
 
 def set_timer(state: PolicyState, token: TimerToken, at_us: int) -> None:
@@ -18,7 +18,7 @@
 
 
 def set_first_period(state: PolicyState) -> None:
-    """Begin the first period at random: dispatchers that start together must not act in step."""
+    """End the first period at random: dispatchers that start together must not act in step."""
     first_us = state.now_us + state.rng.randrange(PERIOD_US)
     set_timer(state, TimerToken.PERIODIC_TASKS, first_us)
 
@@ -29,7 +29,7 @@
 
 
 def await_start(state: PolicyState, job: InFlightJob, attempt: Attempt) -> None:
-    """Expect an attempt that was just sent to start in time, where starts are reported."""
+    """Record when an attempt that was just sent should have started, where starts are reported."""
     if state.settings.reports_start:
         due_us = start_due_us(state, job.class_settings)
         state.jobs.awaited_starts.append(AwaitedStart(due_us, job, attempt))
@@ -42,7 +42,7 @@
     It is a fraction of the latency objective, so that a hedged request can still be in time.
     """
     fraction = (
-        START_DUE_OBJECTIVE_FRACTION_OF_MANY
+        START_DUE_OBJECTIVE_FRACTION_WITH_MANY
         if has_many_dispatchers(state.settings)
         else START_DUE_OBJECTIVE_FRACTION
     )
@@ -50,7 +50,7 @@
 
 
 def take_overdue_starts(state: PolicyState) -> list[AwaitedStart]:
-    """Return the starts that are due and still missing, and forget all that are due."""
+    """Return the awaited starts that are due and still missing, and remove all that are due."""
     awaited = state.jobs.awaited_starts
     due = [start for start in awaited if start.due_us <= state.now_us]
     state.jobs.awaited_starts = [start for start in awaited if start.due_us > state.now_us]
--- a/stepstream/policy/waiting.py
+++ b/stepstream/policy/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for headroom: how long a job may wait, in which order, and when its turn is expected."""
+"""Waiting for headroom: how long a job may wait, in which order, and its expected wait."""
 
 from stepstream.model.actions import TimerToken
 from stepstream.model.job_records import InFlightJob
@@ -16,12 +16,12 @@
 
 
 def latest_start_us(state: PolicyState, job: InFlightJob) -> int:
-    """Return until when an attempt is worth starting: later it would hardly be in time."""
+    """Return the latest time to start an attempt; after it the job would hardly be in time."""
     return min(job.wait_until_us, job.deadline_us - state.settings.scheduling_quantum_us)
 
 
 def expected_wait_us(state: PolicyState) -> float:
-    """Return when one more waiting job has its turn, at the rate at which our jobs end.
+    """Return how long one more waiting job would wait, at the rate at which our jobs end.
 
     It is 0 before the first job has ended.
     """
@@ -44,7 +44,7 @@
 
 
 def take_waiting_jobs(state: PolicyState) -> list[InFlightJob]:
-    """Return the jobs that wait for headroom and forget them.
+    """Return the jobs that wait for headroom, and remove them from the waiting ones.
 
     Priority jobs come first, and jobs of equal priority in the order in which they began to wait.
     """
@@ -57,7 +57,7 @@
 
 
 def take_waiting_jobs_due(state: PolicyState) -> bool:
-    """Return whether to try the waiting jobs again, and reset that."""
+    """Return whether to try the waiting jobs again, and clear the flag."""
     is_due = state.workers.waiting_jobs_due
     state.workers.waiting_jobs_due = False
     return is_due
--- a/stepstream/policy/weighted_round_robin.py
+++ b/stepstream/policy/weighted_round_robin.py
@@ -8,11 +8,12 @@
 _current_weight = attrgetter("current_weight")
 
 
-def take_next(workers: Sequence[Worker], weights: Sequence[float]) -> Worker:
+def choose_next(workers: Sequence[Worker], weights: Sequence[float]) -> Worker:
     """Return the worker whose turn it is: the one with the largest current weight.
 
-    Each choice raises all current weights by the workers' weights, and lowers the chosen one by
-    their sum. So turns follow the weights and do not come in a row.
+    Each choice raises all current weights by the workers' weights, and lowers that of the chosen
+    worker by the sum of the weights. So the workers' turns are in proportion to their weights, and
+    the turns of one worker are spread out.
     """
     for worker, weight in zip(workers, weights, strict=True):
         worker.current_weight += weight
