--- a/stepstream/admin/listener.py
+++ b/stepstream/admin/listener.py
@@ -209,7 +209,7 @@
     ) -> AdminResponse:
         try:
             if isinstance(request, SubsystemRequest):
-                return request.route.answer(replace(request.request, body=body))
+                return request.route.handler(replace(request.request, body=body))
             return self.answer(replace(request, body=body))
         except Exception as error:  # noqa: BLE001  a fault must not end the listener
             # The caller gets a response instead of waiting for its timeout.
--- a/stepstream/core/call_handler.py
+++ b/stepstream/core/call_handler.py
@@ -37,7 +37,7 @@
         deadline_us = call_deadline_us(request, now_us, timeout_us, state.answer_margin_us)
         call = Call(
             request,
-            number=len(request.calls),
+            attempt_number=len(request.calls),
             worker_id=worker_id,
             sent_us=now_us,
             deadline_us=deadline_us,
@@ -77,7 +77,7 @@
         self._state.output.policy_events.append(
             AttemptEnded(
                 job_id=request.id,
-                attempt_number=call.number,
+                attempt_number=call.attempt_number,
                 worker_id=call.worker_id,
                 result=result,
                 elapsed_us=max(now_us - call.sent_us, 0),
@@ -116,7 +116,7 @@
     request = call.request
     if request.answered:
         return False
-    if call.number >= attempt_limit:
+    if call.attempt_number >= attempt_limit:
         return False
     if now_us >= call.deadline_us:
         return False
@@ -131,4 +131,4 @@
     notification has ended, because the worker may deliver that notification again.
     """
     calls_to_worker = [call for call in request.calls if call.worker_id == worker_id]
-    return any(call.notified or not call.worker_finished for call in calls_to_worker)
+    return any(call.ended_by_notification or not call.worker_finished for call in calls_to_worker)
--- a/stepstream/core/commands.py
+++ b/stepstream/core/commands.py
@@ -39,11 +39,11 @@
 
 @record
 class Progress:
-    """Report to the client that `done` of `of` parts of the job are complete."""
+    """Report to the client that `done` of `total` parts of the job are complete."""
 
     request: Request
     done: int
-    of: int
+    total: int
 
 
 @record
--- a/stepstream/core/job_results.py
+++ b/stepstream/core/job_results.py
@@ -24,12 +24,12 @@
     """
 
     chunks: tuple[ResultChunk, ...]
-    last: bytes  # the part that came with the end of the job
+    final_data: bytes  # the part that came with the end of the job
 
     @property
     def complete(self) -> bytes:
         """The result in one piece, without warnings."""
-        return b"".join(chunk.data for chunk in self.chunks if not chunk.warning) + self.last
+        return b"".join(chunk.data for chunk in self.chunks if not chunk.warning) + self.final_data
 
 
 def result_bytes(result: object) -> bytes:
--- a/stepstream/core/notification_handler.py
+++ b/stepstream/core/notification_handler.py
@@ -50,7 +50,7 @@
         first_result = not request.answered
         if first_result:
             self._state.requests.answer(request, Outcome.SERVED, notification.result)
-        call.notified = True
+        call.ended_by_notification = True
         if call.open:
             self._calls.end(now_us, call, AttemptResult.OK, notification.load_report)
         elif first_result:
@@ -63,12 +63,14 @@
         output = self._state.output
         status = notification.status
         if status is JobStatus.STARTED:
-            output.policy_events.append(AttemptStarted(request.id, call.number, call.worker_id))
+            output.policy_events.append(
+                AttemptStarted(request.id, call.attempt_number, call.worker_id)
+            )
         elif status is JobStatus.RUNNING:
             if notification.progress and not request.answered:
                 done, total = notification.progress
                 output.commands.append(Progress(request, done, total))
         else:
-            call.notified = True
+            call.ended_by_notification = True
             result = RESULT_BY_STATUS[status]
             self._calls.end(now_us, call, result, notification.load_report)
--- a/stepstream/core/requests.py
+++ b/stepstream/core/requests.py
@@ -45,8 +45,8 @@
     def answer(self, answer: "Answer") -> None:
         """Send the final answer; called once for each request."""
 
-    def progress(self, done: int, of: int) -> None:
-        """Report that `done` of `of` parts of the job are complete; a front may drop it."""
+    def progress(self, done: int, total: int) -> None:
+        """Report that `done` of `total` parts of the job are complete; a front may drop it."""
 
 
 class CallCarrier(Protocol):
@@ -132,12 +132,14 @@
     """
 
     request: Request
-    number: int  # index into `request.calls`; the policy's attempt number
+    attempt_number: int  # index into `request.calls`; the policy's attempt number
     worker_id: str
     sent_us: int  # when it was handed to its carrier
     deadline_us: int  # the call times out then
     open: bool = True
-    notified: bool = False  # a notification ended it; the worker may deliver that one again
+    ended_by_notification: bool = (
+        False  # a notification ended it; the worker may deliver that one again
+    )
     result: AttemptResult | None = None  # None while open
     write_deadline_us: int | None = None  # its first byte must be written by then; None: no limit
     carrier: CallCarrier | None = None  # the carrier that started it
--- a/stepstream/gearman/connection.py
+++ b/stepstream/gearman/connection.py
@@ -270,7 +270,7 @@
         """Return whether the peer is a worker."""
         return self.peer.worker is not None
 
-    def busy(self) -> bool:
+    def delays_shutdown(self) -> bool:
         """Return whether a shutdown waits for this connection."""
         return connection_rules.delays_shutdown(
             self._view(), server_is_closing=self.server.state.closing
--- a/stepstream/gearman/notifications.py
+++ b/stepstream/gearman/notifications.py
@@ -31,9 +31,9 @@
         """Pass on the final answer."""
         self.on_answer(self.job, answer)
 
-    def progress(self, done: int, of: int) -> None:
+    def progress(self, done: int, total: int) -> None:
         """Pass on the job's progress."""
-        self.on_progress(self.job, done, of)
+        self.on_progress(self.job, done, total)
 
 
 class ClientNotifier:
@@ -132,7 +132,7 @@
     for chunk in result.chunks:
         kind = Kind.WORK_WARNING if chunk.warning else Kind.WORK_DATA
         packets.append(codec.answer(kind, handle, chunk.data))
-    packets.append(codec.answer(Kind.WORK_COMPLETE, handle, result.last))
+    packets.append(codec.answer(Kind.WORK_COMPLETE, handle, result.final_data))
     return packets
 
 
--- a/stepstream/http/client_connection.py
+++ b/stepstream/http/client_connection.py
@@ -200,7 +200,7 @@
             if self.session.parser.buffer:
                 self._dispatch(self.session.next_events(self.server.clock.now_us()))
 
-    def progress(self, done: int, of: int) -> None:
+    def progress(self, done: int, total: int) -> None:
         """Ignore a job's progress: HTTP/1.1 has no message for it."""
 
     def _send(self, reply: Reply) -> None:
@@ -260,7 +260,7 @@
         """Return whether a request awaits its answer."""
         return self.session.has_open_request
 
-    def busy(self) -> bool:
+    def delays_shutdown(self) -> bool:
         """Decide whether a shutdown must wait for this connection.
 
         It waits
--- a/stepstream/http/server.py
+++ b/stepstream/http/server.py
@@ -293,10 +293,10 @@
         for connection in self._snapshot():
             connection.close_if_idle()
 
-    def busy(self) -> bool:
-        """Return whether a shutdown must wait for a connection (`Connection.busy`)."""
+    def delays_shutdown(self) -> bool:
+        """Return whether a shutdown must wait for a connection (`Connection.delays_shutdown`)."""
         with self.lock:
-            return any(connection.busy() for connection in self.connections)
+            return any(connection.delays_shutdown() for connection in self.connections)
 
 
 def is_budget_spent(
--- a/stepstream/leases/admin_api.py
+++ b/stepstream/leases/admin_api.py
@@ -241,7 +241,7 @@
 
 def lease_name(request: AdminRequest) -> str:
     """Return the lease that the path names."""
-    name = request.parts[0]
+    name = request.path_parameters[0]
     if not LEASE_NAME.fullmatch(name):
         quoted = repr(name[:MAX_QUOTED_CHARACTERS])
         raise BadRequestError(f"{quoted} is no lease's name: [a-z0-9._-], 1 to 64 of them")
--- a/stepstream/leases/health_check_leader.py
+++ b/stepstream/leases/health_check_leader.py
@@ -133,7 +133,7 @@
     def probe_all(self, lease: Lease) -> None:
         """Check all workers once, evenly over the period, each only while the lease covers it."""
         workers = list(self.port.list_workers())
-        period_seconds = probe_period_seconds(len(self.transport.present()) + 1)
+        period_seconds = probe_period_seconds(len(self.transport.present_members()) + 1)
         begun_at = time.monotonic()
         published_at = begun_at
         for place, worker_id in enumerate(workers):
@@ -178,7 +178,7 @@
         now = time.monotonic()
         reports = [health_report(now, answered) for answered in unsent]
         for page in encode_pages(lease.token, reports):
-            for member in self.transport.present():
+            for member in self.transport.present_members():
                 self.transport.send(member, MESSAGE_KIND, page)
 
 
--- a/stepstream/leases/subsystem.py
+++ b/stepstream/leases/subsystem.py
@@ -57,7 +57,7 @@
         transport = cast("MessageTransport", context.subsystems["fleet"])
         self.participant = Participant(
             context.config.name,
-            transport.process,
+            transport.process_name,
             self.configuration,
             time.time_ns() // 1_000_000,
             random.Random(),  # seeded by the system: members must not draw alike
--- a/stepstream/membership/admin_api.py
+++ b/stepstream/membership/admin_api.py
@@ -74,7 +74,7 @@
 
     def on_explain(self, request: AdminRequest) -> AdminResponse:
         """Answer `GET /fleet/members/NAME`."""
-        name = request.parts[0]
+        name = request.path_parameters[0]
         with self.driver.lock:
             answer = report.explanation_answer(self.driver.protocol, name, time.monotonic())
         return json_or_not_found(answer, "no such member")
--- a/stepstream/membership/subsystem.py
+++ b/stepstream/membership/subsystem.py
@@ -92,7 +92,7 @@
         self.started_at_ms = time.time_ns() // NANOSECONDS_A_MILLISECOND
         self.phase = Phase.STARTING
         self.dispatcher_count = config.settings.dispatcher_count
-        self.process = f"{config.name}@{local.generation:x}"
+        self.process_name = f"{config.name}@{local.generation:x}"
         self._driver: Driver | None = None  # before the start
         self._message_handlers: dict[str, MessageHandler] = {}
         # By worker, the records that worker maintenance here has applied.
@@ -127,7 +127,7 @@
         if self._driver is not None:
             self._driver.send_application_message(member, kind, data)
 
-    def present(self) -> list[str]:
+    def present_members(self) -> list[str]:
         """Return the names of the other present members."""
         with self.driver.lock:
             return self.protocol.members.others()
--- a/stepstream/node/decision_thread.py
+++ b/stepstream/node/decision_thread.py
@@ -79,8 +79,8 @@
             case StopCall(call):
                 # The core's records hold carriers and sinks without the types of `ports`.
                 cast(Carrier, call.carrier).stop(call)
-            case Progress(request, done, of):
-                cast(ResponseSink, request.response_sink).progress(done, of)
+            case Progress(request, done, total):
+                cast(ResponseSink, request.response_sink).progress(done, total)
             case Answer(request):
                 self.outcome_counts[command.outcome] += 1
                 cast(ResponseSink, request.response_sink).answer(command)
--- a/stepstream/node/shutdown.py
+++ b/stepstream/node/shutdown.py
@@ -65,7 +65,7 @@
             context.server.state.closing = True
             context.server.close_idle()
         enforce_timeouts(context)
-        if context.server.busy() or context.core.open_count:
+        if context.server.delays_shutdown() or context.core.open_count:
             last_busy_at = now
         if may_end(elapsed_seconds, now - last_busy_at, timeouts):
             return
--- a/stepstream/ports/admin.py
+++ b/stepstream/ports/admin.py
@@ -17,7 +17,7 @@
     """An operator's request to a path that a subsystem has added."""
 
     method: str
-    parts: tuple[str, ...] = ()  # the groups of the route's pattern, percent-decoded
+    path_parameters: tuple[str, ...] = ()  # the groups of the route's pattern, percent-decoded
     query: Mapping[str, str] = field(default_factory=dict)
     body: bytes = b""
 
@@ -37,7 +37,9 @@
 
     pattern: str  # regular expression that the whole path matches
     methods: frozenset[str]
-    answer: Callable[[AdminRequest], AdminResponse]  # on the admin listener's thread; must not wait
+    handler: Callable[
+        [AdminRequest], AdminResponse
+    ]  # on the admin listener's thread; must not wait
 
 
 class WorkerMaintenance(Protocol):
--- a/stepstream/ports/connections.py
+++ b/stepstream/ports/connections.py
@@ -52,7 +52,7 @@
     def has_open_request(self) -> bool:
         """Return whether a request on it is unanswered."""
 
-    def busy(self) -> bool:
+    def delays_shutdown(self) -> bool:
         """Return whether a shutdown must wait for it.
 
         It must while the peer is owed something or a client may still use the connection.
--- a/stepstream/ports/messaging.py
+++ b/stepstream/ports/messaging.py
@@ -11,7 +11,7 @@
     methods once it has started; none of them waits.
     """
 
-    process: str  # name of this run of the process; no other run ever has it
+    process_name: str  # name of this run of the process; no other run ever has it
 
     def subscribe(self, kind: str, on_message: Callable[[str, bytes], None]) -> None:
         """Pass each message of a kind to `on_message`, with the name of its sender.
@@ -26,7 +26,7 @@
         A message may be lost, duplicated or delayed.
         """
 
-    def present(self) -> list[str]:
+    def present_members(self) -> list[str]:
         """Return the names of the other members that are alive or suspect."""
 
     def superseded(self) -> bool:
--- a/tests/admin/calls.py
+++ b/tests/admin/calls.py
@@ -5,12 +5,12 @@
 import threading
 
 from tests.http.scripted_server import exchange
-from tests.runtime.waiting import PATIENCE_SECONDS
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS
 
 
 def call_admin(port, data):
     """Send a call on a new connection; return the answer."""
-    with socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_SECONDS) as sock:
+    with socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_SECONDS) as sock:
         return exchange(port, data, sock)
 
 
@@ -23,4 +23,4 @@
         yield
     finally:
         listener.listening_socket.close()
-        thread.join(PATIENCE_SECONDS)
+        thread.join(WAIT_TIMEOUT_SECONDS)
--- a/tests/admin/test_admin_listener.py
+++ b/tests/admin/test_admin_listener.py
@@ -13,7 +13,7 @@
 from tests.admin.calls import call_admin, running_listener
 from tests.config.configurations import LIMITS
 from tests.runtime.ports import free_port
-from tests.runtime.waiting import PATIENCE_SECONDS
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS
 
 HEALTH_CHECK = OperatorRequest(AdminAction.CHECK_HEALTH)
 
@@ -64,7 +64,7 @@
     idle = [
         socket.create_connection(("127.0.0.1", port)) for _ in range(LIMITS.connections.admin + 4)
     ]
-    idle[0].settimeout(PATIENCE_SECONDS)
+    idle[0].settimeout(WAIT_TIMEOUT_SECONDS)
     assert idle[0].recv(10) == b""  # the oldest is evicted
     assert call_admin(port, b"PUT /healthcheck/ok HTTP/1.1\r\n\r\n").status == 200
     for sock in idle:
@@ -111,13 +111,13 @@
 
 def caller_of(listener):
     sock = caller_of_socket(listener.listening_socket)
-    sock.settimeout(PATIENCE_SECONDS)
+    sock.settimeout(WAIT_TIMEOUT_SECONDS)
     return sock
 
 
 def turn_until(listener, done):
     """Turn the listener, within a bound, until `done()`."""
-    deadline = time.monotonic() + PATIENCE_SECONDS
+    deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
     while not done():
         assert time.monotonic() < deadline
         listener.poll_once()
--- a/tests/admin/test_admin_program.py
+++ b/tests/admin/test_admin_program.py
@@ -13,7 +13,7 @@
 from tests.http.scripted_server import exchange
 from tests.node.dispatcher_process import ROOT
 from tests.runtime.ports import free_port
-from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 
 @pytest.fixture
@@ -32,7 +32,9 @@
 
 def test_the_program_drains_on_request_and_serves_again(dispatcher):
     assert call_admin(admin_port(dispatcher), b"GET /healthcheck HTTP/1.1\r\n\r\n").status == 200
-    connection = socket.create_connection(("127.0.0.1", dispatcher.port), timeout=PATIENCE_SECONDS)
+    connection = socket.create_connection(
+        ("127.0.0.1", dispatcher.port), timeout=WAIT_TIMEOUT_SECONDS
+    )
     assert exchange(0, job_request("00000000000000a1"), connection).status == 200
     assert put(dispatcher, "/healthcheck/fail") == 200
     assert not dispatcher.is_ready()
@@ -41,7 +43,7 @@
         0, job_request("00000000000000a2"), connection
     )  # an open connection is still served
     assert answer.status == 200
-    connection.settimeout(PATIENCE_SECONDS)
+    connection.settimeout(WAIT_TIMEOUT_SECONDS)
     assert connection.recv(10) == b""  # and closed after an answer once the drain's time has come
     assert put(dispatcher, "/healthcheck/ok") == 200
     wait_for(dispatcher.is_ready)
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -77,7 +77,7 @@
     first = only_call(commands)
     second = only_call(harness.post(JobNotification("aa", first.worker_id, status)))
     assert second.worker_id != first.worker_id
-    assert second.number == 1
+    assert second.attempt_number == 1
     # The same notification once more must not end the second call.
     assert harness.post(JobNotification("aa", first.worker_id, status)) == []
 
--- a/tests/gearman/program.py
+++ b/tests/gearman/program.py
@@ -11,7 +11,7 @@
 from tests.config.configurations import CONFIGURATION, LIMITS
 from tests.node.dispatcher_process import end_process, start_serving
 from tests.runtime.ports import free_port
-from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 SECTION = '[gearman]\nlisten = "127.0.0.1:{port}"\ntenant = "tatra-invest"\nqueue = 4\n'
 RECEIVE_BYTES = 65_536
@@ -28,7 +28,7 @@
     @classmethod
     def connect(cls, port):
         """Connect to a port of 127.0.0.1."""
-        return cls(socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_SECONDS))
+        return cls(socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_SECONDS))
 
     def send(self, kind, *arguments):
         """Send a packet."""
@@ -143,7 +143,7 @@
     def command(self, line):
         """Send a text command on a new connection; return the answer."""
         address = ("127.0.0.1", self.gearman)
-        with socket.create_connection(address, timeout=PATIENCE_SECONDS) as sock:
+        with socket.create_connection(address, timeout=WAIT_TIMEOUT_SECONDS) as sock:
             sock.sendall(line.encode() + b"\n")
             text = b""
             while not text.endswith(b".\n") and not text.startswith((b"OK", b"ERR")):
@@ -165,7 +165,7 @@
         for peer in self.peers:
             peer.close()
         for thread in self.threads:
-            thread.join(PATIENCE_SECONDS)
+            thread.join(WAIT_TIMEOUT_SECONDS)
 
 
 def revalue_with_progress(worker, job):
--- a/tests/gearman/service_harness.py
+++ b/tests/gearman/service_harness.py
@@ -134,9 +134,9 @@
         """Hand a final answer to the service."""
         self.service.answer(self.now_us, job, answer)
 
-    def on_progress(self, job, done, of):
+    def on_progress(self, job, done, total):
         """Hand a job's progress to the service."""
-        self.service.progress(job, done, of)
+        self.service.progress(job, done, total)
 
     def connect(self):
         """Return a new peer."""
@@ -184,8 +184,8 @@
                     self.service.stop(call)
                 case Answer(request):
                     request.response_sink.answer(command)
-                case Progress(request, done, of):
-                    request.response_sink.progress(done, of)
+                case Progress(request, done, total):
+                    request.response_sink.progress(done, total)
 
     def notify_http(self, call, status, result=None, progress=None):
         """Notify the core of a call's status at its worker of discovery."""
--- a/tests/gearman/test_gearman_connection.py
+++ b/tests/gearman/test_gearman_connection.py
@@ -17,7 +17,7 @@
 from tests.config.configurations import CONFIGURATION, LIMITS, POLICY_SETTINGS
 from tests.gearman.program import GearmanPeer
 from tests.gearman.service_harness import SECTION
-from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 CLOSES = {
     "shutdown": lambda connection: connection.close_if_idle(),
@@ -46,7 +46,7 @@
     wait_for(lambda: not connection.unhandled_messages)
     yield connection, peer
     peer.sock.close()
-    reader.join(PATIENCE_SECONDS)
+    reader.join(WAIT_TIMEOUT_SECONDS)
 
 
 @pytest.mark.parametrize("close", CLOSES)
@@ -59,11 +59,11 @@
 
     def pause_before_handling(step):
         received.set()
-        assert go.wait(PATIENCE_SECONDS)
+        assert go.wait(WAIT_TIMEOUT_SECONDS)
 
     monkeypatch.setattr(connection, "_throttle", pause_before_handling)
     peer.send(Kind.SUBMIT_JOB, "tatra-invest/revalue", "", "x")
-    assert received.wait(PATIENCE_SECONDS)
+    assert received.wait(WAIT_TIMEOUT_SECONDS)
     CLOSES[close](connection)
     go.set()
     assert peer.next().kind is Kind.JOB_CREATED
--- a/tests/gearman/test_gearman_node.py
+++ b/tests/gearman/test_gearman_node.py
@@ -20,7 +20,7 @@
 from tests.http.scripted_server import exchange
 from tests.node.dispatcher_process import ROOT
 from tests.runtime.ports import free_port
-from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 
 def library_worker(program, name, functions):
@@ -45,7 +45,9 @@
     # Guards against BAD_UNIQUE for opaque bytes on a class with idempotency keys.
     library_worker(program, b"lib;start=1", {b"nav-publish": lambda worker, job: b"done"})
     client = gearman.GearmanClient([f"127.0.0.1:{program.gearman}"])
-    done = client.submit_job("nav-publish", b"x", unique=RAW_UNIQUE, poll_timeout=PATIENCE_SECONDS)
+    done = client.submit_job(
+        "nav-publish", b"x", unique=RAW_UNIQUE, poll_timeout=WAIT_TIMEOUT_SECONDS
+    )
     assert (done.state, done.result) == ("COMPLETE", b"done")
 
 
@@ -56,9 +58,9 @@
     client.waitForServer()
     try:
         with pytest.raises(gear.GearmanError):
-            client.submitJob(gear.Job(b"nothing", b"x"), timeout=PATIENCE_SECONDS)
+            client.submitJob(gear.Job(b"nothing", b"x"), timeout=WAIT_TIMEOUT_SECONDS)
         job = gear.Job(b"nav-publish", b"x", unique=RAW_UNIQUE)
-        client.submitJob(job, timeout=PATIENCE_SECONDS)
+        client.submitJob(job, timeout=WAIT_TIMEOUT_SECONDS)
         wait_for(lambda: job.complete)
         assert (job.failure, job.data) == (False, [b"done"])
     finally:
@@ -76,18 +78,19 @@
         {b"revalue": revalue_with_progress, b"nav-publish": broken},
     )
     client = gearman.GearmanClient([f"127.0.0.1:{program.gearman}"])
-    done = client.submit_job("revalue", b"abc", poll_timeout=PATIENCE_SECONDS)
+    done = client.submit_job("revalue", b"abc", poll_timeout=WAIT_TIMEOUT_SECONDS)
     assert (done.state, done.result, list(done.data_updates)) == ("COMPLETE", b"ABC", [b"part "])
     assert (done.status["numerator"], done.status["denominator"]) == (1, 2)
     many = [{"task": "tatra-invest/revalue", "data": b"%d" % k} for k in range(20)]
-    results = client.submit_multiple_jobs(many, poll_timeout=PATIENCE_SECONDS)
+    results = client.submit_multiple_jobs(many, poll_timeout=WAIT_TIMEOUT_SECONDS)
     assert [r.result for r in results] == [b"%d" % k for k in range(20)]
-    failed = client.submit_job("nav-publish", b"x", unique="key", poll_timeout=PATIENCE_SECONDS)
+    failed = client.submit_job("nav-publish", b"x", unique="key", poll_timeout=WAIT_TIMEOUT_SECONDS)
     assert failed.state == "FAILED"
-    later = client.submit_job("revalue", b"x", background=True, poll_timeout=PATIENCE_SECONDS)
+    later = client.submit_job("revalue", b"x", background=True, poll_timeout=WAIT_TIMEOUT_SECONDS)
     wait_for(
         lambda: (
-            client.get_job_status(later, poll_timeout=PATIENCE_SECONDS).status["running"] is False
+            client.get_job_status(later, poll_timeout=WAIT_TIMEOUT_SECONDS).status["running"]
+            is False
         )
     )
     admin = gearman.GearmanAdminClient([f"127.0.0.1:{program.gearman}"])
@@ -198,7 +201,7 @@
     worker.send(Kind.WORK_COMPLETE, assigned, "in time")
     assert client.until(Kind.WORK_COMPLETE).args[1] == b"in time"
     worker.send(Kind.WORK_COMPLETE, worker.grab()[0], "too")
-    assert program.process.wait(PATIENCE_SECONDS) == 0
+    assert program.process.wait(WAIT_TIMEOUT_SECONDS) == 0
     log = program.process.stderr.read()
     assert "served_requests=2 rejected_requests=0 failed_requests=0" in log
     assert log.endswith("stepstream: info shutdown_finished\n")
@@ -224,7 +227,7 @@
     worker.send(Kind.WORK_COMPLETE, worker.grab()[0], "r")
     assert client.until(Kind.WORK_COMPLETE).args[1] == b"r"
     assert program.command("shutdown") == "OK\n"
-    assert program.process.wait(PATIENCE_SECONDS) == 0
+    assert program.process.wait(WAIT_TIMEOUT_SECONDS) == 0
 
 
 def test_an_address_in_use_is_reported_with_its_key(program, tmp_path):
@@ -238,7 +241,7 @@
         env={**os.environ, "EDGE_CONFIG": str(folder / "config.json")},
         capture_output=True,
         text=True,
-        timeout=PATIENCE_SECONDS,
+        timeout=WAIT_TIMEOUT_SECONDS,
     )
     assert run.returncode == 2
     assert f"gearman.listen=127.0.0.1:{program.gearman}" in run.stderr
@@ -257,7 +260,7 @@
         },
         capture_output=True,
         text=True,
-        timeout=PATIENCE_SECONDS,
+        timeout=WAIT_TIMEOUT_SECONDS,
     )
     assert run.returncode == 2
     assert "gearman.listen" in run.stderr
--- a/tests/golden/fronts/program_samples.py
+++ b/tests/golden/fronts/program_samples.py
@@ -24,7 +24,7 @@
 from stepstream.config.node_config import config_from
 from stepstream.config.operator_file import read_operator
 from stepstream.node.node import Node
-from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 SECTIONS = CONFIG_INPUTS["operator_sections"]
 LEASES_SECTION = '[leases]\nvoters = ["n0"]\nprobe_sweep = true\n'
@@ -71,7 +71,7 @@
 def serve_job(dispatcher: RunningDispatcher) -> dict:
     """Send a job and complete it; return what the client and the worker get."""
     http_port = dispatcher.ports["http"]
-    with socket.create_connection(("127.0.0.1", http_port), timeout=PATIENCE_SECONDS) as client:
+    with socket.create_connection(("127.0.0.1", http_port), timeout=WAIT_TIMEOUT_SECONDS) as client:
         client.sendall(long_job_request(SERVED_ID, "Idempotency-Key: k-1\r\n", "/revalue?user=1"))
         call = dispatcher.worker.first_request(b"POST")
         body = NOTIFICATIONS["done object"].replace(b'"a"', b'"%s"' % SERVED_ID)
@@ -86,7 +86,7 @@
     """Send a job and disconnect; return the cancellation that the worker gets."""
     worker = dispatcher.worker
     http_port = dispatcher.ports["http"]
-    with socket.create_connection(("127.0.0.1", http_port), timeout=PATIENCE_SECONDS) as client:
+    with socket.create_connection(("127.0.0.1", http_port), timeout=WAIT_TIMEOUT_SECONDS) as client:
         client.sendall(long_job_request(ABANDONED_ID))
         wait_for(lambda: any(ABANDONED_ID in data for data in worker.requests))
     return {"give up": dispatcher.masked(text_of(worker.first_request(b"DELETE")))}
--- a/tests/golden/fronts/running_dispatcher.py
+++ b/tests/golden/fronts/running_dispatcher.py
@@ -16,7 +16,7 @@
 from golden.fronts.wire_samples import INPUTS, WORKER_ANSWERS
 
 from tests.runtime.ports import free_port
-from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 ROOT = Path(__file__).resolve().parents[3]
 LOG_PREFIX = "stepstream: "  # of plain lines of the log
@@ -79,7 +79,7 @@
 
 def exchange(port: int, data: bytes) -> bytes:
     """Send bytes on a new connection; return the message that comes back."""
-    with socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_SECONDS) as peer:
+    with socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_SECONDS) as peer:
         peer.sendall(data)
         return receive_message(peer)
 
@@ -158,7 +158,7 @@
     def stop(self) -> list[str]:
         """End the process by SIGTERM; return the plain lines of its log."""
         self.process.send_signal(signal.SIGTERM)
-        self.process.wait(PATIENCE_SECONDS)
+        self.process.wait(WAIT_TIMEOUT_SECONDS)
         lines = self.masked(self.error_file.read_text()).splitlines()
         return [line for line in lines if line.startswith(LOG_PREFIX)]
 
--- a/tests/golden/state/admin_transcripts.py
+++ b/tests/golden/state/admin_transcripts.py
@@ -101,7 +101,7 @@
 
 def echo_answer(call: object) -> AdminResponse:
     """Answer with the parts of the path."""
-    return AdminResponse(200, repr(call.parts))
+    return AdminResponse(200, repr(call.path_parameters))
 
 
 ROUTES = (
--- a/tests/golden/state/lease_admin_transcripts.py
+++ b/tests/golden/state/lease_admin_transcripts.py
@@ -28,10 +28,10 @@
         self.answering = True
         self.sent: list[list[str]] = []
         messenger = SimpleNamespace(
-            process="n0@1f",
+            process_name="n0@1f",
             subscribe=lambda kind, take: None,
             send=self.send,
-            present=lambda: ["n1"],
+            present_members=lambda: ["n1"],
             superseded=lambda: False,
         )
         leases = {"voters": ACCEPTORS, "longest_s": 10.0, **section}
@@ -116,7 +116,7 @@
     messenger = SimpleNamespace(
         subscribe=lambda kind, take: kinds.append(kind),
         send=lambda member, kind, data: sent.append([member, kind, data.hex()]),
-        present=lambda: ["n1", "n2"],
+        present_members=lambda: ["n1", "n2"],
     )
     port = HealthCheckPort(list, None, tuple, lambda probed: None)
     with clock.in_force():
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -42,7 +42,7 @@
 from tests.http.scripted_server import exchange
 from tests.node.dispatcher_process import running_process
 from tests.runtime.ports import free_port
-from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 OLD = ProcessRecord(100, "127.0.0.1:9901", 1_000, True)
 NEW = ProcessRecord(200, "127.0.0.1:9902", 2_000, True)
@@ -273,7 +273,7 @@
             )
         )
         dispatcher.process.send_signal(signal.SIGTERM)
-        assert dispatcher.process.wait(timeout=PATIENCE_SECONDS) == 0
+        assert dispatcher.process.wait(timeout=WAIT_TIMEOUT_SECONDS) == 0
         log = dispatcher.process.stderr.read()
         assert re.search(r"shutdown_started open_requests=\d+ hot_restart=true", log)
         for k in range(5):  # the address is served on by the new process alone
--- a/tests/http/scripted_server.py
+++ b/tests/http/scripted_server.py
@@ -6,7 +6,7 @@
 
 from stepstream.http.codec import Parser
 from tests.config.configurations import LIMITS
-from tests.runtime.waiting import PATIENCE_SECONDS
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS
 
 RECEIVE_BYTES = 65_536
 
@@ -59,7 +59,7 @@
 
 def exchange(port, data, sock=None):
     """Send a message and return the answer; on a new connection unless one is given."""
-    peer = sock or socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_SECONDS)
+    peer = sock or socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_SECONDS)
     parser = Parser(LIMITS, answers=True)
     peer.sendall(data)
     message = None
--- a/tests/http/server_harness.py
+++ b/tests/http/server_harness.py
@@ -10,7 +10,7 @@
 from stepstream.runtime.clock import Clock
 from tests.config.configurations import LIMITS, POLICY_SETTINGS
 from tests.runtime.thread_ends import end_server
-from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 NOTIFICATION = write_request("POST", "/_jobs/news", {}, b'{"id":"01","from":"s","state":"started"}')
 READINESS_CHECK = b"GET /-/ready HTTP/1.1\r\n\r\n"
@@ -38,7 +38,9 @@
     def connect(self, host="127.0.0.1"):
         """Connect from this host of the loopback network."""
         address = ("127.0.0.1", self.port)
-        return socket.create_connection(address, timeout=PATIENCE_SECONDS, source_address=(host, 0))
+        return socket.create_connection(
+            address, timeout=WAIT_TIMEOUT_SECONDS, source_address=(host, 0)
+        )
 
     def check_timeouts_until(self, done):
         """Check the connections' timeouts, as the main thread does periodically, until `done()`."""
@@ -51,7 +53,7 @@
     def close(self):
         """Stop listening and end the server's threads."""
         self.server.close_listeners()
-        self.accepting.join(PATIENCE_SECONDS)
+        self.accepting.join(WAIT_TIMEOUT_SECONDS)
         end_server(self.server)
 
 
--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -18,7 +18,7 @@
 from tests.http.messages import job_request
 from tests.http.scripted_server import exchange
 from tests.http.server_harness import READINESS_CHECK, serve
-from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 RESET_SECONDS = 0.1  # on loopback a reset takes much less
 
@@ -146,13 +146,13 @@
 
 def test_a_shutdown_waits_for_an_idle_client_until_connections_close(serve_inbound):
     client = IdleClient(serve_inbound())
-    assert client.connection.busy()
+    assert client.connection.delays_shutdown()
     client.harness.server.state.closing = True
-    assert not client.connection.busy()
+    assert not client.connection.delays_shutdown()
     client.harness.server.close_idle()
-    assert client.connection.busy()  # for the peer's end
+    assert client.connection.delays_shutdown()  # for the peer's end
     client.connection.phase_started_at_seconds -= LIMITS.timeouts.close_grace_seconds
-    assert not client.connection.busy()
+    assert not client.connection.delays_shutdown()
     client.peer.close()
 
 
@@ -203,7 +203,7 @@
     def wait_and_pause(size):
         has_input = wait(size)
         woken.set()
-        assert go.wait(PATIENCE_SECONDS)
+        assert go.wait(WAIT_TIMEOUT_SECONDS)
         return has_input
 
     monkeypatch.setattr(client.connection.transport, "wait_readable", wait_and_pause)
@@ -212,7 +212,7 @@
     serve(second)
     assert exchange(0, b"", client.peer).status == 200
     client.peer.sendall(job_request("03"))
-    assert woken.wait(PATIENCE_SECONDS)
+    assert woken.wait(WAIT_TIMEOUT_SECONDS)
     CLOSES[close](client)
     go.set()
     (*_, last) = wait_for(
@@ -297,7 +297,7 @@
         serve(waiting)
     else:
         client.peer.sendall(READINESS_CHECK)
-    assert closed.wait(PATIENCE_SECONDS)
+    assert closed.wait(WAIT_TIMEOUT_SECONDS)
     assert exchange(0, b"", client.peer).status == 200
     client.peer.close()
 
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -19,7 +19,7 @@
 from tests.config.configurations import LIMITS, POLICY_SETTINGS
 from tests.http.outbound_harness import endpoint_answer
 from tests.http.scripted_server import ScriptedServer
-from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 LIST = b'{"version":7,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.1:1","state":"ready"}]}'
 NEWER_LIST = LIST.replace(b"7", b"8")
@@ -117,7 +117,7 @@
 def test_a_watch_goes_on_from_the_version_of_the_last_list(start_client, silence):
     def reply(message):
         if "index=7" in message.target:
-            silence.wait(PATIENCE_SECONDS)
+            silence.wait(WAIT_TIMEOUT_SECONDS)
         return write_answer(200, LIST)
 
     harness = start_client(reply)
@@ -193,7 +193,7 @@
     def reply(_):
         if answers:
             return answers.pop(0)
-        silence.wait(PATIENCE_SECONDS)
+        silence.wait(WAIT_TIMEOUT_SECONDS)
         return None
 
     schedule = make_schedule(
@@ -226,7 +226,7 @@
     def reply(_):
         if answers:
             return answers.pop(0)
-        silence.wait(PATIENCE_SECONDS)
+        silence.wait(WAIT_TIMEOUT_SECONDS)
         return None
 
     reported = []
@@ -239,7 +239,7 @@
     def reply(message):
         if "wait=0" in message.target:
             return write_answer(503)
-        silence.wait(PATIENCE_SECONDS)
+        silence.wait(WAIT_TIMEOUT_SECONDS)
         return None
 
     reported = []
@@ -265,11 +265,13 @@
                 open_at_answer.append(is_open)
             return beside_watch.pop(0)
         watched_on.append(connection)
-        silence.wait(PATIENCE_SECONDS)
+        silence.wait(WAIT_TIMEOUT_SECONDS)
         return None
 
     schedule = make_schedule(
-        watch_wait_seconds=0.05, watch_overrun_seconds=0.05, call_timeout_seconds=PATIENCE_SECONDS
+        watch_wait_seconds=0.05,
+        watch_overrun_seconds=0.05,
+        call_timeout_seconds=WAIT_TIMEOUT_SECONDS,
     )
     harness = make_client(reply, version=7, schedule=schedule)
     harness.start()
@@ -285,10 +287,10 @@
     def reply(message):
         if "wait=0" in message.target:
             return write_answer(200, answers.pop(0))
-        silence.wait(PATIENCE_SECONDS)
+        silence.wait(WAIT_TIMEOUT_SECONDS)
         return None
 
-    schedule = make_schedule(watch_wait_seconds=PATIENCE_SECONDS)
+    schedule = make_schedule(watch_wait_seconds=WAIT_TIMEOUT_SECONDS)
     harness = start_client(reply, version=7, schedule=schedule)
     client = harness.client
     wait_for(lambda: len(harness.server.requests) == 1)
@@ -307,7 +309,7 @@
 
 
 def test_a_check_that_the_watch_has_overtaken_changes_nothing(start_client, silence):
-    harness = start_client(lambda _: silence.wait(PATIENCE_SECONDS) and None, version=7)
+    harness = start_client(lambda _: silence.wait(WAIT_TIMEOUT_SECONDS) and None, version=7)
     overtaken = replace(endpoint_answer(w=1), version=8)
     assert not harness.client.adopt_list(overtaken, base_version=6)
     assert not harness.events
@@ -347,16 +349,18 @@
 
     def reply(message):
         if "wait=0" not in message.target:
-            silence.wait(PATIENCE_SECONDS)
+            silence.wait(WAIT_TIMEOUT_SECONDS)
             return None
         calls_beside_watch.append(message)
         if len(calls_beside_watch) > 1:
             return write_answer(200, newer)
-        answer_late.wait(PATIENCE_SECONDS)
+        answer_late.wait(WAIT_TIMEOUT_SECONDS)
         return write_answer(200, older)
 
     schedule = make_schedule(
-        watch_wait_seconds=0.05, watch_overrun_seconds=0.05, call_timeout_seconds=PATIENCE_SECONDS
+        watch_wait_seconds=0.05,
+        watch_overrun_seconds=0.05,
+        call_timeout_seconds=WAIT_TIMEOUT_SECONDS,
     )
     harness = start_client(reply, version=7, schedule=schedule)
     client = harness.client
@@ -379,11 +383,11 @@
         if "wait=0" in message.target:
             return write_answer(200, b'{"version":2,"full":false,"servers":[]}')
         if "index=9" in message.target:
-            silence.wait(PATIENCE_SECONDS)
+            silence.wait(WAIT_TIMEOUT_SECONDS)
             return None
         return write_answer(200, LIST) if "index" not in message.target else write_answer(503)
 
-    schedule = make_schedule(watch_wait_seconds=PATIENCE_SECONDS)
+    schedule = make_schedule(watch_wait_seconds=WAIT_TIMEOUT_SECONDS)
     harness = start_client(reply, version=9, schedule=schedule)
     wait_for(lambda: harness.server.requests)
     harness.client.start_list_check()
@@ -395,7 +399,7 @@
 
 
 def test_a_stopped_client_ends_its_call_and_adopts_nothing_more(start_client, silence):
-    harness = start_client(lambda _: silence.wait(PATIENCE_SECONDS) and write_answer(200, LIST))
+    harness = start_client(lambda _: silence.wait(WAIT_TIMEOUT_SECONDS) and write_answer(200, LIST))
     wait_for(lambda: harness.server.requests)
     harness.client.stop()
     wait_for(lambda: harness.client.connection is None)
--- a/tests/http/test_outbound.py
+++ b/tests/http/test_outbound.py
@@ -24,7 +24,7 @@
     endpoint_answer,
 )
 from tests.runtime.ports import free_port
-from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 NOT_STARTED = {"Not-Started": "1"}
 
@@ -109,7 +109,7 @@
 
     def reply(message):
         if message.method == "POST" and message.headers["request-id"] == "01":
-            hold.wait(PATIENCE_SECONDS)
+            hold.wait(WAIT_TIMEOUT_SECONDS)
         return write_answer(202)
 
     harness = make_carrier(reply)
@@ -218,7 +218,7 @@
 ):
     # However slow the machine is, the call has not waited too long.
     harness = make_carrier(
-        accept_job, Limits(timeouts=Timeouts(call_queue_seconds=PATIENCE_SECONDS))
+        accept_job, Limits(timeouts=Timeouts(call_queue_seconds=WAIT_TIMEOUT_SECONDS))
     )
     call = harness.new_call()
     acquired = run_on_acquire(monkeypatch, harness, lambda _: change(harness, call))
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -18,7 +18,7 @@
     WORKER_HOST,
     serve,
 )
-from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 RESET_SECONDS = 0.05  # on loopback a reset takes much less
 EVICTABLE_IDLE_SECONDS = 0.01
@@ -132,7 +132,7 @@
         Limits(
             connections=ConnectionLimits(inbound=2, reserved_for_workers=0),
             timeouts=Timeouts(
-                evictable_idle_seconds=0.0, evict_silent_after_seconds=PATIENCE_SECONDS
+                evictable_idle_seconds=0.0, evict_silent_after_seconds=WAIT_TIMEOUT_SECONDS
             ),
         )
     )
@@ -161,7 +161,7 @@
 
     monkeypatch.setattr(server, "shut_down", shut_down_and_wait)
     harness.server.close_listeners()
-    harness.accepting.join(PATIENCE_SECONDS)
+    harness.accepting.join(WAIT_TIMEOUT_SECONDS)
     assert "accept_failed" not in capfd.readouterr().err
 
 
@@ -213,7 +213,7 @@
     harness = serve_inbound(
         Limits(
             connections=ConnectionLimits(inbound=1, reserved_for_workers=0),
-            timeouts=Timeouts(evictable_idle_seconds=PATIENCE_SECONDS),
+            timeouts=Timeouts(evictable_idle_seconds=WAIT_TIMEOUT_SECONDS),
         )
     )
     with harness.connect() as sending:
--- a/tests/identity/test_identity_commands.py
+++ b/tests/identity/test_identity_commands.py
@@ -12,7 +12,7 @@
 from tests.config.configurations import CONFIGURATION
 from tests.identity.program import ISSUER_AND_AUDIENCE
 from tests.node.dispatcher_process import ROOT
-from tests.runtime.waiting import PATIENCE_SECONDS
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS
 
 
 def stepstream(*words, **environment):
@@ -22,7 +22,7 @@
         env={**os.environ, **environment},
         capture_output=True,
         text=True,
-        timeout=PATIENCE_SECONDS,
+        timeout=WAIT_TIMEOUT_SECONDS,
     )
 
 
--- a/tests/identity/test_identity_node.py
+++ b/tests/identity/test_identity_node.py
@@ -8,7 +8,7 @@
 from stepstream.http.codec import write_request
 from tests.http.scripted_server import exchange
 from tests.identity.program import challenge
-from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 
 def test_callers_are_served_within_their_permissions(program):
@@ -56,7 +56,9 @@
 
 def test_the_connection_of_a_rejected_client_stays_open(program):
     program.start_worker()
-    with socket.create_connection(("127.0.0.1", program.http), timeout=PATIENCE_SECONDS) as peer:
+    with socket.create_connection(
+        ("127.0.0.1", program.http), timeout=WAIT_TIMEOUT_SECONDS
+    ) as peer:
         statuses = [program.post(token, peer).status for token in (None, program.token())]
     assert statuses == [401, 200]
 
@@ -116,7 +118,7 @@
 
     def load():
         with socket.create_connection(
-            ("127.0.0.1", program.http), timeout=PATIENCE_SECONDS
+            ("127.0.0.1", program.http), timeout=WAIT_TIMEOUT_SECONDS
         ) as peer:
             while not stop.is_set():
                 statuses.append(program.post(program.token(ttl=30), peer).status)
@@ -143,7 +145,9 @@
 def test_a_revoked_key_ends_cached_tokens_on_open_connections(program):
     program.start_worker()
     token = program.token()
-    with socket.create_connection(("127.0.0.1", program.http), timeout=PATIENCE_SECONDS) as peer:
+    with socket.create_connection(
+        ("127.0.0.1", program.http), timeout=WAIT_TIMEOUT_SECONDS
+    ) as peer:
         assert program.post(token, peer).status == 200
         program.key_store.revoke("k1")
         wait_for(lambda: program.post(token, peer).status == 401)
@@ -168,6 +172,6 @@
     for token in tokens:
         program.post(token)
     program.process.terminate()
-    log = program.process.communicate(timeout=PATIENCE_SECONDS)[1]
+    log = program.process.communicate(timeout=WAIT_TIMEOUT_SECONDS)[1]
     assert '"reason": "unknown_caller"' in log
     assert not any(token.split(".")[2] in log for token in tokens)
--- a/tests/identity/test_identity_tls.py
+++ b/tests/identity/test_identity_tls.py
@@ -16,7 +16,7 @@
 from tests.gearman.program import GearmanPeer
 from tests.http.messages import job_request
 from tests.identity.program import challenge
-from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 
 def client_context(tls_program, ca=None):
@@ -66,7 +66,7 @@
 
 
 def connect_tls(port, context):
-    plain = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_SECONDS)
+    plain = socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_SECONDS)
     return context.wrap_socket(plain, server_hostname="127.0.0.1")
 
 
@@ -85,7 +85,7 @@
     with connect_tls(tls_program.tls_port, publisher) as peer:
         assert tls_program.post(peer=peer, path="/nav-publish").body == b"17.5"
     tls_program.process.terminate()
-    log = tls_program.process.communicate(timeout=PATIENCE_SECONDS)[1]
+    log = tls_program.process.communicate(timeout=WAIT_TIMEOUT_SECONDS)[1]
     assert log.count("client_certificate_unreadable") == 1
     assert "internal_fault" not in log
 
@@ -158,7 +158,7 @@
 def test_the_wrong_protocol_on_either_port_and_a_stalled_handshake_end_in_time(tls_program):
     tls_program.start_worker()
     with socket.create_connection(
-        ("127.0.0.1", tls_program.tls_port), timeout=PATIENCE_SECONDS
+        ("127.0.0.1", tls_program.tls_port), timeout=WAIT_TIMEOUT_SECONDS
     ) as peer:
         peer.sendall(job_request())
         while peer.recv(4096):
@@ -166,7 +166,7 @@
     with pytest.raises((ssl.SSLError, OSError)):
         connect_tls(tls_program.http, client_context(tls_program))
     stalled = [
-        socket.create_connection(("127.0.0.1", tls_program.tls_port), timeout=PATIENCE_SECONDS)
+        socket.create_connection(("127.0.0.1", tls_program.tls_port), timeout=WAIT_TIMEOUT_SECONDS)
         for _ in range(20)
     ]
     for peer in stalled:
@@ -193,7 +193,7 @@
     for thread in threads:
         thread.start()
     for thread in threads:
-        thread.join(PATIENCE_SECONDS)
+        thread.join(WAIT_TIMEOUT_SECONDS)
     assert len(statuses) == 100
     assert 200 in statuses
     assert not set(statuses) & {401, 403}
--- a/tests/lab/emulator/test_udp_relay.py
+++ b/tests/lab/emulator/test_udp_relay.py
@@ -10,7 +10,7 @@
 from stepstream.lab.emulator.udp_relay import UdpRelay
 
 HOST = "127.0.0.1"
-PATIENCE_SECONDS = 10.0  # for what must happen
+WAIT_TIMEOUT_SECONDS = 10.0  # for what must happen
 DELAY_SECONDS = 0.2
 
 
@@ -21,7 +21,7 @@
     for name in ("a", "b"):
         sockets[name] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sockets[name].bind((HOST, 0))
-        sockets[name].settimeout(PATIENCE_SECONDS)
+        sockets[name].settimeout(WAIT_TIMEOUT_SECONDS)
     yield sockets
     for member in sockets.values():
         member.close()
@@ -50,7 +50,7 @@
 
 
 def wait_until(condition):
-    deadline = time.monotonic() + PATIENCE_SECONDS
+    deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
     while not condition():
         assert time.monotonic() < deadline
         time.sleep(0.01)
--- a/tests/lab/reports/test_demo.py
+++ b/tests/lab/reports/test_demo.py
@@ -10,7 +10,7 @@
 from stepstream.http.codec import write_request
 from tests.http.scripted_server import exchange
 from tests.node.dispatcher_process import ROOT
-from tests.runtime.waiting import PATIENCE_SECONDS
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS
 
 
 def demo_command(*options):
@@ -58,7 +58,7 @@
         yield host, int(port)
     finally:
         process.terminate()
-        assert process.wait(PATIENCE_SECONDS * 2) == 0
+        assert process.wait(WAIT_TIMEOUT_SECONDS * 2) == 0
 
 
 def test_a_held_demo_serves_requests_of_other_clients(held_demo):
@@ -69,7 +69,7 @@
         "Request-Timeout-Ms": "4000",
     }
     for body in (b"[0,0,1000,1]", b"what others send"):
-        with socket.create_connection(held_demo, timeout=PATIENCE_SECONDS) as connection:
+        with socket.create_connection(held_demo, timeout=WAIT_TIMEOUT_SECONDS) as connection:
             response = exchange(0, write_request("POST", "/revalue", headers, body), connection)
         assert response.status == 200
         assert response.body.startswith(b"price ")
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -37,13 +37,13 @@
 
 # Shorter than the defaults, so that the whole of this file takes a minute and a half.
 SHORT_INTERVALS = "period_ms = 200\ntimeout_ms = 90\nsync_ms = 1000\nreach_ms = 300\nyoung_s = 2\nhold_s = 2\nslack = 3\n"
-PATIENCE_SECONDS = 40.0
+WAIT_TIMEOUT_SECONDS = 40.0
 
 
 @pytest.fixture(scope="module")
 def rig():
     with DispatcherCluster(5, seed=1, fleet_settings=SHORT_INTERVALS) as made:
-        made.wait_for(lambda: made.has_converged(made.members), PATIENCE_SECONDS, "one view")
+        made.wait_for(lambda: made.has_converged(made.members), WAIT_TIMEOUT_SECONDS, "one view")
         yield made
 
 
@@ -53,7 +53,7 @@
     rig.heal()
     rig.relay.links.loss_probability = 0.0
     rig.start([name for name, member in rig.members.items() if not member.is_running()])
-    rig.wait_for(lambda: rig.has_converged(rig.members), PATIENCE_SECONDS, "one view again")
+    rig.wait_for(lambda: rig.has_converged(rig.members), WAIT_TIMEOUT_SECONDS, "one view again")
     return rig
 
 
@@ -70,15 +70,15 @@
 ):
     fleet.kill("n4")
     rest = ALL - {"n4"}
-    fleet.wait_for(lambda: fleet.all_observe(rest, "n4", "dead"), PATIENCE_SECONDS, "the death")
+    fleet.wait_for(lambda: fleet.all_observe(rest, "n4", "dead"), WAIT_TIMEOUT_SECONDS, "the death")
     fleet.wait_for(
-        lambda: {counted(fleet, n) for n in rest} == {4}, PATIENCE_SECONDS, "the count of four"
+        lambda: {counted(fleet, n) for n in rest} == {4}, WAIT_TIMEOUT_SECONDS, "the count of four"
     )
     assert "dispatcher_count_changed dispatchers=4" in fleet.members["n0"].read_log()
     fleet.start(["n4"])
-    fleet.wait_for(lambda: fleet.has_converged(ALL), PATIENCE_SECONDS, "the return")
+    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "the return")
     fleet.wait_for(
-        lambda: {counted(fleet, n) for n in ALL} == {5}, PATIENCE_SECONDS, "the count of five"
+        lambda: {counted(fleet, n) for n in ALL} == {5}, WAIT_TIMEOUT_SECONDS, "the count of five"
     )
 
 
@@ -91,17 +91,17 @@
             all(fleet.all_observe(rest, s, "dead") for s in side)
             and all(fleet.all_observe(side, r, "dead") for r in rest)
         ),
-        PATIENCE_SECONDS,
+        WAIT_TIMEOUT_SECONDS,
         "the cut",
     )
     fleet.wait_for(
         lambda: {counted(fleet, n) for n in rest} == {len(rest)},
-        PATIENCE_SECONDS,
+        WAIT_TIMEOUT_SECONDS,
         "the majority's count",
     )
     assert {counted(fleet, name) for name in side} == {5}
     fleet.heal()
-    fleet.wait_for(lambda: fleet.has_converged(ALL), PATIENCE_SECONDS, "the healing")
+    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "the healing")
 
 
 def test_a_one_way_partition_is_bridged_by_indirect_probes(fleet):
@@ -110,7 +110,7 @@
     sent = fleet.members["n2"].membership_list()["counts"]["probes"]
     fleet.wait_for(
         lambda: fleet.members["n2"].membership_list()["counts"]["probes"] >= sent + 15,
-        PATIENCE_SECONDS,
+        WAIT_TIMEOUT_SECONDS,
         "three rounds of probes",
     )
     for name in ALL:
@@ -126,17 +126,17 @@
             fleet.all_observe(["n0", "n4"], "n2", "dead")
             and fleet.all_observe(["n2", "n4"], "n0", "dead")
         ),
-        PATIENCE_SECONDS,
+        WAIT_TIMEOUT_SECONDS,
         "the islands",
     )
     assert counted(fleet, "n4") == counted(fleet, "n0") == 5  # no island is the greater part
     fleet.heal()
     fleet.cut(["n0", "n1"], ["n2", "n3", "n4"])
     fleet.wait_for(
-        lambda: fleet.has_converged_among(["n2", "n3", "n4"]), PATIENCE_SECONDS, "two of them"
+        lambda: fleet.has_converged_among(["n2", "n3", "n4"]), WAIT_TIMEOUT_SECONDS, "two of them"
     )
     fleet.heal()
-    fleet.wait_for(lambda: fleet.has_converged(ALL), PATIENCE_SECONDS, "all of them")
+    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "all of them")
 
 
 def test_links_that_flap_faster_than_a_suspicion_kill_nobody(fleet):
@@ -147,7 +147,7 @@
         time.sleep(0.1)
         fleet.heal()
         time.sleep(0.1)
-    fleet.wait_for(lambda: fleet.has_converged(ALL), PATIENCE_SECONDS, "one view")
+    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "one view")
     answer = fleet.members["n0"].call(f"/fleet/changes?after={number}")[1]["changes"]
     assert not [change for change in answer if change["after"] == "dead"]
 
@@ -156,10 +156,10 @@
     number = fleet.members["n2"].membership_list()["number"]
     fleet.suspend("n2")
     fleet.wait_for(
-        lambda: fleet.all_observe(ALL - {"n2"}, "n2", "dead"), PATIENCE_SECONDS, "the death"
+        lambda: fleet.all_observe(ALL - {"n2"}, "n2", "dead"), WAIT_TIMEOUT_SECONDS, "the death"
     )
     fleet.resume("n2")
-    fleet.wait_for(lambda: fleet.has_converged(ALL), PATIENCE_SECONDS, "the return")
+    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "the return")
     answer = fleet.members["n2"].call(f"/fleet/changes?after={number}")[1]["changes"]
     assert not [change for change in answer if change["after"] == "dead" and change["name"] != "n2"]
     assert fleet.members["n2"].membership_list()["counts"]["stalls"] >= 1
@@ -171,12 +171,12 @@
         fleet.kill(name)
     fleet.wait_for(
         lambda: all(fleet.all_observe(["n3"], n, "dead") for n in rest),
-        PATIENCE_SECONDS,
+        WAIT_TIMEOUT_SECONDS,
         "the deaths",
     )
     assert counted(fleet, "n3") == 5  # one of five takes no more than it had
     fleet.start(rest)
-    fleet.wait_for(lambda: fleet.has_converged(ALL), PATIENCE_SECONDS, "the return")
+    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "the return")
 
 
 def test_in_a_rolling_restart_each_leaves_and_nobody_is_held_dead(fleet):
@@ -185,11 +185,11 @@
         assert fleet.stop(name) == 0
         fleet.wait_for(
             lambda name=name: fleet.all_observe(ALL - {name}, name, "left"),
-            PATIENCE_SECONDS,
+            WAIT_TIMEOUT_SECONDS,
             "the leave",
         )
         fleet.start([name])
-        fleet.wait_for(lambda: fleet.has_converged(ALL), PATIENCE_SECONDS, "the return")
+        fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "the return")
     answer = fleet.members["n4"].call(f"/fleet/changes?after={numbers['n4']}")[1]["changes"]
     # On a machine too busy to answer in 90 ms somebody may be suspected; who left is never held dead.
     assert not [c for c in answer if c["name"] in ("n0", "n1") and c["after"] == "dead"]
@@ -199,11 +199,11 @@
     fleet.relay.links.loss_probability = 0.3
     fleet.kill("n1")
     fleet.wait_for(
-        lambda: fleet.all_observe(ALL - {"n1"}, "n1", "dead"), PATIENCE_SECONDS, "the death"
+        lambda: fleet.all_observe(ALL - {"n1"}, "n1", "dead"), WAIT_TIMEOUT_SECONDS, "the death"
     )
     fleet.relay.links.loss_probability = 0.0
     fleet.start(["n1"])
-    fleet.wait_for(lambda: fleet.has_converged(ALL), PATIENCE_SECONDS, "the return")
+    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "the return")
 
 
 def test_a_flood_of_damaged_and_foreign_datagrams_is_dropped_and_counted(fleet):
@@ -220,9 +220,9 @@
                 sock.sendto(cut, (target.host, target.ports.membership))
         sock.sendto(whole, (target.host, target.ports.membership))
     fleet.wait_for(
-        lambda: "membership_datagram_dropped" in target.read_log(), PATIENCE_SECONDS, "the line"
+        lambda: "membership_datagram_dropped" in target.read_log(), WAIT_TIMEOUT_SECONDS, "the line"
     )
-    fleet.wait_for(lambda: fleet.has_converged(ALL), PATIENCE_SECONDS, "one view")
+    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "one view")
     assert "stranger" not in target.member_states()
     assert (
         target.read_log().count("membership_datagram_dropped") <= 40
@@ -247,12 +247,12 @@
     fleet.kill("n0")
     fleet.members["n0"].persisted_endpoints = listed
     fleet.start(["n0"])
-    fleet.wait_for(lambda: fleet.has_converged(ALL), PATIENCE_SECONDS, "the return")
+    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "the return")
     fleet.cut(["n4"], ALL - {"n4"})
     assert fleet.members["n0"].call("/workers/s-1/maint", "PUT")[0] == 200
     fleet.wait_for(
         lambda: all(v for n, v in out_at(fleet, "s-1").items() if n != "n4"),
-        PATIENCE_SECONDS,
+        WAIT_TIMEOUT_SECONDS,
         "the ban",
     )
     fleet.kill("n0")  # which took the operator's call
@@ -260,15 +260,19 @@
     fleet.start(["n1"])
     fleet.heal()
     fleet.wait_for(
-        lambda: all(out_at(fleet, "s-1").values()), PATIENCE_SECONDS, "the ban everywhere"
+        lambda: all(out_at(fleet, "s-1").values()), WAIT_TIMEOUT_SECONDS, "the ban everywhere"
     )
     fleet.wait_for(
-        lambda: "requested_at=n0" in fleet.members["n4"].read_log(), PATIENCE_SECONDS, "its line"
+        lambda: "requested_at=n0" in fleet.members["n4"].read_log(),
+        WAIT_TIMEOUT_SECONDS,
+        "its line",
     )
     # n4 never heard of the worker from discovery, yet it is out there, and can be let back from there.
     assert fleet.members["n4"].call("/workers/s-1/ready", "PUT")[0] == 200
     fleet.start(["n0"])
-    fleet.wait_for(lambda: not any(out_at(fleet, "s-1").values()), PATIENCE_SECONDS, "the return")
+    fleet.wait_for(
+        lambda: not any(out_at(fleet, "s-1").values()), WAIT_TIMEOUT_SECONDS, "the return"
+    )
 
 
 def test_a_name_started_twice_goes_to_the_later_start_and_the_earlier_logs_what_to_do(
@@ -279,16 +283,18 @@
     advertised_address = fleet.relay.add_member("twin", host, (host, ports.membership))
     with ClusterMember("n3", host, ports, advertised_address, tmp_path) as twin:
         fleet.spawn(twin)
-        fleet.wait_for(twin.membership_list, PATIENCE_SECONDS, "the later start")
+        fleet.wait_for(twin.membership_list, WAIT_TIMEOUT_SECONDS, "the later start")
         read_log = fleet.members["n3"].read_log
-        fleet.wait_for(lambda: "give each its own name" in read_log(), PATIENCE_SECONDS, "the line")
+        fleet.wait_for(
+            lambda: "give each its own name" in read_log(), WAIT_TIMEOUT_SECONDS, "the line"
+        )
         assert read_log().count("after=superseded") == 1
         fleet.wait_for(
             lambda: (
                 {fleet.members[n].call("/fleet/members/n3")[1]["address"] for n in ALL - {"n3"}}
                 == {advertised_address}
             ),
-            PATIENCE_SECONDS,
+            WAIT_TIMEOUT_SECONDS,
             "one settled view",
         )
         assert twin.is_running()
@@ -307,9 +313,9 @@
     assert tried["probes"] == 0
     assert run(["fleet", "members", "--at", fleet.members["n4"].admin_address]) == 1
     fleet.start(["n0"])
-    fleet.wait_for(lambda: fleet.has_converged(["n0", "n4"]), PATIENCE_SECONDS, "the two")
+    fleet.wait_for(lambda: fleet.has_converged(["n0", "n4"]), WAIT_TIMEOUT_SECONDS, "the two")
     fleet.start(sorted(ALL - {"n0", "n4"}))
-    fleet.wait_for(lambda: fleet.has_converged(ALL), PATIENCE_SECONDS, "all")
+    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "all")
 
 
 @pytest.mark.parametrize("back", [5.0, 3600.0])
@@ -320,7 +326,7 @@
     fleet.spawn_with_shifted_clock(member, -back)
     fleet.wait_for(
         lambda: member.membership_list() and fleet.has_converged(ALL),
-        PATIENCE_SECONDS,
+        WAIT_TIMEOUT_SECONDS,
         "the return",
     )
     assert "clock was ahead" in member.read_log()
@@ -339,12 +345,16 @@
     ) as heir:
         fleet.spawn(heir)
         rest = sorted(ALL - {"n3"})
-        fleet.wait_for(lambda: fleet.all_observe(rest, "n3", "dead"), PATIENCE_SECONDS, "the death")
         fleet.wait_for(
-            lambda: fleet.all_observe(rest, "heir", "alive"), PATIENCE_SECONDS, "the heir"
+            lambda: fleet.all_observe(rest, "n3", "dead"), WAIT_TIMEOUT_SECONDS, "the death"
         )
         fleet.wait_for(
-            lambda: {counted(fleet, n) for n in rest} == {5}, PATIENCE_SECONDS, "one for the other"
+            lambda: fleet.all_observe(rest, "heir", "alive"), WAIT_TIMEOUT_SECONDS, "the heir"
+        )
+        fleet.wait_for(
+            lambda: {counted(fleet, n) for n in rest} == {5},
+            WAIT_TIMEOUT_SECONDS,
+            "one for the other",
         )
 
 
@@ -356,7 +366,7 @@
     member.send_signal(signal.SIGHUP)
     fleet.wait_for(
         lambda: "configuration_reloaded dispatcher=n2" in member.read_log(),
-        PATIENCE_SECONDS,
+        WAIT_TIMEOUT_SECONDS,
         "the reload",
     )
     fleet.write_files(
@@ -365,7 +375,7 @@
     member.send_signal(signal.SIGHUP)
     fleet.wait_for(
         lambda: "fleet.timeout_ms=900 must be under period_ms" in member.read_log(),
-        PATIENCE_SECONDS,
+        WAIT_TIMEOUT_SECONDS,
         "its no",
     )
     kept_address = member.advertised_address
@@ -375,10 +385,10 @@
     member.send_signal(signal.SIGHUP)
     fleet.wait_for(
         lambda: "fleet.advertise=127.0.0.1:9 changes only" in member.read_log(),
-        PATIENCE_SECONDS,
+        WAIT_TIMEOUT_SECONDS,
         "its no",
     )
-    fleet.wait_for(lambda: fleet.has_converged(ALL), PATIENCE_SECONDS, "one view")
+    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "one view")
 
 
 def hot_restart_during_a_partition(fleet):
@@ -390,14 +400,14 @@
     new = fleet.spawn(member)
     fleet.wait_for(
         lambda: member.read_log().count("listener_started") >= 2 and member.membership_list(),
-        PATIENCE_SECONDS,
+        WAIT_TIMEOUT_SECONDS,
         "the new one",
     )
     old.send_signal(signal.SIGTERM)
-    assert old.wait(PATIENCE_SECONDS) == 0
+    assert old.wait(WAIT_TIMEOUT_SECONDS) == 0
     assert new.poll() is None
     fleet.heal()
-    fleet.wait_for(lambda: fleet.has_converged(ALL), PATIENCE_SECONDS, "one view")
+    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "one view")
     answer = fleet.members["n0"].call(f"/fleet/changes?after={number}")[1]["changes"]
     assert not [c for c in answer if c["name"] == "n1" and c["after"] in ("dead", "left")]
 
@@ -410,7 +420,7 @@
 
 def test_a_hot_restart_in_the_first_seconds_of_a_member_hands_the_name_on():
     with DispatcherCluster(5, seed=1, fleet_settings=SHORT_INTERVALS) as cluster:
-        cluster.wait_for(lambda: cluster.has_converged(ALL), PATIENCE_SECONDS, "one view")
+        cluster.wait_for(lambda: cluster.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "one view")
         hot_restart_during_a_partition(cluster)
 
 
@@ -442,11 +452,13 @@
     fleet.kill("n4")
     assert run(["fleet", "members", "--at", at]) in (0, 1)
     fleet.wait_for(
-        lambda: run(["fleet", "members", "--at", at]) == 1, PATIENCE_SECONDS, "unsettled"
+        lambda: run(["fleet", "members", "--at", at]) == 1, WAIT_TIMEOUT_SECONDS, "unsettled"
     )
     assert run(["fleet", "leave", "--at", fleet.members["n3"].admin_address]) == 0
-    assert fleet.members["n3"].process.wait(PATIENCE_SECONDS) == 0
-    fleet.wait_for(lambda: fleet.all_observe(["n0"], "n3", "left"), PATIENCE_SECONDS, "the leave")
+    assert fleet.members["n3"].process.wait(WAIT_TIMEOUT_SECONDS) == 0
+    fleet.wait_for(
+        lambda: fleet.all_observe(["n0"], "n3", "left"), WAIT_TIMEOUT_SECONDS, "the leave"
+    )
 
 
 BASE = 'listen = "127.0.0.1:7946"\ncluster = "lab"\n'
@@ -484,7 +496,7 @@
         env={**os.environ, "EDGE_CONFIG": str(tmp_path / "config.json")},
         capture_output=True,
         text=True,
-        timeout=PATIENCE_SECONDS,
+        timeout=WAIT_TIMEOUT_SECONDS,
     )
     assert done.returncode == 2
     assert key in done.stderr
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -6,7 +6,7 @@
 
 from stepstream.node.node import Node
 from tests.runtime.thread_ends import end_node
-from tests.runtime.waiting import PATIENCE_SECONDS
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS
 
 
 @pytest.fixture(autouse=True)
@@ -41,4 +41,4 @@
 
     yield start
     for thread in threads:
-        thread.join(PATIENCE_SECONDS)
+        thread.join(WAIT_TIMEOUT_SECONDS)
--- a/tests/node/test_decision_thread.py
+++ b/tests/node/test_decision_thread.py
@@ -46,8 +46,8 @@
     def answer(self, answer):
         self.received.append(answer)
 
-    def progress(self, done, of):
-        self.received.append((done, of))
+    def progress(self, done, total):
+        self.received.append((done, total))
 
 
 @pytest.fixture
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -29,7 +29,7 @@
 from tests.http.scripted_server import exchange
 from tests.node.dispatcher_process import ROOT, is_ready, running_process
 from tests.runtime.ports import free_port
-from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 
 def with_shutdown(limits, **seconds):
@@ -77,7 +77,9 @@
 
 
 def test_a_pipelined_request_waits_for_the_one_before(dispatcher):
-    with socket.create_connection(("127.0.0.1", dispatcher.port), timeout=PATIENCE_SECONDS) as peer:
+    with socket.create_connection(
+        ("127.0.0.1", dispatcher.port), timeout=WAIT_TIMEOUT_SECONDS
+    ) as peer:
         assert exchange(0, job_request("01") + job_request("02"), peer).status == 200
         assert (
             exchange(0, b"GET /-/ready HTTP/1.1\r\n\r\n", peer).status == 200
@@ -87,7 +89,9 @@
 
 def test_a_client_that_leaves_has_its_job_deleted_at_the_worker(dispatcher):
     dispatcher.hold_jobs.set()
-    with socket.create_connection(("127.0.0.1", dispatcher.port), timeout=PATIENCE_SECONDS) as peer:
+    with socket.create_connection(
+        ("127.0.0.1", dispatcher.port), timeout=WAIT_TIMEOUT_SECONDS
+    ) as peer:
         peer.sendall(job_request("0b"))
         wait_for(dispatcher.job_calls)
     wait_for(
@@ -126,10 +130,10 @@
     # Notifications come on new connections: the listener must outlive the front's last one.
     for name in ("0e", "0f"):
         assert dispatcher.notify(name, "done", "1") == 200
-    first.join(PATIENCE_SECONDS)
-    second.join(PATIENCE_SECONDS)
+    first.join(WAIT_TIMEOUT_SECONDS)
+    second.join(WAIT_TIMEOUT_SECONDS)
     assert [a.status for a in answers] == [200] * 2
-    assert dispatcher.process.wait(PATIENCE_SECONDS) == 0
+    assert dispatcher.process.wait(WAIT_TIMEOUT_SECONDS) == 0
     log = dispatcher.process.stderr.read()
     assert "served_requests=2 rejected_requests=0 failed_requests=0" in log
     assert log.endswith("stepstream: info shutdown_finished\n")
@@ -141,11 +145,11 @@
     config = config_from({**dispatcher.config, "listen": f"127.0.0.1:{free_port()}"}, {})
     node = make_node(config)
     node.limits = with_shutdown(
-        node.limits, serving_seconds=PATIENCE_SECONDS, answering_seconds=PATIENCE_SECONDS
+        node.limits, serving_seconds=WAIT_TIMEOUT_SECONDS, answering_seconds=WAIT_TIMEOUT_SECONDS
     )
     node.start()
     port = node.server.listeners[0].listener.getsockname()[1]
-    with socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_SECONDS) as peer:
+    with socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_SECONDS) as peer:
         # The stand-in worker knows the first dispatcher only: its notifications do not come here.
         dispatcher.hold_jobs.set()
         peer.sendall(job_request("0a"))
@@ -169,14 +173,16 @@
         answer = exchange(0, b"", peer)
         assert answer.status == 503
         assert not answer.keep_alive
-    stop.join(PATIENCE_SECONDS)
+    stop.join(WAIT_TIMEOUT_SECONDS)
     assert not stop.is_alive()
 
 
 def test_a_reload_polls_the_new_discovery_and_keeps_open_requests(dispatcher, start_server):
     dispatcher.hold_jobs.set()
     new = start_server(dispatcher.discovery_reply)
-    with socket.create_connection(("127.0.0.1", dispatcher.port), timeout=PATIENCE_SECONDS) as peer:
+    with socket.create_connection(
+        ("127.0.0.1", dispatcher.port), timeout=WAIT_TIMEOUT_SECONDS
+    ) as peer:
         peer.sendall(job_request("0e", Request_Timeout_Ms="60000"))
         wait_for(dispatcher.job_calls)
         settings = {
@@ -216,7 +222,9 @@
 
 
 def test_sigkill_and_a_new_start_on_the_same_address(dispatcher):
-    with socket.create_connection(("127.0.0.1", dispatcher.port), timeout=PATIENCE_SECONDS) as peer:
+    with socket.create_connection(
+        ("127.0.0.1", dispatcher.port), timeout=WAIT_TIMEOUT_SECONDS
+    ) as peer:
         assert exchange(0, job_request(), peer).status == 200
         dispatcher.process.kill()
         dispatcher.process.wait()
@@ -236,7 +244,7 @@
             env={**os.environ, "EDGE_CONFIG": str(path)},
             capture_output=True,
             text=True,
-            timeout=PATIENCE_SECONDS,
+            timeout=WAIT_TIMEOUT_SECONDS,
         )
     assert run.returncode == 2
     assert "listen=" in run.stderr
@@ -293,13 +301,13 @@
         while dispatcher.process.poll() is None and time.monotonic() < until:
             with contextlib.suppress(OSError):
                 peer = socket.create_connection(
-                    ("127.0.0.1", dispatcher.port), timeout=PATIENCE_SECONDS
+                    ("127.0.0.1", dispatcher.port), timeout=WAIT_TIMEOUT_SECONDS
                 )
                 peer.sendall(b"POST /revalue HTTP/1.1\r\nRequest-Id: 0")
                 peers.append(peer)
             with contextlib.suppress(subprocess.TimeoutExpired):
                 dispatcher.process.wait(CROWD_INTERVAL_SECONDS)
-        assert dispatcher.process.wait(PATIENCE_SECONDS) == 0
+        assert dispatcher.process.wait(WAIT_TIMEOUT_SECONDS) == 0
         assert time.monotonic() < until
     finally:
         for peer in peers:
@@ -315,7 +323,7 @@
     drained = {"id": "s-1", "addr": "127.0.0.1:1", "state": "draining", "zone": "ruzinov"}
 
     def reply(message):
-        answer.wait(PATIENCE_SECONDS)
+        answer.wait(WAIT_TIMEOUT_SECONDS)
         return write_answer(
             200, json.dumps({"version": 4, "full": True, "servers": [drained]}).encode()
         )
@@ -334,13 +342,13 @@
     node = make_node(config_from(config, {}))
     node.limits = with_startup(
         node.limits,
-        first_agent_list_seconds=PATIENCE_SECONDS,
-        first_endpoint_list_seconds=PATIENCE_SECONDS,
+        first_agent_list_seconds=WAIT_TIMEOUT_SECONDS,
+        first_endpoint_list_seconds=WAIT_TIMEOUT_SECONDS,
     )
     thread = start_node(node)
     wait_for(lambda: discovery.requests)
     if lists == "subscribe":
-        thread.join(PATIENCE_SECONDS)  # it listens, and says no
+        thread.join(WAIT_TIMEOUT_SECONDS)  # it listens, and says no
     else:
         with pytest.raises(ConnectionRefusedError):
             exchange(port, b"")
@@ -383,7 +391,7 @@
     monkeypatch.setattr(old, "stop", stop_slowly)
     monkeypatch.setattr(DiscoveryClient, "run", lambda client: new_client_runs.set())
     apply_configuration(node, node.config)
-    assert new_client_runs.wait(PATIENCE_SECONDS)
+    assert new_client_runs.wait(WAIT_TIMEOUT_SECONDS)
     assert node.discovery.version == 9
 
 
--- a/tests/node/test_signals.py
+++ b/tests/node/test_signals.py
@@ -9,7 +9,7 @@
 from tests.http.messages import job_request
 from tests.http.scripted_server import exchange
 from tests.node.dispatcher_process import start_serving
-from tests.runtime.waiting import PATIENCE_SECONDS, wait_for
+from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 SIGHUP_COUNT = 30
 SIGHUP_INTERVAL_SECONDS = 0.002
@@ -17,7 +17,7 @@
 
 def end_of(process):
     """Wait for a process; return its exit code and its log."""
-    _, log = process.communicate(timeout=PATIENCE_SECONDS)
+    _, log = process.communicate(timeout=WAIT_TIMEOUT_SECONDS)
     return process.returncode, log
 
 
@@ -38,7 +38,9 @@
     dispatcher, second
 ):
     dispatcher.hold_jobs.set()
-    with socket.create_connection(("127.0.0.1", dispatcher.port), timeout=PATIENCE_SECONDS) as peer:
+    with socket.create_connection(
+        ("127.0.0.1", dispatcher.port), timeout=WAIT_TIMEOUT_SECONDS
+    ) as peer:
         peer.sendall(job_request("0b"))
         wait_for(dispatcher.job_calls)
         dispatcher.process.send_signal(signal.SIGTERM)
