--- a/stepstream/simulator_adapter/__init__.py
+++ b/stepstream/simulator_adapter/__init__.py
@@ -1,8 +1,8 @@
-"""The policy on the simulator's wire: batches of messages in, batches of actions out, as text.
+"""Run the policy for the simulator: read batches of messages and answer with batches of actions.
 
 This package only translates; `policy.load_balancer.LoadBalancer` makes every decision. A message is
-one line: its name, then name=value pairs with single spaces between. `wire_reader` and
-`wire_writer` translate the names on the wire, and no other module does.
+one line of text: its name, then name=value pairs, separated by single spaces. Only `wire_reader`
+and `wire_writer` translate the names on the wire.
 
     wire_reader   messages to events and endpoints
     wire_writer   actions to messages
@@ -10,5 +10,5 @@
     command       `python -m stepstream.simulator_adapter`, on standard input and output
     errors        the error for a faulty message of the simulator
 
-All of it runs in the process's one thread.
+The package runs in the only thread of its process.
 """
--- a/stepstream/simulator_adapter/__main__.py
+++ b/stepstream/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m stepstream.simulator_adapter`."""
+"""Entry point of `python -m stepstream.simulator_adapter`."""
 
 import sys
 
--- a/stepstream/simulator_adapter/adapter.py
+++ b/stepstream/simulator_adapter/adapter.py
@@ -1,7 +1,7 @@
-"""The instances of the dispatcher that one simulator run plays, and the batches of their messages.
+"""The dispatcher instances of one simulator run, and the batches of their messages.
 
 The adapter owns the endpoint tables, which all instances share, and the running instances. All of
-it belongs to the process's one thread.
+it belongs to the only thread of the process.
 """
 
 from collections.abc import Callable, Iterator
@@ -22,7 +22,7 @@
 from stepstream.simulator_adapter.wire_writer import write_action
 
 END_OF_BATCH = "END"
-NO_TABLE = -1  # for a TOPOLOGY without `sheet`
+NO_TABLE = -1  # the table's number in a TOPOLOGY without `sheet`
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,14 +34,14 @@
 
 
 class SimulatorAdapter:
-    """Endpoint tables by their number, and running instances by the dispatcher's number."""
+    """Endpoint tables by their numbers, and running instances by their dispatchers' numbers."""
 
     def __init__(self) -> None:
         self.tables: dict[int, tuple[Endpoint, ...]] = {}
         self.instances: dict[int, Instance] = {}
 
     def run_batch(self, now_us: int, lines: Iterator[str]) -> list[str]:
-        """Read one batch up to its END; return the reply's lines without the last one, FINISHED.
+        """Read one batch up to its END; return the lines of the reply without its FINISHED line.
 
         Raise ConfigurationError for a faulty message, and any error that the policy raises.
         """
@@ -56,16 +56,16 @@
 
 
 class Batch:
-    """The messages of one batch: the instance that they address, its events, the reply so far.
+    """One batch being read: the instance that its messages address, its events, the reply so far.
 
-    An instance decides once on all its events in a row: when another one is selected, when it
-    starts anew or stops, or at the batch's end.
+    An instance's consecutive events are collected and decided on together: when another instance is
+    selected, when the instance starts anew or stops, or at the end of the batch.
     """
 
     def __init__(self, adapter: SimulatorAdapter, now_us: int, lines: Iterator[str]) -> None:
         self.adapter = adapter
         self.now_us = now_us
-        self.lines = lines  # a TABLE reads its RUNNER lines from them
+        self.lines = lines  # the input; `read_table` takes a table's RUNNER lines from it
         self.dispatcher: int | None = None  # number of the selected instance, running or not
         self.events: list[PolicyEvent] = []
         self.reply: list[str] = []
@@ -81,15 +81,15 @@
             self.reply.extend(map(write_action, actions))
         self.events.clear()
 
-    def _selected(self, message: Message) -> int:
+    def _selected_dispatcher(self, message: Message) -> int:
         """Return the number of the instance that the message addresses, running or not."""
         if self.dispatcher is None:
             raise WireError(f"{message.name} comes before any SWITCH_TO")
         return self.dispatcher
 
-    def _running(self, message: Message) -> Instance:
+    def _running_instance(self, message: Message) -> Instance:
         """Return the running instance that the message addresses."""
-        dispatcher = self._selected(message)
+        dispatcher = self._selected_dispatcher(message)
         instance = self.adapter.instances.get(dispatcher)
         if instance is None:
             raise WireError(f"{message.name} for dispatcher {dispatcher}, which is not running")
@@ -98,22 +98,22 @@
     # -- messages ----------------------------------------------------------------------------------
 
     def read_table(self, message: Message) -> None:
-        """Handle TABLE and its RUNNER lines: a table of endpoints, in place of an earlier one."""
+        """Handle TABLE and its RUNNER lines: replace the table of endpoints with this number."""
         fields = message.fields()
-        number = fields.integer("sheet")
-        count = fields.integer("lines", 0)
-        self.adapter.tables[number] = tuple(
-            read_endpoint(Message(next(self.lines, ""))) for _ in range(count)
+        table_number = fields.integer("sheet")
+        endpoint_count = fields.integer("lines", 0)
+        self.adapter.tables[table_number] = tuple(
+            read_endpoint(Message(next(self.lines, ""))) for _ in range(endpoint_count)
         )
 
     def switch_instance(self, message: Message) -> None:
-        """Handle SWITCH_TO: the messages that follow address the dispatcher that it names."""
+        """Handle SWITCH_TO: select the dispatcher that the following messages address."""
         self.decide()
         self.dispatcher = message.fields().integer("dispatcher")
 
     def start_instance(self, message: Message) -> None:
-        """Handle ENLIST: the instance starts, or starts again, with these settings."""
-        dispatcher = self._selected(message)
+        """Handle ENLIST: start the instance, or start it anew, with these settings."""
+        dispatcher = self._selected_dispatcher(message)
         self.decide()
         fields = message.fields()
         settings = read_settings(fields)
@@ -121,28 +121,28 @@
         self.adapter.instances[dispatcher] = Instance(settings, balancer)
 
     def stop_instance(self, message: Message) -> None:
-        """Handle EXIT: the instance and its learned state end."""
-        dispatcher = self._selected(message)
-        self._running(message)  # an instance that does not run cannot stop
+        """Handle EXIT: stop the instance and discard its learned state."""
+        dispatcher = self._selected_dispatcher(message)
+        self._running_instance(message)  # raises for an instance that does not run
         self.decide()
         del self.adapter.instances[dispatcher]
 
     def add_endpoint_list(self, message: Message) -> None:
-        """Handle TOPOLOGY: an event with the endpoints that a table has now."""
-        self._running(message)
+        """Handle TOPOLOGY: add an event with the endpoints that the table holds at this point."""
+        self._running_instance(message)
         fields = message.fields()
         kind = fields.choice("mode", LIST_KINDS)
-        number = fields.integer("sheet", NO_TABLE)
+        table_number = fields.integer("sheet", NO_TABLE)
         if kind is EndpointListKind.FAILED:
             self.events.append(EndpointList(kind))
             return
-        if number not in self.adapter.tables:
-            raise WireError(f"sheet={number} was never sent")
-        self.events.append(EndpointList(kind, self.adapter.tables[number]))
+        if table_number not in self.adapter.tables:
+            raise WireError(f"sheet={table_number} was never sent")
+        self.events.append(EndpointList(kind, self.adapter.tables[table_number]))
 
     def add_event(self, message: Message) -> None:
-        """Handle any other message: an event, or a message that the policy does not use."""
-        event = read_event(message, self._running(message).settings)
+        """Handle any other message: add its event, or ignore it if the policy does not use it."""
+        event = read_event(message, self._running_instance(message).settings)
         if event is not None:
             self.events.append(event)
 
--- a/stepstream/simulator_adapter/command.py
+++ b/stepstream/simulator_adapter/command.py
@@ -1,4 +1,4 @@
-"""The command: batches from standard input, each answered on standard output before the next."""
+"""The command: answer each batch from standard input on standard output, one after the other."""
 
 import sys
 from collections.abc import Callable
@@ -10,17 +10,17 @@
 from stepstream.simulator_adapter.wire_reader import Message
 from stepstream.simulator_adapter.wire_writer import write_panic
 
-HEAD_OF_BATCH = "MARK"
+BEGIN_OF_BATCH = "MARK"
 EXIT_OK = 0
 EXIT_BAD_INPUT = 2
 
 
 class NumberedLines:
-    """The input's lines without their ends; `number` is that of the last one read, from 1."""
+    """The input's lines without line ends; `line_number` is that of the last line read, from 1."""
 
     def __init__(self, stream: TextIO) -> None:
         self.stream = stream
-        self.number = 0
+        self.line_number = 0
 
     def __iter__(self) -> "NumberedLines":
         return self
@@ -29,7 +29,7 @@
         line = self.stream.readline()
         if not line:
             raise StopIteration
-        self.number += 1
+        self.line_number += 1
         return line.rstrip("\r\n")
 
 
@@ -38,14 +38,14 @@
     return run(
         sys.stdin,
         sys.stdout,
-        lambda text: print("stepstream.simulator_adapter:", text, file=sys.stderr),
+        lambda message: print("stepstream.simulator_adapter:", message, file=sys.stderr),
     )
 
 
 def run(source: TextIO, sink: TextIO, report_error: Callable[[str], None]) -> int:
     """Answer every batch of `source` on `sink`; return the exit code.
 
-    Faulty input is reported with its line's number and ends the run.
+    Faulty input is reported with the number of the last line read, and ends the run.
     """
     adapter = SimulatorAdapter()
     lines = NumberedLines(source)
@@ -55,7 +55,7 @@
                 sink.write(answer_batch(adapter, line, lines))
                 sink.flush()
     except ConfigurationError as error:
-        report_error(f"line {lines.number}: {error}")
+        report_error(f"line {lines.line_number}: {error}")
         return EXIT_BAD_INPUT
     return EXIT_OK
 
@@ -65,17 +65,17 @@
 
     Raise ConfigurationError for faulty input.
     """
-    head = Message(first_line)
-    if head.name != HEAD_OF_BATCH:
-        raise WireError(f"expected {HEAD_OF_BATCH}, found {head.name}")
-    fields = head.fields()
+    first_message = Message(first_line)
+    if first_message.name != BEGIN_OF_BATCH:
+        raise WireError(f"expected {BEGIN_OF_BATCH}, found {first_message.name}")
+    fields = first_message.fields()
     now_us = fields.integer("t_us")
-    number = fields.integer("batch")
+    batch_number = fields.integer("batch")
     try:
         reply = adapter.run_batch(now_us, lines)
     except ConfigurationError:
         raise
     except Exception as error:  # noqa: BLE001  the simulator must see every fault of the policy
         reply = [write_panic(error)]
-    reply.append(f"FINISHED batch={number}")
+    reply.append(f"FINISHED batch={batch_number}")
     return "\n".join(reply) + "\n"
--- a/stepstream/simulator_adapter/wire_reader.py
+++ b/stepstream/simulator_adapter/wire_reader.py
@@ -1,7 +1,7 @@
-"""Messages of the simulator's wire, read as events and endpoints. Nothing here keeps state.
+"""Read messages of the simulator's wire as events and endpoints. The module keeps no state.
 
-This is the one place where the names of incoming messages, pairs and values are translated into
-the program's names.
+Only this module translates the names of incoming messages, pairs and values into the program's
+names.
 """
 
 from collections.abc import Callable
@@ -43,11 +43,11 @@
     "Error": EndpointListKind.FAILED,
 }
 HEALTHY = "OK"
-PROGRESS_STARTED = 1  # the `kind` of a PROGRESS message for a job that has started
+PROGRESS_STARTED = 1  # the `kind` of a PROGRESS message that reports the start of a job
 
 
 class Message:
-    """One line: the message's name and its pairs, which are split only where they are read."""
+    """One line: the message's name and its name=value pairs, which `fields` splits."""
 
     __slots__ = ("name", "pairs")
 
@@ -63,19 +63,19 @@
 
 
 def read_event(message: Message, settings: Settings) -> PolicyEvent | None:
-    """Read an event of an instance with these settings; None if the policy does not use it.
+    """Read an event of an instance with these settings; return None if the policy ignores it.
 
     Raise WireError for an unknown message and ConfigurationError for a faulty one.
     """
     fields = message.fields()
-    read = EVENT_READERS.get(message.name)
-    if read is None:
+    event_reader = EVENT_READERS.get(message.name)
+    if event_reader is None:
         raise WireError(f"message {message.name} is not known")
-    return read(fields, settings)
+    return event_reader(fields, settings)
 
 
 def read_job_submitted(fields: SettingsFields, settings: Settings) -> JobSubmitted:
-    """Read REQUEST."""
+    """Read a REQUEST message."""
     job_class = fields.integer("type")
     if not 0 <= job_class < len(settings.classes):
         raise WireError(f"type={job_class} is not in services")
@@ -92,7 +92,7 @@
 
 
 def read_attempt_ended(fields: SettingsFields, settings: Settings) -> AttemptEnded:
-    """Read ANSWER."""
+    """Read an ANSWER message."""
     return AttemptEnded(
         job_id=fields.text("msg_id"),
         attempt_number=fields.integer("n", 0),
@@ -105,7 +105,7 @@
 
 
 def read_attempt_started(fields: SettingsFields, _settings: Settings) -> AttemptStarted | None:
-    """Read PROGRESS; None for later progress of a job than its start."""
+    """Read a PROGRESS message; return None unless it reports the start of a job."""
     if fields.integer("kind", 0) != PROGRESS_STARTED:
         return None
     return AttemptStarted(
@@ -116,7 +116,7 @@
 
 
 def read_health_checked(fields: SettingsFields, settings: Settings) -> HealthChecked:
-    """Read SAMPLED."""
+    """Read a SAMPLED message, the result of a health check."""
     return HealthChecked(
         worker_id=fields.text("runner"),
         healthy=fields.text("state_code", HEALTHY) == HEALTHY,
@@ -126,12 +126,12 @@
 
 
 def read_job_abandoned(fields: SettingsFields, _settings: Settings) -> JobAbandoned:
-    """Read CANCELLED_BY_CLIENT."""
+    """Read a CANCELLED_BY_CLIENT message."""
     return JobAbandoned(fields.text("msg_id"))
 
 
 def read_timer_fired(fields: SettingsFields, _settings: Settings) -> TimerFired:
-    """Read WAKE."""
+    """Read a WAKE message."""
     return TimerFired(fields.integer("ctx"))
 
 
@@ -152,10 +152,10 @@
 
 
 def read_load_report(fields: SettingsFields, settings: Settings) -> dict[str, float] | None:
-    """Read `gauge`, a load report's values in the order of the settings' columns.
+    """Read `gauge`: a load report's values, in the order of the settings' load report columns.
 
-    None without a report; a column whose value is empty is left out. WireError if the values are
-    not numbers, or not as many as the columns.
+    Return None if there is no report. A column with an empty value is left out. Raise WireError if
+    a value is not a number, or if there are not as many values as columns.
     """
     values = fields.comma_separated("gauge")
     if not values:
@@ -172,7 +172,7 @@
 
 
 def read_endpoint(message: Message) -> Endpoint:
-    """Read RUNNER, one line of an endpoint table; WireError for any other message."""
+    """Read a RUNNER message, one line of an endpoint table; raise WireError for any other."""
     if message.name != "RUNNER":
         raise WireError("a TABLE has fewer RUNNER lines than it announces")
     fields = message.fields()
