--- a/tests/cli/test_command_table.py
+++ b/tests/cli/test_command_table.py
@@ -1,4 +1,4 @@
-"""The table of commands, what each loads, and how a command's errors end the process."""
+"""The table of commands, the packages that each loads, and how errors end a command."""
 
 import importlib
 import re
@@ -14,10 +14,10 @@
 
 ROOT = Path(__file__).parents[2]
 ALL_COMMANDS = {**cli.COMMANDS, **cli.COMMANDS_WITH_OWN_USAGE}
-HEAVY = ("msgspec", "structlog", "cryptography", "jwt", "rich", "numpy", "matplotlib")
+OPTIONAL_PACKAGES = ("msgspec", "structlog", "cryptography", "jwt", "rich", "numpy", "matplotlib")
 
-# A command line in a process that finds no such package.
-NOT_INSTALLED = """
+# Runs a command line in a process that finds a package not installed.
+RUN_WITHOUT_PACKAGE = """
 import sys
 
 class Absent:
@@ -27,18 +27,18 @@
 
 sys.meta_path.insert(0, Absent())
 from stepstream.cli import main
-sys.exit(main({words!r}))
+sys.exit(main({command_line!r}))
 """
 
 
-def test_the_table_has_each_command_of_the_usage():
+def test_the_command_table_has_each_command_of_the_usage():
     usage = cli.__doc__.partition("Usage:")[2].partition("Commands:")[0]
-    named = set(re.findall(r"^  stepstream ([a-z-]+)", usage, re.MULTILINE))
-    assert named | {"lease"} == set(ALL_COMMANDS)
+    commands_of_usage = set(re.findall(r"^  stepstream ([a-z-]+)", usage, re.MULTILINE))
+    assert commands_of_usage | {"lease"} == set(ALL_COMMANDS)
 
 
 @pytest.mark.parametrize("module", sorted(set(ALL_COMMANDS.values())))
-def test_each_command_has_a_module_that_runs_it(module):
+def test_each_command_module_has_a_run_function(module):
     assert callable(importlib.import_module(module).run)
 
 
@@ -46,16 +46,16 @@
 def test_a_command_loads_no_optional_package_before_it_is_run(module):
     code = (
         f"import sys, stepstream.cli, {module}\n"
-        f"print([m for m in sys.modules if m.startswith({HEAVY!r})])\n"
+        f"print([m for m in sys.modules if m.startswith({OPTIONAL_PACKAGES!r})])\n"
     )
-    run = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
     )
-    assert run.stdout.strip() == "[]"
+    assert process.stdout.strip() == "[]"
 
 
 @pytest.mark.parametrize(
-    ("words", "module", "line"),
+    ("command_line", "module", "line"),
     [
         (["fleet", "members", "--at", "a:1"], "rich", "fleet needs the package rich: .[fleet]"),
         (["lease", "list", "--at", "a:1"], "rich", "lease needs the package rich: .[fleet]"),
@@ -66,15 +66,15 @@
     ],
     ids=case_id,
 )
-def test_a_missing_package_is_one_line_and_a_bad_exit(words, module, line):
-    code = NOT_INSTALLED.format(module=module, words=words)
-    run = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
-    assert run.returncode == 2
-    assert run.stderr == f"stepstream: {line.replace(': .[', ': pip install .[')}\n"
+def test_a_missing_package_prints_one_line_and_exits_with_2(command_line, module, line):
+    code = RUN_WITHOUT_PACKAGE.format(module=module, command_line=command_line)
+    process = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
+    assert process.returncode == 2
+    assert process.stderr == f"stepstream: {line.replace(': .[', ': pip install .[')}\n"
 
 
 @pytest.mark.parametrize(
-    ("words", "line"),
+    ("command_line", "line"),
     [
         (["demo", "--seconds", "x"], "demo: --seconds=x is not a whole number"),
         (["demo", "--seed", "1234567890"], "demo: --seed=1234567890 is not a whole number"),
@@ -84,20 +84,20 @@
     ],
     ids=case_id,
 )
-def test_a_faulty_option_is_one_line_and_a_bad_exit(words, line, capsys):
-    assert cli.main(words) == 2
+def test_a_faulty_option_prints_one_line_and_exits_with_2(command_line, line, capsys):
+    assert cli.main(command_line) == 2
     assert capsys.readouterr().err == f"stepstream: {line}\n"
 
 
-def test_an_interrupt_ends_a_command_that_watches_without_a_fault(monkeypatch):
-    def interrupted(_words):
+def test_an_interrupt_ends_fleet_watch_with_exit_code_0(monkeypatch):
+    def interrupted(_command_line):
         raise KeyboardInterrupt
 
     monkeypatch.setattr("stepstream.membership.commands.run", interrupted)
     assert cli.main(["fleet", "watch", "--at", "a:1"]) == 0
 
 
-def test_only_the_named_kinds_become_command_errors():
+def test_only_errors_of_the_given_types_become_command_errors():
     with (
         pytest.raises(CommandError, match=r"^where: lost$") as caught,
         as_command_error(OSError, prefix="where: "),
@@ -108,6 +108,6 @@
         raise ValueError("other")
 
 
-def test_a_fault_inside_an_optional_part_is_not_taken_for_a_missing_package():
+def test_an_import_error_of_another_kind_is_not_reported_as_a_missing_package():
     with pytest.raises(ImportError, match="broken"), optional_packages("this", extra="lab"):
         raise ImportError("broken")
--- a/tests/cli/test_exit_codes.py
+++ b/tests/cli/test_exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the commands, as docs/commands.md has them."""
+"""Exit codes of the commands, as docs/commands.md documents them."""
 
 import re
 import subprocess
@@ -10,21 +10,21 @@
 from stepstream import cli
 
 ROOT = Path(__file__).parents[2]
-PAGE = ROOT / "docs" / "commands.md"
+COMMANDS_PAGE = ROOT / "docs" / "commands.md"
 QUOTED = re.compile("`([^`]+)`")
 CLOSED_PORT = "127.0.0.1:1"  # nothing listens there
 
 
-def commands_of_the_page():
-    """The first words of the commands in the page's table."""
-    table = re.findall("^\\| (`[^|]*) \\|", PAGE.read_text(), re.MULTILINE)
+def commands_of_page():
+    """Return the first word of each command in the page's table."""
+    table = re.findall("^\\| (`[^|]*) \\|", COMMANDS_PAGE.read_text(), re.MULTILINE)
     return {name.split()[0] for cell in table for name in QUOTED.findall(cell)}
 
 
-def test_the_page_names_each_command_of_the_usage():
+def test_the_commands_page_names_each_command_of_the_usage():
     usage = cli.__doc__.partition("Usage:")[2].partition("Commands:")[0]
     commands = set(re.findall(r"^  stepstream ([a-z-]+)", usage, re.MULTILINE)) | {"lease"}
-    assert commands <= commands_of_the_page()
+    assert commands <= commands_of_page()
 
 
 @pytest.mark.parametrize(
@@ -45,7 +45,7 @@
         pytest.param(["version"], 0, id="version"),
     ],
 )
-def test_a_command_ends_with_the_exit_code_of_the_page(command_line, expected):
+def test_a_command_ends_with_its_documented_exit_code(command_line, expected):
     process = subprocess.run(
         [sys.executable, "-m", "stepstream", *command_line],
         cwd=ROOT,
@@ -59,15 +59,19 @@
     assert "Traceback" not in process.stderr
 
 
-def test_keys_list_shows_a_row_without_a_state_as_active(tmp_path):
+def test_keys_list_shows_a_key_without_a_state_as_active(tmp_path):
     # The state is an optional member of a key; its default is active.
-    run = [sys.executable, "-m", "stepstream", "keys"]
+    keys_command = [sys.executable, "-m", "stepstream", "keys"]
     folder = str(tmp_path)
-    subprocess.run([*run, "new", "--kid", "k1", "--dir", folder], cwd=ROOT, check=True)
+    subprocess.run([*keys_command, "new", "--kid", "k1", "--dir", folder], cwd=ROOT, check=True)
     key_file = tmp_path / "keys.json"
     key_file.write_text(re.sub(r',\s*"state":\s*"active"', "", key_file.read_text()))
     assert '"state"' not in key_file.read_text()
     listed = subprocess.run(
-        [*run, "list", "--dir", folder], cwd=ROOT, capture_output=True, text=True, check=True
+        [*keys_command, "list", "--dir", folder],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=True,
     )
     assert listed.stdout.startswith("k1 EdDSA active since ")
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator's file: each faulty key is named by its path, and without the file nothing of it is loaded."""
+"""The operator's file: errors name the faulty key, and without a file no subsystem is loaded."""
 
 import subprocess
 import sys
@@ -17,7 +17,8 @@
 from tests.config.configurations import POLICY_SETTINGS
 
 ROOT = Path(__file__).parents[2]
-HEAVY = (
+# Modules that a dispatcher without an operator's file does not need, by the prefixes of their names.
+OPTIONAL_MODULES = (
     "msgspec",
     "tomllib",
     "stepstream.config.operator_file",
@@ -51,21 +52,21 @@
 TLS = '[identity.tls]\nlisten = "127.0.0.1:1"\ncertificate = "c"\nkey = "k"\nclients_ca = "a"\n'
 
 
-def read(tmp_path, text):
+def read_toml(tmp_path, text):
     path = tmp_path / "operator.toml"
     path.write_text(text)
     return read_operator(str(path), POLICY_SETTINGS)
 
 
-def test_an_empty_file_switches_nothing_on(tmp_path):
-    assert read(tmp_path, "") == OperatorConfig(gearman=None)
+def test_an_empty_file_switches_no_subsystem_on(tmp_path):
+    assert read_toml(tmp_path, "") == OperatorConfig(gearman=None)
 
 
-def test_a_section_takes_its_defaults(tmp_path):
+def test_missing_keys_of_a_section_have_their_defaults(tmp_path):
     text = (
         '[gearman]\nlisten = "127.0.0.1:4730"\ntenant = "hron-asset"\n[gearman.worker]\nslots = 4\n'
     )
-    gearman = read(tmp_path, text).gearman
+    gearman = read_toml(tmp_path, text).gearman
     assert (gearman.tenant, gearman.queue, gearman.worker.slots) == ("hron-asset", 8, 4)
     assert gearman == GearmanSection(
         listen="127.0.0.1:4730", tenant="hron-asset", worker=gearman.worker
@@ -73,7 +74,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "key"),
+    ("text", "message"),
     [
         ("[gearman]\n", "gearman: Object missing required field `listen`"),
         ('[gearman]\nlisten = "127.0.0.1"\n', "gearman.listen: Expected HOST:PORT"),
@@ -131,20 +132,20 @@
         ("[gearman\n", "cannot be read"),
     ],
 )
-def test_a_fault_names_its_key(tmp_path, text, key):
-    with pytest.raises(ConfigurationError) as fault:
-        read(tmp_path, text)
-    assert key in str(fault.value)
-    assert "operator.toml" in str(fault.value)
+def test_an_error_names_the_file_and_the_faulty_key(tmp_path, text, message):
+    with pytest.raises(ConfigurationError) as raised:
+        read_toml(tmp_path, text)
+    assert message in str(raised.value)
+    assert "operator.toml" in str(raised.value)
 
 
-def test_a_file_that_is_not_there_is_named(tmp_path):
+def test_an_error_names_a_missing_file(tmp_path):
     with pytest.raises(ConfigurationError, match="nowhere.toml cannot be read"):
         read_operator(str(tmp_path / "nowhere.toml"), POLICY_SETTINGS)
 
 
 @pytest.mark.parametrize(
-    ("key", "old", "new", "fault"),
+    ("key", "old_text", "new_text", "message"),
     [
         (
             "gearman.listen",
@@ -158,41 +159,43 @@
         ("identity.tls.listen", IDENTITY, IDENTITY, None),
     ],
 )
-def test_a_reload_may_not_change_what_needs_a_restart(tmp_path, key, old, new, fault):
-    before, after = read(tmp_path, old), read(tmp_path, new)
-    if fault is None:
+def test_a_reload_may_not_change_a_key_that_needs_a_restart(
+    tmp_path, key, old_text, new_text, message
+):
+    before, after = read_toml(tmp_path, old_text), read_toml(tmp_path, new_text)
+    if message is None:
         require_unchanged(key, before, after)
         return
-    with pytest.raises(ConfigurationError, match=fault):
+    with pytest.raises(ConfigurationError, match=message):
         require_unchanged(key, before, after)
 
 
-def test_the_first_changed_key_is_the_one_reported(tmp_path):
-    before = read(tmp_path, GEARMAN)
-    after = read(tmp_path, GEARMAN.replace(":1", ":2") + "[gearman.worker]\nslots = 2\n")
+def test_the_error_names_the_first_of_several_changed_keys(tmp_path):
+    before = read_toml(tmp_path, GEARMAN)
+    after = read_toml(tmp_path, GEARMAN.replace(":1", ":2") + "[gearman.worker]\nslots = 2\n")
     keys = ["gearman.queue", "gearman.listen", "gearman.worker.slots"]
     with pytest.raises(ConfigurationError, match="gearman.listen=127.0.0.1:2 changes"):
         require_all_unchanged(keys, before, after)
     require_all_unchanged(keys, before, before)
 
 
-def test_without_a_file_all_sections_are_missing(tmp_path):
+def test_a_missing_file_counts_as_a_file_without_sections(tmp_path):
     require_unchanged("gearman", None, None)
     with pytest.raises(ConfigurationError, match="gearman is switched on or off"):
-        require_unchanged("gearman", None, read(tmp_path, GEARMAN))
+        require_unchanged("gearman", None, read_toml(tmp_path, GEARMAN))
 
 
-def test_the_commented_example_is_read():
+def test_the_commented_example_file_can_be_read():
     operator = read_operator(str(ROOT / "deploy" / "operator.toml"), POLICY_SETTINGS)
     assert operator.gearman is not None
 
 
-def test_serve_without_the_file_imports_nothing_of_it():
+def test_serve_without_an_operator_file_imports_no_optional_module():
     code = (
         "import sys, stepstream.cli, stepstream.node.node\n"
-        f"print([m for m in sys.modules if m.startswith({HEAVY!r})])\n"
+        f"print([m for m in sys.modules if m.startswith({OPTIONAL_MODULES!r})])\n"
     )
-    run = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
     )
-    assert run.stdout.strip() == "[]"
+    assert process.stdout.strip() == "[]"
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -1,4 +1,4 @@
-"""The one reader: nested JSON and dotted pairs give the same Settings, and faults name their key."""
+"""The settings reader: nested JSON and dotted pairs give the same Settings; errors name their key."""
 
 import json
 import re
@@ -15,8 +15,8 @@
 from tests.config.configurations import CONFIGURATION
 
 
-def test_nested_json_reads_like_the_wire():
-    line = (
+def test_nested_json_and_wire_pairs_give_the_same_settings():
+    wire_line = (
         "services.count=2 services.0.name=revalue services.0.deadline_us=5000000 services.0.effect=pure "
         "services.0.goal_time_us=200000 services.0.worth=1.0 services.1.name=nav-publish "
         "services.1.deadline_us=5000000 services.1.effect=token services.1.window_us=7500000 "
@@ -26,7 +26,7 @@
         "load_report.how=none load_report.columns="
     )
     nested = config_from(CONFIGURATION, {}).settings
-    assert nested == read_settings(SettingsFields(line.split(" ")))
+    assert nested == read_settings(SettingsFields(wire_line.split(" ")))
     assert nested.zones == ("ruzinov", "petrzalka")
     assert nested.polls_endpoints
     assert nested.worker_idle_timeout_us == 8_000_000
@@ -40,23 +40,24 @@
     )
 
 
-def test_the_environment_stands_in_for_what_the_file_leaves_out():
+def test_environment_variables_supply_keys_that_the_file_lacks():
     data = {key: value for key, value in CONFIGURATION.items() if key != "listen"}
     assert config_from(data, {"EDGE_LISTEN": "127.0.0.1:9"}).listen == ("127.0.0.1", 9)
 
 
-def changed(path, value):
-    data = json.loads(json.dumps(CONFIGURATION))
+def configuration_with(path, value):
+    """Return a copy of the configuration with another value at a path of keys."""
+    configuration = json.loads(json.dumps(CONFIGURATION))
     *parents, last = path
-    at = data
+    parent = configuration
     for name in parents:
-        at = at[name]
-    at[last] = value
-    return data
+        parent = parent[name]
+    parent[last] = value
+    return configuration
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "words"),
+    ("path", "value", "message"),
     [
         (("listen",), "nowhere", "listen=nowhere"),
         (("discovery",), "127.0.0.1:99999", "discovery=127.0.0.1:99999"),
@@ -111,12 +112,12 @@
     ],
     ids=case_id,
 )
-def test_a_fault_names_its_key(path, value, words):
-    with pytest.raises(ConfigurationError, match=re.escape(words)):
-        config_from(changed(path, value), {})
+def test_an_error_names_the_faulty_key(path, value, message):
+    with pytest.raises(ConfigurationError, match=re.escape(message)):
+        config_from(configuration_with(path, value), {})
 
 
-def test_flatten_leaves_out_null_and_spells_truth_as_the_wire_does():
+def test_flatten_omits_null_and_writes_booleans_in_lower_case():
     assert flatten({"a": {"b": True, "c": None}, "d": [1, 2]}, "", {}) == {
         "a.b": "true",
         "d": "1,2",
@@ -124,9 +125,11 @@
 
 
 @pytest.mark.parametrize("command", ["serve", "check-config"])
-def test_bad_configuration_is_one_line_and_a_bad_exit(command, tmp_path, monkeypatch, capsys):
+def test_a_faulty_configuration_prints_one_line_and_exits_with_2(
+    command, tmp_path, monkeypatch, capsys
+):
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(changed(("listen",), "nowhere")))
+    path.write_text(json.dumps(configuration_with(("listen",), "nowhere")))
     monkeypatch.setenv("EDGE_CONFIG", str(path))
     assert cli.main([command]) == 2
     (line,) = capsys.readouterr().err.splitlines()
@@ -134,19 +137,19 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "words"),
+    ("text", "message"),
     [(None, "cannot be read"), ("{", "cannot be read"), ("[]", "not a JSON object")],
 )
-def test_an_unreadable_file_is_named(text, words, tmp_path, monkeypatch, capsys):
+def test_an_unreadable_configuration_file_is_reported(text, message, tmp_path, monkeypatch, capsys):
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
     monkeypatch.setenv("EDGE_CONFIG", str(path))
     assert cli.main(["check-config"]) == 2
-    assert words in capsys.readouterr().err
+    assert message in capsys.readouterr().err
 
 
-def test_check_config_and_version(tmp_path, monkeypatch, capsys):
+def test_check_config_prints_a_summary_and_version_a_number(tmp_path, monkeypatch, capsys):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(CONFIGURATION))
     monkeypatch.setenv("EDGE_CONFIG", str(path))
@@ -157,6 +160,6 @@
     assert out.splitlines()[-1][0].isdigit()
 
 
-def test_a_port_with_a_digit_beyond_ascii_is_an_error_that_names_its_key():
+def test_a_port_with_a_non_ascii_digit_is_rejected_and_its_key_is_named():
     with pytest.raises(ConfigurationError, match="listen=h:²"):
-        config_from(changed(("listen",), "h:²"), {})
+        config_from(configuration_with(("listen",), "h:²"), {})
