--- a/tests/admin/calls.py
+++ b/tests/admin/calls.py
@@ -1,4 +1,4 @@
-"""Calls of the admin listener, and a listener that serves them in the test process."""
+"""Requests to the admin listener, and a listener that runs in the test process."""
 
 import contextlib
 import socket
@@ -8,15 +8,15 @@
 from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS
 
 
-def call_admin(port, data):
-    """Send a call on a new connection; return the answer."""
+def call_admin(port, request):
+    """Send the bytes of a request on a new connection; return the answer."""
     with socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_SECONDS) as sock:
-        return exchange(port, data, sock)
+        return exchange(port, request, sock)
 
 
 @contextlib.contextmanager
 def running_listener(listener):
-    """Let an admin listener serve in a thread; close it and end the thread."""
+    """Run an admin listener in a thread; close the listener and end the thread afterwards."""
     thread = threading.Thread(target=listener.run, daemon=True)
     thread.start()
     try:
--- a/tests/admin/test_admin_client.py
+++ b/tests/admin/test_admin_client.py
@@ -1,4 +1,4 @@
-"""A command's call to the admin listener: a success is given, all else is one error."""
+"""A command's request to the admin listener: the answer's JSON, or `AdminCallError`."""
 
 import pytest
 
@@ -6,37 +6,39 @@
 from stepstream.subsystem_api.admin_client import NO_ANSWER, AdminCallError, request_json
 from tests.case_ids import case_id
 
-AT = "127.0.0.1:9"
+ADDRESS = "127.0.0.1:9"
 
 
 @pytest.mark.parametrize(
-    ("status", "answer", "text", "reason"),
+    ("status", "answer", "message", "reason"),
     [
-        (404, {"error": "no such member"}, f"{AT}: no such member", "no such member"),
-        (503, {"error": "stops"}, f"{AT}: stops", "stops"),
-        (500, {}, f"{AT}: 500", ""),
+        (404, {"error": "no such member"}, f"{ADDRESS}: no such member", "no such member"),
+        (503, {"error": "stops"}, f"{ADDRESS}: stops", "stops"),
+        (500, {}, f"{ADDRESS}: 500", ""),
     ],
     ids=case_id,
 )
-def test_a_refusal_carries_its_status_and_reason(monkeypatch, status, answer, text, reason):
+def test_the_error_of_a_rejected_request_has_its_status_and_reason(
+    monkeypatch, status, answer, message, reason
+):
     monkeypatch.setattr(admin_client, "call_admin", lambda *_: (status, answer))
     with pytest.raises(AdminCallError) as caught:
-        request_json(AT, "/fleet")
+        request_json(ADDRESS, "/fleet")
     error = caught.value
-    assert (str(error), error.status, error.reason) == (text, status, reason)
+    assert (str(error), error.status, error.reason) == (message, status, reason)
 
 
-def test_a_call_without_an_answer_has_no_status(monkeypatch):
+def test_the_error_of_an_unanswered_request_has_no_status(monkeypatch):
     def refuse(*_):
-        raise ConnectionError(f"{AT}: refused")
+        raise ConnectionError(f"{ADDRESS}: refused")
 
     monkeypatch.setattr(admin_client, "call_admin", refuse)
     with pytest.raises(AdminCallError) as caught:
-        request_json(AT, "/fleet")
+        request_json(ADDRESS, "/fleet")
     error = caught.value
-    assert (str(error), error.status, error.reason) == (f"{AT}: refused", NO_ANSWER, "")
+    assert (str(error), error.status, error.reason) == (f"{ADDRESS}: refused", NO_ANSWER, "")
 
 
-def test_a_success_is_given_as_it_came(monkeypatch):
+def test_the_json_of_a_successful_answer_is_returned(monkeypatch):
     monkeypatch.setattr(admin_client, "call_admin", lambda *call: (200, list(call)))
-    assert request_json(AT, "/fleet/leave", "PUT") == [AT, "/fleet/leave", "PUT"]
+    assert request_json(ADDRESS, "/fleet/leave", "PUT") == [ADDRESS, "/fleet/leave", "PUT"]
--- a/tests/admin/test_admin_decisions.py
+++ b/tests/admin/test_admin_decisions.py
@@ -65,38 +65,42 @@
         ("GET", "/", 404, "no such call: /"),
     ],
 )
-def test_a_request_without_a_route_is_rejected_with_its_reason(method, target, status, reason):
+def test_a_request_without_a_route_is_rejected_with_a_status_and_a_reason(
+    method, target, status, reason
+):
     with pytest.raises(AdminRequestError) as raised:
         route(method, target)
     assert (raised.value.status, str(raised.value)) == (status, reason)
 
 
-def test_a_subsystems_route_gets_the_variable_parts_and_the_query():
-    added = AdminRoute(r"/leases/([^/]+)", frozenset({"GET"}), lambda _: AdminResponse(200, "OK"))
-    assert route("GET", "/leases/a%2Fb?since=3&all", [added]) == SubsystemRequest(
-        added, AdminRequest("GET", ("a/b",), {"since": "3", "all": ""})
+def test_a_subsystems_route_gets_the_variable_parts_of_the_path_and_the_query():
+    subsystem_route = AdminRoute(
+        r"/leases/([^/]+)", frozenset({"GET"}), lambda _: AdminResponse(200, "OK")
+    )
+    assert route("GET", "/leases/a%2Fb?since=3&all", [subsystem_route]) == SubsystemRequest(
+        subsystem_route, AdminRequest("GET", ("a/b",), {"since": "3", "all": ""})
     )
     with pytest.raises(AdminRequestError, match="^/leases/a takes GET$"):
-        route("PUT", "/leases/a", [added])
+        route("PUT", "/leases/a", [subsystem_route])
 
 
-STARTS = OperatorRequest(AdminAction.START_MAINTENANCE, "s-1")
-ENDS = OperatorRequest(AdminAction.END_MAINTENANCE, "s-1")
+START_REQUEST = OperatorRequest(AdminAction.START_MAINTENANCE, "s-1")
+END_REQUEST = OperatorRequest(AdminAction.END_MAINTENANCE, "s-1")
 HEALTH_CHECK = OperatorRequest(AdminAction.CHECK_HEALTH)
 OK = AdminResponse(200, "OK")
 
 
 @pytest.mark.parametrize(
-    ("request_", "known", "in_maintenance", "expected"),
+    ("operator_request", "worker_known", "in_maintenance", "expected"),
     [
-        (STARTS, True, False, Decision(OK, AdminAction.START_MAINTENANCE)),
-        (STARTS, True, True, Decision(AdminResponse(200, "OK: out already"))),
-        (STARTS, False, True, Decision(AdminResponse(200, "OK: out already"))),
-        (ENDS, False, True, Decision(OK, AdminAction.END_MAINTENANCE)),
-        (ENDS, True, True, Decision(OK, AdminAction.END_MAINTENANCE)),
-        (ENDS, True, False, Decision(AdminResponse(200, "OK: in already"))),
-        (STARTS, False, False, Decision(AdminResponse(404, "no worker s-1"))),
-        (ENDS, False, False, Decision(AdminResponse(404, "no worker s-1"))),
+        (START_REQUEST, True, False, Decision(OK, AdminAction.START_MAINTENANCE)),
+        (START_REQUEST, True, True, Decision(AdminResponse(200, "OK: out already"))),
+        (START_REQUEST, False, True, Decision(AdminResponse(200, "OK: out already"))),
+        (END_REQUEST, False, True, Decision(OK, AdminAction.END_MAINTENANCE)),
+        (END_REQUEST, True, True, Decision(OK, AdminAction.END_MAINTENANCE)),
+        (END_REQUEST, True, False, Decision(AdminResponse(200, "OK: in already"))),
+        (START_REQUEST, False, False, Decision(AdminResponse(404, "no worker s-1"))),
+        (END_REQUEST, False, False, Decision(AdminResponse(404, "no worker s-1"))),
     ],
     ids=[
         "starts",
@@ -109,14 +113,14 @@
         "end for an unknown worker",
     ],
 )
-def test_maintenance_ends_at_the_first_request_and_an_unknown_worker_is_rejected(
-    request_, known, in_maintenance, expected
+def test_one_request_ends_maintenance_and_an_unknown_worker_is_rejected(
+    operator_request, worker_known, in_maintenance, expected
 ):
-    assert decide(request_, ProcessView(True, known, in_maintenance)) == expected
+    assert decide(operator_request, ProcessView(True, worker_known, in_maintenance)) == expected
 
 
 @pytest.mark.parametrize(("serving", "status"), [(True, 200), (False, 503)])
-def test_a_health_check_succeeds_while_clients_are_taken(serving, status):
+def test_a_health_check_succeeds_only_while_the_process_serves(serving, status):
     decision = decide(HEALTH_CHECK, ProcessView(serving, False, False))
     assert decision.response.status == status
     assert decision.action is None
@@ -131,14 +135,14 @@
         (True, False, True, False),
     ],
 )
-def test_clients_are_taken_between_the_start_and_a_shutdown_or_drain(
+def test_the_process_serves_from_its_start_until_a_shutdown_or_drain(
     started, shutting_down, draining, serving
 ):
-    found = is_serving(started=started, shutting_down=shutting_down, draining=draining)
-    assert found is serving
+    result = is_serving(started=started, shutting_down=shutting_down, draining=draining)
+    assert result is serving
 
 
-def test_the_oldest_connection_is_evicted_and_each_one_expires():
+def test_the_oldest_connection_is_evicted_and_every_connection_expires():
     older, newer = (AdminConnection(None, None, opened_at) for opened_at in (10.0, 11.0))
     assert connection_to_evict([newer, older], 3) is None
     assert connection_to_evict([newer, older], 2) is older
@@ -146,6 +150,6 @@
 
 
 @pytest.mark.parametrize("action", [AdminAction.START_DRAIN, AdminAction.CANCEL_DRAIN])
-def test_a_drain_starts_and_ends_on_request_in_any_state(action):
+def test_a_request_starts_or_ends_a_drain_in_any_state(action):
     decision = decide(OperatorRequest(action), ProcessView(False, False, False))
     assert decision == Decision(OK, action)
--- a/tests/admin/test_admin_listener.py
+++ b/tests/admin/test_admin_listener.py
@@ -1,4 +1,4 @@
-"""The admin listener on loopback sockets."""
+"""The admin listener, tested over loopback sockets."""
 
 import contextlib
 import errno
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def admin():
-    """A recording service, and the port on which a listener passes requests on to it."""
+    """A recording service, and the port of a listener that passes requests to it."""
     service = RecordingService()
     port = free_port()
     listener = AdminListener(
@@ -44,35 +44,35 @@
         yield service, port
 
 
-def test_a_request_is_answered_beside_callers_that_hold_their_connections(admin):
+def test_callers_with_incomplete_requests_do_not_delay_other_callers(admin):
     service, port = admin
-    slow = [
+    slow_callers = [
         socket.create_connection(("127.0.0.1", port)) for _ in range(LIMITS.connections.admin // 2)
     ]
-    for sock in slow:
+    for sock in slow_callers:
         sock.sendall(b"PUT /healthcheck/fa")
     begun = time.monotonic()
     assert call_admin(port, b"GET /healthcheck HTTP/1.1\r\n\r\n").status == 200
     assert time.monotonic() - begun < 1.0
     assert service.requests == [HEALTH_CHECK]
-    for sock in slow:
+    for sock in slow_callers:
         sock.close()
 
 
-def test_a_connection_beyond_the_bound_evicts_the_oldest(admin):
+def test_a_connection_beyond_the_bound_evicts_the_oldest_one(admin):
     _, port = admin
-    idle = [
+    idle_callers = [
         socket.create_connection(("127.0.0.1", port)) for _ in range(LIMITS.connections.admin + 4)
     ]
-    idle[0].settimeout(WAIT_TIMEOUT_SECONDS)
-    assert idle[0].recv(10) == b""  # the oldest is evicted
+    idle_callers[0].settimeout(WAIT_TIMEOUT_SECONDS)
+    assert idle_callers[0].recv(10) == b""  # the oldest is evicted
     assert call_admin(port, b"PUT /healthcheck/ok HTTP/1.1\r\n\r\n").status == 200
-    for sock in idle:
+    for sock in idle_callers:
         sock.close()
 
 
 @pytest.mark.parametrize(
-    ("data", "status"),
+    ("request_bytes", "status"),
     [
         (b"PUT /workers/s 1/maint HTTP/1.1\r\n\r\n", 400),
         (b"DELETE /healthcheck HTTP/1.1\r\n\r\n", 405),
@@ -81,66 +81,67 @@
         (b"PUT /healthcheck/ok HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", 413),
     ],
 )
-def test_bad_requests_get_a_4xx_and_change_nothing(admin, data, status):
+def test_a_bad_request_gets_a_4xx_and_is_not_passed_on(admin, request_bytes, status):
     service, port = admin
-    assert call_admin(port, data).status == status
+    assert call_admin(port, request_bytes).status == status
     assert service.requests == []
     assert call_admin(port, b"GET /healthcheck HTTP/1.1\r\n\r\n").status == 200
 
 
 @pytest.fixture
 def make_listener():
-    """Makes listeners that the test turns itself, and closes them."""
-    made = []
+    """Create listeners without a thread, whose turns the test runs; close them afterwards."""
+    listeners = []
 
-    def make(answer=None, run_periodic_tasks=lambda now: None):
+    def create(answer=None, run_periodic_tasks=lambda now: None):
         service = RecordingService()
-        made.append(
+        listeners.append(
             AdminListener(
                 ("127.0.0.1", free_port()), LIMITS, answer or service.answer, run_periodic_tasks
             )
         )
-        return made[-1]
+        return listeners[-1]
 
-    yield make
-    for listener in made:
+    yield create
+    for listener in listeners:
         for connection in list(listener.connections.values()):
             listener._close(connection)
         listener.listening_socket.close()
 
 
-def caller_of(listener):
-    sock = caller_of_socket(listener.listening_socket)
+def connect_to(listener):
+    sock = connect_to_socket(listener.listening_socket)
     sock.settimeout(WAIT_TIMEOUT_SECONDS)
     return sock
 
 
-def turn_until(listener, done):
-    """Turn the listener, within a bound, until `done()`."""
+def poll_until(listener, condition):
+    """Run turns of the listener until `condition()` holds; fail if it takes too long."""
     deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
-    while not done():
+    while not condition():
         assert time.monotonic() < deadline
         listener.poll_once()
 
 
-def test_an_event_of_an_evicted_connection_does_not_close_a_new_caller(make_listener):
-    # Guards against a caller that is closed unanswered: it got the evicted one's descriptor.
+def test_an_event_of_an_evicted_connection_does_not_close_a_new_connection(make_listener):
+    # Guards against a new caller that gets no answer: its connection has the descriptor of an evicted
+    # one, and an event of the evicted connection closes it.
     listener = make_listener()
-    old = [caller_of(listener) for _ in range(LIMITS.connections.admin)]
-    turn_until(listener, lambda: len(listener.connections) == LIMITS.connections.admin)
-    old[0].sendall(b"GET /heal")
-    new = [caller_of(listener) for _ in range(2)]
+    old_callers = [connect_to(listener) for _ in range(LIMITS.connections.admin)]
+    poll_until(listener, lambda: len(listener.connections) == LIMITS.connections.admin)
+    old_callers[0].sendall(b"GET /heal")
+    new_callers = [connect_to(listener) for _ in range(2)]
     listener.poll_once()
-    for caller in new:
+    for caller in new_callers:
         caller.sendall(b"GET /healthcheck HTTP/1.1\r\n\r\n")
-    turn_until(listener, lambda: len(listener.connections) <= LIMITS.connections.admin - 2)
-    assert [caller.recv(12) for caller in new] == [b"HTTP/1.1 200"] * 2
-    for caller in (*old, *new):
+    poll_until(listener, lambda: len(listener.connections) <= LIMITS.connections.admin - 2)
+    assert [caller.recv(12) for caller in new_callers] == [b"HTTP/1.1 200"] * 2
+    for caller in (*old_callers, *new_callers):
         caller.close()
 
 
-def test_a_fault_in_an_own_route_or_a_periodic_task_is_answered_and_logged(make_listener, capfd):
-    # Guards against an admin thread that ends for good at one fault.
+def test_the_listener_logs_faults_in_a_route_or_a_periodic_task_and_goes_on(make_listener, capfd):
+    # Guards against a fault that ends the listener's thread.
     def fail(_):
         raise KeyError("lost")
 
@@ -154,12 +155,12 @@
     assert log.count('internal_fault where="admin tasks" error_type=KeyError') == 1
 
 
-class FullSocket:
-    """A listening socket whose process has no free descriptor."""
+class ExhaustedListeningSocket:
+    """A listening socket on which every accept fails, because no descriptor is free."""
 
     def __init__(self, sock):
         self.sock = sock
-        self.tries = 0
+        self.accept_count = 0
 
     def fileno(self):
         return self.sock.fileno()
@@ -168,25 +169,25 @@
         self.sock.close()
 
     def accept(self):
-        self.tries += 1
+        self.accept_count += 1
         raise OSError(errno.EMFILE, "Too many open files")
 
 
 def test_without_a_free_descriptor_the_listener_pauses_and_logs_one_line(make_listener, capfd):
-    # Guards against a thread that turns without rest while a caller waits to be accepted.
+    # Guards against a thread that polls without rest while a caller waits to be accepted.
     listener = make_listener()
-    real = listener.listening_socket
-    listener.listening_socket = full = FullSocket(real)
-    with caller_of_socket(real) as caller:
-        until = time.monotonic() + 0.5
+    real_socket = listener.listening_socket
+    listener.listening_socket = exhausted_socket = ExhaustedListeningSocket(real_socket)
+    with connect_to_socket(real_socket) as caller:
+        end_seconds = time.monotonic() + 0.5
         turns = 0
-        while time.monotonic() < until:
+        while time.monotonic() < end_seconds:
             listener.poll_once()
             turns += 1
-        assert 1 <= full.tries <= 6  # one each ACCEPT_PAUSE_SECONDS
+        assert 1 <= exhausted_socket.accept_count <= 6  # one in each ACCEPT_PAUSE_SECONDS
         assert turns < 30
         assert capfd.readouterr().err.count("accept_failed") == 1
-        listener.listening_socket = real
+        listener.listening_socket = real_socket
         caller.sendall(b"GET /healthcheck HTTP/1.1\r\n\r\n")
         caller.settimeout(0.0)
         answer = bytearray()
@@ -196,9 +197,9 @@
                 answer.extend(caller.recv(100))
             return answer
 
-        turn_until(listener, is_answered)
+        poll_until(listener, is_answered)
     assert answer.startswith(b"HTTP/1.1 200")
 
 
-def caller_of_socket(listening_socket):
+def connect_to_socket(listening_socket):
     return socket.create_connection(listening_socket.getsockname())
--- a/tests/admin/test_admin_program.py
+++ b/tests/admin/test_admin_program.py
@@ -1,4 +1,4 @@
-"""The running program with an admin listener: drains, maintenance, what a start loads."""
+"""The running program with an admin listener: drains, maintenance, and which modules it loads."""
 
 import json
 import socket
@@ -41,15 +41,15 @@
     assert call_admin(admin_port(dispatcher), b"GET /healthcheck HTTP/1.1\r\n\r\n").status == 503
     answer = exchange(
         0, job_request("00000000000000a2"), connection
-    )  # an open connection is still served
+    )  # a drain still serves open connections
     assert answer.status == 200
     connection.settimeout(WAIT_TIMEOUT_SECONDS)
-    assert connection.recv(10) == b""  # and closed after an answer once the drain's time has come
+    assert connection.recv(10) == b""  # the drain closes connections after its delay
     assert put(dispatcher, "/healthcheck/ok") == 200
     wait_for(dispatcher.is_ready)
 
 
-def test_a_worker_in_maintenance_gets_no_jobs_until_it_ends(dispatcher):
+def test_a_worker_gets_no_jobs_until_its_maintenance_ends(dispatcher):
     assert put(dispatcher, "/workers/s-9/maint") == 404
     assert put(dispatcher, "/workers/s-1/maint") == 200
     assert put(dispatcher, "/workers/s-1/maint") == 200
@@ -57,8 +57,8 @@
     assert exchange(dispatcher.port, job_request("00000000000000b1")).status != 200
     assert len(dispatcher.job_calls()) == before
     assert put(dispatcher, "/workers/s-1/ready") == 200
-    names = (f"00000000000000c{k}" for k in range(10_000))
-    wait_for(lambda: exchange(dispatcher.port, job_request(next(names))).status == 200)
+    request_ids = (f"00000000000000c{k}" for k in range(10_000))
+    wait_for(lambda: exchange(dispatcher.port, job_request(next(request_ids))).status == 200)
 
 
 ADMIN_MODULES = (
@@ -69,8 +69,8 @@
 )
 
 
-def loaded_by_a_start(operator):
-    """Modules and threads of a dispatcher started in a process of its own, with an admin address or not."""
+def modules_and_threads_of_a_start(operator):
+    """Start a dispatcher in its own process; return its admin modules and its threads, as text."""
     config = {
         **CONFIGURATION,
         "listen": f"127.0.0.1:{free_port()}",
@@ -86,17 +86,17 @@
         f"print(sorted({{m.rpartition('.')[0] or m for m in sys.modules if m.startswith({ADMIN_MODULES!r})}}))\n"
         "print(sorted(t.name for t in threading.enumerate()))\n"
     )
-    run = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
     )
-    modules, threads = run.stdout.splitlines()
+    modules, threads = process.stdout.splitlines()
     return modules, threads
 
 
-def test_serve_without_an_admin_address_loads_nothing_of_it_and_with_one_it_does():
-    modules, threads = loaded_by_a_start(operator=False)
+def test_admin_modules_and_the_admin_thread_exist_only_with_an_admin_address():
+    modules, threads = modules_and_threads_of_a_start(operator=False)
     assert modules == "[]"
     assert "admin" not in threads
-    modules, threads = loaded_by_a_start(operator=True)
+    modules, threads = modules_and_threads_of_a_start(operator=True)
     assert "stepstream.admin" in modules
     assert "'admin'" in threads
