--- a/tests/admin/test_admin_listener.py
+++ b/tests/admin/test_admin_listener.py
@@ -124,8 +124,8 @@
 
 
 def test_an_event_of_an_evicted_connection_does_not_close_a_new_connection(make_listener):
-    # Guards against a new caller that gets no answer: its connection has the descriptor of an evicted
-    # one, and an event of the evicted connection closes it.
+    # Guards against a new caller that gets no answer: its connection has the descriptor of an
+    # evicted one, and an event of the evicted connection closes it.
     listener = make_listener()
     old_callers = [connect_to(listener) for _ in range(LIMITS.connections.admin)]
     poll_until(listener, lambda: len(listener.connections) == LIMITS.connections.admin)
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings reader: nested JSON and dotted pairs give the same Settings; errors name their key."""
+"""The settings reader: nested JSON and dotted pairs give the same Settings; errors name the key."""
 
 import json
 import re
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""The hot restart: the state file, whole and damaged; maintenance across it; forwarded notifications."""
+"""The hot restart: the state file, intact or damaged; maintenance; forwarded notifications."""
 
 import json
 import os
@@ -44,48 +44,50 @@
 from tests.runtime.ports import free_port
 from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
-OLD = ProcessRecord(100, "127.0.0.1:9901", 1_000, True)
-NEW = ProcessRecord(200, "127.0.0.1:9902", 2_000, True)
+OLD_PROCESS = ProcessRecord(100, "127.0.0.1:9901", 1_000, True)
+NEW_PROCESS = ProcessRecord(200, "127.0.0.1:9902", 2_000, True)
 ENDPOINT_LIST = {
     "version": 7,
     "full": True,
     "servers": [{"id": "s-1", "addr": "127.0.0.1:9", "state": "draining"}],
 }
 STATE = HandoverState(
-    MaintenanceState(3, frozenset({"s-1"}), (("s-2", 1_500),)), (OLD, NEW), ENDPOINT_LIST
+    MaintenanceState(3, frozenset({"s-1"}), (("s-2", 1_500),)),
+    (OLD_PROCESS, NEW_PROCESS),
+    ENDPOINT_LIST,
 )
 
 
-def controller_for(folder, own, maintenance=None):
-    file = StateFile(str(folder), "n0", own.pid, LIMITS.sizes.handover_bytes)
-    return HotRestartController(file, own, maintenance or MaintenanceRegistry(), LIMITS)
+def controller_for(folder, process, maintenance=None):
+    file = StateFile(str(folder), "n0", process.pid, LIMITS.sizes.handover_bytes)
+    return HotRestartController(file, process, maintenance or MaintenanceRegistry(), LIMITS)
 
 
-def test_a_state_reads_back_as_it_was_written():
+def test_a_state_is_decoded_as_it_was_encoded():
     assert decode(encode(STATE)) == STATE
 
 
-def damaged(kind):
+def damaged_state(damage):
     data = encode(STATE)
-    outer = json.loads(data)
-    match kind:
+    envelope = json.loads(data)
+    match damage:
         case "cut short":
             return data[: len(data) // 2]
         case "empty":
             return b""
         case "another version":
-            return json.dumps({**outer, "version": 2}).encode()
+            return json.dumps({**envelope, "version": 2}).encode()
         case "another format":
-            return json.dumps({**outer, "format": "x"}).encode()
+            return json.dumps({**envelope, "format": "x"}).encode()
         case "a changed byte":
-            return json.dumps({**outer, "body": outer["body"].replace("s-1", "s-7")}).encode()
+            return json.dumps({**envelope, "body": envelope["body"].replace("s-1", "s-7")}).encode()
         case "a wrong type":
-            body = json.dumps({**json.loads(outer["body"]), "banned": 5}, sort_keys=True)
-            return json.dumps({**outer, "body": body, "sum": crc32(body.encode())}).encode()
+            body = json.dumps({**json.loads(envelope["body"]), "banned": 5}, sort_keys=True)
+            return json.dumps({**envelope, "body": body, "sum": crc32(body.encode())}).encode()
 
 
 @pytest.mark.parametrize(
-    ("kind", "error"),
+    ("damage", "error"),
     [
         ("cut short", StateFormatError),
         ("empty", StateFormatError),
@@ -95,37 +97,40 @@
         ("a wrong type", StateFieldError),
     ],
 )
-def test_a_damaged_state_is_rejected_whole(kind, error):
+def test_a_damaged_state_is_rejected_with_the_error_for_its_damage(damage, error):
     with pytest.raises(error):
-        decode(damaged(kind))
+        decode(damaged_state(damage))
 
 
-@pytest.mark.parametrize("kind", ["missing", "cut short", "another version", "a changed byte"])
-def test_a_process_starts_clean_from_a_damaged_or_missing_state_with_one_line(
-    tmp_path, kind, capsys
-):
-    if kind != "missing":
-        (tmp_path / "stepstream-n0.handover").write_bytes(damaged(kind))
+@pytest.mark.parametrize("damage", ["missing", "cut short", "another version", "a changed byte"])
+def test_a_damaged_or_missing_state_is_not_loaded_and_logs_one_line(tmp_path, damage, capsys):
+    if damage != "missing":
+        (tmp_path / "stepstream-n0.handover").write_bytes(damaged_state(damage))
     maintenance = MaintenanceRegistry()
-    assert controller_for(tmp_path, NEW, maintenance).load() is None
+    assert controller_for(tmp_path, NEW_PROCESS, maintenance).load() is None
     assert maintenance.snapshot() == MaintenanceState()
     assert len(capsys.readouterr().err.splitlines()) == 1
 
 
-def test_the_own_record_is_renewed_and_those_of_ended_processes_are_dropped():
-    renewed = ProcessRecord(100, OLD.admin_address, 5_000, False)
-    assert replace_own_record((OLD, NEW), renewed, alive_pids={200}) == (NEW, renewed)
-    assert replace_own_record((OLD, NEW), renewed, alive_pids=set()) == (renewed,)
+def test_the_own_record_is_replaced_and_records_of_ended_processes_are_dropped():
+    new_record = ProcessRecord(100, OLD_PROCESS.admin_address, 5_000, False)
+    assert replace_own_record((OLD_PROCESS, NEW_PROCESS), new_record, alive_pids={200}) == (
+        NEW_PROCESS,
+        new_record,
+    )
+    assert replace_own_record((OLD_PROCESS, NEW_PROCESS), new_record, alive_pids=set()) == (
+        new_record,
+    )
 
 
 def test_the_sibling_is_the_newest_other_process():
     oldest = ProcessRecord(50, "127.0.0.1:9900", 500, True)
-    assert newest_sibling((oldest, OLD, NEW), 100) == NEW
-    assert newest_sibling((oldest, OLD, NEW), 200) == OLD
-    assert newest_sibling((OLD,), 100) is None
+    assert newest_sibling((oldest, OLD_PROCESS, NEW_PROCESS), 100) == NEW_PROCESS
+    assert newest_sibling((oldest, OLD_PROCESS, NEW_PROCESS), 200) == OLD_PROCESS
+    assert newest_sibling((OLD_PROCESS,), 100) is None
 
 
-def test_a_write_keeps_the_endpoint_list_that_was_taken_over(tmp_path):
+def test_a_write_keeps_the_endpoint_list_that_was_loaded(tmp_path):
     first = controller_for(tmp_path, ProcessRecord(os.getpid(), "127.0.0.1:9901", 1_000))
     first.endpoint_list = ENDPOINT_LIST
     first.write()
@@ -137,7 +142,7 @@
     assert [process.pid for process in state.processes] == [os.getpid(), os.getppid()]
 
 
-def test_a_handed_over_list_whose_version_is_no_number_does_not_replace_the_own_one(tmp_path):
+def test_a_handed_over_list_with_a_version_that_is_no_number_is_ignored(tmp_path):
     first = controller_for(tmp_path, ProcessRecord(os.getpid(), "127.0.0.1:9901", 1_000))
     first.endpoint_list = {**ENDPOINT_LIST, "version": "seven"}
     first.write()
@@ -147,14 +152,14 @@
     assert second.endpoint_list == ENDPOINT_LIST
 
 
-def test_maintenance_passes_to_the_successor_and_back(tmp_path):
+def test_maintenance_changes_pass_to_the_successor_and_back(tmp_path):
     first_maintenance, second_maintenance = MaintenanceRegistry(), MaintenanceRegistry()
-    own = ProcessRecord(os.getpid(), "127.0.0.1:9901", 1_000, True)
-    first = controller_for(tmp_path, own, first_maintenance)
+    predecessor = ProcessRecord(os.getpid(), "127.0.0.1:9901", 1_000, True)
+    first = controller_for(tmp_path, predecessor, first_maintenance)
     first_maintenance.begin("s-1")
     first.write()
-    names = [path.name for path in tmp_path.iterdir()]
-    assert names == ["stepstream-n0.handover"]  # nothing unfinished stays
+    file_names = [path.name for path in tmp_path.iterdir()]
+    assert file_names == ["stepstream-n0.handover"]  # no unfinished file is left
     second = controller_for(
         tmp_path, ProcessRecord(os.getppid(), "127.0.0.1:9902", 2_000), second_maintenance
     )
@@ -166,11 +171,11 @@
     assert not first_maintenance.contains("s-1")
     assert first.successor() is not None
     assert first.successor().pid == os.getppid()
-    assert not first.check_file()  # nothing new since
+    assert not first.check_file()  # no change since the last check
 
 
 @pytest.mark.parametrize(
-    ("sibling", "successor"),
+    ("sibling", "is_successor"),
     [
         (ProcessRecord(os.getppid(), "127.0.0.1:9902", 2_000, True), True),
         (ProcessRecord(os.getppid(), "127.0.0.1:9902", 2_000, False), False),
@@ -178,16 +183,19 @@
     ],
     ids=["later and ready", "later and not ready", "earlier"],
 )
-def test_a_successor_started_later_and_takes_clients(tmp_path, sibling, successor):
+def test_a_successor_is_a_sibling_that_started_later_and_accepts_clients(
+    tmp_path, sibling, is_successor
+):
     controller_for(tmp_path, sibling).write()
     own = controller_for(tmp_path, ProcessRecord(os.getpid(), "127.0.0.1:9901", 1_000, True))
     own.load()
     assert own.sibling() == sibling
-    assert own.successor() == (sibling if successor else None)
+    assert own.successor() == (sibling if is_successor else None)
 
 
 def test_the_state_file_names_a_successor_before_its_first_health_check_succeeds():
-    # Guards against SIGTERM in between, which would end its predecessor without a hot restart.
+    # Guards against SIGTERM between the two: the predecessor would find no successor in the file and
+    # end without a hot restart.
     subsystem = AdminSubsystem.__new__(AdminSubsystem)
     started_at_write = []
     hot_restart = SimpleNamespace(
@@ -199,19 +207,19 @@
     assert subsystem.service.started
 
 
-def test_the_last_check_at_sigterm_applies_what_the_successor_has_changed():
-    # Guards against jobs at a worker that the successor's operators took out just before.
+def test_a_shutdown_applies_the_successors_latest_maintenance_changes():
+    # Guards against jobs for a worker that has just been put into maintenance at the successor.
     subsystem = AdminSubsystem.__new__(AdminSubsystem)
-    adopted = []
-    hot_restart = SimpleNamespace(check_file=lambda: True, successor=lambda: NEW)
+    adoptions = []
+    hot_restart = SimpleNamespace(check_file=lambda: True, successor=lambda: NEW_PROCESS)
     subsystem.service = SimpleNamespace(
-        hot_restart=hot_restart, adopt_maintenance=lambda: adopted.append(True)
+        hot_restart=hot_restart, adopt_maintenance=lambda: adoptions.append(True)
     )
     assert subsystem.begin_shutdown()
-    assert adopted
+    assert adoptions
 
 
-def test_an_own_record_that_a_sibling_did_not_know_is_written_again(tmp_path):
+def test_the_state_file_has_both_records_after_the_first_write_of_a_sibling(tmp_path):
     own = controller_for(tmp_path, ProcessRecord(os.getpid(), "127.0.0.1:9901", 1_000, True))
     own.write()
     controller_for(tmp_path, ProcessRecord(os.getppid(), "127.0.0.1:9902", 2_000)).write()
@@ -232,41 +240,45 @@
         )
         == []
     )
-    taken, commands = harness.receive("aa")
-    (start,) = [c for c in commands if isinstance(c, StartCall)]
-    own = JobNotification("aa", start.call.worker_id, JobStatus.DONE, "y")
-    assert not [c for c in harness.post(own) if isinstance(c, ForwardNotification)]
+    _request, commands = harness.receive("aa")
+    (start,) = [command for command in commands if isinstance(command, StartCall)]
+    known = JobNotification("aa", start.call.worker_id, JobStatus.DONE, "y")
+    assert not [
+        command for command in harness.post(known) if isinstance(command, ForwardNotification)
+    ]
 
 
-def test_a_forwarded_notification_reads_back_as_it_came():
+def test_a_forwarded_notification_is_read_as_it_was_sent():
     notification = JobNotification("zz", "s-1", JobStatus.RUNNING, None, (400, 1000))
     assert read_notification(
         Message(method="POST", body=notification_body(notification)), forwarded=True
     ) == JobNotification("zz", "s-1", JobStatus.RUNNING, None, (400, 1000), True)
 
 
-# -- two processes on one address -------------------------------------------------------------------------
+# -- two processes on one address ----------------------------------------------------------------
 
 
-def test_a_hot_restart_keeps_maintenance_serves_throughout_and_the_old_process_ends_cleanly(
+def test_a_hot_restart_keeps_maintenance_and_service_and_the_old_process_exits_with_0(
     tmp_path, monkeypatch, start_dispatcher
 ):
-    folder = tmp_path / "tmp"
-    folder.mkdir()
-    monkeypatch.setenv("TMPDIR", str(folder))
+    state_folder = tmp_path / "tmp"
+    state_folder.mkdir()
+    monkeypatch.setenv("TMPDIR", str(state_folder))
     dispatcher = start_dispatcher(operator=f"127.0.0.1:{free_port()}")
-    old_admin = int(dispatcher.config["operator"].rpartition(":")[2])
-    assert call_admin(old_admin, b"PUT /workers/s-1/maint HTTP/1.1\r\n\r\n").status == 200
-    new_admin = free_port()
-    path = tmp_path / "new.json"
-    path.write_text(json.dumps({**dispatcher.config, "operator": f"127.0.0.1:{new_admin}"}))
-    with running_process(path):
-        wait_for(lambda: healthy(new_admin))
-        # Maintenance holds in the new process: a second request changes nothing there.
-        assert call_admin(new_admin, b"PUT /workers/s-1/maint HTTP/1.1\r\n\r\n").body.startswith(
-            b"OK: out"
-        )
-        assert call_admin(new_admin, b"PUT /workers/s-1/ready HTTP/1.1\r\n\r\n").status == 200
+    old_admin_port = int(dispatcher.config["operator"].rpartition(":")[2])
+    assert call_admin(old_admin_port, b"PUT /workers/s-1/maint HTTP/1.1\r\n\r\n").status == 200
+    new_admin_port = free_port()
+    new_config_path = tmp_path / "new.json"
+    new_config_path.write_text(
+        json.dumps({**dispatcher.config, "operator": f"127.0.0.1:{new_admin_port}"})
+    )
+    with running_process(new_config_path):
+        wait_for(lambda: is_healthy(new_admin_port))
+        # Maintenance applies in the new process: a second request changes nothing there.
+        assert call_admin(
+            new_admin_port, b"PUT /workers/s-1/maint HTTP/1.1\r\n\r\n"
+        ).body.startswith(b"OK: out")
+        assert call_admin(new_admin_port, b"PUT /workers/s-1/ready HTTP/1.1\r\n\r\n").status == 200
         wait_for(
             lambda: (
                 exchange(dispatcher.port, job_request(f"{time.monotonic_ns():016x}")).status == 200
@@ -276,11 +288,11 @@
         assert dispatcher.process.wait(timeout=WAIT_TIMEOUT_SECONDS) == 0
         log = dispatcher.process.stderr.read()
         assert re.search(r"shutdown_started open_requests=\d+ hot_restart=true", log)
-        for k in range(5):  # the address is served on by the new process alone
+        for k in range(5):  # only the new process still serves the address
             assert exchange(dispatcher.port, job_request(f"00000000000000e{k}")).status == 200
 
 
-def healthy(port):
+def is_healthy(port):
     try:
         return call_admin(port, b"GET /healthcheck HTTP/1.1\r\n\r\n").status == 200
     except OSError:
@@ -304,9 +316,9 @@
     assert read_notification(Message(method="POST", body=forwarded.body)) == notification
 
 
-def test_the_endpoint_list_is_handed_over_in_discoverys_form():
-    side = DiscoveryApi(POLICY_SETTINGS)
-    listed = side.read(
+def test_the_endpoint_list_is_exported_in_discoverys_form():
+    discovery_api = DiscoveryApi(POLICY_SETTINGS)
+    full_update = discovery_api.read(
         {
             "version": 41,
             "full": True,
@@ -327,17 +339,19 @@
     )
     destinations = DestinationSet()
     assert destinations.export_list() is None
-    destinations.apply(listed)
+    destinations.apply(full_update)
     destinations.apply(
-        side.read({"version": 42, "full": False, "servers": [{"id": "s-2", "state": "gone"}]})
+        discovery_api.read(
+            {"version": 42, "full": False, "servers": [{"id": "s-2", "state": "gone"}]}
+        )
     )
-    again = side.read(destinations.export_list(), persisted=True)
-    assert again.version == 42
-    assert again.addresses == {"s-1": ("127.0.0.1", 81)}
-    assert again.update.endpoints == listed.update.endpoints[:1]
+    handed_over = discovery_api.read(destinations.export_list(), persisted=True)
+    assert handed_over.version == 42
+    assert handed_over.addresses == {"s-1": ("127.0.0.1", 81)}
+    assert handed_over.update.endpoints == full_update.update.endpoints[:1]
 
 
-def test_a_newer_list_is_taken_over_and_an_older_one_is_not(tmp_path):
+def test_a_newer_endpoint_list_is_adopted_and_an_older_one_is_not(tmp_path):
     predecessor = ProcessRecord(os.getpid(), "127.0.0.1:9901", 1_000)
     successor = ProcessRecord(os.getppid(), "127.0.0.1:9902", 2_000)
     first = controller_for(tmp_path, predecessor)
--- a/tests/hot_restart/test_state_file.py
+++ b/tests/hot_restart/test_state_file.py
@@ -1,4 +1,4 @@
-"""Two writers of the state file: threads of one process, and the two processes of a hot restart."""
+"""Two writers of the state file: two threads of a process, or both processes of a hot restart."""
 
 import fcntl
 import os
@@ -14,19 +14,19 @@
 from stepstream.hot_restart.state_file import StateFile
 from tests.config.configurations import LIMITS
 
-PAIRS = 200
+WRITE_ROUNDS = 200
 OLD_PID, NEW_PID = os.getppid(), os.getpid()  # both exist
 
 
 def controller_of(folder, pid, started_at_us):
-    """A process's controller, with a maintenance registry of its own."""
+    """Return the controller of a process, with its own maintenance registry."""
     file = StateFile(str(folder), "n0", pid, LIMITS.sizes.handover_bytes)
     own = ProcessRecord(pid, f"127.0.0.1:{pid}", started_at_us)
     return HotRestartController(file, own, MaintenanceRegistry(), LIMITS)
 
 
 @pytest.fixture
-def processes(tmp_path):
+def controllers(tmp_path):
     """The controllers of an old and a new process that know each other."""
     old, new = controller_of(tmp_path, OLD_PID, 1_000), controller_of(tmp_path, NEW_PID, 2_000)
     old.write()
@@ -36,13 +36,13 @@
     return old, new
 
 
-def test_two_threads_that_write_at_once_leave_a_readable_file(tmp_path):
-    # Guards against a state that is lost at a hot restart: both wrote one unfinished file.
+def test_a_file_written_by_two_threads_at_once_stays_readable(tmp_path):
+    # Guards against a lost state at a hot restart: both threads wrote to the same unfinished file.
     controller = controller_of(tmp_path, OLD_PID, 1_000)
     barrier = threading.Barrier(2)
 
     def write():
-        for _ in range(PAIRS):
+        for _ in range(WRITE_ROUNDS):
             barrier.wait()
             controller.write()
 
@@ -64,13 +64,13 @@
     assert not list(tmp_path.glob("*.part"))
 
 
-def test_changes_of_both_processes_at_once_are_kept(processes):
-    # Guards against maintenance that the other process's write undoes.
-    old, new = processes
+def test_simultaneous_changes_of_both_processes_are_kept(controllers):
+    # Guards against a write that undoes a change of maintenance by the other process.
+    old, new = controllers
     old.maintenance.begin("s-1")
     new.maintenance.begin("s-2")
     old.write()
-    assert new.write()  # it has learned of s-1
+    assert new.write()  # the write has adopted s-1
     assert old.check_file()
     both = frozenset(("s-1", "s-2"))
     assert old.maintenance.snapshot().in_maintenance == both
@@ -85,16 +85,17 @@
     assert new.maintenance.snapshot().released == (("s-2", 5_000),)
 
 
-def test_a_write_between_a_read_and_its_signature_is_seen(processes, monkeypatch):
-    # Guards against a sibling's change that is never read.
-    old, new = processes
+def test_a_write_just_before_the_signature_is_taken_is_read_later(controllers, monkeypatch):
+    # Guards against a sibling's change that is never read: the signature must be that of the file
+    # that was read, and not that of a file that has replaced it since.
+    old, new = controllers
     new.maintenance.begin("s-1")
     stat = os.stat
-    pending = [new.write]
+    pending_writes = [new.write]
 
     def write_first(*arguments, **options):
-        if pending:
-            pending.pop()()
+        if pending_writes:
+            pending_writes.pop()()
         return stat(*arguments, **options)
 
     monkeypatch.setattr(os, "stat", write_first)
@@ -105,25 +106,25 @@
 
 @pytest.mark.parametrize("step", ["open", "fsync", "replace"])
 def test_a_writer_that_ends_at_any_step_leaves_the_earlier_state_and_no_lock(
-    processes, monkeypatch, step
+    controllers, monkeypatch, step
 ):
-    old, new = processes
+    old, new = controllers
     new.maintenance.begin("s-1")
     new.write()
 
-    class EndedError(BaseException):
-        """Stands for the end of the process."""
+    class ProcessEndedError(BaseException):
+        """Simulates the end of the process."""
 
-    def end(*arguments, **options):
-        raise EndedError
+    def end_process(*arguments, **options):
+        raise ProcessEndedError
 
     new.maintenance.begin("s-2")
     with monkeypatch.context() as patch:
         if step == "open":
-            patch.setattr(state_file, "encode", end)
+            patch.setattr(state_file, "encode", end_process)
         else:
-            patch.setattr(os, step, end)
-        with pytest.raises(EndedError):
+            patch.setattr(os, step, end_process)
+        with pytest.raises(ProcessEndedError):
             new.write()
     old.check_file()
     assert old.maintenance.snapshot().in_maintenance == frozenset(("s-1",))
@@ -132,9 +133,9 @@
     assert not old.is_write_due
 
 
-def test_a_lock_that_is_held_delays_a_write_which_the_next_check_repeats(processes, capfd):
-    # Guards against an operator's call that waits for a process that stands still.
-    old, new = processes
+def test_a_write_that_fails_for_a_held_lock_is_repeated_at_the_next_check(controllers, capfd):
+    # Guards against an operator's request that waits for the lock of a stalled process.
+    old, new = controllers
     descriptor = os.open(old.file.folder, os.O_RDONLY)
     fcntl.flock(descriptor, fcntl.LOCK_EX)
     old.maintenance.begin("s-1")
@@ -146,20 +147,20 @@
     assert new.maintenance.contains("s-1")
 
 
-BASE = MaintenanceState(3, frozenset("a"), (("x", 1),))
+LAST_COMMON_STATE = MaintenanceState(3, frozenset("a"), (("x", 1),))
 
 
 @pytest.mark.parametrize(
-    ("own", "theirs", "merged"),
+    ("own", "theirs", "expected"),
     [
-        (BASE, BASE, BASE),
+        (LAST_COMMON_STATE, LAST_COMMON_STATE, LAST_COMMON_STATE),
         (
             MaintenanceState(5, frozenset("b"), ()),
             MaintenanceState(5, frozenset("b"), ()),
             (5, "b", {}),
         ),
-        (BASE, MaintenanceState(4, frozenset("ab"), (("x", 1),)), (4, "ab", {"x": 1})),
-        (MaintenanceState(4, frozenset("ab"), (("x", 1),)), BASE, (4, "ab", {"x": 1})),
+        (LAST_COMMON_STATE, MaintenanceState(4, frozenset("ab"), (("x", 1),)), (4, "ab", {"x": 1})),
+        (MaintenanceState(4, frozenset("ab"), (("x", 1),)), LAST_COMMON_STATE, (4, "ab", {"x": 1})),
         (
             MaintenanceState(4, frozenset("ab"), (("x", 1),)),
             MaintenanceState(4, frozenset("ac"), (("x", 1),)),
@@ -177,10 +178,10 @@
         ),
     ],
 )
-def test_the_changes_of_both_processes_since_their_common_state_are_merged(own, theirs, merged):
-    state = merge_maintenance(BASE, own, theirs)
-    if isinstance(merged, MaintenanceState):
-        assert state == merged
+def test_the_changes_of_both_processes_since_their_common_state_are_merged(own, theirs, expected):
+    state = merge_maintenance(LAST_COMMON_STATE, own, theirs)
+    if isinstance(expected, MaintenanceState):
+        assert state == expected
     else:
-        found = (state.generation, "".join(sorted(state.in_maintenance)), dict(state.released))
-        assert found == merged
+        fields = (state.generation, "".join(sorted(state.in_maintenance)), dict(state.released))
+        assert fields == expected
