--- a/stepstream/core/action_handler.py
+++ b/stepstream/core/action_handler.py
@@ -1,4 +1,4 @@
-"""The policy's actions: applied to requests and calls, or turned into commands.
+"""Carries out the policy's actions: applies them to requests and calls, or issues commands.
 
 An action on a request that is no longer open has no effect. The decision thread calls the handler,
 which has no state of its own.
@@ -49,8 +49,8 @@
         match action:
             case StartAttempt(_, worker_id, timeout_us):
                 self._calls.start(now_us, request, worker_id, timeout_us)
-            case CancelAttempt(_, number):
-                self._calls.cancel(now_us, request, number)
+            case CancelAttempt(_, attempt_number):
+                self._calls.cancel(now_us, request, attempt_number)
             case Reject(_, retry_after_us):
                 self._state.requests.answer(
                     request, Outcome.REJECTED, retry_after_us=retry_after_us
--- a/stepstream/core/call_handler.py
+++ b/stepstream/core/call_handler.py
@@ -1,7 +1,7 @@
 """Calls of requests to workers: their start, their timeout and their end.
 
 A call that the core has ended stays ended, whatever its carrier reports later. The decision thread
-calls it; the state of a call is in its `Call` record.
+calls the handler. The state of a call is in its `Call` record.
 """
 
 from stepstream.core.commands import StartCall, StopCall
@@ -28,10 +28,10 @@
                     self._state.timers.schedule(at_us, CallTimeout(call))
 
     def start(self, now_us: int, request: Request, worker_id: str, timeout_us: int) -> None:
-        """Start a call for the policy.
+        """Start a call that the policy has decided on.
 
-        `timeout_us` is the call's own timeout; 0 leaves the call the request's time. A call that
-        must not start still gets its number, and ends at once as not sent.
+        `timeout_us` is the call's own timeout; with 0 only the request's deadline limits the call.
+        A call that `may_start` denies still gets its attempt number and ends at once with NOT_SENT.
         """
         state = self._state
         deadline_us = call_deadline_us(request, now_us, timeout_us, state.answer_margin_us)
@@ -52,13 +52,13 @@
             state.timers.schedule(deadline_us, CallTimeout(call))
         state.output.commands.append(StartCall(call))
 
-    def cancel(self, now_us: int, request: Request, number: int) -> None:
-        """Cancel a call by its number; one that is not open is left as it is."""
-        if 0 <= number < len(request.calls):
-            self._stop(now_us, request.calls[number], AttemptResult.CANCELLED)
+    def cancel(self, now_us: int, request: Request, attempt_number: int) -> None:
+        """Cancel the call with this attempt number; do nothing if it is not open."""
+        if 0 <= attempt_number < len(request.calls):
+            self._stop(now_us, request.calls[attempt_number], AttemptResult.CANCELLED)
 
     def time_out(self, now_us: int, call: Call) -> None:
-        """End a call that has reached its time limit; one that is not open is left as it is."""
+        """End a call that has reached its time limit; do nothing if it is not open."""
         self._stop(now_us, call, AttemptResult.TIMEOUT)
 
     def end(
@@ -68,7 +68,7 @@
         result: AttemptResult,
         load_report: dict[str, float] | None = None,
     ) -> None:
-        """End a call and report it to the policy; one that is not open is left as it is."""
+        """End a call and report it to the policy; do nothing if it is not open."""
         if not call.open:
             return
         call.open = False
@@ -97,7 +97,8 @@
     """Decide when a call that starts at `now_us` times out.
 
     Every call ends `answer_margin_us` before the request's deadline: the answer still has to be
-    written. `timeout_us` may end it earlier; 0 means that the call has no timeout of its own.
+    written within that time. `timeout_us` may end it earlier; 0 means that the call has no timeout
+    of its own.
     """
     deadline_us = request.deadline_us - answer_margin_us
     if timeout_us:
@@ -108,10 +109,9 @@
 def may_start(call: Call, now_us: int, attempt_limit: int) -> bool:
     """Decide whether a new call, not yet among its request's calls, may go to its worker.
 
-    `attempt_limit` is the largest number of calls a request. The policy decides on a state that may
-    be one event old, and the core enforces the limits that must hold all the same: no call after
-    the answer, none beyond the limit, none past its deadline, and none that may collide with an
-    earlier call.
+    `attempt_limit` is the largest number of calls for one request. The policy's state may be one
+    event old, so the core checks again what must always hold: no call after the answer, none beyond
+    the limit, none past its deadline, and none that may collide with an earlier call.
     """
     request = call.request
     if request.answered:
@@ -126,9 +126,9 @@
 def may_collide(request: Request, worker_id: str) -> bool:
     """Decide whether a new call to a worker could meet an earlier call of the request there.
 
-    Both calls carry the same request id. An open call collides. A call that was given up collides
-    as well: its cancellation may reach the worker after the new call. So does a call that a
-    notification has ended, because the worker may deliver that notification again.
+    Both calls carry the same request id. An open call may collide. A call that was cancelled or
+    timed out may collide as well: its cancellation may reach the worker after the new call. So may
+    a call that a notification has ended, because the worker may deliver that notification again.
     """
     calls_to_worker = [call for call in request.calls if call.worker_id == worker_id]
     return any(call.ended_by_notification or not call.worker_finished for call in calls_to_worker)
--- a/stepstream/core/commands.py
+++ b/stepstream/core/commands.py
@@ -32,7 +32,7 @@
 
 @record
 class StopCall:
-    """Give up a call that the core has ended; later reports of its carrier are ignored."""
+    """Tell the carrier to stop a call that the core has ended; its later reports are ignored."""
 
     call: Call
 
@@ -57,8 +57,8 @@
 class PollEndpoints:
     """Poll discovery for the endpoint list."""
 
-    # True: wait for changes from now on. False: fetch the complete list once. A dispatcher's
-    # discovery client does not read it, because it always watches.
+    # True: watch for changes from now on. False: fetch the complete list once. The discovery client
+    # of a dispatcher ignores this field, because it always watches.
     watch: bool
 
 
--- a/stepstream/core/dispatcher.py
+++ b/stepstream/core/dispatcher.py
@@ -1,6 +1,6 @@
 """The dispatcher: routes events, timers and the policy's actions to their handlers.
 
-It knows no socket and no protocol. One round takes the time and a batch of events, and returns
+It uses no socket and no protocol. One round takes the time and a batch of events, and returns
 commands. Fronts and carriers post the events, and the node executes the commands. The decision
 thread owns the dispatcher and everything in it. Other threads may read `open_count` and call
 `endpoints.contains` and `endpoints.owner`. Times are microseconds on the process's monotonic clock.
@@ -58,7 +58,7 @@
     ) -> None:
         """Create a dispatcher without requests.
 
-        `seed` starts the policy's random numbers. `tick_us` is the timers' resolution.
+        `seed` seeds the policy's random numbers. `tick_us` is the timers' resolution.
         `answer_margin_us` is the time that is reserved before a deadline for writing the answer.
         `log` gets one event for each fault.
         """
--- a/stepstream/core/drain.py
+++ b/stepstream/core/drain.py
@@ -22,7 +22,7 @@
     started_at_seconds: float | None = None  # None: not draining
 
     def start(self, now_seconds: float) -> bool:
-        """Start a drain; return False if one is active, whose start time stays as it is."""
+        """Start a drain; if one is already active, keep its start time and return False."""
         if self.started_at_seconds is not None:
             return False
         self.started_at_seconds = now_seconds
@@ -42,8 +42,9 @@
     def closes_connections(self, now_seconds: float) -> bool:
         """Decide whether idle connections close now, and others after their next answer.
 
-        True once `close_after_seconds` have passed since the start of the drain. Connections that
-        close sooner would be replaced by new ones, because the front proxy has not noticed yet.
+        True once `close_after_seconds` have passed since the start of the drain. Clients
+        would replace connections that close sooner by new ones, because the front proxy has not
+        noticed the drain yet.
         """
         if self.started_at_seconds is None:
             return False
--- a/stepstream/core/endpoint_set.py
+++ b/stepstream/core/endpoint_set.py
@@ -55,7 +55,8 @@
     def apply(self, updated: EndpointsUpdated) -> EndpointList:
         """Merge one source's update; return the update for the policy, of the same kind.
 
-        To a complete list it adds the workers of all other sources. A failed one stays as it is.
+        A complete list also gets the workers of all other sources. A failed update is returned as
+        it is.
         """
         source = updated.source
         update = updated.update
@@ -115,7 +116,7 @@
     def _register(self, source: str, endpoint: Endpoint) -> bool:
         """Record an endpoint and return True, or a claim and False if another source owns its id.
 
-        The first owner keeps an id: its calls go on to the same worker, whatever others list.
+        The first owner keeps an id, so that its calls go to the same worker whatever others list.
         """
         worker_id = endpoint.worker_id
         owner = self._owner_by_worker.get(worker_id, source)
@@ -147,7 +148,7 @@
         ]
         for claim in free_claims:
             endpoint = self._waiting_claims.pop(claim)
-            # If several sources claim one id, the oldest claim wins and the others wait on.
+            # If several sources claim one id, the oldest claim wins and the others keep waiting.
             if self._register(claim.source, endpoint):
                 granted.append(endpoint)
         return granted
--- a/stepstream/core/events.py
+++ b/stepstream/core/events.py
@@ -79,7 +79,7 @@
     """A worker has set a timeout for a call that it has begun; sent by the carrier's thread."""
 
     call: Call
-    at_us: int  # the call times out then
+    at_us: int  # when the call times out
 
 
 @record
@@ -93,10 +93,10 @@
     request_id: str
     worker_id: str
     status: JobStatus
-    result: object = None  # of DONE: JSON value or `core.job_results.ChunkedResult`
-    progress: tuple[int, int] | None = None  # of RUNNING: parts complete, parts in all
-    forwarded: bool = False  # came from the sibling process of a hot restart
-    load_report: dict[str, float] | None = None  # the worker's load by name, where it ends a call
+    result: object = None  # for DONE: JSON value or `core.job_results.ChunkedResult`
+    progress: tuple[int, int] | None = None  # for RUNNING: complete parts, all parts
+    forwarded: bool = False  # received from the sibling process of a hot restart
+    load_report: dict[str, float] | None = None  # the worker's load by name, if it ends a call
 
 
 @record
@@ -108,9 +108,11 @@
 
 @record
 class SiblingProcessChanged:
-    """A sibling process of a hot restart has come or gone; sent by the admin listener's thread.
+    """A sibling process of a hot restart has started or ended.
 
-    While there is one, notifications of requests unknown here are forwarded to it.
+    Sent by the admin listener's thread.
+
+    While there is one, notifications of unknown requests are forwarded to it.
     """
 
     present: bool
@@ -118,7 +120,7 @@
 
 @record
 class ShutdownStarted:
-    """The process ends soon; sent by the main thread.
+    """The process is about to end; sent by the main thread.
 
     Every request that is open or arrives later is answered by the deadline.
     """
--- a/stepstream/core/job_results.py
+++ b/stepstream/core/job_results.py
@@ -24,7 +24,7 @@
     """
 
     chunks: tuple[ResultChunk, ...]
-    final_data: bytes  # the part that came with the end of the job
+    final_data: bytes  # the part that the worker sent with the end of the job
 
     @property
     def complete(self) -> bytes:
--- a/stepstream/core/log.py
+++ b/stepstream/core/log.py
@@ -1,10 +1,10 @@
-"""The log events of the core, as it is given them: it knows neither the log nor its form."""
+"""The interface through which the core logs; it depends on no log and no line format."""
 
 from typing import Protocol
 
 
 class CoreLog(Protocol):
-    """Log events of the core, called by the decision thread; `runtime.log_events` has them."""
+    """The core's log events; implemented by `runtime.log_events`, called by the decision thread."""
 
     def internal_fault(self, *, where: str, error: Exception) -> None:
         """Log an unexpected fault in a step of the core or the policy."""
--- a/stepstream/core/maintenance.py
+++ b/stepstream/core/maintenance.py
@@ -43,7 +43,7 @@
 
 
 class MaintenanceRegistry:
-    """The operators' maintenance state, as this process knows it.
+    """The operators' maintenance state, as this process holds it.
 
     The admin listener's thread and the threads that send the state to other processes share it.
     """
@@ -88,17 +88,17 @@
             return True
 
     def adopt(self, state: MaintenanceState) -> bool:
-        """Adopt another process's state if it is newer; return whether it was."""
+        """Adopt another process's state if it is newer; return whether it was adopted."""
         with self.lock:
             if state.generation <= self.state.generation:
                 return False
             self.state = state
             return True
 
-    def merge(self, merge: Callable[[MaintenanceState], MaintenanceState]) -> MaintenanceState:
-        """Replace the state by what `merge` makes of it, in one step; return the new state."""
+    def merge(self, merge_into: Callable[[MaintenanceState], MaintenanceState]) -> MaintenanceState:
+        """Replace the state by `merge_into(state)` under the lock; return the new state."""
         with self.lock:
-            self.state = merge(self.state)
+            self.state = merge_into(self.state)
             return self.state
 
     def snapshot(self) -> MaintenanceState:
@@ -116,7 +116,7 @@
     """The maintenance state as the endpoint set applies it to the endpoints of its sources."""
 
     in_maintenance: frozenset[str] = frozenset()  # worker ids
-    # Time of the latest release, by worker.
+    # Time of the latest release, by worker id.
     released_us: dict[str, int] = field(default_factory=dict)
 
     def update(self, state: MaintenanceState) -> set[str]:
--- a/stepstream/core/notification_handler.py
+++ b/stepstream/core/notification_handler.py
@@ -1,8 +1,8 @@
 """Workers' notifications of their jobs.
 
 A notification may arrive before the worker's response to the call, more than once, or after a
-restart of this process. Each takes effect at most once. The handler owns the flag that says whether
-a sibling process of a hot restart exists. The decision thread calls it.
+restart of this process. Each takes effect at most once. The handler owns the flag that tells
+whether a sibling process of a hot restart exists. The decision thread calls it.
 """
 
 from stepstream.core.call_handler import CallHandler
@@ -17,7 +17,8 @@
     """Finds the call of a notification, and answers its request, ends it or reports its start."""
 
     def __init__(self, state: DispatchState, calls: CallHandler) -> None:
-        self.has_sibling_process = False  # if True, requests unknown here may be open there
+        # If True, a request that is unknown here may be open in the sibling process.
+        self.has_sibling_process = False
         self._state = state
         self._calls = calls
 
@@ -54,7 +55,8 @@
         if call.open:
             self._calls.end(now_us, call, AttemptResult.OK, notification.load_report)
         elif first_result:
-            # The call was given up or broke, but its worker has done the job: the policy drops it.
+            # The call had already ended, but its worker has completed the job: the policy
+            # cancels the other calls.
             self._state.output.policy_events.append(JobAbandoned(request.id))
 
     def _apply_to_open_call(
--- a/stepstream/core/request_handler.py
+++ b/stepstream/core/request_handler.py
@@ -1,6 +1,6 @@
 """Events of requests: arrival, the client's disconnection, a front's fault, and the shutdown.
 
-The handler owns the deadline of the shutdown. The decision thread calls it.
+The handler owns the shutdown's deadline. The decision thread calls it.
 """
 
 from stepstream.core.dispatch_state import DispatchState
@@ -75,7 +75,7 @@
         if deadline_us is None or request.answered:
             return
         if deadline_us < request.deadline_us:
-            # Its client must get an answer before the process ends and resets the connection.
+            # The client must get an answer before the process ends and resets its connection.
             request.deadline_us = deadline_us
             self._schedule_answer_deadline(request)
 
@@ -89,9 +89,9 @@
 ) -> Answer | None:
     """Decide whether a request that arrives is answered at once; None: it is admitted.
 
-    - Failed, if a request with its id is open: the two could not be told apart, and would share one
-      answer.
-    - Rejected, if `settings.max_open_requests` are open. The advice is the longest retry-after,
+    - Failed, if a request with the same id is open: the two could not be told apart, and would
+      share one answer.
+    - Rejected, if `settings.max_open_requests` are open. The retry-after is the longest one,
       `settings.max_retry_after_us`.
     - Failed, if a reload has removed its job class or tenant since the front read it.
     """
@@ -99,34 +99,34 @@
         return Answer(request, Outcome.FAILED)
     if open_requests.open_count >= settings.max_open_requests:
         return Answer(request, Outcome.REJECTED, retry_after_us=settings.max_retry_after_us)
-    if not is_known_to(settings, request):
+    if not has_class_and_tenant(settings, request):
         return Answer(request, Outcome.FAILED)
     return None
 
 
-def is_known_to(settings: Settings, request: Request) -> bool:
-    """Return whether settings have the job class and the tenant of a request, by their names."""
-    read_under = request.settings
-    if read_under is None or read_under is settings:
+def has_class_and_tenant(settings: Settings, request: Request) -> bool:
+    """Return whether the settings have the request's job class and tenant, compared by name."""
+    request_settings = request.settings
+    if request_settings is None or request_settings is settings:
         return True
-    if read_under.classes[request.job_class].name not in settings.class_names:
+    if request_settings.classes[request.job_class].name not in settings.class_names:
         return False
-    return not settings.tenants or tenant_name(read_under, request.tenant) in settings.tenants
+    return not settings.tenants or tenant_name(request_settings, request.tenant) in settings.tenants
 
 
 def translate_to_settings(request: Request, settings: Settings) -> None:
-    """Make a request that a front read under earlier settings index the current ones.
+    """Change a request's job class and tenant to their indexes in `settings`.
 
-    A reload may reorder job classes and tenants. They are matched by name, and `settings` must have
-    both.
+    A front may have read the request under earlier settings, and a reload may reorder job classes
+    and tenants. They are matched by name, and `settings` must have both.
     """
-    read_under = request.settings
-    if read_under is None or read_under is settings:
+    request_settings = request.settings
+    if request_settings is None or request_settings is settings:
         return
-    class_name = read_under.classes[request.job_class].name
+    class_name = request_settings.classes[request.job_class].name
     request.job_class = settings.class_names.index(class_name)
     if settings.tenants:
-        request.tenant = settings.tenants.index(tenant_name(read_under, request.tenant))
+        request.tenant = settings.tenants.index(tenant_name(request_settings, request.tenant))
     else:
         request.tenant = 0
     request.settings = settings
--- a/stepstream/core/request_table.py
+++ b/stepstream/core/request_table.py
@@ -22,7 +22,7 @@
         return self.by_id.get(request_id)
 
     def contains(self, request: Request) -> bool:
-        """Return whether this very request, not another of the same id, is in the table."""
+        """Return whether this request object, not another one with the same id, is in the table."""
         return self.by_id.get(request.id) is request
 
     def add(self, request: Request) -> None:
@@ -44,12 +44,12 @@
         self._set_answered(request)
 
     def fail(self, request: Request) -> None:
-        """Answer a request as failed without the policy, and have the policy cancel its calls."""
+        """Answer a request as failed without asking the policy, which then cancels its calls."""
         self.answer(request, Outcome.FAILED)
         self._output.policy_events.append(JobAbandoned(request.id))
 
     def abandon(self, request: Request) -> None:
-        """Close a request whose client has disconnected, and have the policy cancel its calls."""
+        """Close a request whose client has disconnected; the policy then cancels its calls."""
         if request.answered or not self.contains(request):
             return
         self._set_answered(request)
--- a/stepstream/core/requests.py
+++ b/stepstream/core/requests.py
@@ -1,8 +1,8 @@
 """Open requests, their outbound calls, and the answer that ends a request.
 
 The fronts create each `Request`, the core each `Call` and `Answer`. The decision thread owns their
-state while the request is open. Fields that a front or a carrier may change from its own threads
-say so. Times are microseconds on the node's clock.
+state while the request is open. A comment marks each field that a
+front or a carrier may change from its own threads. Times are microseconds on the node's clock.
 
 A request carries a `Payload`, a `ResponseSink` and the `CallCarrier` of each call through the core.
 These types are defined here because the core imports nothing of `ports`; `ports.carriers.Carrier`
@@ -20,7 +20,7 @@
 
 @record
 class Payload:
-    """The part of a request that its worker gets, independent of any protocol."""
+    """The part of a request that its worker receives, independent of any protocol."""
 
     path: str  # job class, further path and query, as the client sent them
     body: bytes = b""  # the job's input
@@ -31,7 +31,7 @@
     """How a request ended for its client."""
 
     SERVED = "served"
-    REJECTED = "refused"  # the platform's word
+    REJECTED = "refused"  # the platform's term for it
     FAILED = "failed"
 
 
@@ -59,7 +59,7 @@
         """Send the call to its worker."""
 
     def stop(self, call: "Call") -> None:
-        """Give up the call: its outcome is no longer needed."""
+        """Stop the call: its outcome is no longer needed."""
 
 
 @dataclass(eq=False, slots=True)
@@ -73,7 +73,7 @@
     id: str
     job_class: int  # index into `settings.classes`
     arrived_us: int
-    deadline_us: int  # the client gives up then; a shutdown may move it to an earlier time
+    deadline_us: int  # when the client stops waiting; a shutdown may move it to an earlier time
     tenant: int = 0  # index into `settings.tenants`
     key: str | None = None  # affinity key: requests of one key prefer the same workers
     slots: float = 1.0  # demand on a worker's slots
@@ -83,7 +83,7 @@
     response_sink: ResponseSink | None = None  # set by the front before it posts the request
     # The settings that `job_class` and `tenant` index; None: the current ones.
     settings: Settings | None = None
-    calls: "list[Call]" = field(default_factory=list)  # in the order of their numbers
+    calls: "list[Call]" = field(default_factory=list)  # in the order of their attempt numbers
     answered: bool = False  # it has its final answer, or its client has disconnected
     # Set by the front's thread when the client disconnects, before the core handles the event.
     client_disconnected: bool = False
@@ -132,22 +132,22 @@
     """
 
     request: Request
-    attempt_number: int  # index into `request.calls`; the policy's attempt number
+    attempt_number: int  # index into `request.calls`
     worker_id: str
     sent_us: int  # when it was handed to its carrier
-    deadline_us: int  # the call times out then
+    deadline_us: int  # when the call times out
     open: bool = True
     ended_by_notification: bool = (
         False  # a notification ended it; the worker may deliver that one again
     )
     result: AttemptResult | None = None  # None while open
-    write_deadline_us: int | None = None  # its first byte must be written by then; None: no limit
+    write_deadline_us: int | None = None  # latest time to write its first byte; None: no limit
     carrier: CallCarrier | None = None  # the carrier that started it
     carrier_state: object = None  # the carrier's own record of the call; opaque to the core
 
     @property
     def worker_finished(self) -> bool:
-        """Whether the call has ended and no stop of it may still be on its way to the worker.
+        """Whether the call has ended and the worker certainly works on it no longer.
 
         After a timeout or a cancellation the worker may still work on the call, because the stop
         may not have reached it.
@@ -169,6 +169,6 @@
 
     request: Request
     outcome: Outcome
-    # Of SERVED: JSON value or `core.job_results.ChunkedResult`, as the worker returned it.
+    # For SERVED: JSON value or `core.job_results.ChunkedResult`, as the worker returned it.
     result: object = None
-    retry_after_us: int = 0  # of REJECTED: advice to the client; 0: no advice
+    retry_after_us: int = 0  # for REJECTED: retry-after for the client; 0: none
--- a/stepstream/core/timer_handler.py
+++ b/stepstream/core/timer_handler.py
@@ -1,4 +1,4 @@
-"""Timers that are due: the policy's own, the timeouts of calls, the deadlines of answers.
+"""Handles timers that are due: the policy's own, timeouts of calls and deadlines of answers.
 
 The decision thread calls the handler, which has no state of its own.
 """
@@ -40,7 +40,7 @@
     def _end_calls(self, now_us: int, request: Request) -> None:
         """End all calls, whatever their carriers do, and let the policy answer in this round.
 
-        Only the policy knows whether a retry of the client is harmless. A request that it leaves
+        Only the policy knows whether the client may safely retry. A request that it leaves
         open fails one tick later.
         """
         for call in request.calls:
--- a/stepstream/core/timer_wheel.py
+++ b/stepstream/core/timer_wheel.py
@@ -1,7 +1,7 @@
 """The core's timers on a timer wheel of coarse ticks: cheap to set, never due early.
 
-A timer cannot be cancelled. The handler of a due timer checks whether it still matters. The
-decision thread owns the wheel. Times are microseconds on the node's clock.
+A timer cannot be cancelled. The handler of a due timer checks whether its call or request has ended
+meanwhile. The decision thread owns the wheel. Times are microseconds on the node's clock.
 """
 
 from stepstream.core.requests import Call, Request
@@ -10,7 +10,7 @@
 
 @record
 class PolicyTimer:
-    """The policy has requested a call at this time."""
+    """A timer that the policy has set for itself."""
 
     token: int  # the policy's id of the timer
 
@@ -48,7 +48,7 @@
         self._timers_by_tick: dict[int, list[Timer]] = {}
 
     def schedule(self, due_us: int, timer: Timer) -> None:
-        """Set a timer; one whose time has passed is due in the next tick."""
+        """Set a timer; if its time has already passed, it is due in the next tick."""
         rounded_up_tick = -(-due_us // self.tick_us)
         tick = max(rounded_up_tick, self._last_tick + 1)
         self._timers_by_tick.setdefault(tick, []).append(timer)
--- a/stepstream/ports/access_control.py
+++ b/stepstream/ports/access_control.py
@@ -20,9 +20,9 @@
 class RejectionKind(Enum):
     """Why a peer is rejected. The values are the error codes of the Gearman front."""
 
-    UNAUTHENTICATED = "NOT_IDENTIFIED"  # its credential identifies nobody
-    FORBIDDEN = "NOT_ALLOWED"  # it may not do this
-    RATE_LIMITED = "LATER"  # it may, but not now
+    UNAUTHENTICATED = "NOT_IDENTIFIED"  # its credential is missing or not valid
+    FORBIDDEN = "NOT_ALLOWED"  # the peer is known, but not allowed to do this
+    RATE_LIMITED = "LATER"  # allowed, but the caller has reached a limit
 
 
 @record
@@ -41,14 +41,14 @@
     tenant: str
 
     def release(self) -> None:
-        """End the request for the caller's limits; further calls have no effect."""
+        """Stop counting the request against the caller's limits; later calls have no effect."""
 
 
 class AccessControl(Protocol):
     """Decides who may do what. The fronts' threads call it; no method waits.
 
-    `front` names the calling front. Rejections are written to the audit log, admissions only if
-    the operators have switched that on.
+    `front` names the calling front. Rejections are written to the audit log. Admissions are
+    written only if the operators have switched that on.
     """
 
     def authorize_request(
@@ -56,13 +56,13 @@
     ) -> Authorization | Rejection:
         """Authorize a client's request of a job class.
 
-        Without a `tenant`, the request is of the one tenant that the caller belongs to.
+        If `tenant` is None, the caller's only tenant is used.
         """
 
     def authorize_job_access(
         self, front: str, credential: Credential, callers: set[str]
     ) -> Rejection | None:
-        """Authorize access to a job that belongs to `callers`; return None if the peer is one."""
+        """Authorize access to a job of `callers`; return None if the peer is one of them."""
 
     def authorize_worker(
         self, front: str, credential: Credential, worker_id: str
--- a/stepstream/ports/admin.py
+++ b/stepstream/ports/admin.py
@@ -6,8 +6,8 @@
 
 from stepstream.model.records import record
 
-# Methods of an admin route. Changes come by PUT; POST is accepted as well, as at other proxies'
-# admin listeners.
+# Methods of an admin route. Changes use PUT; POST is accepted as well, as on the admin
+# listeners of other proxies.
 READ_METHODS = frozenset({"GET", "HEAD"})
 WRITE_METHODS = frozenset({"PUT", "POST"})
 
@@ -61,10 +61,10 @@
         member: str,
         at_us: int,
     ) -> None:
-        """Apply an operator's command to another member.
+        """Apply an operator's command that another member has received.
 
-        `at_us`: when that member accepted it, in microseconds since the epoch on its clock.
+        `at_us`: when `member` accepted it, in microseconds since the epoch on its clock.
         """
 
     def draining(self) -> bool:
-        """Return whether operators drain this dispatcher."""
+        """Return whether an operator has started a drain of this dispatcher."""
--- a/stepstream/ports/carriers.py
+++ b/stepstream/ports/carriers.py
@@ -12,8 +12,8 @@
 
     Implemented by the HTTP outbound carrier and the Gearman front. The node calls it on the
     decision thread, so no method may wait. The end of a call is posted to the core as an event:
-    `CallEnded` where its worker has not accepted the job, `JobNotification` where the worker
-    reports on the job.
+    `CallEnded` if its worker has not accepted the job, `JobNotification` if the worker reports
+    on the job.
     """
 
     def check_health(self, worker: str) -> None:
@@ -31,6 +31,6 @@
     ) -> None:
         """Check a worker's health without waiting for the result.
 
-        `on_result` takes the result on a thread of the carrier; without it, the result is posted to
-        the core.
+        The carrier calls `on_result` with the result on a thread of its own; without `on_result`,
+        it posts the result to the core.
         """
--- a/stepstream/ports/connections.py
+++ b/stepstream/ports/connections.py
@@ -1,7 +1,7 @@
 """Inbound connections and listeners of any front, as the inbound server manages them.
 
 The server keeps one budget of connections for all fronts, evicts idle connections to make room,
-enforces timeouts, and knows when a shutdown may end.
+enforces timeouts, and decides how long connections delay a shutdown.
 """
 
 import socket
@@ -32,7 +32,7 @@
     """What decides when a connection is evicted; states sort in the order of eviction."""
 
     rank: EvictionRank
-    quiet_since_seconds: float  # monotonic
+    quiet_since_seconds: float  # monotonic; the peer has been inactive since then
 
 
 class Connection(Protocol):
@@ -44,7 +44,7 @@
     """
 
     is_external: bool  # its peer is not on the host of a known worker
-    evicted: bool  # taken out of the budget, its socket not yet closed; the server sets it
+    evicted: bool  # no longer counted, but its socket is still open; set by the server
 
     def run(self) -> None:
         """Read and handle what the peer sends until the connection ends."""
@@ -55,14 +55,14 @@
     def delays_shutdown(self) -> bool:
         """Return whether a shutdown must wait for it.
 
-        It must while the peer is owed something or a client may still use the connection.
+        True while the peer must still get an answer, or a client may still use the connection.
         """
 
     def eviction_state(self, now: float) -> EvictionState:
-        """Return its rank for eviction, and since when it has been quiet."""
+        """Return its rank for eviction, and since when its peer has been inactive."""
 
     def evict(self) -> bool:
-        """Close it to make room; return False, and leave it open, if the peer is owed something."""
+        """Close it to make room; if its peer must still get an answer, return False instead."""
 
     def enforce_timeouts(self, now: float) -> None:
         """Close it, or answer with an error, if its current step has taken too long."""
@@ -76,7 +76,8 @@
     """A listening socket and how its front treats what it accepts."""
 
     listener: socket.socket
-    # Makes a connection of an accepted socket, on the accepting thread; the flag is `is_external`.
+    # Creates a connection for an accepted socket, on the accepting thread; the flag is
+    # `is_external`.
     create_connection: Callable[[socket.socket, bool], Connection]
     overload_response: Callable[[], bytes]  # sent to a peer when no connection is left for it
     # Set before the socket is shut down, so that the accepting thread ends without a fault.
--- a/stepstream/ports/messaging.py
+++ b/stepstream/ports/messaging.py
@@ -11,7 +11,7 @@
     methods once it has started; none of them waits.
     """
 
-    process_name: str  # name of this run of the process; no other run ever has it
+    process_name: str  # unique to this run of the process: a restart gets another name
 
     def subscribe(self, kind: str, on_message: Callable[[str, bytes], None]) -> None:
         """Pass each message of a kind to `on_message`, with the name of its sender.
@@ -21,7 +21,7 @@
         """
 
     def send(self, member: str, kind: str, data: bytes) -> None:
-        """Send up to 1,080 bytes to a member by its name, in any state.
+        """Send up to 1,080 bytes to the member of this name, whatever its state.
 
         A message may be lost, duplicated or delayed.
         """
