--- a/stepstream/node/__init__.py
+++ b/stepstream/node/__init__.py
@@ -1,1 +1,1 @@
-"""The composition root: wiring, the decision thread, and a node's life from start to shutdown."""
+"""The composition root: wiring, the decision thread, and a node's start, reload and shutdown."""
--- a/stepstream/node/context.py
+++ b/stepstream/node/context.py
@@ -1,4 +1,4 @@
-"""The wiring of one dispatcher: its core, the platform's network side and the subsystems.
+"""The wiring of one dispatcher: its core, its HTTP server and clients, and the subsystems.
 
 The main thread creates the context, and only it replaces its attributes (at a reload, and
 `hot_restarting` at a shutdown). Other threads read them and post events. Each component documents
@@ -60,8 +60,8 @@
         self.clock = Clock()
         self.events: SimpleQueue[Event] = SimpleQueue()  # to the decision thread
         self.post = self.events.put
-        # To the main thread. A SimpleQueue and no Event, because a signal handler calls put() while
-        # the same thread may be inside get().
+        # To the main thread. A SimpleQueue and not an Event, because a signal handler calls put()
+        # while the same thread may be inside get().
         self.signals: SimpleQueue[int] = SimpleQueue()
         self.unreadable_load_reports = RateLimitedLogger(log_events.load_report_ignored, limits)
         self.unreadable_answers = RateLimitedLogger(log_events.worker_answer_unreadable, limits)
@@ -75,11 +75,12 @@
         )
         self.carriers: dict[str, Carrier] = {DISCOVERY_SOURCE: self.outbound}  # by endpoint source
         self.discovery = self.create_discovery_client(config, limits)
-        # The list from before the start: the configuration's, or a newer one of a hot restart.
+        # The endpoint list to start with: the configuration's, or a newer one from a hot restart.
         self.persisted_endpoints = config.persisted_endpoints
         self.hot_restarting = False
         self.is_health_check_delegated: Callable[[str], bool] = never_delegated
-        # The dispatchers that share the workers, as a subsystem has counted them; None: settings.
+        # The number of dispatchers that share the workers, as counted by a subsystem; None: the
+        # settings' number is used.
         self.observed_dispatcher_count: int | None = None
         self.subsystems: dict[str, Subsystem] = {}
         self.command_handlers: dict[type, Callable[[Command], None]] = {}
@@ -98,7 +99,7 @@
     def create_subsystems(self) -> None:
         """Import and create each enabled subsystem, and register the commands that it handles.
 
-        Each subsystem finds the earlier ones in `subsystems`.
+        A subsystem can use those that were created before it, in `subsystems`.
         """
         for key, module in enabled_subsystems(self.config, self.operator):
             self.subsystems[key] = import_module(module).create_subsystem(self)
@@ -127,7 +128,7 @@
         log_events.dispatcher_count_changed(dispatchers=dispatchers)
 
     def effective_settings(self, config: NodeConfig) -> Settings:
-        """Return the settings of `config`, with the observed count of dispatchers if any."""
+        """Return the settings of `config`, with the counted number of dispatchers if known."""
         if self.observed_dispatcher_count is None:
             return config.settings
         return replace(config.settings, dispatcher_count=self.observed_dispatcher_count)
@@ -151,6 +152,6 @@
     return DestinationSet(detector)
 
 
-def never_delegated(worker_id: str) -> bool:  # noqa: ARG001  a subsystem's function replaces it
+def never_delegated(worker_id: str) -> bool:  # noqa: ARG001  default for a subsystem's function
     """Return False: this dispatcher checks the health of every worker itself."""
     return False
--- a/stepstream/node/decision_thread.py
+++ b/stepstream/node/decision_thread.py
@@ -1,4 +1,4 @@
-"""The decision thread: it takes events in batches, lets the core decide and executes its commands.
+"""The decision thread: takes events in batches, lets the core decide and executes its commands.
 
 Only this thread changes the core and the outcome counts. Nothing that it calls may wait for a peer.
 """
@@ -36,7 +36,7 @@
         self.outcome_counts = dict.fromkeys(Outcome, 0)  # requests answered, by outcome
 
     def run(self) -> NoReturn:
-        """Decide until the process ends; a fault costs its batch and a line in the log."""
+        """Run batches until the process ends; a fault is logged, and its batch is lost."""
         while True:
             run_guarded("decisions", self.run_batch)
 
@@ -77,7 +77,8 @@
                 call.carrier = carrier
                 carrier.start(call)
             case StopCall(call):
-                # The core's records hold carriers and sinks without the types of `ports`.
+                # The core declares carrier and sink as optional and imports nothing of `ports`.
+                # Both are set before these commands are executed.
                 cast(Carrier, call.carrier).stop(call)
             case Progress(request, done, total):
                 cast(ResponseSink, request.response_sink).progress(done, total)
@@ -99,7 +100,7 @@
     def carrier_of(self, worker_id: str) -> Carrier:
         """Return the carrier of the source that owns the worker.
 
-        For a worker without an owner it is discovery's carrier, which ends the call as not sent.
+        A worker without an owner gets discovery's carrier, which ends the call as not sent.
         """
         return self.context.carriers[
             self.context.core.endpoints.owner(worker_id) or DISCOVERY_SOURCE
--- a/stepstream/node/node.py
+++ b/stepstream/node/node.py
@@ -1,7 +1,7 @@
 """One dispatcher as a process: the main thread that starts it, handles its signals and ends it.
 
-The main thread runs start, reload, periodic tasks, status event and shutdown, one at a time. The
-decisions have a thread of their own, `decision_thread`.
+The main thread runs the start, reloads, periodic tasks, the status event and the shutdown, one at a
+time. The decisions run on a thread of their own, see `decision_thread`.
 """
 
 import gc
@@ -27,12 +27,12 @@
     from stepstream.config.operator_file import OperatorConfig
 
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-# Shorter than Python's 5 ms: with many threads, the decision thread must not wait for its turn.
+# Python's default is 5 ms: with many threads, the decision thread would wait too long for the GIL.
 THREAD_SWITCH_INTERVAL_SECONDS = 0.001
 
 
 class Node(NodeContext):
-    """A dispatcher: its components, and the steps of its life."""
+    """A dispatcher: its components, and how it starts, serves, reloads and stops."""
 
     def __init__(
         self,
@@ -44,32 +44,32 @@
         self.decision_thread = DecisionThread(self)
 
     def run(self) -> int:
-        """Serve until SIGTERM or SIGINT, and return the exit status. SIGHUP reloads."""
-        for number in HANDLED_SIGNALS:
-            signal.signal(number, self.on_signal)
+        """Serve until SIGTERM or SIGINT, and return the exit status; SIGHUP reloads."""
+        for signal_number in HANDLED_SIGNALS:
+            signal.signal(signal_number, self.on_signal)
         sys.setswitchinterval(THREAD_SWITCH_INTERVAL_SECONDS)
         self.start()
         if self.operator is not None:
-            # The modules of the subsystems are never garbage: collections skip them.
+            # The modules of the subsystems are never garbage: the collector need not scan them.
             gc.freeze()
         self.serve()
         self.stop()
         return 0
 
     def serve(self) -> None:
-        """Handle signals and run the periodic tasks, until a signal ends the node."""
-        tasks_at = time.monotonic()
-        status_at = tasks_at
-        while (number := self.next_signal()) in (None, signal.SIGHUP):
-            if number is not None:
+        """Handle signals and run the periodic tasks, until SIGTERM or SIGINT arrives."""
+        last_tasks_at = time.monotonic()
+        last_status_at = last_tasks_at
+        while (signal_number := self.next_signal()) in (None, signal.SIGHUP):
+            if signal_number is not None:
                 run_guarded("reload", reload_configuration, self)
             loop = self.limits.loop  # a reload replaces the limits
             now = time.monotonic()
-            if now - tasks_at >= loop.periodic_tasks_seconds:
-                tasks_at = now
+            if now - last_tasks_at >= loop.periodic_tasks_seconds:
+                last_tasks_at = now
                 self.run_periodic_tasks()
-            if now - status_at >= loop.status_period_seconds:
-                status_at += loop.status_period_seconds
+            if now - last_status_at >= loop.status_period_seconds:
+                last_status_at += loop.status_period_seconds
                 self.log_status()
 
     def start(self) -> None:
@@ -90,9 +90,12 @@
         """Log the status event."""
         log_events.status(counts=status_counts(self, self.decision_thread.outcome_counts))
 
-    def on_signal(self, number: int, frame: FrameType | None) -> None:  # noqa: ARG002  Python's form
-        """Queue a signal for the main thread's loop; runs in that thread, between any two steps."""
-        self.signals.put(number)
+    def on_signal(self, signal_number: int, frame: FrameType | None) -> None:  # noqa: ARG002
+        """Queue a signal for the main thread's loop.
+
+        Python calls this handler in the main thread, between any two bytecode instructions.
+        """
+        self.signals.put(signal_number)
 
     def next_signal(self) -> int | None:
         """Wait for a signal for at most `signal_wait_seconds`; None if there is none.
--- a/stepstream/node/periodic_tasks.py
+++ b/stepstream/node/periodic_tasks.py
@@ -9,14 +9,14 @@
 
 
 def run_periodic_tasks(context: NodeContext) -> None:
-    """Run all periodic tasks once; for a node that serves."""
+    """Run all periodic tasks once, while the node serves."""
     run_guarded("retire idle connections", context.outbound.pool.retire_idle)
     run_guarded("staleness check", check_stale_list, context)
     enforce_timeouts(context)
 
 
 def check_stale_list(context: NodeContext) -> None:
-    """Poll discovery beside its watch if refused connections suggest that its list is stale."""
+    """Poll discovery in addition to its watch if refused connections suggest a stale list."""
     if context.destinations.claim_staleness_check():
         log_events.endpoint_list_suspected_stale()
         context.discovery.start_list_check()
@@ -25,7 +25,7 @@
 def enforce_timeouts(context: NodeContext) -> None:
     """Enforce the timeouts of inbound connections, and run the subsystems' periodic tasks.
 
-    A shutdown calls it as well, and more often: it needs both until the process ends.
+    A shutdown calls this as well, and more often: both are needed until the process ends.
     """
     run_guarded("enforce timeouts", context.server.enforce_timeouts)
     for key, subsystem in context.subsystems.items():
--- a/stepstream/node/reload.py
+++ b/stepstream/node/reload.py
@@ -1,6 +1,6 @@
-"""A reload after SIGHUP, run by the main thread: it applies both files completely, or nothing.
+"""The reload after SIGHUP, run by the main thread: it applies both files completely or not at all.
 
-Open requests, connections and the policy's measurements stay. All checks come before the first
+Open requests, connections and the policy's measurements are kept. All checks come before the first
 change.
 """
 
@@ -27,7 +27,7 @@
     """Reload the configuration and the operator's file; a fault in either changes nothing."""
     try:
         config = read_config()
-        operator = reread_operator(context, config)
+        operator = reread_operator_file(context, config)
         require_same_listener(context.config, config)
         commits = [
             subsystem.prepare_reload(config, operator) for subsystem in context.subsystems.values()
@@ -43,8 +43,10 @@
     log_events.configuration_reloaded(dispatcher=config.name, discovery_address=f"{host}:{port}")
 
 
-def reread_operator(context: NodeContext, config: NodeConfig) -> "OperatorConfig | None":
-    """Reread the operator's file; `ConfigurationError` if a section was added or removed."""
+def reread_operator_file(context: NodeContext, config: NodeConfig) -> "OperatorConfig | None":
+    """Read the operator's file again.
+
+    Raise `ConfigurationError` if a section was added or removed."""
     if context.operator_path is None or context.operator is None:
         return context.operator
     # Imported here, because a dispatcher without the file must not load its reader.
@@ -62,9 +64,9 @@
         raise ConfigurationError(f"listen={host}:{port} changes only with a restart")
 
 
-def run_after(event: threading.Event, client: DiscoveryClient) -> None:
-    """Run a discovery client once the event is set: never two clients adopt lists at one time."""
-    event.wait()
+def run_client_after(old_stopped: threading.Event, client: DiscoveryClient) -> None:
+    """Run a discovery client once the old one has stopped, so that only one adopts lists."""
+    old_stopped.wait()
     client.run()
 
 
@@ -72,17 +74,19 @@
     """Replace the configuration of every component; it must have passed all checks."""
     config = replace(config, settings=context.effective_settings(config))
     limits = limits_for(config)
-    old = context.discovery
-    new = context.create_discovery_client(config, limits)
-    new.poll_now()  # the platform expects the new list soon after a reload
+    old_client = context.discovery
+    new_client = context.create_discovery_client(config, limits)
+    new_client.poll_now()  # the platform expects the new list soon after a reload
     old_stopped = threading.Event()
-    # Before any change: if no thread can be started, everything stays as it is.
-    spawn_thread("discovery", run_after, old_stopped, new)
-    old.stop()
+    # This comes before any change: if no thread can be started, everything stays as it is.
+    spawn_thread("discovery", run_client_after, old_stopped, new_client)
+    old_client.stop()
     if config.discovery == context.config.discovery:
-        new.version = old.version  # the watch continues without a fetch of the complete list
+        new_client.version = (
+            old_client.version
+        )  # the watch continues without a fetch of the complete list
     old_stopped.set()
-    # The core gets the new settings first, before any message is read by them.
+    # The core gets the new settings before any message is read under them.
     context.events.put(SettingsChanged(config.settings))
     context.config = config
     context.limits = limits
@@ -90,4 +94,4 @@
     context.server.reconfigure(limits, ClientApi(config.settings, context.reports))
     context.outbound.reconfigure(limits)
     context.destinations.staleness.dispatcher_count = config.settings.dispatcher_count
-    context.discovery = new
+    context.discovery = new_client
--- a/stepstream/node/shutdown.py
+++ b/stepstream/node/shutdown.py
@@ -1,10 +1,10 @@
 """The graceful shutdown after SIGTERM, run by the main thread: every request is answered.
 
 New connections arrive until the front proxy, which spreads clients over dispatchers, has noticed
-the shutdown. Clients may use their open connections as long as there is time to answer. When
-dispatchers restart one after the other, the next one may not serve yet, and the clients would find
-no dispatcher. The listener stays open to the end, except in a hot restart, because workers send the
-notifications that open requests await on new connections.
+the shutdown. Clients may use their open connections as long as there is time to answer: when
+dispatchers restart one after the other, another one may not serve yet, and the clients would find
+no dispatcher. Except in a hot restart, the listener stays open to the end, because workers open new
+connections for the notifications that open requests wait for.
 """
 
 import time
@@ -33,8 +33,8 @@
 def announce_shutdown(context: NodeContext) -> None:
     """Notify the subsystems, the front proxy and the core of the shutdown.
 
-    In a hot restart new connections go to the sibling process, and the readiness check goes on to
-    succeed.
+    In a hot restart new connections go to the sibling process, and the readiness check still
+    succeeds.
     """
     # A list, not a generator: every subsystem must be notified.
     context.hot_restarting = any(
@@ -84,11 +84,11 @@
 
 
 def may_end(elapsed_seconds: float, quiet_seconds: float, timeouts: ShutdownTimeouts) -> bool:
-    """Decide whether the shutdown may end, because no request can be left.
+    """Decide whether the shutdown may end: no request is open, and none can still arrive.
 
     `elapsed_seconds` count from SIGTERM. For `quiet_seconds` no request has been open and no
     connection has been busy. The front proxy may still send clients until it has noticed the
-    shutdown, so the shutdown takes `min_seconds` at least.
+    shutdown, so the shutdown takes at least `min_seconds`.
     """
     has_been_quiet = quiet_seconds >= timeouts.quiet_seconds
     return has_been_quiet and elapsed_seconds >= timeouts.min_seconds
--- a/stepstream/node/startup.py
+++ b/stepstream/node/startup.py
@@ -1,7 +1,8 @@
 """A node's start, run by the main thread: from the first thread to readiness.
 
-Peers rely on its order. The subsystems start first. Then the clients' address is bound, and it is
-listened on once an agent that pushes lists has had time to send one. The node becomes ready last.
+Peers rely on the order of its steps. The subsystems start first. Then the clients' address is
+bound. The node listens on it only after an agent that pushes endpoint lists has had time to send
+one. The node becomes ready last.
 """
 
 import threading
@@ -17,9 +18,10 @@
 def start_node(context: NodeContext, decision_thread: DecisionThread) -> None:
     """Start every thread and listener.
 
-    OSError if the clients' address is not available, `ConfigurationError` if a subsystem's is not.
+    Raise OSError if the clients' address is not available, and `ConfigurationError` if the address
+    of a subsystem is not.
     """
-    # Applies to all threads that start from here on.
+    # Applies to all threads that start after this call.
     threading.stack_size(context.limits.sizes.thread_stack_bytes)
     for subsystem in context.subsystems.values():
         subsystem.start()
@@ -51,7 +53,7 @@
 
 
 def load_persisted_endpoints(context: NodeContext) -> None:
-    """Adopt the list from before the start; a malformed one counts as none."""
+    """Adopt the endpoint list from before the start; ignore a malformed one."""
     if not context.persisted_endpoints:
         return  # an empty object would be adopted as version 0
     discovery = context.discovery
@@ -64,7 +66,7 @@
 def wait_for_pushed_list(context: NodeContext) -> None:
     """Wait a moment for the list of an agent that pushes it.
 
-    The dispatcher must know such a list from its first request on.
+    The dispatcher must know that list before its first request.
     """
     if not context.config.settings.polls_endpoints:
         context.discovery.first_answer_received.wait(
--- a/stepstream/node/subsystems.py
+++ b/stepstream/node/subsystems.py
@@ -1,4 +1,4 @@
-"""The list of subsystems, and the rule which of them a configuration enables.
+"""The list of subsystems, and which of them a configuration enables.
 
 A subsystem is a package whose module `subsystem` has the function `create_subsystem`, and one line
 here. Its modules are imported only if it is enabled.
@@ -28,10 +28,10 @@
 def enabled_subsystems(
     config: NodeConfig, operator: "OperatorConfig | None"
 ) -> Iterator[tuple[str, str]]:
-    """Yield the key and the module of each enabled subsystem, in their order.
+    """Yield the key and the module of each enabled subsystem, in the order of the list.
 
-    The node's configuration enables the admin subsystem. A section of the operator's file enables
-    each other one.
+    The node's configuration enables the admin subsystem. Each other one is enabled by its section
+    of the operator's file.
     """
     for key, module in SUBSYSTEM_MODULES.items():
         if key == ADMIN:
--- a/stepstream/runtime/__init__.py
+++ b/stepstream/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Log, clock, threads, sockets and transports, which every driver uses."""
+"""Log, clock, threads, sockets and transports, for all modules that do I/O."""
--- a/stepstream/runtime/log.py
+++ b/stepstream/runtime/log.py
@@ -1,4 +1,4 @@
-"""Plain log lines on standard error, one line an event, rate-limited where peers can cause them.
+"""Plain log lines on standard error, one per event, rate-limited where peers can cause them.
 
 A line is `stepstream: SEVERITY EVENT field=value ...`. `runtime.log_events` defines the events;
 only that module calls `write_event`.
@@ -15,7 +15,7 @@
 from stepstream.config.limits import Limits
 
 QUOTED_CHARACTERS = frozenset(' "=\\')
-DECIMALS = 3  # of a logged number with a fraction
+DECIMALS = 3  # of a logged floating-point number
 
 
 class Severity(StrEnum):
@@ -47,16 +47,16 @@
 
 
 class LogRateLimit:
-    """Bounds the lines in a period, and counts those suppressed; not locked.
+    """Limits the log lines per period and counts the suppressed ones; not thread-safe.
 
-    Guards the log against a flood of bad input. Times are seconds on any clock that only moves
-    forward, which the caller passes in.
+    Guards the log against a flood of bad input. The caller passes the time, in seconds on any clock
+    that never goes back.
     """
 
     def __init__(self, lines_per_period: int, period_seconds: float) -> None:
         self.lines_per_period = lines_per_period
         self.period_seconds = period_seconds
-        self.period_started_at = -period_seconds  # the first line begins a period
+        self.period_started_at = -period_seconds  # so that the first line begins a period
         self.line_count = 0  # of this period
         self.suppressed_count = 0  # since the last line that was allowed
 
@@ -78,14 +78,14 @@
     """An event of `log_events` that bad input can cause at any rate."""
 
     def __call__(self, *, reason: str, suppressed_events: int) -> None:
-        """Write the line; `suppressed_events` had none since the last one."""
+        """Write the line; `suppressed_events` events had no line since the last one."""
 
 
 class RateLimitedLogger:
-    """Counts bad input of one kind, and logs its event at a bounded rate; any thread.
+    """Counts bad input of one kind and logs its event at a limited rate; any thread may use it.
 
-    Parameters: the event of `log_events`, the limits with the rate (10 lines in 10 s), and fewer
-    lines in that time, if any.
+    `event` is a function of `log_events`. `limits` holds the rate (10 lines in 10 s). `max_lines`
+    replaces its number of lines if given.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
         self.rate_limit = LogRateLimit(lines_per_period, limits.logging.period_seconds)
 
     def add(self, reason: str) -> None:
-        """Count one more, and log it unless the rate is reached."""
+        """Count one occurrence, and log it unless the rate limit is reached."""
         with self.lock:
             self.count += 1
             suppressed = self.rate_limit.admit_line(time.monotonic())
--- a/stepstream/runtime/log_events.py
+++ b/stepstream/runtime/log_events.py
@@ -30,7 +30,7 @@
 
 
 def status(*, counts: dict[str, int]) -> None:
-    """Log what is open now and what was counted since the start; see `node.status`."""
+    """Log what is open now and the counts since the start; see `node.status`."""
     write_event(Severity.INFO, "status", **counts)
 
 
@@ -86,12 +86,12 @@
 
 
 def thread_start_failed(*, pool: str) -> None:
-    """Log that the machine gave no further thread; the job waits for a thread of its pool."""
+    """Log that the system could not start a thread; the job waits for another one of its pool."""
     write_event(Severity.WARNING, "thread_start_failed", pool=pool)
 
 
 def accept_failed(*, reason: str, suppressed_events: int) -> None:
-    """Log that a connection was gone before its accept, or that no descriptor was left."""
+    """Log that a connection ended before it was accepted, or that no file descriptor was left."""
     write_event(
         Severity.WARNING, "accept_failed", reason=reason, suppressed_events=suppressed_events
     )
@@ -116,7 +116,7 @@
 
 
 def endpoint_list_suspected_stale() -> None:
-    """Log a call beside the watch: active workers of the list refuse connections."""
+    """Log an extra poll in addition to the watch: active workers of the list refuse connections."""
     write_event(
         Severity.WARNING,
         "endpoint_list_suspected_stale",
@@ -126,7 +126,7 @@
 
 
 def endpoint_list_overtaken(*, version: int, current_version: int | None) -> None:
-    """Log an endpoint list that was not adopted: another call had changed the list meanwhile.
+    """Log an endpoint list that was not adopted: the list has changed since the call began.
 
     `current_version` is None if the complete list is to be fetched.
     """
@@ -141,7 +141,7 @@
 
 
 def worker_answer_unreadable(*, reason: str, suppressed_events: int) -> None:
-    """Log a worker's answer to a call that is no HTTP; the reason names the worker."""
+    """Log a worker's answer to a call that is not valid HTTP; the reason names the worker."""
     write_event(
         Severity.WARNING,
         "worker_answer_unreadable",
@@ -202,7 +202,7 @@
 
 
 def maintenance_state_adopted(*, in_maintenance: int) -> None:
-    """Log that the sibling process's maintenance state is in force here too."""
+    """Log that this process has adopted the sibling process's maintenance state."""
     write_event(Severity.INFO, "maintenance_state_adopted", in_maintenance=in_maintenance)
 
 
@@ -212,7 +212,7 @@
 
 
 def drain_closing_connections() -> None:
-    """Log that kept connections close after their answers from now on."""
+    """Log that from now on connections are closed after their next answer."""
     write_event(Severity.INFO, "drain_closing_connections")
 
 
@@ -230,17 +230,17 @@
 
 
 def handover_state_ignored(*, reason: str, at_start: bool) -> None:
-    """Log a handed-over state that cannot be used; `at_start` means that the start goes without."""
+    """Log a handed-over state that cannot be used; `at_start`: the process starts without it."""
     write_event(Severity.WARNING, "handover_state_ignored", reason=reason, at_start=at_start)
 
 
 def handover_state_write_failed(*, reason: str) -> None:
-    """Log that this process's state could not be written; the next change tries again."""
+    """Log that this process's state could not be written; the next change writes it again."""
     write_event(Severity.WARNING, "handover_state_write_failed", reason=reason)
 
 
 def endpoint_list_adopted(*, version: object) -> None:
-    """Log that the start uses the endpoint list of the process before this one."""
+    """Log that this process starts with the endpoint list of the previous process."""
     write_event(Severity.INFO, "endpoint_list_adopted", version=version)
 
 
@@ -258,7 +258,7 @@
 
 
 def client_certificate_unreadable(*, reason: str) -> None:
-    """Log that a client's certificate passed the TLS handshake and cannot be read here."""
+    """Log that a client's certificate passed the TLS handshake, but cannot be parsed."""
     write_event(Severity.WARNING, "client_certificate_unreadable", reason=reason)
 
 
@@ -267,7 +267,7 @@
     write_event(Severity.ERROR, "keys_reload_failed", reason=reason, in_force="previous keys")
 
 
-def audit(  # noqa: PLR0913  one parameter a field
+def audit(  # noqa: PLR0913  one parameter per field
     logger: StructuredLogger,
     *,
     front: str,
@@ -283,7 +283,7 @@
     """Log a decision of access control; operators' tools read its fields by these names.
 
     `what` is the operation, `key` the id of the token's key, and `left_out` the count of denials
-    that had no line since the last one; the field is absent while that is 0.
+    without a line since the last one; the field is absent if it is 0.
     """
     more = {"left_out": left_out} if left_out else {}
     logger.info(
@@ -318,7 +318,7 @@
 
 
 def member_state_changes_omitted(logger: StructuredLogger, *, more: int) -> None:
-    """Log how many further changes of one step have no line."""
+    """Log how many further changes of one step have no line of their own."""
     logger.info("member_state_changes_omitted", more=more)
 
 
@@ -387,7 +387,7 @@
 
 
 def lease_state_changes_omitted(logger: StructuredLogger, *, more: int) -> None:
-    """Log how many further changes of one step have no line."""
+    """Log how many further changes of one step have no line of their own."""
     logger.info("lease_state_changes_omitted", more=more)
 
 
--- a/stepstream/runtime/sockets.py
+++ b/stepstream/runtime/sockets.py
@@ -10,13 +10,13 @@
 import time
 
 MICROSECONDS_PER_SECOND = 1e6
-MIN_TIMEOUT_SECONDS = 0.001  # to the kernel, 0 means no timeout
+MIN_TIMEOUT_SECONDS = 0.001  # not 0, which means no timeout to the kernel
 
 
 def set_socket_timeout(sock: socket.socket, option: int, seconds: float) -> None:
     """Set SO_RCVTIMEO or SO_SNDTIMEO; see socket(7).
 
-    The socket stays a blocking one, which it does not after settimeout(). A call that takes longer
+    The socket stays in blocking mode, unlike after settimeout(). A call that takes longer
     raises BlockingIOError.
     """
     whole_seconds = int(seconds)
@@ -45,10 +45,10 @@
 
 
 def receive_until(sock: socket.socket, deadline: float, max_bytes: int) -> bytes:
-    """Receive the next bytes by `deadline` (monotonic seconds); b"" is the peer's end.
+    """Receive the next bytes by `deadline` (monotonic seconds); b"" if the peer sends no more.
 
-    Raise TimeoutError after the deadline. One deadline for all reads of an answer guards the thread
-    against a peer that sends it byte by byte.
+    Raise TimeoutError after the deadline. One deadline for all reads of an answer protects the
+    thread from a peer that sends it byte by byte.
     """
     remaining_seconds = deadline - time.monotonic()
     if remaining_seconds <= 0:
@@ -61,7 +61,7 @@
 
 
 def is_stale(sock: socket.socket) -> bool:
-    """Return whether an idle connection is closed by its peer, or has unexpected bytes."""
+    """Return whether an idle connection was closed by its peer, or holds unexpected bytes."""
     try:
         sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -72,6 +72,6 @@
 
 
 def shut_down(sock: socket.socket) -> None:
-    """End both directions, which wakes the thread that reads or writes; it closes the socket."""
+    """Shut down both directions; the thread that reads or writes wakes up and closes the socket."""
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
--- a/stepstream/runtime/structured_log.py
+++ b/stepstream/runtime/structured_log.py
@@ -1,4 +1,4 @@
-"""Structured log lines on standard error, for the subsystems of the operator's file."""
+"""Structured log lines on standard error, for subsystems that the operator's file enables."""
 
 import sys
 from collections.abc import Callable, Mapping, Sequence
@@ -8,11 +8,11 @@
 
 LogFormat = Literal["json", "console"]
 
-MAX_CHANGE_LINES = 50  # of one step; one more line counts the further changes
+MAX_CHANGE_LINES = 50  # of one step; one more line states how many changes were omitted
 
 
 def structured_logger(log_format: LogFormat, stream: TextIO = sys.stderr) -> structlog.BoundLogger:
-    """Create a logger; `json` writes one object a line, keys sorted, `console` is for people.
+    """Create a logger: `json` writes one object per line, keys sorted; `console` is for people.
 
     Times are UTC, in ISO form.
     """
--- a/stepstream/runtime/threads.py
+++ b/stepstream/runtime/threads.py
@@ -34,20 +34,20 @@
     while not is_closed():
         try:
             step()
-        except Exception as error:  # noqa: BLE001  a subsystem without its thread would stop silently
+        except Exception as error:  # noqa: BLE001  else the subsystem would stop silently
             log_events.internal_fault(where=name, error=error)
             time.sleep(pause_seconds)
 
 
 def spawn_thread(name: str, step: Callable[[*Arguments], object], *arguments: *Arguments) -> None:
-    """Start a guarded daemon thread; raise RuntimeError if the machine has none left."""
+    """Start a guarded daemon thread; raise RuntimeError if the system cannot start one."""
     threading.Thread(
         target=run_guarded, args=(name, step, *arguments), name=name, daemon=True
     ).start()
 
 
 class ThreadPool:
-    """Threads that take jobs from one queue, started when needed, `max_threads` at most.
+    """Threads that take jobs from one queue, started when needed, at most `max_threads`.
 
     The threads never stop. Any thread may call `submit`.
     """
@@ -73,18 +73,18 @@
             self.start_thread()
 
     def start_thread(self) -> None:
-        """Start the thread that `submit` has counted already."""
+        """Start the thread that `submit` has already counted."""
         try:
             spawn_thread(self.name, self.run_jobs)
         except RuntimeError:
-            # On a machine without free threads the job waits for a thread that exists.
+            # If the system can start no thread, the job waits for one of the pool's threads.
             with self.lock:
                 self.thread_count -= 1
                 self.idle_count -= 1
             log_events.thread_start_failed(pool=self.name)
 
     def run_jobs(self) -> None:
-        """Run jobs forever; each thread of the pool runs this."""
+        """Run queued jobs forever; each thread of the pool runs this method."""
         while True:
             step, arguments = self.jobs.get()
             run_guarded(self.name, step, *arguments)
--- a/stepstream/runtime/transport.py
+++ b/stepstream/runtime/transport.py
@@ -1,4 +1,4 @@
-"""A connected socket as its driver uses it: reads wait for the peer, writes do not have to.
+"""A connected socket: reads wait for the peer, writes can be made without waiting.
 
 The connection's own thread reads. The connection's owner lets one thread at a time send. Any thread
 may call `shut_down`.
@@ -27,11 +27,11 @@
         """Prepare the connection before the first read, in its own thread; nothing for TCP."""
 
     def receive(self, max_bytes: int) -> bytes:
-        """Wait for bytes and return them; b"" is the peer's end."""
+        """Wait for bytes and return them; b"" if the peer sends no more."""
         return self.sock.recv(max_bytes)
 
     def wait_readable(self, max_bytes: int) -> bool:  # noqa: ARG002  used by TLS
-        """Wait until bytes can be received; return False at the peer's end."""
+        """Wait until bytes can be received; return False if the peer sends no more."""
         return bool(self.sock.recv(1, socket.MSG_PEEK))
 
     def receive_available(self, max_bytes: int) -> bytes:
@@ -39,11 +39,11 @@
         return self.sock.recv(max_bytes, socket.MSG_DONTWAIT)
 
     def enqueue(self, data: bytes) -> None:
-        """Append bytes to those that wait to be sent."""
+        """Append bytes to `unsent`."""
         self.unsent += data
 
     def send_available(self, data: bytes) -> bool:
-        """Send without waiting and keep the rest in `unsent`; return whether all bytes are sent."""
+        """Send without waiting and keep the rest in `unsent`; return whether all were sent."""
         if not self.unsent:
             with contextlib.suppress(BlockingIOError):
                 data = data[self.sock.send(data, socket.MSG_DONTWAIT) :]
@@ -68,7 +68,7 @@
         self.unsent.clear()
 
     def has_unread(self) -> bool:
-        """Return whether there are bytes that were not read."""
+        """Return whether received bytes have not been read yet."""
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         except OSError:  # no bytes, or the connection has broken
@@ -77,13 +77,13 @@
     def half_close(self) -> None:
         """End the sending direction only.
 
-        A full close could reset the connection, and the peer would lose the last answer.
+        A full close could reset the connection, and the peer could lose the last answer.
         """
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     def shut_down(self) -> None:
-        """End both directions, which wakes the thread that reads or writes."""
+        """Shut down both directions; this wakes the thread that reads or writes."""
         shut_down(self.sock)
 
     def close(self) -> None:
