--- a/benchmarks/identity.py
+++ b/benchmarks/identity.py
@@ -45,7 +45,7 @@
 )
 from stepstream.config.limits import Limits
 from stepstream.gearman import codec
-from stepstream.gearman.codec import Kind, Packet
+from stepstream.gearman.codec import Packet, PacketKind
 from stepstream.http.codec import Parser, write_request
 from stepstream.identity.key_rotation import SigningKeyStore
 from stepstream.identity.key_set import KeyState
@@ -193,16 +193,16 @@
     def run_worker(self) -> None:
         """Serve jobs until the dispatcher ends; the body of the worker's thread."""
         with self.connect_worker() as connection:
-            parser = codec.Parser(LIMITS, answers=True)
+            parser = codec.Parser(LIMITS, responses=True)
             if self.credential is not Credential.NONE:
                 token = f"token:{self.token('worker/w')}"
-                connection.sendall(codec.request(Kind.OPTION_REQ, token))
-            connection.sendall(codec.request(Kind.SET_CLIENT_ID, "w;start=1"))
-            connection.sendall(codec.request(Kind.CAN_DO, "revalue"))
-            connection.sendall(codec.request(Kind.GRAB_JOB))
+                connection.sendall(codec.encode_request(PacketKind.OPTION_REQ, token))
+            connection.sendall(codec.encode_request(PacketKind.SET_CLIENT_ID, "w;start=1"))
+            connection.sendall(codec.encode_request(PacketKind.CAN_DO, "revalue"))
+            connection.sendall(codec.encode_request(PacketKind.GRAB_JOB))
             while data := connection.recv(READ_BYTES):
                 parser.feed(data)
-                while (packet := parser.next()) is not None:
+                while (packet := parser.next_message()) is not None:
                     if isinstance(packet, Packet):
                         connection.sendall(worker_reply(packet))
 
@@ -324,13 +324,13 @@
 def worker_reply(packet: Packet) -> bytes:
     """Return what the worker sends in reply to a packet: a result at once, and its next request."""
     match packet.kind:
-        case Kind.JOB_ASSIGN:
-            result = codec.request(Kind.WORK_COMPLETE, packet.args[0], "1")
-            return result + codec.request(Kind.GRAB_JOB)
-        case Kind.NO_JOB:
-            return codec.request(Kind.PRE_SLEEP)
-        case Kind.NOOP:
-            return codec.request(Kind.GRAB_JOB)
+        case PacketKind.JOB_ASSIGN:
+            result = codec.encode_request(PacketKind.WORK_COMPLETE, packet.args[0], "1")
+            return result + codec.encode_request(PacketKind.GRAB_JOB)
+        case PacketKind.NO_JOB:
+            return codec.encode_request(PacketKind.PRE_SLEEP)
+        case PacketKind.NOOP:
+            return codec.encode_request(PacketKind.GRAB_JOB)
     return b""
 
 
--- a/stepstream/gearman/access.py
+++ b/stepstream/gearman/access.py
@@ -4,7 +4,7 @@
 """
 
 from stepstream.gearman import codec
-from stepstream.gearman.codec import Kind, Packet
+from stepstream.gearman.codec import Packet, PacketKind
 from stepstream.gearman.errors import JobQueueFullError, RequestError
 from stepstream.gearman.jobs import Job
 from stepstream.gearman.names import FunctionName
@@ -28,7 +28,7 @@
         token = packet.args[0].removeprefix(TOKEN_OPTION)
         peer.token = token or None
         peer.authorized_at_us = 0
-        self.state.output.send(peer, codec.answer(Kind.OPTION_RES, "token"))
+        self.state.output.send(peer, codec.encode_response(PacketKind.OPTION_RES, "token"))
 
     def authorize_submission(self, peer: Peer, function: FunctionName) -> Authorization | None:
         """Authorize a job; None where callers are not identified."""
--- a/stepstream/gearman/codec.py
+++ b/stepstream/gearman/codec.py
@@ -27,7 +27,7 @@
 MAX_ARGUMENT_NUMBER = 10**15
 
 
-class Kind(IntEnum):
+class PacketKind(IntEnum):
     """The types of packets, by their numbers on the wire."""
 
     CAN_DO = 1
@@ -76,32 +76,32 @@
 _SUBMIT = ("function", "unique", "workload")
 _REDUCE = ("function", "unique", "reducer", "workload")
 _WORK = {
-    Kind.WORK_STATUS: ("handle", "numerator", "denominator"),
-    Kind.WORK_COMPLETE: ("handle", "data"),
-    Kind.WORK_FAIL: ("handle",),
-    Kind.WORK_EXCEPTION: ("handle", "data"),
-    Kind.WORK_DATA: ("handle", "data"),
-    Kind.WORK_WARNING: ("handle", "data"),
+    PacketKind.WORK_STATUS: ("handle", "numerator", "denominator"),
+    PacketKind.WORK_COMPLETE: ("handle", "data"),
+    PacketKind.WORK_FAIL: ("handle",),
+    PacketKind.WORK_EXCEPTION: ("handle", "data"),
+    PacketKind.WORK_DATA: ("handle", "data"),
+    PacketKind.WORK_WARNING: ("handle", "data"),
 }
 # The names of the arguments in the packets that clients and workers send.
-REQUESTS: dict[Kind, tuple[str, ...]] = {
-    Kind.CAN_DO: ("function",),
-    Kind.CAN_DO_TIMEOUT: ("function", "timeout"),
-    Kind.CANT_DO: ("function",),
-    Kind.RESET_ABILITIES: (),
-    Kind.PRE_SLEEP: (),
-    Kind.GRAB_JOB: (),
-    Kind.GRAB_JOB_UNIQ: (),
-    Kind.GRAB_JOB_ALL: (),
-    Kind.ALL_YOURS: (),
-    Kind.SET_CLIENT_ID: ("id",),
-    Kind.SUBMIT_JOB: _SUBMIT,
-    Kind.SUBMIT_JOB_BG: _SUBMIT,
-    Kind.SUBMIT_JOB_HIGH: _SUBMIT,
-    Kind.SUBMIT_JOB_HIGH_BG: _SUBMIT,
-    Kind.SUBMIT_JOB_LOW: _SUBMIT,
-    Kind.SUBMIT_JOB_LOW_BG: _SUBMIT,
-    Kind.SUBMIT_JOB_SCHED: (
+REQUEST_ARGUMENTS: dict[PacketKind, tuple[str, ...]] = {
+    PacketKind.CAN_DO: ("function",),
+    PacketKind.CAN_DO_TIMEOUT: ("function", "timeout"),
+    PacketKind.CANT_DO: ("function",),
+    PacketKind.RESET_ABILITIES: (),
+    PacketKind.PRE_SLEEP: (),
+    PacketKind.GRAB_JOB: (),
+    PacketKind.GRAB_JOB_UNIQ: (),
+    PacketKind.GRAB_JOB_ALL: (),
+    PacketKind.ALL_YOURS: (),
+    PacketKind.SET_CLIENT_ID: ("id",),
+    PacketKind.SUBMIT_JOB: _SUBMIT,
+    PacketKind.SUBMIT_JOB_BG: _SUBMIT,
+    PacketKind.SUBMIT_JOB_HIGH: _SUBMIT,
+    PacketKind.SUBMIT_JOB_HIGH_BG: _SUBMIT,
+    PacketKind.SUBMIT_JOB_LOW: _SUBMIT,
+    PacketKind.SUBMIT_JOB_LOW_BG: _SUBMIT,
+    PacketKind.SUBMIT_JOB_SCHED: (
         "function",
         "unique",
         "minute",
@@ -111,28 +111,35 @@
         "weekday",
         "workload",
     ),
-    Kind.SUBMIT_JOB_EPOCH: ("function", "unique", "epoch", "workload"),
-    Kind.SUBMIT_REDUCE_JOB: _REDUCE,
-    Kind.SUBMIT_REDUCE_JOB_BACKGROUND: _REDUCE,
-    Kind.GET_STATUS: ("handle",),
-    Kind.GET_STATUS_UNIQUE: ("unique",),
-    Kind.OPTION_REQ: ("option",),
-    Kind.ECHO_REQ: ("data",),
+    PacketKind.SUBMIT_JOB_EPOCH: ("function", "unique", "epoch", "workload"),
+    PacketKind.SUBMIT_REDUCE_JOB: _REDUCE,
+    PacketKind.SUBMIT_REDUCE_JOB_BACKGROUND: _REDUCE,
+    PacketKind.GET_STATUS: ("handle",),
+    PacketKind.GET_STATUS_UNIQUE: ("unique",),
+    PacketKind.OPTION_REQ: ("option",),
+    PacketKind.ECHO_REQ: ("data",),
     **_WORK,
 }
 # The names of the arguments in the packets that the server sends.
-ANSWERS: dict[Kind, tuple[str, ...]] = {
-    Kind.NOOP: (),
-    Kind.NO_JOB: (),
-    Kind.JOB_ASSIGN: ("handle", "function", "workload"),
-    Kind.JOB_ASSIGN_UNIQ: ("handle", "function", "unique", "workload"),
-    Kind.JOB_ASSIGN_ALL: ("handle", "function", "unique", "reducer", "workload"),
-    Kind.JOB_CREATED: ("handle",),
-    Kind.STATUS_RES: ("handle", "known", "running", "numerator", "denominator"),
-    Kind.STATUS_RES_UNIQUE: ("unique", "known", "running", "numerator", "denominator", "clients"),
-    Kind.OPTION_RES: ("option",),
-    Kind.ECHO_RES: ("data",),
-    Kind.ERROR: ("code", "text"),
+RESPONSE_ARGUMENTS: dict[PacketKind, tuple[str, ...]] = {
+    PacketKind.NOOP: (),
+    PacketKind.NO_JOB: (),
+    PacketKind.JOB_ASSIGN: ("handle", "function", "workload"),
+    PacketKind.JOB_ASSIGN_UNIQ: ("handle", "function", "unique", "workload"),
+    PacketKind.JOB_ASSIGN_ALL: ("handle", "function", "unique", "reducer", "workload"),
+    PacketKind.JOB_CREATED: ("handle",),
+    PacketKind.STATUS_RES: ("handle", "known", "running", "numerator", "denominator"),
+    PacketKind.STATUS_RES_UNIQUE: (
+        "unique",
+        "known",
+        "running",
+        "numerator",
+        "denominator",
+        "clients",
+    ),
+    PacketKind.OPTION_RES: ("option",),
+    PacketKind.ECHO_RES: ("data",),
+    PacketKind.ERROR: ("code", "text"),
     **_WORK,
 }
 
@@ -141,25 +148,25 @@
 class Packet:
     """A complete packet of a known type."""
 
-    kind: Kind
+    kind: PacketKind
     args: tuple[bytes, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Unknown:
+class UnknownPacket:
     """A complete packet of a type that the protocol does not have, or not in this direction."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class TextLine:
     """A line of text, split into its tokens at blanks."""
 
     tokens: tuple[str, ...]
 
 
-Item = Packet | Unknown | Line
+Message = Packet | UnknownPacket | TextLine
 
 
 class ParserState(Enum):
@@ -175,11 +182,11 @@
 class Parser:
     """Bytes in, complete packets and text commands out; a broken parser stays broken."""
 
-    def __init__(self, limits: Limits, *, answers: bool = False) -> None:
-        """`answers`: parse what a server sends, as clients and workers do; no text commands."""
+    def __init__(self, limits: Limits, *, responses: bool = False) -> None:
+        """`responses`: parse what a server sends, as clients and workers do; no text commands."""
         self.limits = limits
-        self.magic = RES if answers else REQ
-        self.argument_names = ANSWERS if answers else REQUESTS
+        self.magic = RES if responses else REQ
+        self.argument_names = RESPONSE_ARGUMENTS if responses else REQUEST_ARGUMENTS
         self.state = ParserState.IDLE
         self.buffer = bytearray()
         self.type_number = 0  # of the packet whose body is read
@@ -187,7 +194,7 @@
         self.searched_bytes = 0  # the buffer's beginning, known to hold no end of a text line
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no byte of the next message has come."""
         return self.state is ParserState.IDLE and not self.buffer
 
@@ -195,7 +202,7 @@
         """Take received bytes."""
         self.buffer += data
 
-    def next(self) -> Item | None:
+    def next_message(self) -> Message | None:
         """Return the next message, or None until more bytes are fed.
 
         Raise `FramingError` where the bytes cannot be split; the connection must end.
@@ -211,7 +218,7 @@
 
     # -- steps: return an item, and whether to proceed with the next step without one -------------
 
-    def _step_idle(self) -> tuple[Item | None, bool]:
+    def _step_idle(self) -> tuple[Message | None, bool]:
         if not self.buffer:
             return None, False
         is_packet = self.buffer[0] == 0
@@ -221,7 +228,7 @@
         self.searched_bytes = 0
         return None, True
 
-    def _step_header(self) -> tuple[Item | None, bool]:
+    def _step_header(self) -> tuple[Message | None, bool]:
         # The magic is checked as it arrives: a peer of another protocol sends no complete header.
         if not self.magic.startswith(bytes(self.buffer[:MAGIC_BYTES])):
             raise FramingError("BAD_MAGIC", "the packet does not begin with its magic")
@@ -236,18 +243,18 @@
         self.state = ParserState.BODY
         return None, True
 
-    def _step_body(self) -> tuple[Item | None, bool]:
+    def _step_body(self) -> tuple[Message | None, bool]:
         if len(self.buffer) < self.body_bytes:
             return None, False
         body = bytes(self.buffer[: self.body_bytes])
         del self.buffer[: self.body_bytes]
         self.state = ParserState.IDLE
         if self.type_number not in self.argument_names:
-            return Unknown(self.type_number), False
-        kind = Kind(self.type_number)
+            return UnknownPacket(self.type_number), False
+        kind = PacketKind(self.type_number)
         return _parse_arguments(kind, self.argument_names[kind], body), False
 
-    def _step_text(self) -> tuple[Item | None, bool]:
+    def _step_text(self) -> tuple[Message | None, bool]:
         max_bytes = self.limits.gearman.text_line_bytes
         end = self.buffer.find(b"\n", self.searched_bytes)
         if end > max_bytes or (end < 0 and len(self.buffer) > max_bytes):
@@ -261,12 +268,12 @@
         # Guards against another protocol whose bytes would be read as text commands.
         if not all(FIRST_PRINTABLE <= byte <= LAST_PRINTABLE or byte == TAB for byte in line):
             raise FramingError("BAD_TEXT", "a text command holds bytes that are no text")
-        return Line(tuple(line.decode("ascii").split())), False
+        return TextLine(tuple(line.decode("ascii").split())), False
 
     def _step_broken(self) -> NoReturn:
         raise FramingError("BROKEN_CONNECTION", "the connection broke the protocol before")
 
-    STEPS: ClassVar[dict[ParserState, Callable[["Parser"], tuple[Item | None, bool]]]] = {
+    STEPS: ClassVar[dict[ParserState, Callable[["Parser"], tuple[Message | None, bool]]]] = {
         ParserState.IDLE: _step_idle,
         ParserState.HEADER: _step_header,
         ParserState.BODY: _step_body,
@@ -275,7 +282,7 @@
     }
 
 
-def _parse_arguments(kind: Kind, names: tuple[str, ...], body: bytes) -> Packet:
+def _parse_arguments(kind: PacketKind, names: tuple[str, ...], body: bytes) -> Packet:
     if not names:
         if body:
             raise FramingError("BAD_ARGUMENTS", f"{kind.name} takes no arguments")
@@ -301,13 +308,13 @@
     return int(number)
 
 
-def write(magic: bytes, kind: Kind, *args: bytes) -> bytes:
+def encode_packet(magic: bytes, kind: PacketKind, *args: bytes) -> bytes:
     """Return the bytes of a packet.
 
     Raise PacketArgumentError for a wrong number of arguments, and for a NUL in any but the last:
     the packet could not be split again.
     """
-    argument_names = ANSWERS if magic is RES else REQUESTS
+    argument_names = RESPONSE_ARGUMENTS if magic is RES else REQUEST_ARGUMENTS
     if len(args) != len(argument_names[kind]):
         raise PacketArgumentError(f"{kind.name} takes {len(argument_names[kind])} arguments")
     if any(b"\0" in argument for argument in args[:-1]):
@@ -316,19 +323,19 @@
     return HEADER.pack(magic, kind, len(body)) + body
 
 
-def answer(kind: Kind, *args: bytes | str | int) -> bytes:
+def encode_response(kind: PacketKind, *args: bytes | str | int) -> bytes:
     """Return the bytes of a packet that the server sends."""
-    return write(RES, kind, *map(_encode_argument, args))
+    return encode_packet(RES, kind, *map(_encode_argument, args))
 
 
-def request(kind: Kind, *args: bytes | str | int) -> bytes:
+def encode_request(kind: PacketKind, *args: bytes | str | int) -> bytes:
     """Return the bytes of a packet that a client or worker sends."""
-    return write(REQ, kind, *map(_encode_argument, args))
+    return encode_packet(REQ, kind, *map(_encode_argument, args))
 
 
-def error(code: str, text: str) -> bytes:
+def encode_error(code: str, text: str) -> bytes:
     """Return the bytes of an ERROR packet."""
-    return answer(Kind.ERROR, code, text)
+    return encode_response(PacketKind.ERROR, code, text)
 
 
 def _encode_argument(argument: bytes | str | int) -> bytes:
--- a/stepstream/gearman/connection.py
+++ b/stepstream/gearman/connection.py
@@ -18,7 +18,7 @@
 from typing import Protocol
 
 from stepstream.gearman import connection_rules
-from stepstream.gearman.codec import Line, Packet
+from stepstream.gearman.codec import Packet, TextLine
 from stepstream.gearman.connection_rules import ConnectionView, RegistrationCredit, TimeoutAction
 from stepstream.gearman.errors import FramingError
 from stepstream.gearman.peers import Peer
@@ -167,7 +167,7 @@
                 service.send(self.peer, step.data, close=step.close)
             case Packet():
                 service.on_packet(now_us, self.peer, step)
-            case Line(tokens):
+            case TextLine(tokens):
                 if service.on_text_command(now_us, self.peer, tokens):
                     self.front.signals.put(signal.SIGTERM)
 
--- a/stepstream/gearman/connection_rules.py
+++ b/stepstream/gearman/connection_rules.py
@@ -9,13 +9,19 @@
 from enum import Enum
 
 from stepstream.config.limits import GearmanLimits, Timeouts
-from stepstream.gearman.codec import Kind, Line, Packet
+from stepstream.gearman.codec import Packet, PacketKind, TextLine
 from stepstream.gearman.job_admission import SUBMISSIONS
 from stepstream.gearman.session import Step
 from stepstream.ports.connections import EvictionRank, EvictionState
 
 REGISTRATION_CHANGES = frozenset(
-    (Kind.CAN_DO, Kind.CAN_DO_TIMEOUT, Kind.CANT_DO, Kind.RESET_ABILITIES, Kind.SET_CLIENT_ID)
+    (
+        PacketKind.CAN_DO,
+        PacketKind.CAN_DO_TIMEOUT,
+        PacketKind.CANT_DO,
+        PacketKind.RESET_ABILITIES,
+        PacketKind.SET_CLIENT_ID,
+    )
 )
 
 
@@ -121,7 +127,7 @@
     """
     if isinstance(step, Packet):
         return step.kind in REGISTRATION_CHANGES
-    return isinstance(step, Line)
+    return isinstance(step, TextLine)
 
 
 def waits_for_core(step: Step) -> bool:
--- a/stepstream/gearman/front.py
+++ b/stepstream/gearman/front.py
@@ -29,7 +29,7 @@
 from stepstream.runtime.threads import spawn_thread
 from stepstream.runtime.transport import Transport
 
-OVERLOAD_RESPONSE = codec.error("SERVER_FULL", "refused: too many connections")
+OVERLOAD_RESPONSE = codec.encode_error("SERVER_FULL", "refused: too many connections")
 REQUEST_ID_RANDOM_BYTES = 8
 
 
--- a/stepstream/gearman/job_admission.py
+++ b/stepstream/gearman/job_admission.py
@@ -20,7 +20,7 @@
     check_submission,
     idempotency_key,
 )
-from stepstream.gearman.codec import Kind, Packet
+from stepstream.gearman.codec import Packet, PacketKind
 from stepstream.gearman.errors import GearmanError
 from stepstream.gearman.jobs import Job
 from stepstream.gearman.names import (
@@ -37,12 +37,12 @@
 from stepstream.ports.access_control import Authorization
 
 BACKGROUND_SUBMISSIONS = frozenset(
-    (Kind.SUBMIT_JOB_BG, Kind.SUBMIT_JOB_HIGH_BG, Kind.SUBMIT_JOB_LOW_BG)
+    (PacketKind.SUBMIT_JOB_BG, PacketKind.SUBMIT_JOB_HIGH_BG, PacketKind.SUBMIT_JOB_LOW_BG)
 )
 SUBMISSIONS = BACKGROUND_SUBMISSIONS | {
-    Kind.SUBMIT_JOB,
-    Kind.SUBMIT_JOB_HIGH,
-    Kind.SUBMIT_JOB_LOW,
+    PacketKind.SUBMIT_JOB,
+    PacketKind.SUBMIT_JOB_HIGH,
+    PacketKind.SUBMIT_JOB_LOW,
 }
 UNIQUE_OF_WORKLOAD = b"-"  # in place of a unique id: the hash of the workload counts
 
@@ -95,7 +95,9 @@
             submission.authorization.release()
         self._join(job, submission)
         # The handle comes before the outcome, which may follow at once.
-        state.output.send(submission.client, codec.answer(Kind.JOB_CREATED, job.handle))
+        state.output.send(
+            submission.client, codec.encode_response(PacketKind.JOB_CREATED, job.handle)
+        )
 
     def _target_of(self, submission: Submission) -> FunctionTarget:
         """Return the class and tenant of a submission; an identified caller's tenant counts."""
--- a/stepstream/gearman/job_assignment.py
+++ b/stepstream/gearman/job_assignment.py
@@ -9,11 +9,11 @@
 from stepstream.core.requests import Call
 from stepstream.gearman import codec
 from stepstream.gearman.access import AccessChecks
-from stepstream.gearman.codec import Kind, Packet
+from stepstream.gearman.codec import Packet, PacketKind
 from stepstream.gearman.peers import AssignedCall, Peer, Worker
 from stepstream.gearman.state import ServiceState
 
-GRABS = frozenset((Kind.GRAB_JOB, Kind.GRAB_JOB_UNIQ, Kind.GRAB_JOB_ALL))
+GRABS = frozenset((PacketKind.GRAB_JOB, PacketKind.GRAB_JOB_UNIQ, PacketKind.GRAB_JOB_ALL))
 NO_REDUCER = ""
 
 
@@ -49,12 +49,12 @@
         """Answer GRAB_JOB in any of its forms by a JOB_ASSIGN or NO_JOB."""
         worker = peer.worker
         if worker is None:
-            self.state.output.send(peer, codec.answer(Kind.NO_JOB))
+            self.state.output.send(peer, codec.encode_response(PacketKind.NO_JOB))
             return
         self.access.check_worker(now_us, worker)
         assigned = self.state.workers.assign(now_us, worker, self.state.new_handle())
         if assigned is None:
-            self.state.output.send(peer, codec.answer(Kind.NO_JOB))
+            self.state.output.send(peer, codec.encode_response(PacketKind.NO_JOB))
             return
         call = assigned.call
         self.state.output.send(peer, assignment_packet(assigned, packet.kind))
@@ -66,14 +66,14 @@
     def wake(self, worker: Worker) -> None:
         """Send a worker a NOOP if it sleeps and has work; other workers stay asleep."""
         if self.state.workers.take_wakeup(worker):
-            self.state.output.send(worker.peer, codec.answer(Kind.NOOP))
+            self.state.output.send(worker.peer, codec.encode_response(PacketKind.NOOP))
 
     def expire_queued(self, now_us: int) -> None:
         """End the calls that have waited too long for a GRAB_JOB."""
         self.state.output.post_all(self.state.workers.expire_queued(now_us))
 
 
-def assignment_packet(assigned: AssignedCall, grab: Kind) -> bytes:
+def assignment_packet(assigned: AssignedCall, grab: PacketKind) -> bytes:
     """Return the JOB_ASSIGN packet that answers this form of GRAB_JOB."""
     request = assigned.call.request
     payload = request.payload
@@ -81,10 +81,12 @@
     handle = assigned.handle
     function = assigned.function
     match grab:
-        case Kind.GRAB_JOB_UNIQ:
-            return codec.answer(Kind.JOB_ASSIGN_UNIQ, handle, function, unique, payload.body)
-        case Kind.GRAB_JOB_ALL:
-            return codec.answer(
-                Kind.JOB_ASSIGN_ALL, handle, function, unique, NO_REDUCER, payload.body
+        case PacketKind.GRAB_JOB_UNIQ:
+            return codec.encode_response(
+                PacketKind.JOB_ASSIGN_UNIQ, handle, function, unique, payload.body
             )
-    return codec.answer(Kind.JOB_ASSIGN, handle, function, payload.body)
+        case PacketKind.GRAB_JOB_ALL:
+            return codec.encode_response(
+                PacketKind.JOB_ASSIGN_ALL, handle, function, unique, NO_REDUCER, payload.body
+            )
+    return codec.encode_response(PacketKind.JOB_ASSIGN, handle, function, payload.body)
--- a/stepstream/gearman/notifications.py
+++ b/stepstream/gearman/notifications.py
@@ -12,7 +12,7 @@
 from stepstream.core.job_results import ChunkedResult, result_bytes
 from stepstream.gearman import codec
 from stepstream.gearman.access import AccessChecks
-from stepstream.gearman.codec import Kind, Packet
+from stepstream.gearman.codec import Packet, PacketKind
 from stepstream.gearman.errors import RequestError
 from stepstream.gearman.jobs import UNKNOWN_JOB_STATUS, Job, JobStage, StatusFields
 from stepstream.gearman.peers import Peer
@@ -56,7 +56,8 @@
         job.denominator = denominator
         for peer in dict.fromkeys(job.clients):
             self.state.output.send(
-                peer, codec.answer(Kind.WORK_STATUS, job.handle, numerator, denominator)
+                peer,
+                codec.encode_response(PacketKind.WORK_STATUS, job.handle, numerator, denominator),
             )
 
     def cancel(self, now_us: int, job: Job) -> None:
@@ -75,7 +76,9 @@
         require_no_nul("handle", handle)
         job = self.state.jobs.by_handle.get(handle.decode("ascii", "replace"))
         self.access.check_job_access(peer, job)
-        self.state.output.send(peer, codec.answer(Kind.STATUS_RES, handle, *status_of(job)))
+        self.state.output.send(
+            peer, codec.encode_response(PacketKind.STATUS_RES, handle, *status_of(job))
+        )
 
     def send_status_by_unique(self, _now_us: int, peer: Peer, packet: Packet) -> None:
         """Answer GET_STATUS_UNIQUE for the latest job of a unique id."""
@@ -85,7 +88,10 @@
         self.access.check_job_access(peer, job)
         client_count = len(job.clients) if job else 0
         self.state.output.send(
-            peer, codec.answer(Kind.STATUS_RES_UNIQUE, unique, *status_of(job), client_count)
+            peer,
+            codec.encode_response(
+                PacketKind.STATUS_RES_UNIQUE, unique, *status_of(job), client_count
+            ),
         )
 
     def _abandon(self, job: Job, now_us: int) -> list[Peer]:
@@ -118,21 +124,21 @@
         reason = f"refused retry-after={job.retry_after_us / SECOND_US:.3f}".encode()
     else:
         reason = b"failed " + job.exception if job.exception else b"failed"
-    kind = Kind.WORK_EXCEPTION if exceptions else Kind.WORK_WARNING
+    kind = PacketKind.WORK_EXCEPTION if exceptions else PacketKind.WORK_WARNING
     return [
-        codec.answer(kind, job.handle, reason),
-        codec.answer(Kind.WORK_FAIL, job.handle),
+        codec.encode_response(kind, job.handle, reason),
+        codec.encode_response(PacketKind.WORK_FAIL, job.handle),
     ]
 
 
 def _result_packets(handle: str, result: object) -> list[bytes]:
     if not isinstance(result, ChunkedResult):
-        return [codec.answer(Kind.WORK_COMPLETE, handle, result_bytes(result))]
+        return [codec.encode_response(PacketKind.WORK_COMPLETE, handle, result_bytes(result))]
     packets = []
     for chunk in result.chunks:
-        kind = Kind.WORK_WARNING if chunk.warning else Kind.WORK_DATA
-        packets.append(codec.answer(kind, handle, chunk.data))
-    packets.append(codec.answer(Kind.WORK_COMPLETE, handle, result.final_data))
+        kind = PacketKind.WORK_WARNING if chunk.warning else PacketKind.WORK_DATA
+        packets.append(codec.encode_response(kind, handle, chunk.data))
+    packets.append(codec.encode_response(PacketKind.WORK_COMPLETE, handle, result.final_data))
     return packets
 
 
--- a/stepstream/gearman/service.py
+++ b/stepstream/gearman/service.py
@@ -13,7 +13,7 @@
 from stepstream.core.requests import Call
 from stepstream.gearman.access import AccessChecks
 from stepstream.gearman.admin import AdminCommands
-from stepstream.gearman.codec import Kind, Packet
+from stepstream.gearman.codec import Packet, PacketKind
 from stepstream.gearman.errors import GearmanError
 from stepstream.gearman.job_admission import SUBMISSIONS, JobAdmission
 from stepstream.gearman.job_assignment import GRABS, JobAssignment
@@ -56,19 +56,19 @@
         self.notifier = ClientNotifier(self.state, self.access)
         self.admin = AdminCommands(self.state, self.notifier)
         # ALL_YOURS has no handler: it states only that the worker has no other server.
-        self.handlers: dict[Kind, PacketHandler] = {
+        self.handlers: dict[PacketKind, PacketHandler] = {
             **dict.fromkeys(SUBMISSIONS, self.admission.submit),
             **dict.fromkeys(GRABS, self.assignment.grab),
             **dict.fromkeys(WORK_REPORTS, self.reports.report),
-            Kind.OPTION_REQ: self.access.set_token,
-            Kind.GET_STATUS: self.notifier.send_status,
-            Kind.GET_STATUS_UNIQUE: self.notifier.send_status_by_unique,
-            Kind.PRE_SLEEP: self.assignment.pre_sleep,
-            Kind.SET_CLIENT_ID: self.registry.set_client_id,
-            Kind.CAN_DO: self.registry.can_do,
-            Kind.CAN_DO_TIMEOUT: self.registry.can_do,
-            Kind.CANT_DO: self.registry.cant_do,
-            Kind.RESET_ABILITIES: self.registry.reset_abilities,
+            PacketKind.OPTION_REQ: self.access.set_token,
+            PacketKind.GET_STATUS: self.notifier.send_status,
+            PacketKind.GET_STATUS_UNIQUE: self.notifier.send_status_by_unique,
+            PacketKind.PRE_SLEEP: self.assignment.pre_sleep,
+            PacketKind.SET_CLIENT_ID: self.registry.set_client_id,
+            PacketKind.CAN_DO: self.registry.can_do,
+            PacketKind.CAN_DO_TIMEOUT: self.registry.can_do,
+            PacketKind.CANT_DO: self.registry.cant_do,
+            PacketKind.RESET_ABILITIES: self.registry.reset_abilities,
         }
 
     def reconfigure(self, section: GearmanSection, settings: Settings, limits: Limits) -> None:
--- a/stepstream/gearman/session.py
+++ b/stepstream/gearman/session.py
@@ -10,17 +10,17 @@
 
 from stepstream.config.limits import Limits
 from stepstream.gearman import codec
-from stepstream.gearman.codec import Kind, Line, Packet, Parser, Unknown
+from stepstream.gearman.codec import Packet, PacketKind, Parser, TextLine, UnknownPacket
 from stepstream.gearman.errors import GearmanError, RequestError
 from stepstream.gearman.text_commands import parse_command, unknown_command_error
 
 TOKEN_OPTION = b"token:"
 EXCEPTIONS_OPTION = b"exceptions"
 NOT_OFFERED = {
-    Kind.SUBMIT_REDUCE_JOB: "map and reduce",
-    Kind.SUBMIT_REDUCE_JOB_BACKGROUND: "map and reduce",
-    Kind.SUBMIT_JOB_SCHED: "jobs at a later time",
-    Kind.SUBMIT_JOB_EPOCH: "jobs at a later time",
+    PacketKind.SUBMIT_REDUCE_JOB: "map and reduce",
+    PacketKind.SUBMIT_REDUCE_JOB_BACKGROUND: "map and reduce",
+    PacketKind.SUBMIT_JOB_SCHED: "jobs at a later time",
+    PacketKind.SUBMIT_JOB_EPOCH: "jobs at a later time",
 }
 
 
@@ -32,7 +32,7 @@
     close: bool = False
 
 
-Step = Reply | Packet | Line
+Step = Reply | Packet | TextLine
 
 
 class Session:
@@ -49,7 +49,7 @@
     @property
     def is_idle(self) -> bool:
         """Whether no message is partly received."""
-        return self.parser.idle
+        return self.parser.is_idle
 
     def feed(self, data: bytes) -> list[Step]:
         """Take received bytes; return the steps that they complete, in order."""
@@ -58,7 +58,7 @@
         self.parser.feed(data)
         steps: list[Step] = []
         try:
-            while not self.closed and (item := self.parser.next()) is not None:
+            while not self.closed and (item := self.parser.next_message()) is not None:
                 steps.append(self._step_for(item))
         except GearmanError as error:
             steps.append(self.close_with_error(error))
@@ -67,7 +67,7 @@
     def close_with_error(self, error: GearmanError) -> Reply:
         """Return the last reply; the bytes behind the error are not parsed."""
         self.closed = True
-        return Reply(codec.error(error.code, str(error)), close=True)
+        return Reply(codec.encode_error(error.code, str(error)), close=True)
 
     def reply_to_error(self, error: GearmanError) -> Reply:
         """Return the reply to an error after which the framing is intact.
@@ -77,24 +77,24 @@
         self.error_count += 1
         if self.error_count >= self.limits.gearman.errors_per_connection:
             return self.close_with_error(error)
-        return Reply(codec.error(error.code, str(error)))
+        return Reply(codec.encode_error(error.code, str(error)))
 
-    def _step_for(self, item: codec.Item) -> Step:
+    def _step_for(self, item: codec.Message) -> Step:
         match item:
-            case Line(tokens):
+            case TextLine(tokens):
                 if parse_command(tokens) is None:
                     # Guards against a request of another protocol, whose body may hold packets.
                     self.closed = True
                     return Reply(unknown_command_error().encode(), close=True)
-            case Unknown(number):
+            case UnknownPacket(number):
                 return self.reply_to_error(
                     RequestError(
                         "UNKNOWN_COMMAND", f"there is no packet of type {number} from here"
                     )
                 )
-            case Packet(Kind.ECHO_REQ, (data,)):
-                return Reply(codec.answer(Kind.ECHO_RES, data))
-            case Packet(Kind.OPTION_REQ, (option,)):
+            case Packet(PacketKind.ECHO_REQ, (data,)):
+                return Reply(codec.encode_response(PacketKind.ECHO_RES, data))
+            case Packet(PacketKind.OPTION_REQ, (option,)):
                 return self._step_for_option(item, option)
             case Packet(kind) if kind in NOT_OFFERED:
                 return self.reply_to_error(
@@ -111,4 +111,4 @@
                 RequestError("UNKNOWN_OPTION", "the one option is 'exceptions'")
             )
         self.exceptions = True
-        return Reply(codec.answer(Kind.OPTION_RES, option))
+        return Reply(codec.encode_response(PacketKind.OPTION_RES, option))
--- a/stepstream/gearman/work_reports.py
+++ b/stepstream/gearman/work_reports.py
@@ -7,7 +7,7 @@
 
 from stepstream.core.events import CallEnded, JobNotification, JobStatus
 from stepstream.core.job_results import ChunkedResult, ResultChunk
-from stepstream.gearman.codec import Kind, Packet, parse_number
+from stepstream.gearman.codec import Packet, PacketKind, parse_number
 from stepstream.gearman.errors import RequestError
 from stepstream.gearman.job_assignment import JobAssignment
 from stepstream.gearman.notifications import JobResponseSink
@@ -17,12 +17,12 @@
 
 WORK_REPORTS = frozenset(
     (
-        Kind.WORK_STATUS,
-        Kind.WORK_DATA,
-        Kind.WORK_WARNING,
-        Kind.WORK_COMPLETE,
-        Kind.WORK_FAIL,
-        Kind.WORK_EXCEPTION,
+        PacketKind.WORK_STATUS,
+        PacketKind.WORK_DATA,
+        PacketKind.WORK_WARNING,
+        PacketKind.WORK_COMPLETE,
+        PacketKind.WORK_FAIL,
+        PacketKind.WORK_EXCEPTION,
     )
 )
 
@@ -46,12 +46,12 @@
         if assigned is None:
             return  # reported twice, or a WORK_FAIL after its WORK_EXCEPTION
         match packet.kind:
-            case Kind.WORK_STATUS:
+            case PacketKind.WORK_STATUS:
                 self._report_progress(assigned, *args)
-            case Kind.WORK_DATA | Kind.WORK_WARNING:
-                chunk = ResultChunk(args[0], warning=packet.kind is Kind.WORK_WARNING)
+            case PacketKind.WORK_DATA | PacketKind.WORK_WARNING:
+                chunk = ResultChunk(args[0], warning=packet.kind is PacketKind.WORK_WARNING)
                 self._add_chunk(worker, assigned, chunk)
-            case Kind.WORK_COMPLETE:
+            case PacketKind.WORK_COMPLETE:
                 self._complete(worker, assigned, args[0])
             case _:
                 self._fail(worker, assigned, args[0] if args else b"")
--- a/stepstream/lab/emulator/gearman_worker.py
+++ b/stepstream/lab/emulator/gearman_worker.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from stepstream.gearman import codec
-from stepstream.gearman.codec import Item, Kind, Packet
+from stepstream.gearman.codec import Message, Packet, PacketKind
 from stepstream.lab.emulator.streams import LIMITS, READ_BYTES
 from stepstream.lab.emulator.worker_driver import WorkerDriver
 from stepstream.lab.emulator.worker_model import SubmissionResult, TaskEvent, TaskState
@@ -41,43 +41,43 @@
             f"{spec.name};zone={spec.zone};kind={spec.kind};cell={spec.cell};slots={spec.slots}"
             f";weight={spec.weight}{start}"
         )
-        self.send(Kind.SET_CLIENT_ID, client_id)
+        self.send(PacketKind.SET_CLIENT_ID, client_id)
         for function in self.functions:
-            self.send(Kind.CAN_DO, function)
+            self.send(PacketKind.CAN_DO, function)
         self.run_in_background(self.read_packets(reader, self.writer))
         self.grab_job()
 
-    def send(self, kind: Kind, *args: bytes | str | int) -> None:
+    def send(self, kind: PacketKind, *args: bytes | str | int) -> None:
         """Send a packet; do nothing while the worker is down."""
         if self.writer is not None:
-            self.writer.write(codec.request(kind, *args))
+            self.writer.write(codec.encode_request(kind, *args))
 
     async def read_packets(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Handle a connection's packets until it ends; ignore them after a restart."""
-        parser = codec.Parser(LIMITS, answers=True)
+        parser = codec.Parser(LIMITS, responses=True)
         with contextlib.suppress(OSError):
             while data := await reader.read(READ_BYTES):
                 parser.feed(data)
-                while (item := parser.next()) is not None:
+                while (item := parser.next_message()) is not None:
                     if self.writer is writer:
                         self.on_packet(item)
 
-    def on_packet(self, packet: Item) -> None:
+    def on_packet(self, packet: Message) -> None:
         """Handle a packet of the dispatcher; ignore unknown ones."""
         match packet:
-            case Packet(Kind.JOB_ASSIGN_UNIQ, (handle, _, _, workload)):
+            case Packet(PacketKind.JOB_ASSIGN_UNIQ, (handle, _, _, workload)):
                 self.grab_pending = False
                 result = self.submit(handle.decode(), workload, handle)
                 if result in (SubmissionResult.ERROR, SubmissionResult.FULL):
-                    self.send(Kind.WORK_FAIL, handle)
+                    self.send(PacketKind.WORK_FAIL, handle)
                 self.grab_job()
-            case Packet(Kind.NO_JOB):
+            case Packet(PacketKind.NO_JOB):
                 self.grab_pending = False
                 self.sleeping = True
-                self.send(Kind.PRE_SLEEP)
-            case Packet(Kind.NOOP):
+                self.send(PacketKind.PRE_SLEEP)
+            case Packet(PacketKind.NOOP):
                 self.sleeping = False
                 self.grab_job()
 
@@ -94,7 +94,7 @@
         ):
             return
         self.grab_pending = True
-        self.send(Kind.GRAB_JOB_UNIQ)
+        self.send(PacketKind.GRAB_JOB_UNIQ)
 
     def notify(self, event: TaskEvent) -> None:
         """Send a task's progress or its end."""
@@ -103,17 +103,17 @@
         match event.state:
             case TaskState.RUNNING:
                 done = int(task.completed_fraction() * PROGRESS_DENOMINATOR)
-                self.send(Kind.WORK_STATUS, handle, done, PROGRESS_DENOMINATOR)
+                self.send(PacketKind.WORK_STATUS, handle, done, PROGRESS_DENOMINATOR)
             case TaskState.DONE:
-                self.send(Kind.WORK_COMPLETE, handle, self.result_of(task))
+                self.send(PacketKind.WORK_COMPLETE, handle, self.result_of(task))
                 self.grab_job()
             case TaskState.FAILED:
-                self.send(Kind.WORK_FAIL, handle)
+                self.send(PacketKind.WORK_FAIL, handle)
                 self.grab_job()
 
     def drain(self) -> None:
         """Withdraw all functions, which notifies the dispatcher that the worker drains."""
-        self.send(Kind.RESET_ABILITIES)
+        self.send(PacketKind.RESET_ABILITIES)
         self.verifier.on_drain_known(self.clock.now_us(), self.name)
 
     def crash(self) -> None:
--- a/stepstream/lab/load/gearman_connection.py
+++ b/stepstream/lab/load/gearman_connection.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from stepstream.gearman import codec
-from stepstream.gearman.codec import Item, Kind, Packet
+from stepstream.gearman.codec import Message, Packet, PacketKind
 from stepstream.lab.emulator.streams import LIMITS, READ_BYTES
 from stepstream.lab.load.response import ReceivedResponse
 from stepstream.lab.verification.observations import FinalOutcome
@@ -41,16 +41,16 @@
             return ReceivedResponse(FinalOutcome.LOST)
         future: asyncio.Future[ReceivedResponse] = asyncio.get_running_loop().create_future()
         self.submitted.append(future)
-        self.writer.write(codec.request(Kind.SUBMIT_JOB, function, unique, workload))
+        self.writer.write(codec.encode_request(PacketKind.SUBMIT_JOB, function, unique, workload))
         return await future
 
     async def read_packets(self) -> None:
         """Handle packets until the connection ends; then every unfinished job is lost."""
-        parser = codec.Parser(LIMITS, answers=True)
+        parser = codec.Parser(LIMITS, responses=True)
         try:
             while data := await self.reader.read(READ_BYTES):
                 parser.feed(data)
-                while (item := parser.next()) is not None:
+                while (item := parser.next_message()) is not None:
                     self.on_packet(item)
         except OSError:
             pass
@@ -61,22 +61,22 @@
         for future in unfinished:
             future.set_result(ReceivedResponse(FinalOutcome.LOST))
 
-    def on_packet(self, packet: Item) -> None:
+    def on_packet(self, packet: Message) -> None:
         """Handle a packet of the dispatcher; ignore those that end no job, such as progress."""
         match packet:
-            case Packet(Kind.JOB_CREATED, (handle,)):
+            case Packet(PacketKind.JOB_CREATED, (handle,)):
                 self.open_jobs.setdefault(handle, []).append(self.submitted.popleft())
-            case Packet(Kind.ERROR, (code, text)):
+            case Packet(PacketKind.ERROR, (code, text)):
                 outcome = (
                     FinalOutcome.REJECTED if code == b"JOB_QUEUE_FULL" else FinalOutcome.FAILED
                 )
                 response = ReceivedResponse(outcome, retry_after_seconds=parse_retry_after(text))
                 self.submitted.popleft().set_result(response)
-            case Packet(Kind.WORK_WARNING, (handle, text)):
+            case Packet(PacketKind.WORK_WARNING, (handle, text)):
                 self.warnings[handle] = text
-            case Packet(Kind.WORK_COMPLETE, (handle, result)):
+            case Packet(PacketKind.WORK_COMPLETE, (handle, result)):
                 self.finish(handle, ReceivedResponse(FinalOutcome.SERVED, result.decode()))
-            case Packet(Kind.WORK_FAIL, (handle,)):
+            case Packet(PacketKind.WORK_FAIL, (handle,)):
                 text = self.warnings.get(handle, b"")
                 outcome = (
                     FinalOutcome.REJECTED
--- a/tests/gearman/program.py
+++ b/tests/gearman/program.py
@@ -7,7 +7,7 @@
 import threading
 
 from stepstream.gearman import codec
-from stepstream.gearman.codec import Kind, Parser
+from stepstream.gearman.codec import PacketKind, Parser
 from tests.config.configurations import CONFIGURATION, LIMITS
 from tests.node.dispatcher_process import end_process, start_serving
 from tests.runtime.ports import free_port
@@ -23,7 +23,7 @@
     def __init__(self, sock):
         """Talk on this connected socket."""
         self.sock = sock
-        self.parser = Parser(LIMITS, answers=True)
+        self.parser = Parser(LIMITS, responses=True)
 
     @classmethod
     def connect(cls, port):
@@ -32,39 +32,41 @@
 
     def send(self, kind, *arguments):
         """Send a packet."""
-        self.sock.sendall(codec.request(kind, *arguments))
+        self.sock.sendall(codec.encode_request(kind, *arguments))
         return self
 
-    def next(self):
+    def receive(self):
         """Return the next packet; None at the end of the connection."""
-        while (packet := self.parser.next()) is None:
+        while (packet := self.parser.next_message()) is None:
             data = self.sock.recv(RECEIVE_BYTES)
             if not data:
                 return None
             self.parser.feed(data)
         return packet
 
-    def until(self, *kinds):
+    def receive_until(self, *kinds):
         """Return the next packet of these kinds; drop what comes before it."""
-        while (packet := self.next()) is None or packet.kind not in kinds:
+        while (packet := self.receive()) is None or packet.kind not in kinds:
             assert packet is not None, "the connection ended"
         return packet
 
-    def join(self, name="w", *functions):
+    def register_worker(self, name="w", *functions):
         """Register as a worker for these functions."""
-        self.send(Kind.SET_CLIENT_ID, f"{name};start=1")
+        self.send(PacketKind.SET_CLIENT_ID, f"{name};start=1")
         for function in functions or ("revalue", "nav-publish"):
-            self.send(Kind.CAN_DO, function)
-        self.send(Kind.ECHO_REQ, "joined").until(Kind.ECHO_RES)
+            self.send(PacketKind.CAN_DO, function)
+        self.send(PacketKind.ECHO_REQ, "joined").receive_until(PacketKind.ECHO_RES)
         return self
 
-    def grab(self):
+    def grab_job(self):
         """Sleep until there is a job, as workers do; return its arguments."""
         while True:
-            packet = self.send(Kind.GRAB_JOB_UNIQ).until(Kind.JOB_ASSIGN_UNIQ, Kind.NO_JOB)
-            if packet.kind is Kind.JOB_ASSIGN_UNIQ:
+            packet = self.send(PacketKind.GRAB_JOB_UNIQ).receive_until(
+                PacketKind.JOB_ASSIGN_UNIQ, PacketKind.NO_JOB
+            )
+            if packet.kind is PacketKind.JOB_ASSIGN_UNIQ:
                 return packet.args
-            self.send(Kind.PRE_SLEEP).until(Kind.NOOP)
+            self.send(PacketKind.PRE_SLEEP).receive_until(PacketKind.NOOP)
 
     def complete_jobs(self, *results):
         """Complete each job with the last of these results, the others as data before it.
@@ -74,10 +76,10 @@
         *parts, result = results
         with contextlib.suppress(OSError, AssertionError):
             while True:
-                handle = self.grab()[0]
+                handle = self.grab_job()[0]
                 for part in parts:
-                    self.send(Kind.WORK_DATA, handle, part)
-                self.send(Kind.WORK_COMPLETE, handle, result)
+                    self.send(PacketKind.WORK_DATA, handle, part)
+                self.send(PacketKind.WORK_COMPLETE, handle, result)
 
     def close(self):
         """Disconnect."""
@@ -91,13 +93,13 @@
 
     def __init__(self, folder, section=SECTION):
         """Start and wait until it listens; `section`: the text of the operator's file."""
-        self.http = free_port()
-        self.gearman = free_port()
+        self.http_port = free_port()
+        self.gearman_port = free_port()
         self.config = self.configuration()
         self.config_file = folder / "config.json"
         self.config_file.write_text(json.dumps(self.config))
         self.operator_file = folder / "operator.toml"
-        self.operator_file.write_text(section.format(port=self.gearman))
+        self.operator_file.write_text(section.format(port=self.gearman_port))
         self.peers = []
         self.threads = []
         self.process = start_serving(self.config_file, "--operator", str(self.operator_file))
@@ -116,7 +118,7 @@
         return {
             **CONFIGURATION,
             "settings": {**settings, "services": services},
-            "listen": f"127.0.0.1:{self.http}",
+            "listen": f"127.0.0.1:{self.http_port}",
             "discovery": f"127.0.0.1:{free_port()}",
         }
 
@@ -124,13 +126,13 @@
         """Return whether the Gearman listener accepts connections; fail if the program ended."""
         assert self.process.poll() is None, f"ended: {self.process.stderr.read()}"
         with contextlib.suppress(OSError):
-            GearmanPeer.connect(self.gearman).close()
+            GearmanPeer.connect(self.gearman_port).close()
             return True
         return False
 
     def connect(self):
         """Return a new connection; `close` ends it."""
-        peer = GearmanPeer.connect(self.gearman)
+        peer = GearmanPeer.connect(self.gearman_port)
         self.peers.append(peer)
         return peer
 
@@ -142,7 +144,7 @@
 
     def command(self, line):
         """Send a text command on a new connection; return the answer."""
-        address = ("127.0.0.1", self.gearman)
+        address = ("127.0.0.1", self.gearman_port)
         with socket.create_connection(address, timeout=WAIT_TIMEOUT_SECONDS) as sock:
             sock.sendall(line.encode() + b"\n")
             text = b""
--- a/tests/gearman/service_harness.py
+++ b/tests/gearman/service_harness.py
@@ -10,7 +10,7 @@
 from stepstream.core.endpoint_set import EndpointsUpdated
 from stepstream.core.events import JobNotification, JobStatus
 from stepstream.gearman import codec
-from stepstream.gearman.codec import Kind, Parser
+from stepstream.gearman.codec import PacketKind, Parser
 from stepstream.gearman.service import GearmanService
 from stepstream.gearman.session import Reply, Session
 from stepstream.gearman.state import SOURCE, ServiceHost
@@ -21,11 +21,11 @@
 
 START_US = 1_800_000_000_000_000
 SECTION = GearmanSection(listen="127.0.0.1:4730", tenant="tatra-invest", queue=2)
-FINAL_KINDS = (Kind.WORK_COMPLETE, Kind.WORK_FAIL)
+OUTCOME_KINDS = (PacketKind.WORK_COMPLETE, PacketKind.WORK_FAIL)
 NOT_IDEMPOTENT_CLASS = JobClass(
     latency_objective_us=200_000, deadline_us=5_000_000, effect=Effect.NOT_IDEMPOTENT, name="once"
 )
-SETTINGS_WITH_UNSAFE = replace(
+SETTINGS_WITH_NOT_IDEMPOTENT_CLASS = replace(
     POLICY_SETTINGS, classes=(*POLICY_SETTINGS.classes, NOT_IDEMPOTENT_CLASS), polls_endpoints=False
 )
 
@@ -37,14 +37,14 @@
         self.harness = harness
         self.session = Session(LIMITS)
         self.peer = harness.service.connect(self.session, "127.0.0.1")
-        self.parser = Parser(LIMITS, answers=True)
+        self.parser = Parser(LIMITS, responses=True)
         self.received = []
-        self.text = b""
-        self.ended = False
+        self.command_output = b""
+        self.closed_by_service = False
 
     def send(self, kind, *args):
         """Send a packet; return the packets that come back."""
-        return self.send_bytes(codec.request(kind, *args))
+        return self.send_bytes(codec.encode_request(kind, *args))
 
     def send_bytes(self, data):
         """Send bytes; return the packets that come back."""
@@ -55,44 +55,44 @@
             elif isinstance(step, codec.Packet):
                 self.harness.service.on_packet(self.harness.now_us, self.peer, step)
             else:
-                self.harness.shut_down = self.harness.service.on_text_command(
+                self.harness.shutdown_requested = self.harness.service.on_text_command(
                     self.harness.now_us, self.peer, step.tokens
                 )
-        self.harness.settle()
+        self.harness.deliver_output()
         return self.received[before:]
 
     def receive(self, data, close):
         """Keep what the service sends: packets, or the text of a command's answer."""
         if data[:1] != b"\0":
-            self.text += data
+            self.command_output += data
             return
         self.parser.feed(data)
-        while (packet := self.parser.next()) is not None:
+        while (packet := self.parser.next_message()) is not None:
             self.received.append(packet)
-        self.ended = self.ended or close
+        self.closed_by_service = self.closed_by_service or close
 
-    def of(self, *kinds):
+    def packets_of(self, *kinds):
         """Return the received packets of these kinds."""
         return [packet for packet in self.received if packet.kind in kinds]
 
     def disconnect(self):
         """End the connection."""
         self.harness.service.disconnect(self.peer)
-        self.harness.settle()
+        self.harness.deliver_output()
 
-    def join(self, name="w", *functions, extra=""):
+    def register_worker(self, name="w", *functions, extra=""):
         """Register as a worker; `extra` is appended to the client id."""
-        self.send(Kind.SET_CLIENT_ID, f"{name};start=1{extra}")
+        self.send(PacketKind.SET_CLIENT_ID, f"{name};start=1{extra}")
         for function in functions or ("revalue", "nav-publish"):
-            self.send(Kind.CAN_DO, function)
+            self.send(PacketKind.CAN_DO, function)
         return self
 
-    def grab(self):
+    def grab_job(self):
         """Return the assigned job (handle, function, unique, workload), or None."""
         (packet,) = [
             p
-            for p in self.send(Kind.GRAB_JOB_UNIQ)
-            if p.kind in (Kind.NO_JOB, Kind.JOB_ASSIGN_UNIQ)
+            for p in self.send(PacketKind.GRAB_JOB_UNIQ)
+            if p.kind in (PacketKind.NO_JOB, PacketKind.JOB_ASSIGN_UNIQ)
         ]
         return packet.args or None
 
@@ -100,9 +100,9 @@
 class ServiceHarness:
     """The service, the real core and all peers, on a clock that only the test moves."""
 
-    def __init__(self, settings=SETTINGS_WITH_UNSAFE, section=SECTION, limits=LIMITS):
+    def __init__(self, settings=SETTINGS_WITH_NOT_IDEMPOTENT_CLASS, section=SECTION, limits=LIMITS):
         self.now_us = START_US
-        self.shut_down = False
+        self.shutdown_requested = False
         self.request_count = 0
         self.log = RecordingLog()
         self.http_calls = []
@@ -143,20 +143,20 @@
         self.peers.append(FakePeer(self))
         return self.peers[-1]
 
-    def http_worker(self, name="s-1"):
+    def list_http_worker(self, name="s-1"):
         """List a worker of discovery."""
-        self.post(
+        self.post_events(
             EndpointsUpdated(
                 "discovery", EndpointList(EndpointListKind.COMPLETE, (Endpoint(name),))
             )
         )
 
-    def post(self, *events):
+    def post_events(self, *events):
         """Give the core events, and deliver what comes of them."""
-        self.run(list(events))
-        self.settle()
+        self.run_core(list(events))
+        self.deliver_output()
 
-    def settle(self):
+    def deliver_output(self):
         """Deliver what the service sends, until nothing is left."""
         while True:
             output = self.service.take_output()
@@ -166,9 +166,9 @@
                         peer.receive(send.data, send.close)
             if not output.events:
                 return
-            self.run(output.events)
+            self.run_core(output.events)
 
-    def run(self, events):
+    def run_core(self, events):
         """Run one round of the core, and execute its commands."""
         for command in self.core.handle(self.now_us, events):
             match command:
@@ -187,15 +187,15 @@
                 case Progress(request, done, total):
                     request.response_sink.progress(done, total)
 
-    def notify_http(self, call, status, result=None, progress=None):
+    def notify_from_http_worker(self, call, status, result=None, progress=None):
         """Notify the core of a call's status at its worker of discovery."""
-        self.post(JobNotification(call.request.id, call.worker_id, status, result, progress))
+        self.post_events(JobNotification(call.request.id, call.worker_id, status, result, progress))
 
-    def complete_http(self, call, result="17.5"):
+    def complete_http_call(self, call, result="17.5"):
         """Notify the core that a call at a worker of discovery is done."""
-        self.notify_http(call, JobStatus.DONE, result)
+        self.notify_from_http_worker(call, JobStatus.DONE, result)
 
-    def advance(self, us, step=100_000):
+    def advance_time(self, us, step=100_000):
         """Let time pass; timers fire as they come due."""
         until = self.now_us + us
         while self.now_us < until:
@@ -203,9 +203,9 @@
             self.now_us = min(
                 until, self.now_us + step, max(due, self.now_us + 1) if due else until
             )
-            self.run([])
+            self.run_core([])
             self.service.run_periodic_tasks(self.now_us)
-            self.settle()
+            self.deliver_output()
         assert not self.log.events
 
 
@@ -217,26 +217,26 @@
 def harness_with_worker(**options):
     """Return a harness and a worker that has registered."""
     harness = ServiceHarness(**options)
-    worker = harness.connect().join()
-    harness.advance(10_000)
+    worker = harness.connect().register_worker()
+    harness.advance_time(10_000)
     return harness, worker
 
 
-def submit_job(peer, function="revalue", unique="", data="x", kind=Kind.SUBMIT_JOB):
+def submit_job(peer, function="revalue", unique="", data="x", kind=PacketKind.SUBMIT_JOB):
     """Submit a job; return its handle."""
     packets = peer.send(kind, function, unique, data)
-    (packet,) = [packet for packet in packets if packet.kind is Kind.JOB_CREATED]
+    (packet,) = [packet for packet in packets if packet.kind is PacketKind.JOB_CREATED]
     return packet.args[0]
 
 
 def error_code(packets):
     """Return the code of the one error among these packets."""
-    (packet,) = [packet for packet in packets if packet.kind is Kind.ERROR]
+    (packet,) = [packet for packet in packets if packet.kind is PacketKind.ERROR]
     return packet.args[0].decode()
 
 
 def job_status(peer, handle):
     """Ask for a job's status; return known, running, numerator and denominator."""
-    packets = peer.send(Kind.GET_STATUS, handle)
-    (packet,) = [packet for packet in packets if packet.kind is Kind.STATUS_RES]
+    packets = peer.send(PacketKind.GET_STATUS, handle)
+    (packet,) = [packet for packet in packets if packet.kind is PacketKind.STATUS_RES]
     return tuple(int(number) for number in packet.args[1:])
--- a/tests/gearman/test_connection_rules.py
+++ b/tests/gearman/test_connection_rules.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from stepstream.gearman.codec import Kind, Line, Packet
+from stepstream.gearman.codec import Packet, PacketKind, TextLine
 from stepstream.gearman.connection_rules import (
     ConnectionView,
     RegistrationCredit,
@@ -94,12 +94,12 @@
 @pytest.mark.parametrize(
     ("step", "costs_credit", "waits"),
     [
-        (Packet(Kind.CAN_DO, (b"f",)), True, False),
-        (Packet(Kind.RESET_ABILITIES), True, False),
-        (Line(("status",)), True, False),
-        (Packet(Kind.SUBMIT_JOB, (b"f", b"", b"")), False, True),
-        (Packet(Kind.SUBMIT_JOB_LOW_BG, (b"f", b"", b"")), False, True),
-        (Packet(Kind.GRAB_JOB), False, False),
+        (Packet(PacketKind.CAN_DO, (b"f",)), True, False),
+        (Packet(PacketKind.RESET_ABILITIES), True, False),
+        (TextLine(("status",)), True, False),
+        (Packet(PacketKind.SUBMIT_JOB, (b"f", b"", b"")), False, True),
+        (Packet(PacketKind.SUBMIT_JOB_LOW_BG, (b"f", b"", b"")), False, True),
+        (Packet(PacketKind.GRAB_JOB), False, False),
         (Reply(b""), False, False),
     ],
     ids=[
--- a/tests/gearman/test_gearman_clients.py
+++ b/tests/gearman/test_gearman_clients.py
@@ -1,8 +1,8 @@
 """Clients that disconnect, coalesce their jobs or submit them in the background."""
 
-from stepstream.gearman.codec import Kind
+from stepstream.gearman.codec import PacketKind
 from tests.gearman.service_harness import (
-    FINAL_KINDS,
+    OUTCOME_KINDS,
     SECTION,
     ServiceHarness,
     harness_with_worker,
@@ -14,7 +14,7 @@
 
 def test_a_job_whose_client_disconnects_is_given_up_and_cancelled_at_the_http_node():
     harness = ServiceHarness()
-    harness.http_worker()
+    harness.list_http_worker()
     client = harness.connect()
     submit_job(client)
     client.disconnect()
@@ -28,7 +28,7 @@
     client = harness.connect()
     submit_job(client)
     client.disconnect()
-    assert worker.grab() is None
+    assert worker.grab_job() is None
 
 
 def test_a_coalesced_job_is_given_up_when_its_last_client_disconnects():
@@ -37,14 +37,14 @@
     handles = {submit_job(client, unique="same", data=f"{k}") for k, client in enumerate(clients)}
     assert len(handles) == 1
     assert len(harness.core.requests) == 1
-    assigned = worker.grab()
+    assigned = worker.grab_job()
     assert assigned[3] == b"0"
-    assert worker.grab() is None
+    assert worker.grab_job() is None
     clients[0].disconnect()
     clients[1].disconnect()
     assert harness.core.open_count == 1
-    worker.send(Kind.WORK_COMPLETE, assigned[0], "r")
-    assert [p.args[1] for p in clients[2].of(*FINAL_KINDS)] == [b"r"]
+    worker.send(PacketKind.WORK_COMPLETE, assigned[0], "r")
+    assert [p.args[1] for p in clients[2].packets_of(*OUTCOME_KINDS)] == [b"r"]
     # Ended: the same unique is a new job.
     assert submit_job(clients[2], unique="same") not in handles
     clients[2].disconnect()
@@ -55,8 +55,8 @@
     harness, worker = harness_with_worker()
     client = harness.connect()
     assert submit_job(client, unique="u") == submit_job(client, unique="u")
-    worker.send(Kind.WORK_COMPLETE, worker.grab()[0], "r")
-    assert len(client.of(Kind.WORK_COMPLETE)) == 2
+    worker.send(PacketKind.WORK_COMPLETE, worker.grab_job()[0], "r")
+    assert len(client.packets_of(PacketKind.WORK_COMPLETE)) == 2
 
 
 def test_the_same_unique_of_another_tenant_or_class_is_another_job():
@@ -79,16 +79,16 @@
     harness, worker = harness_with_worker()
     submitter = harness.connect()
     client = harness.connect()
-    handle = submit_job(submitter, unique="bg", kind=Kind.SUBMIT_JOB_LOW_BG)
+    handle = submit_job(submitter, unique="bg", kind=PacketKind.SUBMIT_JOB_LOW_BG)
     submitter.disconnect()
-    assigned = worker.grab()[0]
-    worker.send(Kind.WORK_STATUS, assigned, "3", "9")
+    assigned = worker.grab_job()[0]
+    worker.send(PacketKind.WORK_STATUS, assigned, "3", "9")
     assert job_status(client, handle) == (1, 1, 3, 9)
-    worker.send(Kind.WORK_COMPLETE, assigned, "r")
+    worker.send(PacketKind.WORK_COMPLETE, assigned, "r")
     assert job_status(client, handle) == (1, 0, 9, 9)
-    (packet,) = client.send(Kind.GET_STATUS_UNIQUE, "bg")
+    (packet,) = client.send(PacketKind.GET_STATUS_UNIQUE, "bg")
     assert packet.args == (b"bg", b"1", b"0", b"9", b"9", b"0")
-    harness.advance((SECTION.outcome_retention_seconds + 1) * 1_000_000, step=10_000_000)
+    harness.advance_time((SECTION.outcome_retention_seconds + 1) * 1_000_000, step=10_000_000)
     assert job_status(client, handle) == (0, 0, 0, 0)
     assert not harness.state.jobs.latest_by_unique
 
@@ -96,27 +96,27 @@
 def test_the_status_differs_for_rejected_and_failed_background_jobs():
     harness = ServiceHarness()
     client = harness.connect()
-    handle = submit_job(client, kind=Kind.SUBMIT_JOB_BG)
+    handle = submit_job(client, kind=PacketKind.SUBMIT_JOB_BG)
     assert job_status(client, handle) == (1, 0, 0, 0)
-    harness.advance(1_000_000)
+    harness.advance_time(1_000_000)
     known, running, retry_after_ms, of = job_status(client, handle)
     assert (known, running, of) == (1, 0, 0)
     assert retry_after_ms >= 1
     harness, worker = harness_with_worker()
-    worker.send(Kind.CAN_DO, "once")
+    worker.send(PacketKind.CAN_DO, "once")
     client = harness.connect()
-    handle = submit_job(client, "once", kind=Kind.SUBMIT_JOB_BG)
-    worker.send(Kind.WORK_FAIL, worker.grab()[0])
+    handle = submit_job(client, "once", kind=PacketKind.SUBMIT_JOB_BG)
+    worker.send(PacketKind.WORK_FAIL, worker.grab_job()[0])
     assert job_status(client, handle) == (1, 0, 0, 1)
 
 
 def test_a_foreground_client_that_joins_a_background_job_may_disconnect_again():
     harness, worker = harness_with_worker()
-    background_handle = submit_job(harness.connect(), unique="u", kind=Kind.SUBMIT_JOB_BG)
+    background_handle = submit_job(harness.connect(), unique="u", kind=PacketKind.SUBMIT_JOB_BG)
     foreground = harness.connect()
     assert submit_job(foreground, unique="u") == background_handle
     foreground.disconnect()
-    assert worker.grab() is not None
+    assert worker.grab_job() is not None
     assert harness.core.open_count == 1
 
 
@@ -125,6 +125,6 @@
     client = harness.connect()
     handles = []
     for _ in range(3):
-        handles.append(submit_job(client, kind=Kind.SUBMIT_JOB_BG))
-        worker.send(Kind.WORK_COMPLETE, worker.grab()[0], "")
+        handles.append(submit_job(client, kind=PacketKind.SUBMIT_JOB_BG))
+        worker.send(PacketKind.WORK_COMPLETE, worker.grab_job()[0], "")
     assert [job_status(client, handle)[0] for handle in handles] == [0, 1, 1]
--- a/tests/gearman/test_gearman_codec.py
+++ b/tests/gearman/test_gearman_codec.py
@@ -6,14 +6,14 @@
 
 from stepstream.gearman import codec
 from stepstream.gearman.codec import (
-    ANSWERS,
-    REQUESTS,
-    Kind,
-    Line,
+    REQUEST_ARGUMENTS,
+    RESPONSE_ARGUMENTS,
     Packet,
+    PacketKind,
     Parser,
     ParserState,
-    Unknown,
+    TextLine,
+    UnknownPacket,
 )
 from stepstream.gearman.errors import FramingError
 from stepstream.gearman.session import Reply, Session
@@ -33,22 +33,24 @@
     found = []
     for start, end in zip([0, *cuts], [*cuts, len(data)], strict=True):
         parser.feed(data[start:end])
-        while (item := parser.next()) is not None:
+        while (item := parser.next_message()) is not None:
             found.append(item)
     return found
 
 
-@pytest.mark.parametrize(("forms", "magic"), [(REQUESTS, codec.REQ), (ANSWERS, codec.RES)])
+@pytest.mark.parametrize(
+    ("forms", "magic"), [(REQUEST_ARGUMENTS, codec.REQ), (RESPONSE_ARGUMENTS, codec.RES)]
+)
 def test_written_packets_parse_back_however_they_are_split(forms, magic):
     @settings(derandomize=True, deadline=None, max_examples=200, database=None)
     @given(st.data())
     def check(data):
         sent = data.draw(st.lists(packets(forms), max_size=6))
-        raw = b"".join(codec.write(magic, packet.kind, *packet.args) for packet in sent)
+        raw = b"".join(codec.encode_packet(magic, packet.kind, *packet.args) for packet in sent)
         cuts = sorted(data.draw(st.lists(st.integers(0, len(raw)), max_size=8)))
-        parser = Parser(LIMITS, answers=magic is codec.RES)
+        parser = Parser(LIMITS, responses=magic is codec.RES)
         assert feed_split(parser, raw, cuts) == sent
-        assert parser.idle
+        assert parser.is_idle
 
     check()
 
@@ -60,36 +62,38 @@
     try:
         feed_split(parser, data, sorted(min(cut, len(data)) for cut in cuts))
     except FramingError:
-        parser.feed(codec.request(Kind.GRAB_JOB))
+        parser.feed(codec.encode_request(PacketKind.GRAB_JOB))
         with pytest.raises(FramingError):
-            parser.next()
+            parser.next_message()
 
 
 def test_every_type_of_packet_has_its_argument_names():
-    assert {kind for kind in Kind} == set(REQUESTS) | set(ANSWERS)
-    assert set(REQUESTS) & set(ANSWERS) == {kind for kind in Kind if kind.name.startswith("WORK_")}
+    assert {kind for kind in PacketKind} == set(REQUEST_ARGUMENTS) | set(RESPONSE_ARGUMENTS)
+    assert set(REQUEST_ARGUMENTS) & set(RESPONSE_ARGUMENTS) == {
+        kind for kind in PacketKind if kind.name.startswith("WORK_")
+    }
 
 
 @pytest.mark.parametrize(
     ("data", "code"),
     [
-        (codec.HEADER.pack(codec.REQ, Kind.SUBMIT_JOB, 2**32 - 1), "PACKET_TOO_LARGE"),
+        (codec.HEADER.pack(codec.REQ, PacketKind.SUBMIT_JOB, 2**32 - 1), "PACKET_TOO_LARGE"),
         (b"\0RES" + bytes(8), "BAD_MAGIC"),
         (b"\0R\0", "BAD_MAGIC"),
-        (codec.HEADER.pack(codec.REQ, Kind.SUBMIT_JOB, 3) + b"abc", "BAD_ARGUMENTS"),
-        (codec.HEADER.pack(codec.REQ, Kind.CAN_DO_TIMEOUT, 7) + b"revalue", "BAD_ARGUMENTS"),
-        (codec.HEADER.pack(codec.REQ, Kind.GRAB_JOB, 1) + b"x", "BAD_ARGUMENTS"),
+        (codec.HEADER.pack(codec.REQ, PacketKind.SUBMIT_JOB, 3) + b"abc", "BAD_ARGUMENTS"),
+        (codec.HEADER.pack(codec.REQ, PacketKind.CAN_DO_TIMEOUT, 7) + b"revalue", "BAD_ARGUMENTS"),
+        (codec.HEADER.pack(codec.REQ, PacketKind.GRAB_JOB, 1) + b"x", "BAD_ARGUMENTS"),
         (b"a" * 1100, "LINE_TOO_LONG"),
         (b"GET \x80\n", "BAD_TEXT"),
     ],
 )
 def test_a_framing_error_is_answered_once_and_ends_the_connection(data, code):
     session = Session(LIMITS)
-    (reply,) = session.feed(data + codec.request(Kind.GRAB_JOB))
+    (reply,) = session.feed(data + codec.encode_request(PacketKind.GRAB_JOB))
     assert reply.close
     assert code.encode() in reply.data
     assert session.closed
-    assert session.feed(codec.request(Kind.ECHO_REQ, b"x")) == []
+    assert session.feed(codec.encode_request(PacketKind.ECHO_REQ, b"x")) == []
 
 
 def test_partial_messages_and_silent_peers_time_out_within_three_seconds():
@@ -101,7 +105,7 @@
 
 
 def test_another_protocols_request_ends_the_connection_before_its_body_is_parsed():
-    hidden = codec.request(Kind.SUBMIT_JOB, "revalue", "", "x")
+    hidden = codec.encode_request(PacketKind.SUBMIT_JOB, "revalue", "", "x")
     (reply,) = Session(LIMITS).feed(b"POST /revalue HTTP/1.1\r\n\r\n" + hidden)
     assert reply.close
     assert reply.data.startswith(b"ERR UNKNOWN_COMMAND")
@@ -109,29 +113,38 @@
 
 def test_too_large_a_packet_is_rejected_before_its_body_comes():
     parser = Parser(LIMITS)
-    parser.feed(codec.HEADER.pack(codec.REQ, Kind.ECHO_REQ, LIMITS.gearman.packet_bytes + 1))
+    parser.feed(codec.HEADER.pack(codec.REQ, PacketKind.ECHO_REQ, LIMITS.gearman.packet_bytes + 1))
     with pytest.raises(FramingError):
-        parser.next()
+        parser.next_message()
     assert parser.state is ParserState.BROKEN
 
 
 def test_text_and_packets_mix_on_one_connection():
     parser = Parser(LIMITS)
-    parser.feed(b"status\r\n" + codec.request(Kind.ECHO_REQ, b"\0x") + b"cancel job  H:1\nversion")
-    assert [parser.next() for _ in range(4)] == [
-        Line(("status",)),
-        Packet(Kind.ECHO_REQ, (b"\0x",)),
-        Line(("cancel", "job", "H:1")),
+    parser.feed(
+        b"status\r\n"
+        + codec.encode_request(PacketKind.ECHO_REQ, b"\0x")
+        + b"cancel job  H:1\nversion"
+    )
+    assert [parser.next_message() for _ in range(4)] == [
+        TextLine(("status",)),
+        Packet(PacketKind.ECHO_REQ, (b"\0x",)),
+        TextLine(("cancel", "job", "H:1")),
         None,
     ]
     parser.feed(b"\n")
-    assert parser.next() == Line(("version",))
+    assert parser.next_message() == TextLine(("version",))
 
 
 def test_unknown_types_keep_the_framing_and_are_limited_in_number():
     parser = Parser(LIMITS)
-    parser.feed(codec.HEADER.pack(codec.REQ, 99, 2) + b"ab" + codec.request(Kind.PRE_SLEEP))
-    assert [parser.next(), parser.next()] == [Unknown(99), Packet(Kind.PRE_SLEEP)]
+    parser.feed(
+        codec.HEADER.pack(codec.REQ, 99, 2) + b"ab" + codec.encode_request(PacketKind.PRE_SLEEP)
+    )
+    assert [parser.next_message(), parser.next_message()] == [
+        UnknownPacket(99),
+        Packet(PacketKind.PRE_SLEEP),
+    ]
     session = Session(LIMITS)
     replies = session.feed(
         codec.HEADER.pack(codec.REQ, 99, 0) * (LIMITS.gearman.errors_per_connection + 5)
@@ -144,9 +157,9 @@
 @pytest.mark.parametrize(
     "packet",
     [
-        codec.request(Kind.SUBMIT_REDUCE_JOB, "f", "u", "r", "w"),
-        codec.request(Kind.SUBMIT_REDUCE_JOB_BACKGROUND, "f", "u", "r", "w"),
-        codec.request(Kind.SUBMIT_JOB_EPOCH, "f", "u", "1", "w"),
+        codec.encode_request(PacketKind.SUBMIT_REDUCE_JOB, "f", "u", "r", "w"),
+        codec.encode_request(PacketKind.SUBMIT_REDUCE_JOB_BACKGROUND, "f", "u", "r", "w"),
+        codec.encode_request(PacketKind.SUBMIT_JOB_EPOCH, "f", "u", "1", "w"),
     ],
 )
 def test_packets_that_are_not_offered_are_rejected_by_name(packet):
@@ -158,6 +171,6 @@
 
 def test_arguments_that_could_not_be_split_are_not_written():
     with pytest.raises(ValueError, match="NUL"):
-        codec.request(Kind.SUBMIT_JOB, "a\0b", "", "")
+        codec.encode_request(PacketKind.SUBMIT_JOB, "a\0b", "", "")
     with pytest.raises(ValueError, match="arguments"):
-        codec.request(Kind.SUBMIT_JOB, "a")
+        codec.encode_request(PacketKind.SUBMIT_JOB, "a")
--- a/tests/gearman/test_gearman_connection.py
+++ b/tests/gearman/test_gearman_connection.py
@@ -7,7 +7,7 @@
 import pytest
 
 from stepstream.config.node_config import config_from
-from stepstream.gearman.codec import Kind
+from stepstream.gearman.codec import PacketKind
 from stepstream.gearman.connection import GearmanConnection
 from stepstream.gearman.front import GearmanFront
 from stepstream.http.client_api import ClientApi
@@ -42,7 +42,7 @@
     connection = GearmanConnection(Transport(sock), front, is_external=True)
     reader = threading.Thread(target=connection.run, daemon=True)
     reader.start()
-    peer.send(Kind.GET_STATUS, "H:none").until(Kind.STATUS_RES)
+    peer.send(PacketKind.GET_STATUS, "H:none").receive_until(PacketKind.STATUS_RES)
     wait_for(lambda: not connection.unhandled_messages)
     yield connection, peer
     peer.sock.close()
@@ -62,11 +62,11 @@
         assert go.wait(WAIT_TIMEOUT_SECONDS)
 
     monkeypatch.setattr(connection, "_throttle", pause_before_handling)
-    peer.send(Kind.SUBMIT_JOB, "tatra-invest/revalue", "", "x")
+    peer.send(PacketKind.SUBMIT_JOB, "tatra-invest/revalue", "", "x")
     assert received.wait(WAIT_TIMEOUT_SECONDS)
     CLOSES[close](connection)
     go.set()
-    assert peer.next().kind is Kind.JOB_CREATED
+    assert peer.receive().kind is PacketKind.JOB_CREATED
 
 
 @pytest.mark.parametrize("close", ["shutdown", "evicted"])
@@ -81,4 +81,4 @@
 def test_an_idle_connection_is_closed(connection_and_peer):
     connection, peer = connection_and_peer
     assert connection.close_if_idle()
-    assert peer.next() is None
+    assert peer.receive() is None
--- a/tests/gearman/test_gearman_jobs.py
+++ b/tests/gearman/test_gearman_jobs.py
@@ -7,7 +7,7 @@
 
 from stepstream.core.events import JobStatus
 from stepstream.gearman.admission_rules import idempotency_key
-from stepstream.gearman.codec import Kind
+from stepstream.gearman.codec import PacketKind
 from tests.config.configurations import LIMITS
 from tests.gearman.service_harness import (
     ServiceHarness,
@@ -22,20 +22,20 @@
     harness, worker = harness_with_worker()
     client = harness.connect()
     handle = submit_job(client, "tatra-invest/revalue+2", "u1", "body")
-    assigned, function, unique, workload = worker.grab()
+    assigned, function, unique, workload = worker.grab_job()
     assert (function, workload) == (b"revalue", b"body")
     assert assigned != handle
-    worker.send(Kind.WORK_STATUS, assigned, "1", "4")
-    worker.send(Kind.WORK_DATA, assigned, "part")
-    worker.send(Kind.WORK_WARNING, assigned, "hm")
-    worker.send(Kind.WORK_COMPLETE, assigned, "end")
+    worker.send(PacketKind.WORK_STATUS, assigned, "1", "4")
+    worker.send(PacketKind.WORK_DATA, assigned, "part")
+    worker.send(PacketKind.WORK_WARNING, assigned, "hm")
+    worker.send(PacketKind.WORK_COMPLETE, assigned, "end")
     kinds = [(p.kind, p.args[1:]) for p in client.received]
     assert kinds == [
-        (Kind.JOB_CREATED, ()),
-        (Kind.WORK_STATUS, (b"1", b"4")),
-        (Kind.WORK_DATA, (b"part",)),
-        (Kind.WORK_WARNING, (b"hm",)),
-        (Kind.WORK_COMPLETE, (b"end",)),
+        (PacketKind.JOB_CREATED, ()),
+        (PacketKind.WORK_STATUS, (b"1", b"4")),
+        (PacketKind.WORK_DATA, (b"part",)),
+        (PacketKind.WORK_WARNING, (b"hm",)),
+        (PacketKind.WORK_COMPLETE, (b"end",)),
     ]
     assert not harness.core.requests
     assert not harness.state.jobs.by_handle
@@ -44,29 +44,29 @@
 
 def test_a_job_that_failed_after_data_serves_only_what_the_second_worker_made():
     harness, first = harness_with_worker()
-    second = harness.connect().join("v")
+    second = harness.connect().register_worker("v")
     client = harness.connect()
     submit_job(client)
-    worker, other = (first, second) if (taken := first.grab()) else (second, first)
-    assigned = (taken or worker.grab())[0]
-    worker.send(Kind.WORK_DATA, assigned, "half of the first")
+    worker, other = (first, second) if (taken := first.grab_job()) else (second, first)
+    assigned = (taken or worker.grab_job())[0]
+    worker.send(PacketKind.WORK_DATA, assigned, "half of the first")
     worker.disconnect()
-    other.send(Kind.WORK_COMPLETE, other.grab()[0], "whole of the second")
-    assert [p.args[1] for p in client.of(Kind.WORK_DATA, Kind.WORK_COMPLETE)] == [
-        b"whole of the second"
-    ]
+    other.send(PacketKind.WORK_COMPLETE, other.grab_job()[0], "whole of the second")
+    assert [
+        p.args[1] for p in client.packets_of(PacketKind.WORK_DATA, PacketKind.WORK_COMPLETE)
+    ] == [b"whole of the second"]
 
 
 def test_a_gearman_job_runs_on_an_http_node_with_its_key_and_progress():
     harness = ServiceHarness()
-    harness.http_worker()
+    harness.list_http_worker()
     client = harness.connect()
     submit_job(client, "nav-publish", "key-1", "body")
     (call,) = harness.http_calls
     assert (call.request.payload.path, call.request.payload.body) == ("/nav-publish", b"body")
     assert call.request.payload.idempotency_key == "key-1"
-    harness.notify_http(call, JobStatus.RUNNING, progress=(400, 1000))
-    harness.complete_http(call)
+    harness.notify_from_http_worker(call, JobStatus.RUNNING, progress=(400, 1000))
+    harness.complete_http_call(call)
     assert [p.args[1:] for p in client.received[1:]] == [(b"400", b"1000"), (b"17.5",)]
 
 
@@ -74,21 +74,24 @@
     harness = ServiceHarness()  # no worker at all: refused once its patience ends
     client = harness.connect()
     with_exceptions = harness.connect()
-    with_exceptions.send(Kind.OPTION_REQ, "exceptions")
+    with_exceptions.send(PacketKind.OPTION_REQ, "exceptions")
     submit_job(client)
     submit_job(with_exceptions)
-    harness.advance(1_000_000)
-    assert [p.kind for p in client.received[1:]] == [Kind.WORK_WARNING, Kind.WORK_FAIL]
+    harness.advance_time(1_000_000)
+    assert [p.kind for p in client.received[1:]] == [PacketKind.WORK_WARNING, PacketKind.WORK_FAIL]
     assert client.received[1].args[1].startswith(b"refused retry-after=")
-    assert [p.kind for p in with_exceptions.received[2:]] == [Kind.WORK_EXCEPTION, Kind.WORK_FAIL]
+    assert [p.kind for p in with_exceptions.received[2:]] == [
+        PacketKind.WORK_EXCEPTION,
+        PacketKind.WORK_FAIL,
+    ]
     harness, worker = harness_with_worker()
     client = harness.connect()
     submit_job(client, "once")
-    worker.send(Kind.CAN_DO, "once")
-    harness.advance(10_000)
-    worker.send(Kind.WORK_EXCEPTION, worker.grab()[0], "no market data")
+    worker.send(PacketKind.CAN_DO, "once")
+    harness.advance_time(10_000)
+    worker.send(PacketKind.WORK_EXCEPTION, worker.grab_job()[0], "no market data")
     assert client.received[-2].args[1] == b"failed no market data"
-    assert client.received[-1].kind is Kind.WORK_FAIL
+    assert client.received[-1].kind is PacketKind.WORK_FAIL
 
 
 @pytest.mark.parametrize(
@@ -107,8 +110,8 @@
 def test_an_invalid_submission_is_answered_with_an_error_code(function, unique, expected):
     harness = ServiceHarness()
     client = harness.connect()
-    assert error_code(client.send(Kind.SUBMIT_JOB, function, unique, "x")) == expected
-    assert not client.ended
+    assert error_code(client.send(PacketKind.SUBMIT_JOB, function, unique, "x")) == expected
+    assert not client.closed_by_service
     assert not harness.core.requests
 
 
@@ -116,7 +119,7 @@
 def test_a_unique_id_of_opaque_bytes_is_a_key_and_coalesces_by_its_bytes(unique):
     # Guards against BAD_UNIQUE for the raw bytes that a client library sends on a keyed class.
     harness = ServiceHarness()
-    harness.http_worker()
+    harness.list_http_worker()
     client = harness.connect()
     handles = [submit_job(client, "nav-publish", one, "body") for one in (unique, unique)]
     assert handles[0] == handles[1]
@@ -134,20 +137,20 @@
     assert all(re.fullmatch("[!-~]{1,128}", key) for key in keys)
 
 
-@pytest.mark.parametrize("kind", [Kind.GET_STATUS, Kind.GET_STATUS_UNIQUE])
+@pytest.mark.parametrize("kind", [PacketKind.GET_STATUS, PacketKind.GET_STATUS_UNIQUE])
 def test_a_nul_in_a_status_request_is_an_error_and_the_connection_goes_on(kind):
     # Guards against a fault that ends the connection: the answer could not repeat the NUL.
     client = ServiceHarness().connect()
     assert error_code(client.send(kind, b"H:a\0b")) == "BAD_ARGUMENTS"
-    assert not client.ended
-    assert client.send(Kind.ECHO_REQ, "on")[0].kind is Kind.ECHO_RES
+    assert not client.closed_by_service
+    assert client.send(PacketKind.ECHO_REQ, "on")[0].kind is PacketKind.ECHO_RES
 
 
 def test_slots_beyond_the_bound_are_refused_whatever_zeros_lead_them():
     client = ServiceHarness().connect()
-    client.send(Kind.SUBMIT_JOB, "revalue+0000010249999999", "", "x")
+    client.send(PacketKind.SUBMIT_JOB, "revalue+0000010249999999", "", "x")
     assert [(packet.kind, packet.args[0]) for packet in client.received] == [
-        (Kind.ERROR, b"BAD_FUNCTION")
+        (PacketKind.ERROR, b"BAD_FUNCTION")
     ]
 
 
@@ -159,20 +162,30 @@
     )
     harness = ServiceHarness(limits=small, section=make_section(jobs_a_connection=2))
     client = harness.connect()
-    assert error_code(client.send(Kind.SUBMIT_JOB, "revalue", "", "x" * 91)) == "WORKLOAD_TOO_LARGE"
+    assert (
+        error_code(client.send(PacketKind.SUBMIT_JOB, "revalue", "", "x" * 91))
+        == "WORKLOAD_TOO_LARGE"
+    )
     submit_job(client, data="x" * 80)
-    fault = client.send(Kind.SUBMIT_JOB, "revalue", "", "x" * 30)
+    fault = client.send(PacketKind.SUBMIT_JOB, "revalue", "", "x" * 30)
     assert error_code(fault) == "JOB_QUEUE_FULL"
     assert b"retry-after=2.000" in fault[0].args[1]
     submit_job(client)
-    assert error_code(client.send(Kind.SUBMIT_JOB, "revalue", "", "")) == "JOB_QUEUE_FULL"
+    assert error_code(client.send(PacketKind.SUBMIT_JOB, "revalue", "", "")) == "JOB_QUEUE_FULL"
     few = ServiceHarness(limits=replace(LIMITS, gearman=replace(LIMITS.gearman, open_jobs=2)))
     for _ in range(2):
-        submit_job(few.connect(), kind=Kind.SUBMIT_JOB_BG)
-    assert error_code(few.connect().send(Kind.SUBMIT_JOB_BG, "revalue", "", "")) == "JOB_QUEUE_FULL"
+        submit_job(few.connect(), kind=PacketKind.SUBMIT_JOB_BG)
+    assert (
+        error_code(few.connect().send(PacketKind.SUBMIT_JOB_BG, "revalue", "", ""))
+        == "JOB_QUEUE_FULL"
+    )
     harness.overloaded = True
     assert (
-        error_code(harness.connect().send(Kind.SUBMIT_JOB, "revalue", "", "")) == "JOB_QUEUE_FULL"
+        error_code(harness.connect().send(PacketKind.SUBMIT_JOB, "revalue", "", ""))
+        == "JOB_QUEUE_FULL"
     )
     harness.closing = True
-    assert error_code(harness.connect().send(Kind.SUBMIT_JOB, "revalue", "", "")) == "SHUTTING_DOWN"
+    assert (
+        error_code(harness.connect().send(PacketKind.SUBMIT_JOB, "revalue", "", ""))
+        == "SHUTTING_DOWN"
+    )
--- a/tests/gearman/test_gearman_model.py
+++ b/tests/gearman/test_gearman_model.py
@@ -3,9 +3,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from stepstream.gearman.codec import Kind
+from stepstream.gearman.codec import PacketKind
 from tests.gearman.service_harness import (
-    FINAL_KINDS,
+    OUTCOME_KINDS,
     ServiceHarness,
     submit_job,
 )
@@ -30,7 +30,7 @@
         self.submitted = 0
 
     def connect_worker(self, place):
-        return self.harness.connect().join(f"w{place}", *FUNCTIONS)
+        return self.harness.connect().register_worker(f"w{place}", *FUNCTIONS)
 
     # -- rules ----------------------------------------------------------------------------------
 
@@ -45,7 +45,7 @@
         if client not in self.due_answers:
             return
         self.submitted += 1
-        kind = Kind.SUBMIT_JOB_HIGH_BG if background else Kind.SUBMIT_JOB
+        kind = PacketKind.SUBMIT_JOB_HIGH_BG if background else PacketKind.SUBMIT_JOB
         if not unique and function == "nav-publish":
             unique = f"own{self.submitted}"
         assert submit_job(client, function, unique, f"{function} {self.submitted}", kind)
@@ -57,7 +57,7 @@
         worker = self.workers[place]
         if worker.peer.disconnected:
             return
-        job = worker.grab()
+        job = worker.grab_job()
         if job is not None:
             workload = job[3]
             self.assigned[worker].append(job)
@@ -65,18 +65,20 @@
 
     @rule(
         place=PLACES_OF_WORKERS,
-        kind=st.sampled_from((Kind.WORK_COMPLETE, Kind.WORK_FAIL, Kind.WORK_STATUS)),
+        kind=st.sampled_from(
+            (PacketKind.WORK_COMPLETE, PacketKind.WORK_FAIL, PacketKind.WORK_STATUS)
+        ),
     )
     def report(self, place, kind):
         worker = self.workers[place]
         if not self.assigned[worker]:
             return
         handle, _, _, workload = self.assigned[worker][0]
-        if kind is Kind.WORK_STATUS:
+        if kind is PacketKind.WORK_STATUS:
             worker.send(kind, handle, "1", "2")
             return
         self.assigned[worker].pop(0)
-        if kind is Kind.WORK_COMPLETE:
+        if kind is PacketKind.WORK_COMPLETE:
             worker.send(kind, handle, b"made of " + workload)
         else:
             worker.send(kind, handle)
@@ -98,17 +100,17 @@
 
     @rule(place=PLACES_OF_WORKERS)
     def drain(self, place):
-        self.workers[place].send(Kind.RESET_ABILITIES)
+        self.workers[place].send(PacketKind.RESET_ABILITIES)
         assert not self.workers[place].peer.worker.queue
 
     @rule(place=PLACES_OF_WORKERS)
     def end_drain(self, place):
         for function in FUNCTIONS:
-            self.workers[place].send(Kind.CAN_DO, function)
+            self.workers[place].send(PacketKind.CAN_DO, function)
 
     @rule(duration_ms=st.integers(1, 800))
     def wait(self, duration_ms):
-        self.harness.advance(duration_ms * 1000)
+        self.harness.advance_time(duration_ms * 1000)
 
     # -- checks ---------------------------------------------------------------------------------
 
@@ -122,8 +124,10 @@
     def check_answers(self):
         jobs = self.harness.state.jobs
         for client, due in self.due_answers.items():
-            assert len(client.of(*FINAL_KINDS)) + jobs.submission_count(client.peer) == due
-            for packet in client.of(Kind.WORK_COMPLETE):
+            assert (
+                len(client.packets_of(*OUTCOME_KINDS)) + jobs.submission_count(client.peer) == due
+            )
+            for packet in client.packets_of(PacketKind.WORK_COMPLETE):
                 assert packet.args[1].startswith(b"made of ")
 
     def check_open_jobs(self):
@@ -143,9 +147,9 @@
 
     def teardown(self):
         """Check that every client has its answers past every deadline."""
-        self.harness.advance(PAST_EVERY_DEADLINE_US, step=500_000)
+        self.harness.advance_time(PAST_EVERY_DEADLINE_US, step=500_000)
         for client, due in self.due_answers.items():
-            assert len(client.of(*FINAL_KINDS)) == due
+            assert len(client.packets_of(*OUTCOME_KINDS)) == due
         assert self.harness.core.open_count == 0
         assert not self.harness.state.jobs.submissions
         assert set(self.harness.state.jobs.by_handle) == set(self.harness.state.jobs.retained)
--- a/tests/gearman/test_gearman_node.py
+++ b/tests/gearman/test_gearman_node.py
@@ -13,7 +13,7 @@
 import pytest
 
 from stepstream.gearman import codec
-from stepstream.gearman.codec import Kind
+from stepstream.gearman.codec import PacketKind
 from tests.config.configurations import CONFIGURATION
 from tests.gearman.program import SECTION, revalue_with_progress
 from tests.http.messages import job_request
@@ -27,7 +27,7 @@
     """pygearman's worker, as it is; it ends with the program."""
 
     def run():
-        worker = gearman.GearmanWorker([f"127.0.0.1:{program.gearman}"])
+        worker = gearman.GearmanWorker([f"127.0.0.1:{program.gearman_port}"])
         worker.set_client_id(name)
         for function, task in functions.items():
             worker.register_task(function, task)
@@ -44,7 +44,7 @@
 def test_a_raw_unique_id_of_a_client_library_is_a_key(program):
     # Guards against BAD_UNIQUE for opaque bytes on a class with idempotency keys.
     library_worker(program, b"lib;start=1", {b"nav-publish": lambda worker, job: b"done"})
-    client = gearman.GearmanClient([f"127.0.0.1:{program.gearman}"])
+    client = gearman.GearmanClient([f"127.0.0.1:{program.gearman_port}"])
     done = client.submit_job(
         "nav-publish", b"x", unique=RAW_UNIQUE, poll_timeout=WAIT_TIMEOUT_SECONDS
     )
@@ -54,7 +54,7 @@
 def test_another_client_library_sends_a_raw_unique_id_and_reads_an_error_code_of_letters(program):
     library_worker(program, b"lib;start=1", {b"nav-publish": lambda worker, job: b"done"})
     client = gear.Client()
-    client.addServer("127.0.0.1", program.gearman)
+    client.addServer("127.0.0.1", program.gearman_port)
     client.waitForServer()
     try:
         with pytest.raises(gear.GearmanError):
@@ -77,7 +77,7 @@
         b"lib;zone=ruzinov;start=1",
         {b"revalue": revalue_with_progress, b"nav-publish": broken},
     )
-    client = gearman.GearmanClient([f"127.0.0.1:{program.gearman}"])
+    client = gearman.GearmanClient([f"127.0.0.1:{program.gearman_port}"])
     done = client.submit_job("revalue", b"abc", poll_timeout=WAIT_TIMEOUT_SECONDS)
     assert (done.state, done.result, list(done.data_updates)) == ("COMPLETE", b"ABC", [b"part "])
     assert (done.status["numerator"], done.status["denominator"]) == (1, 2)
@@ -93,49 +93,51 @@
             is False
         )
     )
-    admin = gearman.GearmanAdminClient([f"127.0.0.1:{program.gearman}"])
+    admin = gearman.GearmanAdminClient([f"127.0.0.1:{program.gearman_port}"])
     assert {row["task"] for row in admin.get_status()} == {
         "tatra-invest/revalue",
         "tatra-invest/nav-publish",
     }
     assert any(row["client_id"] == "lib" for row in admin.get_workers())
     # The same worker serves the portal.
-    answer = exchange(program.http, job_request(body=b"over http"))
+    answer = exchange(program.http_port, job_request(body=b"over http"))
     assert (answer.status, answer.body) == (200, b"part OVER HTTP")
 
 
 def test_a_disconnected_client_disturbs_no_other(program):
-    worker = program.connect().join()
-    client = program.connect().send(Kind.SUBMIT_JOB, "revalue", "", "one")
-    client.until(Kind.JOB_CREATED)
-    assigned = worker.grab()[0]
+    worker = program.connect().register_worker()
+    client = program.connect().send(PacketKind.SUBMIT_JOB, "revalue", "", "one")
+    client.receive_until(PacketKind.JOB_CREATED)
+    assigned = worker.grab_job()[0]
     client.close()
     wait_for(lambda: "\topen\t" not in program.command("show jobs"))
-    worker.send(Kind.WORK_COMPLETE, assigned, "nobody receives this")
-    client = program.connect().send(Kind.SUBMIT_JOB, "revalue", "", "two")
-    worker.send(Kind.WORK_COMPLETE, worker.grab()[0], "received")
-    assert client.until(Kind.WORK_COMPLETE).args[1] == b"received"
+    worker.send(PacketKind.WORK_COMPLETE, assigned, "nobody receives this")
+    client = program.connect().send(PacketKind.SUBMIT_JOB, "revalue", "", "two")
+    worker.send(PacketKind.WORK_COMPLETE, worker.grab_job()[0], "received")
+    assert client.receive_until(PacketKind.WORK_COMPLETE).args[1] == b"received"
 
 
 def test_the_job_of_a_worker_that_disconnects_is_done_by_another(program):
-    first = program.connect().join("first")
-    client = program.connect().send(Kind.SUBMIT_JOB, "revalue", "", "x")
-    assigned = first.grab()[0]
-    first.send(Kind.WORK_STATUS, assigned, "1", "2")
-    client.until(Kind.WORK_STATUS)
-    second = program.connect().join("second")
+    first = program.connect().register_worker("first")
+    client = program.connect().send(PacketKind.SUBMIT_JOB, "revalue", "", "x")
+    assigned = first.grab_job()[0]
+    first.send(PacketKind.WORK_STATUS, assigned, "1", "2")
+    client.receive_until(PacketKind.WORK_STATUS)
+    second = program.connect().register_worker("second")
     first.close()
-    second.send(Kind.WORK_COMPLETE, second.grab()[0], "second")
-    assert client.until(Kind.WORK_COMPLETE, Kind.WORK_FAIL).args[1:] == (b"second",)
+    second.send(PacketKind.WORK_COMPLETE, second.grab_job()[0], "second")
+    assert client.receive_until(PacketKind.WORK_COMPLETE, PacketKind.WORK_FAIL).args[1:] == (
+        b"second",
+    )
 
 
 @pytest.mark.parametrize(
     "data",
     [
-        codec.HEADER.pack(codec.REQ, Kind.SUBMIT_JOB, 2**32 - 1) + b"x" * 100,
+        codec.HEADER.pack(codec.REQ, PacketKind.SUBMIT_JOB, 2**32 - 1) + b"x" * 100,
         b"\0RES" + bytes(8),
-        codec.HEADER.pack(codec.REQ, Kind.SUBMIT_JOB, 5) + b"nonul",
-        codec.HEADER.pack(codec.REQ, Kind.SUBMIT_JOB, 50) + b"half a packet",
+        codec.HEADER.pack(codec.REQ, PacketKind.SUBMIT_JOB, 5) + b"nonul",
+        codec.HEADER.pack(codec.REQ, PacketKind.SUBMIT_JOB, 50) + b"half a packet",
         codec.HEADER.pack(codec.REQ, 99, 0) * 50,
         b"GET / HTTP/1.1\r\nHost: \x01\r\n\r\n",
         b"x" * 5000,
@@ -159,19 +161,19 @@
     bad.sock.sendall(data)
     while bad.sock.recv(65536):
         pass  # an error, or nothing; then the end
-    worker = program.connect().join()
-    client = program.connect().send(Kind.SUBMIT_JOB, "revalue", "", "x")
-    worker.send(Kind.WORK_COMPLETE, worker.grab()[0], "r")
-    assert client.until(Kind.WORK_COMPLETE).args[1] == b"r"
+    worker = program.connect().register_worker()
+    client = program.connect().send(PacketKind.SUBMIT_JOB, "revalue", "", "x")
+    worker.send(PacketKind.WORK_COMPLETE, worker.grab_job()[0], "r")
+    assert client.receive_until(PacketKind.WORK_COMPLETE).args[1] == b"r"
 
 
 def test_a_client_that_reads_too_little_is_dropped_and_delays_no_other(program):
-    worker = program.connect().join()
+    worker = program.connect().register_worker()
     slow = program.connect()
     quick = program.connect()
     slow.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     rounds = 0
-    slow.send(Kind.ECHO_REQ, "x").until(Kind.ECHO_RES)
+    slow.send(PacketKind.ECHO_REQ, "x").receive_until(PacketKind.ECHO_RES)
     part = b"d" * 60_000
     program.run_in_thread(worker.complete_jobs, part, part, part, "end")
 
@@ -179,10 +181,10 @@
         nonlocal rounds
         rounds += 1
         with contextlib.suppress(OSError):
-            slow.send(Kind.SUBMIT_JOB, "revalue", "", "x")
-        quick.send(Kind.SUBMIT_JOB, "revalue", "", "x")
+            slow.send(PacketKind.SUBMIT_JOB, "revalue", "", "x")
+        quick.send(PacketKind.SUBMIT_JOB, "revalue", "", "x")
         # It may be refused while the one worker is busy; it is never left without an outcome.
-        quick.until(Kind.WORK_COMPLETE, Kind.WORK_FAIL)
+        quick.receive_until(PacketKind.WORK_COMPLETE, PacketKind.WORK_FAIL)
         # The worker, the quick client and the connection of this command are left.
         return program.command("workers").count("127.0.0.1") <= 3
 
@@ -191,16 +193,16 @@
 
 
 def test_sigterm_answers_foreground_and_background_jobs_and_exits_with_0(program):
-    worker = program.connect().join()
+    worker = program.connect().register_worker()
     client = program.connect()
-    client.send(Kind.SUBMIT_JOB, "revalue", "", "x").until(Kind.JOB_CREATED)
-    assigned = worker.grab()[0]
-    client.send(Kind.SUBMIT_JOB_BG, "revalue", "", "y").until(Kind.JOB_CREATED)
+    client.send(PacketKind.SUBMIT_JOB, "revalue", "", "x").receive_until(PacketKind.JOB_CREATED)
+    assigned = worker.grab_job()[0]
+    client.send(PacketKind.SUBMIT_JOB_BG, "revalue", "", "y").receive_until(PacketKind.JOB_CREATED)
     program.process.send_signal(signal.SIGTERM)
     assert next(line for line in program.process.stderr if "shutdown_started" in line)
-    worker.send(Kind.WORK_COMPLETE, assigned, "in time")
-    assert client.until(Kind.WORK_COMPLETE).args[1] == b"in time"
-    worker.send(Kind.WORK_COMPLETE, worker.grab()[0], "too")
+    worker.send(PacketKind.WORK_COMPLETE, assigned, "in time")
+    assert client.receive_until(PacketKind.WORK_COMPLETE).args[1] == b"in time"
+    worker.send(PacketKind.WORK_COMPLETE, worker.grab_job()[0], "too")
     assert program.process.wait(WAIT_TIMEOUT_SECONDS) == 0
     log = program.process.stderr.read()
     assert "served_requests=2 rejected_requests=0 failed_requests=0" in log
@@ -208,8 +210,8 @@
 
 
 def test_a_reload_applies_the_operators_file_completely_or_not_at_all(program):
-    worker = program.connect().join()
-    good = SECTION.format(port=program.gearman)
+    worker = program.connect().register_worker()
+    good = SECTION.format(port=program.gearman_port)
     for bad, key in (
         (good + "quue = 1\n", "quue"),
         (good.replace("tatra-invest", "nobody"), "gearman.tenant=nobody"),
@@ -223,9 +225,9 @@
         assert 'in_force="previous configuration"' in line
     program.operator_file.write_text(good + "allow_shutdown = true\n")
     assert "configuration_reloaded" in program.reload()
-    client = program.connect().send(Kind.SUBMIT_JOB, "revalue", "", "x")
-    worker.send(Kind.WORK_COMPLETE, worker.grab()[0], "r")
-    assert client.until(Kind.WORK_COMPLETE).args[1] == b"r"
+    client = program.connect().send(PacketKind.SUBMIT_JOB, "revalue", "", "x")
+    worker.send(PacketKind.WORK_COMPLETE, worker.grab_job()[0], "r")
+    assert client.receive_until(PacketKind.WORK_COMPLETE).args[1] == b"r"
     assert program.command("shutdown") == "OK\n"
     assert program.process.wait(WAIT_TIMEOUT_SECONDS) == 0
 
@@ -244,7 +246,7 @@
         timeout=WAIT_TIMEOUT_SECONDS,
     )
     assert run.returncode == 2
-    assert f"gearman.listen=127.0.0.1:{program.gearman}" in run.stderr
+    assert f"gearman.listen=127.0.0.1:{program.gearman_port}" in run.stderr
 
 
 def test_a_faulty_operator_file_stops_the_start_with_one_line(tmp_path):
--- a/tests/gearman/test_gearman_operators.py
+++ b/tests/gearman/test_gearman_operators.py
@@ -1,9 +1,9 @@
 """Text commands of operators, and access control, on the service without a socket."""
 
-from stepstream.gearman.codec import Kind
+from stepstream.gearman.codec import PacketKind
 from stepstream.ports.access_control import Rejection, RejectionKind
 from tests.gearman.service_harness import (
-    FINAL_KINDS,
+    OUTCOME_KINDS,
     ServiceHarness,
     error_code,
     harness_with_worker,
@@ -15,7 +15,7 @@
 def run_command(harness, line):
     peer = harness.connect()
     peer.send_bytes(line.encode() + b"\n")
-    return peer.text.decode()
+    return peer.command_output.decode()
 
 
 def test_text_commands_report_workers_functions_and_jobs():
@@ -30,8 +30,8 @@
     assert run_command(harness, "show unique jobs") == "u\n.\n"
     assert run_command(harness, "cancel job H:none").startswith("ERR JOB_NOT_FOUND")
     assert run_command(harness, f"cancel job {handle}") == "OK\n"
-    assert [p.kind for p in client.of(*FINAL_KINDS)] == [Kind.WORK_FAIL]
-    assert worker.grab() is None
+    assert [p.kind for p in client.packets_of(*OUTCOME_KINDS)] == [PacketKind.WORK_FAIL]
+    assert worker.grab_job() is None
 
 
 def test_maxqueue_bounds_a_function_and_is_lifted_again():
@@ -39,7 +39,7 @@
     client = harness.connect()
     assert run_command(harness, "maxqueue tatra-invest/revalue 1") == "OK\n"
     submit_job(client)
-    assert error_code(client.send(Kind.SUBMIT_JOB, "revalue", "", "x")) == "JOB_QUEUE_FULL"
+    assert error_code(client.send(PacketKind.SUBMIT_JOB, "revalue", "", "x")) == "JOB_QUEUE_FULL"
     assert run_command(harness, "maxqueue tatra-invest/revalue") == "OK\n"
     submit_job(client)
     assert run_command(harness, "maxqueue revalue 1").startswith("ERR UNKNOWN_FUNCTION")
@@ -49,10 +49,10 @@
 def test_shutdown_is_refused_unless_the_file_allows_it():
     harness = ServiceHarness()
     assert run_command(harness, "shutdown").startswith("ERR NOT_ALLOWED")
-    assert not harness.shut_down
+    assert not harness.shutdown_requested
     harness = ServiceHarness(section=make_section(allow_shutdown=True))
     assert run_command(harness, "shutdown") == "OK\n"
-    assert harness.shut_down
+    assert harness.shutdown_requested
 
 
 class FakeAccessControl:
@@ -75,20 +75,20 @@
     harness = ServiceHarness()
     harness.host.access_control = access_control = FakeAccessControl()
     worker, client = harness.connect(), harness.connect()
-    assert error_code(worker.send(Kind.CAN_DO, "revalue")) == "NOT_ALLOWED"
-    worker.send(Kind.OPTION_REQ, "token:good")
-    worker.join("w")
-    assert error_code(client.send(Kind.SUBMIT_JOB, "revalue", "", "x")) == "NOT_IDENTIFIED"
+    assert error_code(worker.send(PacketKind.CAN_DO, "revalue")) == "NOT_ALLOWED"
+    worker.send(PacketKind.OPTION_REQ, "token:good")
+    worker.register_worker("w")
+    assert error_code(client.send(PacketKind.SUBMIT_JOB, "revalue", "", "x")) == "NOT_IDENTIFIED"
     harness.host.access_control = None
     submit_job(client)
     submit_job(client)
     harness.host.access_control = access_control
-    assigned = worker.grab()[0]
+    assigned = worker.grab_job()[0]
     check_count = access_control.worker_checks
-    worker.send(Kind.GRAB_JOB)
+    worker.send(PacketKind.GRAB_JOB)
     assert access_control.worker_checks == check_count  # found good a moment ago
     access_control.admits_workers = False
-    worker.send(Kind.WORK_COMPLETE, assigned, "r")
-    assert len(client.of(Kind.WORK_COMPLETE)) == 1
+    worker.send(PacketKind.WORK_COMPLETE, assigned, "r")
+    assert len(client.packets_of(PacketKind.WORK_COMPLETE)) == 1
     harness.now_us += 600_000
-    assert error_code(worker.send(Kind.GRAB_JOB)) == "NOT_ALLOWED"
+    assert error_code(worker.send(PacketKind.GRAB_JOB)) == "NOT_ALLOWED"
--- a/tests/gearman/test_gearman_workers.py
+++ b/tests/gearman/test_gearman_workers.py
@@ -5,13 +5,13 @@
 import pytest
 
 from stepstream.core.events import ShutdownStarted
-from stepstream.gearman.codec import Kind
+from stepstream.gearman.codec import PacketKind
 from stepstream.model.events import SettingsChanged
 from tests.config.configurations import LIMITS
 from tests.gearman.service_harness import (
-    FINAL_KINDS,
+    OUTCOME_KINDS,
     SECTION,
-    SETTINGS_WITH_UNSAFE,
+    SETTINGS_WITH_NOT_IDEMPOTENT_CLASS,
     ServiceHarness,
     error_code,
     harness_with_worker,
@@ -23,8 +23,10 @@
 
 def test_a_worker_without_a_start_time_counts_as_started_now():
     harness = ServiceHarness()
-    harness.connect().send(Kind.CAN_DO, "revalue")
-    harness.connect().join("w", extra=";zone=petrzalka;kind=old-blade;cell=3;slots=4;weight=0.5")
+    harness.connect().send(PacketKind.CAN_DO, "revalue")
+    harness.connect().register_worker(
+        "w", extra=";zone=petrzalka;kind=old-blade;cell=3;slots=4;weight=0.5"
+    )
     new, described = [w.endpoint for w in harness.core.load_balancer.state.workers.by_id.values()]
     assert new.worker_id == "gearman:c1"
     assert new.started_us == harness.now_us
@@ -46,7 +48,7 @@
 
 def test_two_connections_of_one_id_are_two_workers():
     harness = ServiceHarness()
-    first, second = harness.connect().join("w"), harness.connect().join("w")
+    first, second = harness.connect().register_worker("w"), harness.connect().register_worker("w")
     assert sorted(harness.core.load_balancer.state.workers.by_id) == ["gearman:w", "gearman:w~2"]
     first.disconnect()
     assert sorted(harness.core.load_balancer.state.workers.by_id) == ["gearman:w~2"]
@@ -69,41 +71,41 @@
 )
 def test_a_client_id_that_cannot_be_read_is_an_error_and_changes_nothing(said):
     peer = ServiceHarness().connect()
-    assert error_code(peer.send(Kind.SET_CLIENT_ID, said)) == "BAD_CLIENT_ID"
+    assert error_code(peer.send(PacketKind.SET_CLIENT_ID, said)) == "BAD_CLIENT_ID"
     assert peer.peer.client_id == b""
 
 
 def test_a_worker_is_assigned_only_functions_that_it_registered():
     harness = ServiceHarness()
-    worker = harness.connect().join("w", "hron-asset/revalue", "nav-publish")
+    worker = harness.connect().register_worker("w", "hron-asset/revalue", "nav-publish")
     client = harness.connect()
     submit_job(client, "tatra-invest/revalue")
-    assert worker.grab() is None
+    assert worker.grab_job() is None
     submit_job(client, "hron-asset/revalue")
-    assert worker.grab()[1] == b"hron-asset/revalue"
+    assert worker.grab_job()[1] == b"hron-asset/revalue"
 
 
 def test_only_the_worker_that_has_work_is_woken_and_once():
     harness = ServiceHarness(limits=replace(LIMITS, gearman=replace(LIMITS.gearman, workers=1000)))
-    workers = [harness.connect().join(f"w{k}") for k in range(1000)]
+    workers = [harness.connect().register_worker(f"w{k}") for k in range(1000)]
     for worker in workers:
-        worker.send(Kind.PRE_SLEEP)
+        worker.send(PacketKind.PRE_SLEEP)
     submit_job(harness.connect())
-    woken = [w for w in workers if w.of(Kind.NOOP)]
+    woken = [w for w in workers if w.packets_of(PacketKind.NOOP)]
     assert len(woken) == 1
-    assert len(woken[0].of(Kind.NOOP)) == 1
-    assert woken[0].grab() is not None
+    assert len(woken[0].packets_of(PacketKind.NOOP)) == 1
+    assert woken[0].grab_job() is not None
 
 
 def test_work_that_came_before_the_worker_slept_wakes_it_at_once():
     harness, worker = harness_with_worker()
     submit_job(harness.connect())
-    assert [p.kind for p in worker.send(Kind.PRE_SLEEP)] == [Kind.NOOP]
+    assert [p.kind for p in worker.send(PacketKind.PRE_SLEEP)] == [PacketKind.NOOP]
 
 
 def test_a_worker_with_a_full_queue_rejects_calls_and_the_policy_tries_elsewhere():
     harness, worker = harness_with_worker(section=make_section(queue=1))
-    harness.http_worker()
+    harness.list_http_worker()
     client = harness.connect()
     for _ in range(6):
         submit_job(client)
@@ -117,15 +119,17 @@
     harness, worker = harness_with_worker()
     submit_job(harness.connect(), "once")
     assert not harness.http_calls
-    worker.send(Kind.CAN_DO, "once")
-    harness.advance(1_000)
+    worker.send(PacketKind.CAN_DO, "once")
+    harness.advance_time(1_000)
     assert len(worker.peer.worker.queue) == 1
-    harness.http_worker()
+    harness.list_http_worker()
     if how == "close":
         worker.disconnect()
     else:
-        worker.send(*((Kind.CANT_DO, "once") if how == "cant" else (Kind.RESET_ABILITIES,)))
-        assert worker.grab() is None  # at once, not only after 500 ms
+        worker.send(
+            *((PacketKind.CANT_DO, "once") if how == "cant" else (PacketKind.RESET_ABILITIES,))
+        )
+        assert worker.grab_job() is None  # at once, not only after 500 ms
     # Even what must never run twice may be sent again: it was never handed over.
     assert [call.request.job_class for call in harness.http_calls] == [2]
 
@@ -137,123 +141,132 @@
     function, again
 ):
     harness, worker = harness_with_worker()
-    worker.send(Kind.CAN_DO, "once")
+    worker.send(PacketKind.CAN_DO, "once")
     client = harness.connect()
     submit_job(client, function, "key")
-    assigned = worker.grab()[0]
-    worker.send(Kind.WORK_STATUS, assigned, "1", "2")
-    harness.http_worker()
+    assigned = worker.grab_job()[0]
+    worker.send(PacketKind.WORK_STATUS, assigned, "1", "2")
+    harness.list_http_worker()
     worker.disconnect()
     assert len(harness.http_calls) == again
     if not again:
-        assert [p.kind for p in client.of(*FINAL_KINDS)] == [Kind.WORK_FAIL]
+        assert [p.kind for p in client.packets_of(*OUTCOME_KINDS)] == [PacketKind.WORK_FAIL]
 
 
 def test_a_keyed_job_stays_in_the_cell_of_the_worker_that_may_have_run_it_and_in_its_window():
     harness = ServiceHarness()
     workers = [
-        harness.connect().join(f"w{k}", extra=f";cell={cell}")
+        harness.connect().register_worker(f"w{k}", extra=f";cell={cell}")
         for k, cell in enumerate((1, 1, 2, 2))
     ]
     client = harness.connect()
     submit_job(client, "nav-publish", "key")
     (first,) = [w for w in workers if w.peer.worker.queue]
     cell = first.peer.worker.identity.cell
-    first.grab()
+    first.grab_job()
     first.disconnect()
-    harness.advance(1_000)
+    harness.advance_time(1_000)
     (second,) = [w for w in workers if w.peer.worker and w.peer.worker.queue]
     assert second.peer.worker.identity.cell == cell
     assert second is not first
-    second.grab()
+    second.grab_job()
     second.disconnect()
     # Nobody of the cell is left: the others never see it.
-    harness.advance(5_000_000)
+    harness.advance_time(5_000_000)
     assert not any(w.peer.worker.queue for w in workers if w.peer.worker)
-    assert [p.kind for p in client.of(*FINAL_KINDS)] == [Kind.WORK_FAIL]
+    assert [p.kind for p in client.packets_of(*OUTCOME_KINDS)] == [PacketKind.WORK_FAIL]
 
 
 @pytest.mark.parametrize(("after_us", "again"), [(300_000, 1), (700_000, 0)])
 def test_a_keyed_job_is_repeated_inside_its_window_only(after_us, again):
     keyed = replace(
-        SETTINGS_WITH_UNSAFE.classes[1],
+        SETTINGS_WITH_NOT_IDEMPOTENT_CLASS.classes[1],
         latency_objective_us=4_000_000,
         idempotency_window_us=500_000,
     )
     settings = replace(
-        SETTINGS_WITH_UNSAFE,
-        classes=(SETTINGS_WITH_UNSAFE.classes[0], keyed, SETTINGS_WITH_UNSAFE.classes[2]),
+        SETTINGS_WITH_NOT_IDEMPOTENT_CLASS,
+        classes=(
+            SETTINGS_WITH_NOT_IDEMPOTENT_CLASS.classes[0],
+            keyed,
+            SETTINGS_WITH_NOT_IDEMPOTENT_CLASS.classes[2],
+        ),
     )
     harness, first = harness_with_worker(settings=settings)
     client = harness.connect()
     submit_job(client, "nav-publish", "key")
-    first.grab()
-    second = harness.connect().join("second")
-    harness.advance(after_us)
+    first.grab_job()
+    second = harness.connect().register_worker("second")
+    harness.advance_time(after_us)
     first.disconnect()
     assert len(second.peer.worker.queue) == again
-    assert len(client.of(Kind.WORK_FAIL)) == 1 - again
+    assert len(client.packets_of(PacketKind.WORK_FAIL)) == 1 - again
 
 
 def test_a_worker_that_grabs_and_goes_silent_ends_with_the_deadline_and_what_waits_behind_goes_on():
     harness, worker = harness_with_worker()
     client = harness.connect()
     submit_job(client)
-    worker.grab()
+    worker.grab_job()
     submit_job(client)
     assert len(worker.peer.worker.queue) == 1
-    harness.http_worker()
-    harness.advance(1_200_000)
+    harness.list_http_worker()
+    harness.advance_time(1_200_000)
     assert not worker.peer.worker.queue
     assert len(harness.http_calls) == 1
-    harness.complete_http(harness.http_calls[0])
-    harness.advance(4_000_000)
-    assert len(client.of(*FINAL_KINDS)) == 2
+    harness.complete_http_call(harness.http_calls[0])
+    harness.advance_time(4_000_000)
+    assert len(client.packets_of(*OUTCOME_KINDS)) == 2
 
 
 def test_reports_on_jobs_that_are_not_assigned_to_the_worker_change_nothing():
     harness, worker = harness_with_worker()
-    thief, client = harness.connect().join("thief"), harness.connect()
-    harness.advance(10_000)
+    thief, client = harness.connect().register_worker("thief"), harness.connect()
+    harness.advance_time(10_000)
     handle = submit_job(client)
-    owner, other = (worker, thief) if (taken := worker.grab()) else (thief, worker)
-    assigned = (taken or owner.grab())[0]
+    owner, other = (worker, thief) if (taken := worker.grab_job()) else (thief, worker)
+    assigned = (taken or owner.grab_job())[0]
     for name in (assigned, handle, b"H:n0:999"):
-        assert error_code(other.send(Kind.WORK_COMPLETE, name, "stolen")) == "JOB_NOT_FOUND"
-    assert error_code(client.send(Kind.WORK_COMPLETE, assigned, "stolen")) == "JOB_NOT_FOUND"
-    owner.send(Kind.WORK_COMPLETE, assigned, "own")
-    assert owner.send(Kind.WORK_COMPLETE, assigned, "twice") == []  # its own, ended: passed over
-    assert [p.args[1] for p in client.of(*FINAL_KINDS)] == [b"own"]
+        assert error_code(other.send(PacketKind.WORK_COMPLETE, name, "stolen")) == "JOB_NOT_FOUND"
+    assert error_code(client.send(PacketKind.WORK_COMPLETE, assigned, "stolen")) == "JOB_NOT_FOUND"
+    owner.send(PacketKind.WORK_COMPLETE, assigned, "own")
+    assert (
+        owner.send(PacketKind.WORK_COMPLETE, assigned, "twice") == []
+    )  # its own, ended: passed over
+    assert [p.args[1] for p in client.packets_of(*OUTCOME_KINDS)] == [b"own"]
 
 
 def test_a_worker_that_reconnects_cannot_complete_its_earlier_jobs():
     harness, worker = harness_with_worker()
     client = harness.connect()
     submit_job(client)
-    assigned = worker.grab()[0]
+    assigned = worker.grab_job()[0]
     worker.disconnect()
-    again = harness.connect().join("w")
-    assert error_code(again.send(Kind.WORK_COMPLETE, assigned, "late")) == "JOB_NOT_FOUND"
-    again.send(Kind.WORK_COMPLETE, again.grab()[0], "new")
-    assert [p.args[1] for p in client.of(*FINAL_KINDS)] == [b"new"]
+    again = harness.connect().register_worker("w")
+    assert error_code(again.send(PacketKind.WORK_COMPLETE, assigned, "late")) == "JOB_NOT_FOUND"
+    again.send(PacketKind.WORK_COMPLETE, again.grab_job()[0], "new")
+    assert [p.args[1] for p in client.packets_of(*OUTCOME_KINDS)] == [b"new"]
 
 
 def test_a_result_after_can_do_timeout_still_serves_while_there_is_no_other():
-    patient = replace(SETTINGS_WITH_UNSAFE.classes[0], latency_objective_us=4_000_000)
+    patient = replace(SETTINGS_WITH_NOT_IDEMPOTENT_CLASS.classes[0], latency_objective_us=4_000_000)
     harness, worker = harness_with_worker(
-        settings=replace(SETTINGS_WITH_UNSAFE, classes=(patient, *SETTINGS_WITH_UNSAFE.classes[1:]))
+        settings=replace(
+            SETTINGS_WITH_NOT_IDEMPOTENT_CLASS,
+            classes=(patient, *SETTINGS_WITH_NOT_IDEMPOTENT_CLASS.classes[1:]),
+        )
     )
-    worker.send(Kind.CAN_DO_TIMEOUT, "revalue", "1")
+    worker.send(PacketKind.CAN_DO_TIMEOUT, "revalue", "1")
     client = harness.connect()
     submit_job(client)
-    assigned = worker.grab()[0]
-    harness.http_worker()
-    harness.advance(900_000)
+    assigned = worker.grab_job()[0]
+    harness.list_http_worker()
+    harness.advance_time(900_000)
     assert not harness.http_calls
-    harness.advance(200_000)
+    harness.advance_time(200_000)
     assert [call.worker_id for call in harness.http_calls] == ["s-1"]
-    worker.send(Kind.WORK_COMPLETE, assigned, "late but its own")
-    assert [p.args[1] for p in client.of(*FINAL_KINDS)] == [b"late but its own"]
+    worker.send(PacketKind.WORK_COMPLETE, assigned, "late but its own")
+    assert [p.args[1] for p in client.packets_of(*OUTCOME_KINDS)] == [b"late but its own"]
     assert harness.stopped_calls[-1].worker_id == "s-1"
 
 
@@ -261,43 +274,43 @@
     harness, worker = harness_with_worker(
         limits=replace(LIMITS, gearman=replace(LIMITS.gearman, partial_result_bytes=10))
     )
-    worker.send(Kind.CAN_DO, "once")
+    worker.send(PacketKind.CAN_DO, "once")
     client = harness.connect()
     submit_job(client, "once")
-    assigned = worker.grab()[0]
-    worker.send(Kind.WORK_DATA, assigned, "123456")
-    assert error_code(worker.send(Kind.WORK_DATA, assigned, "123456")) == "RESULT_TOO_LARGE"
-    assert [p.kind for p in client.of(*FINAL_KINDS)] == [Kind.WORK_FAIL]
+    assigned = worker.grab_job()[0]
+    worker.send(PacketKind.WORK_DATA, assigned, "123456")
+    assert error_code(worker.send(PacketKind.WORK_DATA, assigned, "123456")) == "RESULT_TOO_LARGE"
+    assert [p.kind for p in client.packets_of(*OUTCOME_KINDS)] == [PacketKind.WORK_FAIL]
 
 
 def test_a_client_id_changes_only_while_no_job_is_assigned():
     harness, worker = harness_with_worker()
-    worker.send(Kind.SET_CLIENT_ID, "other;slots=2")
+    worker.send(PacketKind.SET_CLIENT_ID, "other;slots=2")
     assert list(harness.core.load_balancer.state.workers.by_id) == ["gearman:other"]
     submit_job(harness.connect())
-    worker.grab()
-    assert error_code(worker.send(Kind.SET_CLIENT_ID, "third")) == "BAD_CLIENT_ID"
+    worker.grab_job()
+    assert error_code(worker.send(PacketKind.SET_CLIENT_ID, "third")) == "BAD_CLIENT_ID"
 
 
 def test_workers_and_their_functions_are_bounded():
     harness = ServiceHarness(
         limits=replace(LIMITS, gearman=replace(LIMITS.gearman, workers=1, functions_per_worker=2))
     )
-    harness.connect().join("a")
-    assert error_code(harness.connect().send(Kind.CAN_DO, "revalue")) == "TOO_MANY_WORKERS"
-    assert error_code(harness.peers[0].send(Kind.CAN_DO, "third")) == "TOO_MANY_FUNCTIONS"
-    assert error_code(harness.peers[0].send(Kind.CAN_DO, "a b")) == "BAD_FUNCTION"
+    harness.connect().register_worker("a")
+    assert error_code(harness.connect().send(PacketKind.CAN_DO, "revalue")) == "TOO_MANY_WORKERS"
+    assert error_code(harness.peers[0].send(PacketKind.CAN_DO, "third")) == "TOO_MANY_FUNCTIONS"
+    assert error_code(harness.peers[0].send(PacketKind.CAN_DO, "a b")) == "BAD_FUNCTION"
 
 
 def test_a_shutdown_answers_foreground_and_background_jobs():
     harness, worker = harness_with_worker()
     client = harness.connect()
     submit_job(client)
-    handle = submit_job(client, kind=Kind.SUBMIT_JOB_BG)
-    worker.grab()
-    harness.post(ShutdownStarted(harness.now_us + 300_000))
-    harness.advance(400_000)
-    assert len(client.of(*FINAL_KINDS)) == 1
+    handle = submit_job(client, kind=PacketKind.SUBMIT_JOB_BG)
+    worker.grab_job()
+    harness.post_events(ShutdownStarted(harness.now_us + 300_000))
+    harness.advance_time(400_000)
+    assert len(client.packets_of(*OUTCOME_KINDS)) == 1
     assert job_status(client, handle)[:2] == (1, 0)
     assert harness.core.open_count == 0
 
@@ -306,11 +319,13 @@
     harness, worker = harness_with_worker()
     client = harness.connect()
     submit_job(client)
-    reversed_classes = replace(SETTINGS_WITH_UNSAFE, classes=SETTINGS_WITH_UNSAFE.classes[::-1])
-    harness.post(SettingsChanged(reversed_classes))
+    reversed_classes = replace(
+        SETTINGS_WITH_NOT_IDEMPOTENT_CLASS, classes=SETTINGS_WITH_NOT_IDEMPOTENT_CLASS.classes[::-1]
+    )
+    harness.post_events(SettingsChanged(reversed_classes))
     harness.service.reconfigure(SECTION, reversed_classes, LIMITS)
     submit_job(client, "nav-publish", "k")
-    assigned = [worker.grab() for _ in range(2)][0]
+    assigned = [worker.grab_job() for _ in range(2)][0]
     assert assigned[1] == b"revalue"
-    worker.send(Kind.WORK_COMPLETE, assigned[0], "r")
-    assert worker.grab()[1] == b"nav-publish"
+    worker.send(PacketKind.WORK_COMPLETE, assigned[0], "r")
+    assert worker.grab_job()[1] == b"nav-publish"
--- a/tests/golden/fronts/gearman_samples.py
+++ b/tests/golden/fronts/gearman_samples.py
@@ -24,23 +24,23 @@
 
 def argument_counts(*, answers: bool) -> dict[int, int]:
     """Return how many arguments each kind of packet has, by its number."""
-    forms = codec.ANSWERS if answers else codec.REQUESTS
+    forms = codec.RESPONSE_ARGUMENTS if answers else codec.REQUEST_ARGUMENTS
     return {int(kind): len(names) for kind, names in forms.items()}
 
 
 def written_packet(answers: bool, number: int, arguments: tuple[bytes, ...]) -> bytes:
     """Return a packet as the program writes it."""
-    write = codec.answer if answers else codec.request
-    return write(codec.Kind(number), *arguments)
+    write = codec.encode_response if answers else codec.encode_request
+    return write(codec.PacketKind(number), *arguments)
 
 
 def read_packets(answers: bool, data: bytes) -> list:
     """Return what the codec reads: packets as number and arguments, text as words, or a fault."""
-    parser = codec.Parser(LIMITS, answers=answers)
+    parser = codec.Parser(LIMITS, responses=answers)
     found = []
     parser.feed(data)
     try:
-        while (item := parser.next()) is not None:
+        while (item := parser.next_message()) is not None:
             found.append(item_values(item))
     except GearmanError as fault:
         found.append({"fault": fault.code})
@@ -52,9 +52,9 @@
     match item:
         case codec.Packet(kind, arguments):
             return [int(kind), *map(text_of, arguments)]
-        case codec.Unknown(number):
+        case codec.UnknownPacket(number):
             return {"unknown": number}
-        case codec.Line(words):
+        case codec.TextLine(words):
             return {"words": list(words)}
     raise TypeError(type(item))
 
@@ -95,7 +95,7 @@
             case Sending(peer, data):
                 self.peer(peer).send_bytes(data)
             case Advance(duration_us):
-                self.harness.advance(duration_us)
+                self.harness.advance_time(duration_us)
             case FirstJobAnswered():
                 self.answer_first_job(step)
         return [list(row) for row in self.received]
@@ -112,7 +112,7 @@
         job = next(iter(self.harness.state.jobs.by_handle.values()))
         answer = Answer(job.request, Outcome(step.outcome), step.result, step.retry_after_us)
         self.harness.service.answer(self.harness.now_us, job, answer)
-        self.harness.settle()
+        self.harness.deliver_output()
 
 
 def converse(steps: Iterable[Step], access_control: object = None) -> list[list[list[str]]]:
--- a/tests/identity/program.py
+++ b/tests/identity/program.py
@@ -7,7 +7,7 @@
 from cryptography import x509
 from cryptography.hazmat.primitives import hashes, serialization
 
-from stepstream.gearman.codec import Kind
+from stepstream.gearman.codec import PacketKind
 from stepstream.identity.key_rotation import SigningKeyStore
 from stepstream.identity.key_set import KeyState
 from tests.gearman.program import GearmanProgram
@@ -107,14 +107,14 @@
         headers = {"Authorization": f"Bearer {token}"} if token else {}
         request_id = request_id or f"{time.monotonic_ns():016x}"
         return exchange(
-            self.http, job_request(request_id, path=path, Tenant=tenant, **headers), peer
+            self.http_port, job_request(request_id, path=path, Tenant=tenant, **headers), peer
         )
 
     def start_worker(self, name="w"):
         """Register a Gearman worker that completes each job with 17.5, in a thread."""
         peer = self.connect()
-        peer.send(Kind.OPTION_REQ, f"token:{self.token(f'worker/{name}', 3600)}")
-        peer.join(name)
+        peer.send(PacketKind.OPTION_REQ, f"token:{self.token(f'worker/{name}', 3600)}")
+        peer.register_worker(name)
         self.run_in_thread(peer.complete_jobs, "17.5")
 
 
--- a/tests/identity/test_identity_node.py
+++ b/tests/identity/test_identity_node.py
@@ -4,7 +4,7 @@
 import threading
 import time
 
-from stepstream.gearman.codec import Kind
+from stepstream.gearman.codec import PacketKind
 from stepstream.http.codec import write_request
 from tests.http.scripted_server import exchange
 from tests.identity.program import challenge
@@ -57,7 +57,7 @@
 def test_the_connection_of_a_rejected_client_stays_open(program):
     program.start_worker()
     with socket.create_connection(
-        ("127.0.0.1", program.http), timeout=WAIT_TIMEOUT_SECONDS
+        ("127.0.0.1", program.http_port), timeout=WAIT_TIMEOUT_SECONDS
     ) as peer:
         statuses = [program.post(token, peer).status for token in (None, program.token())]
     assert statuses == [401, 200]
@@ -67,7 +67,9 @@
     def notify(token):
         headers = {"Connection": "close"} | ({"Authorization": f"Bearer {token}"} if token else {})
         body = b'{"id":"0a","from":"s-1","state":"done","result":"forged"}'
-        return exchange(program.http, write_request("POST", "/_jobs/news", headers, body)).status
+        return exchange(
+            program.http_port, write_request("POST", "/_jobs/news", headers, body)
+        ).status
 
     tokens = (None, program.token(), program.token("worker/s-2"), program.token("worker/s-1"))
     assert [notify(token) for token in tokens] == [401, 403, 403, 200]
@@ -80,33 +82,47 @@
     ):
         peer = program.connect()
         if token:
-            peer.send(Kind.OPTION_REQ, f"token:{token}").until(Kind.OPTION_RES)
-        peer.send(Kind.SET_CLIENT_ID, "w").send(Kind.CAN_DO, "revalue")
-        assert peer.until(Kind.ERROR).args[0] == expected
+            peer.send(PacketKind.OPTION_REQ, f"token:{token}").receive_until(PacketKind.OPTION_RES)
+        peer.send(PacketKind.SET_CLIENT_ID, "w").send(PacketKind.CAN_DO, "revalue")
+        assert peer.receive_until(PacketKind.ERROR).args[0] == expected
 
 
 def test_gearman_clients_are_identified_by_their_token_and_see_only_their_own_jobs(program):
     program.start_worker()
     peer = program.connect()
     assert (
-        peer.send(Kind.SUBMIT_JOB, "revalue", "", "x").until(Kind.ERROR).args[0]
+        peer.send(PacketKind.SUBMIT_JOB, "revalue", "", "x").receive_until(PacketKind.ERROR).args[0]
         == b"NOT_IDENTIFIED"
     )
-    answer = peer.send(Kind.OPTION_REQ, f"token:{program.token()}").until(Kind.OPTION_RES)
+    answer = peer.send(PacketKind.OPTION_REQ, f"token:{program.token()}").receive_until(
+        PacketKind.OPTION_RES
+    )
     assert answer.args == (b"token",)  # never the token itself
-    handle = peer.send(Kind.SUBMIT_JOB_BG, "revalue", "u", "x").until(Kind.JOB_CREATED).args[0]
-    assert peer.send(Kind.SUBMIT_JOB, "nav-publish", "k", "x").until(Kind.ERROR).args == (
+    handle = (
+        peer.send(PacketKind.SUBMIT_JOB_BG, "revalue", "u", "x")
+        .receive_until(PacketKind.JOB_CREATED)
+        .args[0]
+    )
+    assert peer.send(PacketKind.SUBMIT_JOB, "nav-publish", "k", "x").receive_until(
+        PacketKind.ERROR
+    ).args == (
         b"NOT_ALLOWED",
         b"class_not_allowed",
     )
-    assert peer.send(Kind.GET_STATUS, handle).until(Kind.STATUS_RES).args[1] == b"1"
-    other = program.connect().send(Kind.OPTION_REQ, f"token:{program.token('publisher')}")
+    assert (
+        peer.send(PacketKind.GET_STATUS, handle).receive_until(PacketKind.STATUS_RES).args[1]
+        == b"1"
+    )
+    other = program.connect().send(PacketKind.OPTION_REQ, f"token:{program.token('publisher')}")
     for kind, name in (
-        (Kind.GET_STATUS, handle),
-        (Kind.GET_STATUS_UNIQUE, "u"),
-        (Kind.GET_STATUS, "H:none"),
+        (PacketKind.GET_STATUS, handle),
+        (PacketKind.GET_STATUS_UNIQUE, "u"),
+        (PacketKind.GET_STATUS, "H:none"),
     ):
-        assert other.send(kind, name).until(Kind.ERROR).args == (b"NOT_ALLOWED", b"anothers_job")
+        assert other.send(kind, name).receive_until(PacketKind.ERROR).args == (
+            b"NOT_ALLOWED",
+            b"anothers_job",
+        )
     assert program.command("status").startswith("ERR NOT_IDENTIFIED")
     assert program.command("version").startswith("OK")
 
@@ -118,7 +134,7 @@
 
     def load():
         with socket.create_connection(
-            ("127.0.0.1", program.http), timeout=WAIT_TIMEOUT_SECONDS
+            ("127.0.0.1", program.http_port), timeout=WAIT_TIMEOUT_SECONDS
         ) as peer:
             while not stop.is_set():
                 statuses.append(program.post(program.token(ttl=30), peer).status)
@@ -146,7 +162,7 @@
     program.start_worker()
     token = program.token()
     with socket.create_connection(
-        ("127.0.0.1", program.http), timeout=WAIT_TIMEOUT_SECONDS
+        ("127.0.0.1", program.http_port), timeout=WAIT_TIMEOUT_SECONDS
     ) as peer:
         assert program.post(token, peer).status == 200
         program.key_store.revoke("k1")
--- a/tests/identity/test_identity_tls.py
+++ b/tests/identity/test_identity_tls.py
@@ -12,7 +12,7 @@
 from cryptography.hazmat.primitives import hashes, serialization
 from cryptography.hazmat.primitives.asymmetric import ec
 
-from stepstream.gearman.codec import Kind
+from stepstream.gearman.codec import PacketKind
 from tests.gearman.program import GearmanPeer
 from tests.http.messages import job_request
 from tests.identity.program import challenge
@@ -104,8 +104,8 @@
         assert tls_program.post(peer=peer, path="/nav-publish").status == 403
     with connect_tls(tls_program.gearman_tls_port, publisher) as sock:
         peer = GearmanPeer(sock)
-        done = peer.send(Kind.SUBMIT_JOB, "tatra-invest/nav-publish", "k", "x").until(
-            Kind.WORK_COMPLETE
+        done = peer.send(PacketKind.SUBMIT_JOB, "tatra-invest/nav-publish", "k", "x").receive_until(
+            PacketKind.WORK_COMPLETE
         )
         assert done.args[1] == b"17.5"
 
@@ -164,7 +164,7 @@
         while peer.recv(4096):
             pass
     with pytest.raises((ssl.SSLError, OSError)):
-        connect_tls(tls_program.http, client_context(tls_program))
+        connect_tls(tls_program.http_port, client_context(tls_program))
     stalled = [
         socket.create_connection(("127.0.0.1", tls_program.tls_port), timeout=WAIT_TIMEOUT_SECONDS)
         for _ in range(20)
