--- a/stepstream/node/reload.py
+++ b/stepstream/node/reload.py
@@ -46,7 +46,8 @@
 def reread_operator_file(context: NodeContext, config: NodeConfig) -> "OperatorConfig | None":
     """Read the operator's file again.
 
-    Raise `ConfigurationError` if a section was added or removed."""
+    Raise `ConfigurationError` if a section was added or removed.
+    """
     if context.operator_path is None or context.operator is None:
         return context.operator
     # Imported here, because a dispatcher without the file must not load its reader.
