--- a/stepstream/admin/decisions.py
+++ b/stepstream/admin/decisions.py
@@ -51,8 +51,8 @@
     """Decide on a request of any action but `TAKE_NOTIFICATION`, which depends on its body alone.
 
     Starts of maintenance are not counted: one request ends it, after any number of starts. A worker
-    id that no endpoint source knows is rejected, unless the worker is in maintenance. It may be
-    mistyped, and its maintenance would have no effect.
+    id that no endpoint source knows is rejected, unless the worker is in maintenance. Such an id
+    may be mistyped, and its maintenance would have no effect.
     """
     match request.action:
         case AdminAction.CHECK_HEALTH if view.serving:
--- a/stepstream/admin/service.py
+++ b/stepstream/admin/service.py
@@ -59,7 +59,7 @@
         self.sibling_present = False
         # The destination set's `update_count` when its list was last handed over.
         self.handed_over_update_count = 0
-        self.idle_closed_at = 0.0  # monotonic seconds
+        self.idle_connections_closed_at = 0.0  # monotonic seconds
 
     # -- requests ----------------------------------------------------------------------------------
 
@@ -139,7 +139,7 @@
         )
 
     def _apply_and_hand_over_maintenance(self) -> int:
-        """Apply the changed state here and in the state file; return its count of workers."""
+        """Apply the changed state here and in the state file; return how many workers are in it."""
         count = self._apply_maintenance()
         if self.hot_restart is not None and self.hot_restart.write():
             count = self._apply_maintenance()  # the write has merged a sibling's changes
@@ -154,7 +154,7 @@
         log_events.maintenance_state_adopted(in_maintenance=count)
 
     def _apply_maintenance(self) -> int:
-        """Pass the state to the destination set and the core; return its count of workers."""
+        """Pass the state to the destination set and the core; return how many workers are in it."""
         state = self.maintenance.snapshot()
         self.context.destinations.set_in_maintenance(state.in_maintenance)
         self.context.post(MaintenanceChanged(state))
@@ -191,10 +191,10 @@
         """Close clients' idle connections if a drain has reached the step that closes them."""
         if not decisions.should_close_idle_connections(
             drain_closes=self.drain.closes_connections(now),
-            seconds_since_last_close=now - self.idle_closed_at,
+            seconds_since_last_close=now - self.idle_connections_closed_at,
         ):
             return
-        self.idle_closed_at = now
+        self.idle_connections_closed_at = now
         server = self.context.server
         if not server.state.drain_closing:
             server.state.drain_closing = True
--- a/stepstream/config/errors.py
+++ b/stepstream/config/errors.py
@@ -2,8 +2,9 @@
 
 
 class ConfigurationError(Exception):
-    """A value is missing or cannot be read, or what it names cannot be opened.
+    """A value is missing or cannot be read, or the file or address that it names cannot be opened.
 
-    The text begins with the value's key as the operator wrote it, and ends with the expected form.
+    The message begins with the value's key, as the operator wrote it, and ends with the expected
+    form.
     `serve` and `check-config` print it as one line and exit with status 2.
     """
--- a/stepstream/config/limits.py
+++ b/stepstream/config/limits.py
@@ -1,8 +1,8 @@
 """Every size, count and time limit of the dispatcher, by concern.
 
 The main thread derives the limits from the configuration, at the start and at a reload, and passes
-them to the other parts. They are immutable, so any thread may read them. They are records rather
-than dataclasses, because generated methods for comparing and printing would lengthen every start.
+them to the other parts. They are immutable, so any thread may read them. They are records, not
+plain dataclasses: generated methods for comparing and printing would lengthen every start.
 """
 
 from dataclasses import field
@@ -122,8 +122,7 @@
     # A connection that has sent no complete message for this long is the first to be evicted.
     evict_silent_after_seconds: float = 1.0
     rejected_linger_seconds: float = 1.0
-    # A shutdown of the process waits this long for the peer to close a connection that is closed
-    # here.
+    # How long a shutdown waits for the peer's end of a connection that this process has closed.
     close_grace_seconds: float = 0.3
     evictable_idle_seconds: float = 0.05  # an inbound connection may then be evicted
     # Well below the worker's own timeout: a request sent while the worker closes is lost.
--- a/stepstream/config/operator_sections.py
+++ b/stepstream/config/operator_sections.py
@@ -43,8 +43,8 @@
         its jobs pay for crossing zones.
     kind (""): name of its kind; "" stands for the first kind of the settings. The kind decides
         which classes it may run.
-    cell (0): workers of one cell recognize repeats of a job with an idempotency key among them,
-        and drop these.
+    cell (0): number of its cell. The workers of one cell drop a repeat of a job that has an
+        idempotency key, if one of them has had the job before.
     slots (1, 1 to 1024 jobs): jobs that it may have at once. With too many, jobs wait inside the
         worker, where the dispatcher does not see them.
     weight (1.0, above 0): its weight against the others' in the rotation.
@@ -64,8 +64,8 @@
     tenant (""): the tenant of functions that name none; "" rejects such functions if the settings
         have tenants.
     allow_shutdown (false): whether the text command `shutdown` may end the program.
-    queue (8, 0 to 10,000 jobs): jobs beyond its slots that may wait for one worker's GRAB_JOB; a
-        further one finds the worker full.
+    queue (8, 0 to 10,000 jobs): jobs beyond its slots that may wait for one worker's GRAB_JOB;
+        for a further job the worker is full.
     queue_wait_ms (1,000 ms): longest wait of a job for GRAB_JOB. Afterwards it is returned without
         having run, and may be sent to another worker.
     outcome_retention_seconds (`keep_s`, 300 s): how long the outcome of an ended background job is
@@ -92,12 +92,12 @@
 
     name (required, up to 64 characters): its name in the audit log; unique.
     subjects (required): subjects of tokens and names of certificates that stand for it.
-    tenants (required): tenants that it may call for; "*" stands for all.
-    classes (required): classes of jobs that it may call; "*" stands for all.
+    tenants (required): tenants for which it may send requests; "*" stands for all.
+    classes (required): job classes that it may request; "*" stands for all.
     state ("active"): "suspended" denies it everything.
-    rate_per_s (0.0 requests a second): its rate limit; 0 is none.
+    rate_per_s (0.0 requests a second): its rate limit; 0 for none.
     burst (1 request): requests that it may make at once within the rate limit.
-    most_open (0 requests): bound of its open requests; 0 is no bound for this caller.
+    most_open (0 requests): bound of its open requests; 0 for no bound.
     """
 
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
@@ -118,9 +118,10 @@
     certificate (required, path): PEM file of the server's certificate with its chain.
     key (required, path): PEM file of its private key.
     clients_ca (required, path): PEM bundle that clients' certificates are verified against.
-    clients ("required"): "wanted" lets a client without a certificate show a token.
+    clients ("required"): whether clients need a certificate; with "wanted", a client without one
+        may send a token.
     least ("1.3"): lowest version of TLS, "1.2" or "1.3".
-    crl ("", path): PEM file of revocation lists, signed by a CA of the bundle; "" is none.
+    crl ("", path): PEM file of revocation lists, signed by a CA of the bundle; "" for none.
     names (["uri", "dns"]): kinds of names of a certificate; the first kind that it has counts.
     """
 
@@ -140,9 +141,9 @@
 
     keys (required, path): JWK set that tokens are verified against.
     issuer (required): the tokens' `iss`.
-    audience (required): must be among the tokens' `aud`.
+    audience (required): a value that must be among the tokens' `aud`.
     leeway_s (5, 0 to 60 s): tolerated difference between clocks.
-    token_bytes (4,096, 256 to 12,288 bytes): a longer token is rejected unread.
+    token_bytes (4,096, 256 to 12,288 bytes): a longer token is rejected without being read.
     longest_s (86,400 s): longest lifetime of a token, from `iat` to `exp`.
     cache (10,000 tokens): verified tokens that are cached; with fewer, more signatures are checked.
     workers (["worker/"]): a worker's subject is one of these prefixes and the worker's id.
@@ -151,7 +152,7 @@
     admins ([]): subjects that may use Gearman's text commands.
     audit ("json"): format of audit lines, "json" or "console".
     audit_allowed (false): whether the audit log has allowed requests too.
-    denials_per_s (20 lines a second): audit lines of denials; further ones are counted.
+    denials_per_s (20 lines a second): audit lines of denials; further denials are only counted.
     methods ({}): by class, the kinds of credential that it accepts; the other classes accept any.
     caller ([], up to 10,000): the callers.
     tls (none): TLS listeners.
@@ -189,13 +190,13 @@
         at all dispatchers.
     follow_size (true): whether the policy's count of dispatchers follows the membership list;
         otherwise the settings' `fleet_size` counts, even after crashes and joins.
-    hold_s (30, 1 to 86,400 s): how long a dead member still counts as a dispatcher. Short: a stop
-        of a few seconds changes every dispatcher's share twice.
+    hold_s (30, 1 to 86,400 s): how long a dead member still counts as a dispatcher. Shorter: an
+        outage of a few seconds changes every dispatcher's share twice.
     period_ms (400, 10 to 600,000 ms): protocol period, between two probes. Longer: crashes are
         noticed later; shorter: more datagrams.
     timeout_ms (200 ms): time for the answer to a direct probe; then indirect probes are sent. If it
         is below the round-trip time, every probe becomes an indirect one.
-    helpers (3, 0 to 16 members): members that are sent an indirect probe. 0: one lossy link is
+    helpers (3, 0 to 16 members): members that are asked for an indirect probe. 0: one lossy link is
         enough for a suspicion.
     suspicion (3, 1 to 100 periods): shortest duration of a suspicion, multiplied by the logarithm
         of the cluster's size. Shorter: slow members are declared dead.
@@ -261,7 +262,7 @@
     most (4,096, 1 to 65,536): leases that a voter remembers.
     most_sessions (1,024, 1 to 65,536): programs and tasks that want leases through this dispatcher;
         further ones get 503.
-    probe_sweep (false): whether one dispatcher at a time checks workers' health for all others.
+    probe_sweep (false): whether one dispatcher at a time checks workers' health for the others.
     log ("console"): format of its log lines, "json" or "console".
     """
 
--- a/stepstream/hot_restart/precedence.py
+++ b/stepstream/hot_restart/precedence.py
@@ -57,8 +57,8 @@
     in_maintenance = (theirs.in_maintenance | begun) - ended
     released = _merge_releases(own.released, theirs.released, in_maintenance)
     newer = max(own, theirs, key=lambda state: state.generation)
-    is_newer = (in_maintenance, released) == (newer.in_maintenance, newer.released)
-    if is_newer and own.generation != theirs.generation:
+    equals_newer = (in_maintenance, released) == (newer.in_maintenance, newer.released)
+    if equals_newer and own.generation != theirs.generation:
         return newer
     return MaintenanceState(newer.generation + 1, in_maintenance, released)
 
--- a/stepstream/subsystem_api/admin_client.py
+++ b/stepstream/subsystem_api/admin_client.py
@@ -1,4 +1,4 @@
-"""A client of the admin listener, for commands that ask or change a running dispatcher."""
+"""A client of the admin listener, for commands that query or change a running dispatcher."""
 
 import http.client
 from http import HTTPStatus
@@ -10,7 +10,7 @@
 from stepstream.config.fields import MAX_PORT
 
 TIMEOUT_SECONDS = 5.0
-NO_ANSWER = 0  # stands for the status of an answer that has not come
+NO_ANSWER = 0  # the status of a request without an answer
 
 
 class AdminCallError(Exception):
