--- a/stepstream/admin/listener.py
+++ b/stepstream/admin/listener.py
@@ -65,8 +65,8 @@
         self.poll = select.poll()
         self.poll.register(self.listening_socket, READABLE)
         self.connections: dict[int, AdminConnection] = {}  # by file descriptor
-        self.bad_requests = RateLimitedLogger(log_events.admin_request_rejected, limits)
-        self.failed_accepts = RateLimitedLogger(log_events.accept_failed, limits, max_lines=1)
+        self.rejected_request_logger = RateLimitedLogger(log_events.admin_request_rejected, limits)
+        self.failed_accept_logger = RateLimitedLogger(log_events.accept_failed, limits, max_lines=1)
         self.accept_again_at: float | None = None  # monotonic seconds; None: not paused
         self.tasks_again_at = 0.0  # monotonic seconds
 
@@ -147,7 +147,7 @@
         A caller that cannot be accepted ends every wait for events at once, so that the thread
         would run without rest.
         """
-        self.failed_accepts.add(str(error))
+        self.failed_accept_logger.add(str(error))
         self.poll.unregister(self.listening_socket)
         self.accept_again_at = time.monotonic() + ACCEPT_PAUSE_SECONDS
 
@@ -184,7 +184,7 @@
         try:
             message = connection.parse(received)
         except ProtocolError as error:
-            self.bad_requests.add(f"unreadable: {error}")
+            self.rejected_request_logger.add(f"unreadable: {error}")
             connection.respond(AdminResponse(error.status, str(error)))
         else:
             if message is None:
@@ -198,7 +198,7 @@
             request = route(message.method, message.target, self.subsystem_routes)
         except AdminRequestError as error:
             target = message.target[:MAX_ECHOED_CHARACTERS]
-            self.bad_requests.add(f"{message.method} {target}: {error}")
+            self.rejected_request_logger.add(f"{message.method} {target}: {error}")
             connection.respond(AdminResponse(error.status, str(error)))
             return
         response = self._answer_guarded(request, message.body)
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -25,12 +25,12 @@
         "discovery=subscribe limits.try_limit=4 limits.cancelling=true limits.conn_idle_us=8000000 "
         "load_report.how=none load_report.columns="
     )
-    nested = config_from(CONFIGURATION, {}).settings
-    assert nested == read_settings(SettingsFields(wire_line.split(" ")))
-    assert nested.zones == ("ruzinov", "petrzalka")
-    assert nested.polls_endpoints
-    assert nested.worker_idle_timeout_us == 8_000_000
-    assert nested.classes[1] == JobClass(
+    nested_settings = config_from(CONFIGURATION, {}).settings
+    assert nested_settings == read_settings(SettingsFields(wire_line.split(" ")))
+    assert nested_settings.zones == ("ruzinov", "petrzalka")
+    assert nested_settings.polls_endpoints
+    assert nested_settings.worker_idle_timeout_us == 8_000_000
+    assert nested_settings.classes[1] == JobClass(
         5_000_000,
         5_000_000,
         Effect.IDEMPOTENT_WITH_KEY,
