--- a/tests/http/conftest.py
+++ b/tests/http/conftest.py
@@ -9,13 +9,13 @@
 
 
 @pytest.fixture(autouse=True)
-def end_threads(threads_end):
+def check_threads_end(threads_end):
     """Check after each test that no thread is left."""
 
 
 @pytest.fixture
-def serve_inbound():
-    """Start inbound servers, with limits if given; end them."""
+def start_server():
+    """Start inbound servers, with limits if any are given, and close them after the test."""
     with contextlib.ExitStack() as stack:
 
         def start(*limits):
@@ -25,12 +25,12 @@
 
 
 @pytest.fixture
-def make_carrier():
-    """Make outbound carriers with a worker that answers by `reply`; end both."""
+def start_carrier():
+    """Start outbound carriers, each with a worker that answers by `reply`, and close both."""
     with contextlib.ExitStack() as stack:
 
-        def make(reply, *arguments, **options):
+        def start(reply, *arguments, **options):
             harness = OutboundHarness(reply, *arguments, **options)
             return stack.enter_context(contextlib.closing(harness))
 
-        yield make
+        yield start
--- a/tests/http/outbound_harness.py
+++ b/tests/http/outbound_harness.py
@@ -1,4 +1,4 @@
-"""An outbound carrier with one worker beside it, and answers of discovery that name workers."""
+"""An outbound carrier that calls a scripted worker, and answers of discovery that list workers."""
 
 from dataclasses import replace
 
@@ -22,11 +22,11 @@
 from tests.runtime.waiting import wait_for
 
 CLOCK = Clock()
-REUSED_AT_ONCE = Limits(timeouts=Timeouts(outbound_reuse_delay_seconds=0.0))
+LIMITS_WITHOUT_REUSE_DELAY = Limits(timeouts=Timeouts(outbound_reuse_delay_seconds=0.0))
 
 
 def endpoint_answer(state=EndpointState.ACTIVE, kind=EndpointListKind.COMPLETE, **ports):
-    """Discovery's answer at version 1: the named workers, each at its port of 127.0.0.1."""
+    """Return discovery's answer at version 1: these workers, each at its port of 127.0.0.1."""
     endpoints = tuple(Endpoint(name, state=state) for name in ports)
     addresses = {name: ("127.0.0.1", port) for name, port in ports.items()}
     return EndpointAnswer(1, EndpointList(kind, endpoints), addresses)
@@ -38,7 +38,10 @@
 
 
 class OutboundHarness:
-    """A carrier whose events are recorded, and one worker 'w' that answers by `reply`."""
+    """A carrier whose events are recorded, and one worker 'w'.
+
+    `reply(message)` returns the bytes of the worker's answer, or None to disconnect.
+    """
 
     def __init__(self, reply, limits=LIMITS, settings=POLICY_SETTINGS):
         self.events = []
@@ -46,42 +49,46 @@
         self.destinations = DestinationSet()
         self.destinations.apply(endpoint_answer(w=self.server.port))
         self.settings = settings
-        self.unreadable = RateLimitedLogger(log_events.worker_answer_unreadable, limits)
+        self.unreadable_answers = RateLimitedLogger(log_events.worker_answer_unreadable, limits)
         self.carrier = OutboundCarrier(
             limits,
             CLOCK,
             self.destinations,
             self.events.append,
-            LoadReportReader(settings, self.unreadable.add),
-            self.unreadable,
+            LoadReportReader(settings, self.unreadable_answers.add),
+            self.unreadable_answers,
         )
 
-    def new_call(self, name="aa", sent_us=None, worker="w"):
+    def new_call(self, request_id="aa", sent_us=None, worker="w"):
         """Return a call that is not started."""
         now_us = CLOCK.now_us()
-        job = replace(make_request(name, now_us), settings=self.settings)
+        job = replace(make_request(request_id, now_us), settings=self.settings)
         return Call(job, 0, worker, now_us if sent_us is None else sent_us, now_us + 5_000_000)
 
-    def start_call(self, name="aa", sent_us=None, worker="w"):
+    def start_call(self, request_id="aa", sent_us=None, worker="w"):
         """Start a call and return it."""
-        call = self.new_call(name, sent_us, worker)
+        call = self.new_call(request_id, sent_us, worker)
         self.carrier.start(call)
         return call
 
-    def start_accepted_call(self, name):
-        """Return a call, once its worker has accepted the job."""
-        call = self.start_call(name)
+    def start_accepted_call(self, request_id):
+        """Start a call, wait until its worker has accepted the job, and return it."""
+        call = self.start_call(request_id)
         wait_for(lambda: call.carrier_state.phase is CallPhase.ACCEPTED)
         return call
 
-    def idle_connections(self):
-        """Return the worker's idle connections, once there is one."""
+    def wait_for_idle_connections(self):
+        """Wait for an idle connection to the worker; return its idle connections."""
         return wait_for(lambda: self.carrier.pool.idle.get("w"))
 
-    def result(self, call):
-        """Return how a call ended, once it has."""
+    def wait_for_result(self, call):
+        """Wait for the end of a call and return its result."""
         return wait_for(
-            lambda: [e.result for e in self.events if isinstance(e, CallEnded) and e.call is call]
+            lambda: [
+                event.result
+                for event in self.events
+                if isinstance(event, CallEnded) and event.call is call
+            ]
         )[0]
 
     def close(self):
--- a/tests/http/scripted_server.py
+++ b/tests/http/scripted_server.py
@@ -1,4 +1,4 @@
-"""An HTTP server with scripted answers, and an exchange of one message with any server."""
+"""An HTTP server with scripted answers, and a client that exchanges one message with a server."""
 
 import contextlib
 import socket
@@ -12,33 +12,36 @@
 
 
 class ScriptedServer:
-    """Answer each request on 127.0.0.1 by `reply(message)`: bytes, or None to disconnect."""
+    """A server on 127.0.0.1 that answers each request by `reply(message)`.
+
+    `reply` returns the bytes of the answer, or None to disconnect. `requests` records the messages.
+    """
 
     def __init__(self, reply):
-        """Start to listen on a free port."""
+        """Start listening on a free port."""
         self.reply = reply
         self.requests = []
         self.peers = []
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.port = self.listener.getsockname()[1]
-        threading.Thread(target=self.accept, daemon=True).start()
+        threading.Thread(target=self.accept_connections, daemon=True).start()
 
-    def accept(self):
-        """Serve each connection by a thread, until the listener is closed."""
+    def accept_connections(self):
+        """Serve each connection in its own thread, until the listener is closed."""
         while True:
             try:
                 peer, _ = self.listener.accept()
             except OSError:
                 return
             self.peers.append(peer)
-            threading.Thread(target=self.serve, args=(peer,), daemon=True).start()
+            threading.Thread(target=self.serve_connection, args=(peer,), daemon=True).start()
 
-    def serve(self, peer):
-        """Serve one connection; its peer may disconnect at any time."""
+    def serve_connection(self, peer):
+        """Serve one connection until it ends; its peer may disconnect at any time."""
         with peer, contextlib.suppress(OSError):
-            self.converse(peer, Parser(LIMITS))
+            self.answer_requests(peer, Parser(LIMITS))
 
-    def converse(self, peer, parser):
+    def answer_requests(self, peer, parser):
         """Answer the requests of one connection."""
         while data := peer.recv(RECEIVE_BYTES):
             parser.feed(data)
@@ -58,16 +61,19 @@
 
 
 def exchange(port, data, sock=None):
-    """Send a message and return the answer; on a new connection unless one is given."""
+    """Send a message to a local port and return the answer; `sock` is used instead if given.
+
+    With empty `data`, only the answer is awaited.
+    """
     peer = sock or socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_SECONDS)
     parser = Parser(LIMITS, answers=True)
     peer.sendall(data)
     message = None
     while message is None:
-        piece = peer.recv(RECEIVE_BYTES)
-        parser.feed(piece)
-        message = parser.next() if piece else parser.end()
-        if message is None and not piece:
+        received = peer.recv(RECEIVE_BYTES)
+        parser.feed(received)
+        message = parser.next() if received else parser.end()
+        if message is None and not received:
             raise ConnectionError("no answer")
     if sock is None:
         peer.close()
--- a/tests/http/server_harness.py
+++ b/tests/http/server_harness.py
@@ -1,4 +1,4 @@
-"""An inbound server on loopback sockets, and what its clients send."""
+"""An inbound server on loopback sockets, and messages that its peers send."""
 
 import socket
 import threading
@@ -18,7 +18,7 @@
 
 
 class ServerHarness:
-    """A listening server whose events are recorded; there is no core to decide on them."""
+    """A listening server whose events are recorded; there is no core to handle them."""
 
     def __init__(self, limits=LIMITS):
         self.events = []
@@ -32,8 +32,10 @@
         spec = self.server.bind(("127.0.0.1", 0))
         self.server.start_listening(spec)
         self.port = spec.listener.getsockname()[1]
-        self.accepting = threading.Thread(target=self.server.accept_loop, args=(spec,), daemon=True)
-        self.accepting.start()
+        self.accept_thread = threading.Thread(
+            target=self.server.accept_loop, args=(spec,), daemon=True
+        )
+        self.accept_thread.start()
 
     def connect(self, host="127.0.0.1"):
         """Connect from this host of the loopback network."""
@@ -42,21 +44,21 @@
             address, timeout=WAIT_TIMEOUT_SECONDS, source_address=(host, 0)
         )
 
-    def check_timeouts_until(self, done):
-        """Check the connections' timeouts, as the main thread does periodically, until `done()`."""
-        wait_for(lambda: self.server.enforce_timeouts() or done())
+    def enforce_timeouts_until(self, condition):
+        """Enforce timeouts repeatedly, as the main thread does, until `condition()` is true."""
+        wait_for(lambda: self.server.enforce_timeouts() or condition())
 
-    def requests(self, kind):
-        """Return the requests of all events of a kind, in order."""
-        return [event.request for event in self.events if isinstance(event, kind)]
+    def requests(self, event_type):
+        """Return the requests of all events of a type, in order."""
+        return [event.request for event in self.events if isinstance(event, event_type)]
 
     def close(self):
         """Stop listening and end the server's threads."""
         self.server.close_listeners()
-        self.accepting.join(WAIT_TIMEOUT_SECONDS)
+        self.accept_thread.join(WAIT_TIMEOUT_SECONDS)
         end_server(self.server)
 
 
-def serve(request, result="ok"):
+def answer_request(request, result="ok"):
     """Give an open request its final answer, as the decision thread does."""
     request.response_sink.answer(Answer(request, Outcome.SERVED, result))
--- a/tests/http/test_codec.py
+++ b/tests/http/test_codec.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 parser: complete messages from pieces of any size, a status for each error."""
+"""The HTTP/1.1 parser: messages received in pieces of any size, and the status of each error."""
 
 import pytest
 from hypothesis import given, settings
@@ -7,7 +7,8 @@
 from stepstream.http.codec import Parser, ProtocolError, write_answer, write_request
 from tests.config.configurations import LIMITS
 
-STREAM = [
+# The bytes of each message, and its body.
+MESSAGES = [
     (write_request("POST", "/a?user=1", {"Host": "x"}, b"hello"), b"hello"),
     (write_request("GET", "/b", {"Host": "x"}), b""),
     (
@@ -16,19 +17,19 @@
     ),
     (b"\r\nPOST /d HTTP/1.0\r\ncontent-length: 0\r\n\r\n", b""),
 ]
-BYTES = b"".join(data for data, _ in STREAM)
+STREAM = b"".join(data for data, _ in MESSAGES)
 
 
 @settings(derandomize=True, deadline=None, database=None)
-@given(st.lists(st.integers(0, len(BYTES)), max_size=12))
+@given(st.lists(st.integers(0, len(STREAM)), max_size=12))
 def test_pieces_of_any_size_give_the_same_messages(cuts):
-    parser, found, last = Parser(LIMITS), [], 0
-    for cut in [*sorted(cuts), len(BYTES)]:
-        parser.feed(BYTES[last:cut])
-        last = cut
+    parser, bodies, start = Parser(LIMITS), [], 0
+    for end in [*sorted(cuts), len(STREAM)]:
+        parser.feed(STREAM[start:end])
+        start = end
         while (message := parser.next()) is not None:
-            found.append(message.body)
-    assert found == [body for _, body in STREAM]
+            bodies.append(message.body)
+    assert bodies == [body for _, body in MESSAGES]
     assert parser.idle
 
 
@@ -59,12 +60,12 @@
         (b"GET / HTTP/1.1\r\nA: " + b"a" * 20_000, 431),
     ],
 )
-def test_a_protocol_error_has_its_status_and_breaks_the_connection(data, status):
+def test_a_malformed_message_raises_its_status_and_breaks_the_parser(data, status):
     parser = Parser(LIMITS)
     parser.feed(data)
-    with pytest.raises(ProtocolError) as fault:
+    with pytest.raises(ProtocolError) as raised:
         parser.next()
-    assert fault.value.status == status
+    assert raised.value.status == status
     parser.feed(b"GET / HTTP/1.1\r\n\r\n")
     with pytest.raises(ProtocolError):
         parser.next()
@@ -79,7 +80,7 @@
     assert not message.keep_alive
 
 
-def test_an_incomplete_answer_is_none():
+def test_an_incomplete_answer_is_not_returned():
     parser = Parser(LIMITS, answers=True)
     parser.feed(write_answer(200, b"abc")[:-1])
     assert parser.next() is None
@@ -93,7 +94,7 @@
 
 
 @pytest.mark.parametrize(
-    ("head", "keeps"),
+    ("head", "keep_alive"),
     [
         (b"HTTP/1.1\r\n", True),
         (b"HTTP/1.0\r\n", False),
@@ -101,7 +102,7 @@
         (b"HTTP/1.0\r\nConnection: keep-alive\r\n", True),
     ],
 )
-def test_persistence_by_version_and_connection_options(head, keeps):
+def test_version_and_connection_options_decide_whether_the_connection_persists(head, keep_alive):
     parser = Parser(LIMITS)
     parser.feed(b"GET / " + head + b"\r\n")
-    assert parser.next().keep_alive is keeps
+    assert parser.next().keep_alive is keep_alive
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -1,4 +1,4 @@
-"""The discovery client on loopback sockets: watches, their silences, failures and stops."""
+"""The discovery client on loopback sockets: watches, silent watches, failures and stops."""
 
 import random
 import socket
@@ -37,14 +37,17 @@
 
 
 def make_schedule(settings=POLICY_SETTINGS, **times):
-    """A schedule that repeats failed calls at once, and whose times may be replaced."""
+    """Return a schedule that repeats failed calls at once; `times` replaces members of it."""
     members = {"pause_after_failure_seconds": lambda self: 0.01, **times}
     schedule_class = type("AdjustedSchedule", (PollSchedule,), members)
     return schedule_class.from_settings(settings, random.Random(0))
 
 
 class DiscoveryHarness:
-    """A client whose events are recorded, and a discovery service that answers by `reply`."""
+    """A client whose events are recorded, and a discovery service.
+
+    `reply(message)` returns the bytes of the service's answer, or None to disconnect.
+    """
 
     def __init__(self, reply, version=None, settings=POLICY_SETTINGS, schedule=None, **options):
         self.events = []
@@ -79,21 +82,21 @@
 
 @pytest.fixture
 def make_client():
-    """Makes clients that the test's end stops."""
-    made = []
+    """Create discovery clients and stop them after the test."""
+    harnesses = []
 
-    def make(*arguments, **options):
-        made.append(DiscoveryHarness(*arguments, **options))
-        return made[-1]
+    def create(*arguments, **options):
+        harnesses.append(DiscoveryHarness(*arguments, **options))
+        return harnesses[-1]
 
-    yield make
-    for harness in made:
+    yield create
+    for harness in harnesses:
         harness.close()
 
 
 @pytest.fixture
 def start_client(make_client):
-    """Makes clients and starts them."""
+    """Create and start discovery clients, and stop them after the test."""
 
     def start(*arguments, **options):
         harness = make_client(*arguments, **options)
@@ -104,8 +107,8 @@
 
 
 @pytest.fixture
-def silence():
-    """An event for replies to wait on; set when the test ends."""
+def end_of_silence():
+    """Yield an event on which replies wait in order not to answer; it is set after the test."""
     event = threading.Event()
     yield event
     event.set()
@@ -114,10 +117,10 @@
 # -- versions --------------------------------------------------------------------------------------
 
 
-def test_a_watch_goes_on_from_the_version_of_the_last_list(start_client, silence):
+def test_a_watch_continues_from_the_version_of_the_last_list(start_client, end_of_silence):
     def reply(message):
         if "index=7" in message.target:
-            silence.wait(WAIT_TIMEOUT_SECONDS)
+            end_of_silence.wait(WAIT_TIMEOUT_SECONDS)
         return write_answer(200, LIST)
 
     harness = start_client(reply)
@@ -132,14 +135,14 @@
 def test_a_known_list_is_watched_from_its_version_even_if_that_is_0_and_a_call_failed(
     start_client,
 ):
-    """A fleet that fetches complete lists at its start or after failures overloads discovery."""
+    """A fleet that fetches complete lists when it starts or after failures overloads discovery."""
     harness = start_client(lambda _: write_answer(503), version=0)
     wait_for(lambda: harness.failures.count >= 3)
     harness.client.stop()
     assert all(target.startswith("/api/targets?index=0&wait=") for target in harness.targets())
 
 
-def test_a_version_that_goes_back_costs_one_complete_list(start_client):
+def test_after_a_lower_version_the_complete_list_is_fetched_once(start_client):
     def reply(message):
         if "index=9" in message.target:
             return write_answer(200, b'{"version":7,"full":false,"servers":[]}')
@@ -147,15 +150,15 @@
 
     harness = start_client(reply, version=9)
     wait_for(lambda: harness.failures.count)
-    called = [target.partition("&")[0] for target in harness.targets()[:3]]
-    assert called == ["/api/targets?index=9", "/api/targets", "/api/targets?index=7"]
+    called_targets = [target.partition("&")[0] for target in harness.targets()[:3]]
+    assert called_targets == ["/api/targets?index=9", "/api/targets", "/api/targets?index=7"]
 
 
 # -- failures --------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("answer", [write_answer(503), None, *UNREADABLE_ANSWERS])
-def test_a_call_that_fails_changes_nothing_is_counted_and_is_made_again(start_client, answer):
+def test_a_failed_call_changes_nothing_and_is_counted_and_repeated(start_client, answer):
     harness = start_client(lambda _: answer)
     wait_for(lambda: harness.failures.count >= 3)
     harness.client.stop()
@@ -163,37 +166,41 @@
     assert harness.client.version is None
 
 
-@pytest.mark.parametrize("drip", [b"", b"H"])
-def test_a_call_ends_at_its_timeout_also_if_its_answer_comes_in_drips(start_client, drip):
-    """Each drip is within any bound on one read; the list would never come."""
+@pytest.mark.parametrize("sent_bytes", [b"", b"H"])
+def test_a_call_ends_at_its_timeout_also_if_its_answer_arrives_byte_by_byte(
+    start_client, sent_bytes
+):
+    """A timeout of each single read would not end such a call."""
     client = start_client(lambda _: None).client
     stop = threading.Event()
     ours, theirs = socket.socketpair()
 
-    def feed():
-        # Far past the timeout, then the end: a call that waits for that has failed the test.
+    def send_slowly():
+        # Continues long after the timeout: a call that waits for the end of the stream is too late.
         for _ in range(100):
-            if drip:
-                theirs.sendall(drip)
+            if sent_bytes:
+                theirs.sendall(sent_bytes)
             if stop.wait(0.02):
                 return
         theirs.shutdown(socket.SHUT_WR)
 
-    threading.Thread(target=feed, daemon=True).start()
+    threading.Thread(target=send_slowly, daemon=True).start()
     with ours, theirs:
         with pytest.raises(TimeoutError):
             client.request_list(ours, b"GET", 0.3)
         stop.set()
 
 
-def test_a_pushed_list_is_followed_unpolled_over_failures_and_silent_watches(start_client, silence):
-    """The core polls only where it must: unpolled, the list from before the start would stay."""
+def test_a_pushed_list_is_followed_without_polls_despite_failures_and_silent_watches(
+    start_client, end_of_silence
+):
+    """The core does not poll here, so the client alone replaces the list from before the start."""
     answers = [write_answer(503), write_answer(200, LIST), *UNREADABLE_ANSWERS]
 
     def reply(_):
         if answers:
             return answers.pop(0)
-        silence.wait(WAIT_TIMEOUT_SECONDS)
+        end_of_silence.wait(WAIT_TIMEOUT_SECONDS)
         return None
 
     schedule = make_schedule(
@@ -203,19 +210,21 @@
         call_timeout_seconds=0.1,
     )
     harness = start_client(reply, 3, AGENT_SETTINGS, schedule)
-    # the 503 too, and two silent watches
+    # All unreadable answers, the 503 and two silent watches are counted.
     wait_for(lambda: harness.failures.count >= len(UNREADABLE_ANSWERS) + 3)
     harness.client.stop()
-    # What cannot be read has changed nothing.
+    # The unreadable answers have changed nothing.
     assert harness.adopted_kinds() == [EndpointListKind.COMPLETE]
     assert harness.destinations.usable_address("s-1") == ("127.0.0.1", 1)
 
 
-# -- what confirms the list ------------------------------------------------------------------------
+# -- reports that the list is confirmed or unconfirmed ---------------------------------------------
 
 
-def test_failures_and_answers_are_reported_where_they_change_what_is_known(start_client, silence):
-    # Guards against a list that is trusted for seconds while discovery rejects each call.
+def test_only_the_first_failure_and_the_first_answer_after_it_are_reported(
+    start_client, end_of_silence
+):
+    # Guards against a list that counts as confirmed for seconds while discovery rejects each call.
     answers = [
         write_answer(503),
         write_answer(503),
@@ -226,7 +235,7 @@
     def reply(_):
         if answers:
             return answers.pop(0)
-        silence.wait(WAIT_TIMEOUT_SECONDS)
+        end_of_silence.wait(WAIT_TIMEOUT_SECONDS)
         return None
 
     reported = []
@@ -235,11 +244,11 @@
     assert reported == [EndpointCallFailed(0), EndpointListConfirmed()]
 
 
-def test_a_silent_watch_is_reported_with_the_time_since_it_was_opened(start_client, silence):
+def test_a_silent_watch_is_reported_with_the_time_since_it_was_opened(start_client, end_of_silence):
     def reply(message):
         if "wait=0" in message.target:
             return write_answer(503)
-        silence.wait(WAIT_TIMEOUT_SECONDS)
+        end_of_silence.wait(WAIT_TIMEOUT_SECONDS)
         return None
 
     reported = []
@@ -252,20 +261,20 @@
 # -- silent watches --------------------------------------------------------------------------------
 
 
-def test_a_silent_watch_stays_open_until_the_call_beside_it_is_answered(make_client, silence):
-    """Closing a watch is giving it up: what it missed counts as known from then on."""
-    watched_on, open_at_answer = [], []
-    beside_watch = [write_answer(503), write_answer(200, NEWER_LIST)]
+def test_a_silent_watch_stays_open_until_the_next_call_is_answered(make_client, end_of_silence):
+    """Once the client closes a watch, it must know the changes that the watch missed."""
+    watch_connections, open_at_answer = [], []
+    poll_answers = [write_answer(503), write_answer(200, NEWER_LIST)]
 
     def reply(message):
         connection = harness.client.connection
         if "wait=0" in message.target:
-            if len(beside_watch) == 1:
-                is_open = connection is watched_on[0] and connection.fileno() >= 0
+            if len(poll_answers) == 1:
+                is_open = connection is watch_connections[0] and connection.fileno() >= 0
                 open_at_answer.append(is_open)
-            return beside_watch.pop(0)
-        watched_on.append(connection)
-        silence.wait(WAIT_TIMEOUT_SECONDS)
+            return poll_answers.pop(0)
+        watch_connections.append(connection)
+        end_of_silence.wait(WAIT_TIMEOUT_SECONDS)
         return None
 
     schedule = make_schedule(
@@ -280,82 +289,87 @@
     assert harness.client.version == 8
 
 
-def test_a_check_beside_the_watch_reopens_it_only_if_there_are_changes(start_client, silence):
-    """Refusals alone prove nothing: given up on a guess, what the watch missed counts as known."""
+def test_a_list_check_reopens_the_watch_only_if_there_are_changes(start_client, end_of_silence):
+    """Refused connections do not prove that the watch is silent.
+
+    The client must not close a watch before it knows the changes that the watch missed.
+    """
     answers = [LIST, NEWER_LIST]
 
     def reply(message):
         if "wait=0" in message.target:
             return write_answer(200, answers.pop(0))
-        silence.wait(WAIT_TIMEOUT_SECONDS)
+        end_of_silence.wait(WAIT_TIMEOUT_SECONDS)
         return None
 
     schedule = make_schedule(watch_wait_seconds=WAIT_TIMEOUT_SECONDS)
     harness = start_client(reply, version=7, schedule=schedule)
     client = harness.client
     wait_for(lambda: len(harness.server.requests) == 1)
-    watched_on = client.connection
+    watch_connection = client.connection
 
     client.start_list_check()
     wait_for(lambda: len(answers) == 1 and not client.check_in_progress.locked())
-    assert client.connection is watched_on
+    assert client.connection is watch_connection
     assert not harness.events
 
     client.start_list_check()
     wait_for(lambda: not answers and not client.check_in_progress.locked())
-    wait_for(lambda: any(t.startswith("/api/targets?index=8") for t in harness.targets()))
+    wait_for(lambda: any(target.startswith("/api/targets?index=8") for target in harness.targets()))
     assert harness.adopted_kinds() == [EndpointListKind.COMPLETE]
     assert not harness.failures.count
 
 
-def test_a_check_that_the_watch_has_overtaken_changes_nothing(start_client, silence):
-    harness = start_client(lambda _: silence.wait(WAIT_TIMEOUT_SECONDS) and None, version=7)
-    overtaken = replace(endpoint_answer(w=1), version=8)
-    assert not harness.client.adopt_list(overtaken, base_version=6)
+def test_a_list_polled_from_an_older_version_than_the_current_one_is_not_adopted(
+    start_client, end_of_silence
+):
+    harness = start_client(lambda _: end_of_silence.wait(WAIT_TIMEOUT_SECONDS) and None, version=7)
+    late_answer = replace(endpoint_answer(w=1), version=8)
+    assert not harness.client.adopt_list(late_answer, base_version=6)
     assert not harness.events
     assert harness.client.version == 7
 
 
 @pytest.mark.parametrize(
-    ("current", "since", "answered", "adopted", "continued_from"),
+    ("current_version", "base_version", "answered_version", "adopted", "next_version"),
     [
         (7, 7, 8, True, 8),
-        (9, 7, 8, False, 9),  # a check was faster; the answer is older
+        (9, 7, 8, False, 9),  # a check was faster, and the answer is older
         (9, 7, 10, False, 9),  # a check was faster; the next watch reports version 10 again
-        (9, 9, 2, True, None),  # discovery has started its count anew
-        (2, 9, 3, False, 2),  # another call has noticed that before
+        (9, 9, 2, True, None),  # discovery has restarted its version count
+        (2, 9, 3, False, 2),  # another call has noticed the restart before
         (None, None, 5, True, 5),  # the first list, or a list from before the start
         (5, None, 9, False, 5),
         (None, 9, 10, False, None),
     ],
 )
-def test_a_list_is_adopted_only_over_the_one_that_it_was_polled_from(
-    make_client, current, since, answered, adopted, continued_from
+def test_a_list_is_adopted_only_if_its_base_version_is_the_current_one(
+    make_client, current_version, base_version, answered_version, adopted, next_version
 ):
-    harness = make_client(lambda _: None, version=current)
-    answer = replace(endpoint_answer(w=1), version=answered)
-    assert harness.client.adopt_list(answer, base_version=since) is adopted
-    assert harness.client.version == continued_from
+    harness = make_client(lambda _: None, version=current_version)
+    answer = replace(endpoint_answer(w=1), version=answered_version)
+    assert harness.client.adopt_list(answer, base_version=base_version) is adopted
+    assert harness.client.version == next_version
     assert len(harness.events) == adopted
     assert (harness.destinations.usable_address("w") is not None) is adopted
 
 
-def test_the_late_answer_beside_a_silent_watch_does_not_undo_a_check(start_client, silence):
-    # Guards against a draining worker that is used again: the answer of an older list came last.
-    answer_late = threading.Event()
-    older = NEWER_LIST
-    newer = LIST.replace(b"7", b"9").replace(b"ready", b"draining")
-    calls_beside_watch = []
+def test_a_late_answer_to_a_poll_does_not_undo_a_list_check(start_client, end_of_silence):
+    # Guards against a draining worker that is used again because an older list was answered last.
+    send_late_answer = threading.Event()
+    older_list = NEWER_LIST
+    newer_list = LIST.replace(b"7", b"9").replace(b"ready", b"draining")
+    polls_during_watch = []
 
     def reply(message):
         if "wait=0" not in message.target:
-            silence.wait(WAIT_TIMEOUT_SECONDS)
+            end_of_silence.wait(WAIT_TIMEOUT_SECONDS)
             return None
-        calls_beside_watch.append(message)
-        if len(calls_beside_watch) > 1:
-            return write_answer(200, newer)
-        answer_late.wait(WAIT_TIMEOUT_SECONDS)
-        return write_answer(200, older)
+        polls_during_watch.append(message)
+        if len(polls_during_watch) > 1:
+            return write_answer(200, newer_list)
+        send_late_answer.wait(WAIT_TIMEOUT_SECONDS)
+        return write_answer(200, older_list)
 
     schedule = make_schedule(
         watch_wait_seconds=0.05,
@@ -364,26 +378,26 @@
     )
     harness = start_client(reply, version=7, schedule=schedule)
     client = harness.client
-    wait_for(lambda: calls_beside_watch)
+    wait_for(lambda: polls_during_watch)
     client.start_list_check()
     wait_for(lambda: client.version == 9)
-    answer_late.set()
-    wait_for(lambda: [t for t in harness.targets() if "wait=0" not in t][1:])
+    send_late_answer.set()
+    wait_for(lambda: [target for target in harness.targets() if "wait=0" not in target][1:])
     watches = [target for target in harness.targets() if "wait=0" not in target]
     assert watches[1].startswith("/api/targets?index=9")
     assert client.version == 9
     assert harness.destinations.usable_address("s-1") is None
 
 
-def test_a_check_that_finds_the_count_started_anew_has_the_complete_list_fetched(
-    start_client, silence
+def test_the_complete_list_is_fetched_after_a_check_finds_a_restarted_version_count(
+    start_client, end_of_silence
 ):
-    # Guards against changes that are missed: versions of the old and the new count do not compare.
+    # Guards against missed changes: versions from before and after the restart cannot be compared.
     def reply(message):
         if "wait=0" in message.target:
             return write_answer(200, b'{"version":2,"full":false,"servers":[]}')
         if "index=9" in message.target:
-            silence.wait(WAIT_TIMEOUT_SECONDS)
+            end_of_silence.wait(WAIT_TIMEOUT_SECONDS)
             return None
         return write_answer(200, LIST) if "index" not in message.target else write_answer(503)
 
@@ -398,12 +412,14 @@
 # -- stops -----------------------------------------------------------------------------------------
 
 
-def test_a_stopped_client_ends_its_call_and_adopts_nothing_more(start_client, silence):
-    harness = start_client(lambda _: silence.wait(WAIT_TIMEOUT_SECONDS) and write_answer(200, LIST))
+def test_a_stopped_client_ends_its_call_and_adopts_no_list(start_client, end_of_silence):
+    harness = start_client(
+        lambda _: end_of_silence.wait(WAIT_TIMEOUT_SECONDS) and write_answer(200, LIST)
+    )
     wait_for(lambda: harness.server.requests)
     harness.client.stop()
     wait_for(lambda: harness.client.connection is None)
     harness.client.adopt_list(endpoint_answer(w=1))
-    silence.set()
+    end_of_silence.set()
     assert not harness.events
     assert harness.destinations.usable_address("w") is None
--- a/tests/http/test_eviction.py
+++ b/tests/http/test_eviction.py
@@ -1,4 +1,4 @@
-"""Which connections are evicted: by rank, by how long they were quiet, and how many at a time."""
+"""Which connections are evicted, by rank and quiet time, and how many at a time."""
 
 import pytest
 
@@ -32,32 +32,33 @@
 
 
 @pytest.mark.parametrize(
-    ("connections", "evicted"),
+    ("connections", "evicted_indexes"),
     [
-        ([(IDLE, 5.0), (IDLE, 9.0)], [1, 0]),  # the longest quiet first
-        ([(IDLE, 9.0), (DONE, 5.0)], [1]),  # the least rank, and none of a higher one
-        ([(IDLE, 9.0), (DONE, 5.0, False)], [0]),  # unless those of the least owe something
-        ([(IDLE, 0.9), (IDLE, 1.0)], [1]),  # none that was active a moment ago
+        ([(IDLE, 5.0), (IDLE, 9.0)], [1, 0]),  # the one with the longest quiet time first
+        ([(IDLE, 9.0), (DONE, 5.0)], [1]),  # the lowest rank, and none of a higher one
+        # A higher rank, if no connection of the lowest can be evicted.
+        ([(IDLE, 9.0), (DONE, 5.0, False)], [0]),
+        ([(IDLE, 0.9), (IDLE, 1.0)], [1]),  # none that was active within the last second
         ([(IDLE, 0.9), (NEW, 1.0)], [1]),
-        ([(IDLE, 5.0), (IDLE, 6.0), (IDLE, 7.0)], [2, 1]),  # no more at once than the limit
+        ([(IDLE, 5.0), (IDLE, 6.0), (IDLE, 7.0)], [2, 1]),  # not more at a time than the limit
         ([(NEVER, float("-inf"))], []),
         ([], []),
     ],
     ids=[
-        "longest quiet first",
-        "least rank",
-        "least rank not evictable",
-        "active a moment ago",
+        "longest quiet time first",
+        "lowest rank",
+        "lowest rank not evictable",
+        "recently active",
         "new",
-        "limit at once",
-        "never",
-        "none",
+        "limit at a time",
+        "never evicted",
+        "no connections",
     ],
 )
-def test_connections_are_evicted_by_rank_and_quiet_time(connections, evicted):
-    made = [FakeConnection(*given) for given in connections]
-    found = list(evict_connections(made, NOW_SECONDS, LIMITS))
-    assert [made.index(connection) for connection in found] == evicted
+def test_connections_are_evicted_by_rank_and_quiet_time(connections, evicted_indexes):
+    fakes = [FakeConnection(*arguments) for arguments in connections]
+    evicted = list(evict_connections(fakes, NOW_SECONDS, LIMITS))
+    assert [fakes.index(connection) for connection in evicted] == evicted_indexes
 
 
 @pytest.mark.parametrize(
--- a/tests/http/test_exchange.py
+++ b/tests/http/test_exchange.py
@@ -1,4 +1,4 @@
-"""An exchange with a worker as a state machine, by random steps against a model of its states."""
+"""An exchange with a worker: random steps, compared with a model of its states."""
 
 import pytest
 from hypothesis import strategies as st
@@ -10,7 +10,7 @@
 from tests.config.configurations import LIMITS
 
 NOT_STARTED = {"Not-Started": "1"}
-# Answers that end nothing.
+# In place of a result: answers that do not end the exchange.
 INTERIM = "interim"
 INCOMPLETE = "incomplete"
 # By name: the worker's bytes, and the attempt's result (None: the job is accepted).
@@ -24,26 +24,26 @@
     "junk": (b"junk\r\n\r\n", AttemptResult.RESET),
     "part": (b"HTTP/1.1 20", INCOMPLETE),
 }
-OPEN = "open"
+NOT_OVER = "not over"  # in place of a result
 
 
 class ExchangeMachine(RuleBasedStateMachine):
-    """The model: whether the last byte is written, and the first thing that ended the exchange."""
+    """The model: whether the request is written completely, and the result that came first."""
 
     def __init__(self):
         super().__init__()
         self.exchange = HttpExchange(LIMITS)
         self.written = False
-        self.result = OPEN
+        self.result = NOT_OVER
         self.inside_answer = False
 
-    @precondition(lambda self: self.result == OPEN and not self.written)
+    @precondition(lambda self: self.result == NOT_OVER and not self.written)
     @rule()
     def write_request(self):
         self.exchange.on_request_written()
         self.written = True
 
-    @precondition(lambda self: self.result == OPEN and self.written and not self.inside_answer)
+    @precondition(lambda self: self.result == NOT_OVER and self.written and not self.inside_answer)
     @rule(name=st.sampled_from(list(ANSWERS)))
     def answer(self, name):
         data, result = ANSWERS[name]
@@ -58,32 +58,32 @@
             self.exchange.receive(b"")
         else:
             self.exchange.connection_lost()
-        if self.result == OPEN:
+        if self.result == NOT_OVER:
             lost = AttemptResult.RESET if self.written else AttemptResult.CONNECT_FAILED
             self.result = lost
 
     @invariant()
     def agrees_with_the_model(self):
-        assert self.exchange.is_over == (self.result != OPEN)
-        assert self.exchange.result == (None if self.result == OPEN else self.result)
+        assert self.exchange.is_over == (self.result != NOT_OVER)
+        assert self.exchange.result == (None if self.result == NOT_OVER else self.result)
         accepted = self.exchange.phase is ExchangePhase.JOB_ACCEPTED
         assert accepted == (self.result is None)
 
 
-def test_exchange_against_its_model(run_state_machine):
+def test_an_exchange_behaves_as_its_model(run_state_machine):
     run_state_machine(ExchangeMachine)
 
 
-KEPT = write_answer(202)
+KEEP_ALIVE_ANSWER = write_answer(202)
 
 
 @pytest.mark.parametrize(
     ("is_written", "answer", "reusable"),
     [
-        (True, KEPT, True),
+        (True, KEEP_ALIVE_ANSWER, True),
         (True, write_answer(202, close=True), False),
-        (True, KEPT + b"H", False),  # a part of a second answer
-        (False, KEPT, False),
+        (True, KEEP_ALIVE_ANSWER + b"H", False),  # a part of a second answer
+        (False, KEEP_ALIVE_ANSWER, False),
     ],
 )
 def test_a_connection_is_reusable_only_between_two_messages(is_written, answer, reusable):
--- a/tests/http/test_in_flight_call.py
+++ b/tests/http/test_in_flight_call.py
@@ -1,4 +1,4 @@
-"""An in-flight call: how a stop and the worker's answer meet."""
+"""An in-flight call that is stopped before or after the worker's answer."""
 
 import socket
 
@@ -19,7 +19,7 @@
 
 
 def sent_call():
-    """A call whose request is written, and its exchange."""
+    """Return a call whose request is written, and its exchange."""
     in_flight = InFlightCall()
     exchange = HttpExchange(LIMITS)
     in_flight.phase = CallPhase.SENT
@@ -37,8 +37,10 @@
 @pytest.mark.parametrize(
     ("answer", "may_run"), [("accepted", True), ("error", True), ("full", False)]
 )
-def test_after_a_stop_an_answer_frees_nothing_and_only_its_proof_counts(answer, may_run):
-    """A job that was not started needs no cancellation; any other may run."""
+def test_after_a_stop_the_connection_is_not_reused_and_a_job_that_may_run_is_cancelled(
+    answer, may_run
+):
+    """A job that the worker has not started needs no cancellation; any other job may run."""
     in_flight, exchange = sent_call()
     in_flight.request_stop()
     exchange.receive(ANSWERS[answer])
@@ -48,7 +50,7 @@
 
 
 @pytest.mark.parametrize("phase", [CallPhase.UNSENT, CallPhase.ACCEPTED])
-def test_a_stop_before_the_request_or_after_the_202_leaves_the_calling_thread_nothing_to_do(phase):
+def test_the_calling_thread_cancels_no_job_that_is_unsent_or_was_accepted_before_the_stop(phase):
     in_flight = InFlightCall()
     in_flight.phase = phase
     in_flight.request_stop()
@@ -56,7 +58,7 @@
     assert not in_flight.may_run_after_stop(None)
 
 
-def test_a_stop_shuts_the_connection_of_an_exchange_under_way():
+def test_a_stop_shuts_down_the_connection_of_an_unfinished_exchange():
     in_flight, exchange = sent_call()
     ours, theirs = socket.socketpair()
     with ours, theirs:
--- a/tests/http/test_lingering.py
+++ b/tests/http/test_lingering.py
@@ -1,4 +1,4 @@
-"""The bound of lingering sockets."""
+"""The limit on lingering sockets."""
 
 import socket
 from dataclasses import replace
@@ -7,11 +7,13 @@
 from tests.config.configurations import LIMITS
 
 MAX_LINGERING = 3
-LIMITS_OF_THREE = replace(LIMITS, connections=replace(LIMITS.connections, lingering=MAX_LINGERING))
+LIMITS_WITH_MAX_LINGERING = replace(
+    LIMITS, connections=replace(LIMITS.connections, lingering=MAX_LINGERING)
+)
 
 
 class AddingSocket:
-    """A socket that lingers; while it is read, another thread adds one more."""
+    """A lingering socket; each read of it adds another one, as another thread might."""
 
     def __init__(self, lingering):
         self.lingering = lingering
@@ -19,9 +21,9 @@
         self.counts = []
 
     def recv(self, *arguments):
-        """Receive nothing, after another socket was added."""
-        other, self.other_peer = socket.socketpair()
-        self.lingering.add(other, 60.0)
+        """Add another socket, and receive nothing."""
+        added, self.added_peer = socket.socketpair()
+        self.lingering.add(added, 60.0)
         self.counts.append(len(self.lingering))
         raise BlockingIOError
 
@@ -31,16 +33,18 @@
         self.peer.close()
 
 
-def test_the_bound_holds_while_due_sockets_are_closed():
-    # Guards the process's descriptors against a flood of rejected peers in that moment.
-    lingering = LingeringSockets(LIMITS_OF_THREE)
-    adding = [AddingSocket(lingering) for _ in range(MAX_LINGERING)]
-    for sock in adding:
+def test_the_limit_holds_while_due_sockets_are_closed():
+    # Guards against running out of descriptors when a flood of rejected peers arrives at that time.
+    lingering = LingeringSockets(LIMITS_WITH_MAX_LINGERING)
+    adding_sockets = [AddingSocket(lingering) for _ in range(MAX_LINGERING)]
+    for sock in adding_sockets:
         lingering.add(sock, 60.0)
     lingering.close_due(0.0)
-    assert [count for sock in adding for count in sock.counts] == [MAX_LINGERING] * MAX_LINGERING
+    assert [count for sock in adding_sockets for count in sock.counts] == [
+        MAX_LINGERING
+    ] * MAX_LINGERING
     lingering.close_due(float("inf"))
     assert len(lingering) == 0
-    for sock in adding:
+    for sock in adding_sockets:
         sock.close()
-        sock.other_peer.close()
+        sock.added_peer.close()
--- a/tests/http/test_load_reports.py
+++ b/tests/http/test_load_reports.py
@@ -1,4 +1,4 @@
-"""The one reader of load reports: every documented form, and whatever else a worker may send."""
+"""The reader of load reports: every documented form, and any other input from a worker."""
 
 import json
 from dataclasses import replace
@@ -13,10 +13,10 @@
 from stepstream.http.worker_api import NOTIFICATION_PATH, read_notification
 from tests.config.configurations import HEALTH_CHECK_LOAD_REPORTS, POLICY_SETTINGS
 
-FULL = {"queue": 2.0, "free_slots": 1.5}
+REPORT = {"queue": 2.0, "free_slots": 1.5}
 READABLE = {
-    "TEXT util=0.6, queue=2, x0=1.5": FULL,
-    " TEXT x0 = 1.5,queue=2 ,zone=a": FULL,
+    "TEXT util=0.6, queue=2, x0=1.5": REPORT,
+    " TEXT x0 = 1.5,queue=2 ,zone=a": REPORT,
     "TEXT util=0": None,
 }
 UNREADABLE = (
@@ -34,21 +34,23 @@
 
 
 def make_reader(source="answers"):
-    """A reader, and the list of what it has found wrong."""
-    complaints = []
-    return LoadReportReader(settings_with(source), complaints.append), complaints
+    """Return a reader, and the list to which it appends the error of each unreadable report."""
+    errors = []
+    return LoadReportReader(settings_with(source), errors.append), errors
 
 
 @pytest.mark.parametrize("text", [*READABLE, *UNREADABLE])
 def test_a_report_in_text_form_is_read_from_a_header_and_from_a_health_check(text):
-    reader, complaints = make_reader()
+    reader, errors = make_reader()
     expected = READABLE.get(text)
     assert reader.read_header(text) == expected == reader.read_health_check(text.encode())
-    assert len(complaints) == 2 * (text in UNREADABLE)
+    assert len(errors) == 2 * (text in UNREADABLE)
 
 
-@pytest.mark.parametrize(("source", "places"), [("answers", 3), ("probe", 1), ("none", 0)])
-def test_reports_come_where_the_settings_say_also_after_a_reload(source, places):
+@pytest.mark.parametrize(("source", "report_count"), [("answers", 3), ("probe", 1), ("none", 0)])
+def test_reports_are_read_only_from_the_source_in_the_settings_also_after_a_reload(
+    source, report_count
+):
     reader, _ = make_reader("none")
     reader.reconfigure(settings_with(source))
     load = {"queue": 2, "x0": 1.5}
@@ -60,7 +62,7 @@
         reader.read_header("TEXT queue=2, x0=1.5"),
         notification.load_report,
     ]
-    assert reports == [FULL] * places + [None] * (3 - places)
+    assert reports == [REPORT] * report_count + [None] * (3 - report_count)
 
 
 SCALARS = (
@@ -71,9 +73,9 @@
 
 @settings(derandomize=True, deadline=None, database=None)
 @given(LOADS, st.binary(max_size=60), st.text(max_size=60))
-def test_whatever_comes_it_is_a_report_of_bounded_numbers_or_none(load, tail, text):
+def test_any_input_gives_a_report_of_bounded_numbers_or_none(load, body_tail, text):
     reader, _ = make_reader()
-    bodies = (tail, b"TEXT queue=" + tail, b"{" + tail, json.dumps(load).encode())
+    bodies = (body_tail, b"TEXT queue=" + body_tail, b"{" + body_tail, json.dumps(load).encode())
     reports = [
         reader.read_notification(load),
         reader.read_header("TEXT " + text),
--- a/tests/http/test_platform_api.py
+++ b/tests/http/test_platform_api.py
@@ -1,4 +1,4 @@
-"""The platform's APIs: what clients, workers and discovery send and get."""
+"""The platform's APIs: messages from and to clients, workers and discovery."""
 
 import pytest
 
@@ -36,24 +36,30 @@
 
 
 def test_a_request_is_read_by_the_names_in_the_settings():
-    taken = read_job(
+    request = read_job(
         path="/nav-publish?user=k7",
         Tenant="hron-asset",
         Request_Info="slots=2,x=1",
         Client_Retry="1",
     )
-    assert (taken.job_class, taken.tenant, taken.key, taken.slots, taken.client_retry) == (
+    assert (
+        request.job_class,
+        request.tenant,
+        request.key,
+        request.slots,
+        request.client_retry,
+    ) == (
         1,
         1,
         "k7",
         2.0,
         True,
     )
-    assert (taken.arrived_us, taken.deadline_us) == (1_000, 5_001_000)
+    assert (request.arrived_us, request.deadline_us) == (1_000, 5_001_000)
 
 
 @pytest.mark.parametrize(
-    ("more", "status"),
+    ("changes", "status"),
     [
         ({"path": "/nothing"}, 404),
         ({"path": "*"}, 404),
@@ -72,10 +78,10 @@
     ],
     ids=case_id,
 )
-def test_a_malformed_request_has_its_status(more, status):
-    with pytest.raises(ProtocolError) as fault:
-        read_job(**more)
-    assert fault.value.status == status
+def test_a_malformed_request_raises_its_status(changes, status):
+    with pytest.raises(ProtocolError) as raised:
+        read_job(**changes)
+    assert raised.value.status == status
 
 
 def read_notification_body(body, method="POST"):
@@ -95,12 +101,12 @@
     ids=["empty", "list", "no JSON", "number as id", "deeply nested", "not UTF-8"],
 )
 def test_a_malformed_notification_is_a_400(body):
-    with pytest.raises(ProtocolError) as fault:
+    with pytest.raises(ProtocolError) as raised:
         read_notification_body(body)
-    assert fault.value.status == 400
+    assert raised.value.status == 400
 
 
-def test_a_call_carries_the_request_its_id_key_and_timeout():
+def test_a_call_contains_the_request_its_id_its_key_and_the_timeout():
     message = parse(job_request(path="/nav-publish?user=1", body=b"xyz", Idempotency_Key="k"))
     request = client_api.ClientApi(POLICY_SETTINGS).read_request(message, 0)
     sent = parse(worker_api.call_bytes("h:1", request.id, request.payload, 480))
@@ -125,26 +131,26 @@
     assert worker_api.read_call_answer(Message(status=status, headers=headers)) is result
 
 
-def test_final_answers_by_outcome():
-    def answer(outcome, result=None, pause_us=0):
+def test_the_outcome_decides_the_final_answer():
+    def answer(outcome, result=None, retry_after_us=0):
         parser = Parser(LIMITS, answers=True)
-        parser.feed(client_api.final_answer(outcome, result, pause_us, close=False))
+        parser.feed(client_api.final_answer(outcome, result, retry_after_us, close=False))
         return parser.next()
 
     assert answer(Outcome.SERVED, "é").body == "é".encode()
-    refused = answer(Outcome.REJECTED, pause_us=1_500_000)
-    assert (refused.status, refused.headers["retry-after"]) == (503, "1.500")
+    rejected = answer(Outcome.REJECTED, retry_after_us=1_500_000)
+    assert (rejected.status, rejected.headers["retry-after"]) == (503, "1.500")
     assert "retry-after" not in answer(Outcome.REJECTED).headers
     assert answer(Outcome.FAILED).status not in (200, 429, 503)
 
 
 def test_an_endpoint_list_is_read_with_names_as_indices():
-    side = discovery_api.DiscoveryApi(POLICY_SETTINGS)
-    targets = side.read({"version": 4, "full": False, "servers": [ROW]})
-    entry = Endpoint("s-1", 1, 1, 3, EndpointState.ACTIVE, 1.5, 7_000)
-    assert targets.update == EndpointList(EndpointListKind.CHANGES, (entry,))
-    assert targets.addresses == {"s-1": ("127.0.0.1", 8081)}
-    assert side.read({"servers": []}, persisted=True).update.kind is EndpointListKind.PERSISTED
+    api = discovery_api.DiscoveryApi(POLICY_SETTINGS)
+    answer = api.read({"version": 4, "full": False, "servers": [ROW]})
+    endpoint = Endpoint("s-1", 1, 1, 3, EndpointState.ACTIVE, 1.5, 7_000)
+    assert answer.update == EndpointList(EndpointListKind.CHANGES, (endpoint,))
+    assert answer.addresses == {"s-1": ("127.0.0.1", 8081)}
+    assert api.read({"servers": []}, persisted=True).update.kind is EndpointListKind.PERSISTED
 
 
 @pytest.mark.parametrize(
--- a/tests/http/test_poll_schedule.py
+++ b/tests/http/test_poll_schedule.py
@@ -1,4 +1,4 @@
-"""When discovery is called: the platform's bounds, kept by the schedule alone."""
+"""When discovery is called: the schedule alone keeps the platform's bounds."""
 
 import random
 
@@ -8,10 +8,10 @@
 
 from stepstream.http.poll_schedule import MIN_INITIAL_BACKOFF_SECONDS, PollSchedule
 
-KNOWN_BY_SECONDS = 6.0  # after discovery had a change and could be reached
-DRAIN_GRACE_SECONDS = 0.5  # the drain grace of the platform's days
+MAX_CHANGE_DELAY_SECONDS = 6.0  # after discovery has a change and can be reached
+DRAIN_GRACE_SECONDS = 0.5  # the platform's limit for the last sends to a draining worker
 QUEUE_TIMEOUT_SECONDS = 2.0  # discovery fails a queued call after this time
-ROUND_TRIP_SECONDS = 0.3  # of a call that is answered at once
+ROUND_TRIP_SECONDS = 0.3  # of a call that discovery answers at once
 LIST_COST_SECONDS = 0.5  # discovery's work for a complete list
 MEAN_JITTER = 0.75
 DISPATCHER_COUNTS = st.integers(1, 250)
@@ -29,25 +29,28 @@
 
 
 @pytest.mark.parametrize("dispatcher_count", range(1, 5))
-def test_few_know_of_a_change_in_time_though_a_watch_falls_silent_and_a_call_hangs(
+def test_few_dispatchers_know_a_change_in_time_after_a_silent_watch_and_a_hanging_call(
     dispatcher_count,
 ):
-    """From the opening of the watch, at worst: silence, a call beside it that hangs, a pause, and
-    the round trip of the next call. The grace for sends is left whole.
+    """In the worst case, the watch is silent from the start, the next call hangs, and a pause and
+    the round trip of another call follow. The drain grace for sends stays unused.
     """
     schedule = schedule_of(dispatcher_count)
-    longest = (
+    longest_seconds = (
         schedule.watch_wait_seconds
         + schedule.watch_overrun_seconds
         + schedule.call_timeout_seconds
         + schedule.pause_after_failure_seconds()
         + ROUND_TRIP_SECONDS
     )
-    assert longest <= KNOWN_BY_SECONDS - DRAIN_GRACE_SECONDS
+    assert longest_seconds <= MAX_CHANGE_DELAY_SECONDS - DRAIN_GRACE_SECONDS
 
 
-def test_with_more_a_silent_watch_is_made_up_for_within_2_s_of_its_wait():
-    """Also by the slowest answer that discovery gives; a call that hangs as well is not in time."""
+def test_more_dispatchers_know_a_change_within_2_s_after_the_wait_of_a_silent_watch():
+    """The next call is in time even if discovery answers it as late as it can.
+
+    It is not in time if it hangs as well.
+    """
     assert all(
         schedule_of(count).watch_overrun_seconds + QUEUE_TIMEOUT_SECONDS
         <= 2.0 + DRAIN_GRACE_SECONDS
@@ -55,16 +58,19 @@
     )
 
 
-def test_calls_are_not_given_up_before_discovery_fails_them():
-    """Six dispatchers that gave theirs up after 1 s after a reload kept its queue full: three were
-    not served in 14 s (herd+brink, seed 918771944686).
+def test_calls_do_not_time_out_before_discovery_fails_them():
+    """Guards against a full queue: after a reload, six dispatchers abandoned their calls after 1 s
+    and repeated them. Three of them were not served in 14 s (herd+brink, seed 918771944686).
     """
     assert all(schedule_of(count).call_timeout_seconds > 2.0 for count in (1, 6, 30, 200))
 
 
 @pytest.mark.parametrize("dispatcher_count", range(1, 9))
 def test_a_fleet_whose_calls_all_fail_calls_less_often_than_discovery_serves(dispatcher_count):
-    """Each makes a call that waits for 2 s and a pause; a complete list is half a second of work."""
+    """Each dispatcher repeats a call that waits for 2 s, and a pause.
+
+    A complete list takes discovery half a second of work.
+    """
     schedule = schedule_of(dispatcher_count)
     pauses = [schedule.pause_after_failure_seconds() * MEAN_JITTER for _ in range(20)]
     period_seconds = QUEUE_TIMEOUT_SECONDS + pauses[-1]
@@ -73,15 +79,15 @@
 
 @settings(derandomize=True, deadline=None, database=None)
 @given(dispatcher_count=DISPATCHER_COUNTS, failures=st.integers(1, 30))
-def test_no_row_of_failures_makes_a_pause_that_with_the_calls_round_it_reaches_the_bound(
+def test_after_any_number_of_failures_the_next_answer_arrives_within_the_bound(
     dispatcher_count, failures
 ):
-    """A call that hangs to its timeout, the pause after it and the next call's round trip."""
+    """In the worst case, a call hangs until its timeout, and a pause and a round trip follow."""
     schedule = schedule_of(dispatcher_count)
     pauses = [schedule.pause_after_failure_seconds() for _ in range(failures)]
-    longest = schedule.call_timeout_seconds + max(pauses) + ROUND_TRIP_SECONDS
-    assert longest <= KNOWN_BY_SECONDS - DRAIN_GRACE_SECONDS + 1e-9
-    assert min(pauses) >= MIN_INITIAL_BACKOFF_SECONDS / 2  # bounded the other way too: no storm
+    longest_seconds = schedule.call_timeout_seconds + max(pauses) + ROUND_TRIP_SECONDS
+    assert longest_seconds <= MAX_CHANGE_DELAY_SECONDS - DRAIN_GRACE_SECONDS + 1e-9
+    assert min(pauses) >= MIN_INITIAL_BACKOFF_SECONDS / 2  # no flood of calls
     schedule.pause_after_answer_seconds(1.0, unchanged=False)
     assert schedule.pause_after_failure_seconds() <= pauses[-1]
 
@@ -90,7 +96,7 @@
     ("dispatcher_count", "wait_seconds"),
     [(1, 2.35), (4, 2.35), (8, 4.4), (40, 22.0), (500, 60.0)],
 )
-def test_watches_last_longer_where_more_of_them_end(dispatcher_count, wait_seconds):
+def test_watches_wait_longer_with_more_dispatchers(dispatcher_count, wait_seconds):
     schedule = schedule_of(dispatcher_count)
     assert schedule.watch_wait_seconds == pytest.approx(wait_seconds)
     assert schedule.watch_wait_seconds <= 60.0
@@ -108,15 +114,15 @@
     ("call_seconds", "unchanged", "pause_seconds"),
     [(0.05, True, 0.1), (0.1, True, 0.0), (0.05, False, 0.0)],
 )
-def test_only_a_watch_answered_at_once_with_nothing_new_is_followed_by_a_pause(
+def test_only_a_watch_answered_at_once_without_changes_is_followed_by_a_pause(
     call_seconds, unchanged, pause_seconds
 ):
     pause = schedule_of(1).pause_after_answer_seconds(call_seconds, unchanged=unchanged)
     assert pause == pause_seconds
 
 
-def test_what_an_agent_pushes_is_never_older_than_half_a_second():
-    """What it holds counts as known at once; it answers at no cost."""
+def test_a_list_pushed_to_an_agent_is_known_within_half_a_second():
+    """The dispatcher must know a list as soon as the agent has it. Calls to the agent are free."""
     schedule = schedule_of(200, agent_pushes=True)
     assert schedule.first_pause_seconds() == 0.0
     assert schedule.watch_wait_seconds + schedule.watch_overrun_seconds <= 0.5
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -16,28 +16,28 @@
     NOTIFICATION,
     READINESS_CHECK,
     WORKER_HOST,
-    serve,
+    answer_request,
 )
 from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
-RESET_SECONDS = 0.05  # on loopback a reset takes much less
+RESET_WAIT_SECONDS = 0.05  # on loopback a reset arrives much sooner
 EVICTABLE_IDLE_SECONDS = 0.01
 
 
-def test_over_budget_a_connection_gets_503_at_once_and_open_requests_stay(serve_inbound):
-    harness = serve_inbound(Limits(connections=ConnectionLimits(inbound=1, reserved_for_workers=0)))
+def test_a_connection_over_the_budget_gets_503_at_once_and_open_requests_stay(start_server):
+    harness = start_server(Limits(connections=ConnectionLimits(inbound=1, reserved_for_workers=0)))
     with harness.connect() as peer:
         peer.sendall(job_request())
         (open_request,) = wait_for(lambda: harness.requests(RequestReceived))
         rejected = exchange(harness.port, b"")
         assert rejected.status == 503
         assert rejected.headers["retry-after"] == "2.000"
-        serve(open_request)
+        answer_request(open_request)
         assert exchange(0, b"", peer).status == 200
 
 
-def test_a_notification_is_admitted_when_open_requests_occupy_all_other_connections(serve_inbound):
-    harness = serve_inbound(
+def test_a_notification_is_admitted_when_open_requests_occupy_all_other_connections(start_server):
+    harness = start_server(
         Limits(connections=ConnectionLimits(inbound=3, reserved_for_workers=0, open_requests=1))
     )
     with harness.connect() as idle, harness.connect() as first:
@@ -48,8 +48,8 @@
         assert exchange(harness.port, NOTIFICATION).status == 200
 
 
-def test_reserved_connections_are_for_workers_hosts_only(serve_inbound):
-    harness = serve_inbound(Limits(connections=ConnectionLimits(inbound=2, reserved_for_workers=1)))
+def test_reserved_connections_are_only_for_the_hosts_of_workers(start_server):
+    harness = start_server(Limits(connections=ConnectionLimits(inbound=2, reserved_for_workers=1)))
     with harness.connect() as client, harness.connect(WORKER_HOST) as worker:
         client.sendall(job_request())
         wait_for(lambda: harness.requests(RequestReceived))
@@ -65,7 +65,7 @@
         (9, 7, 0, True, False),
         (9, 8, 0, True, True),  # the last two connections are for workers
         (9, 8, 0, False, False),
-        (8, 0, 5, False, True),  # descriptors that are not closed yet
+        (8, 0, 5, False, True),  # evicted connections still use descriptors
         (8, 0, 4, False, False),
     ],
 )
@@ -82,8 +82,8 @@
     )
 
 
-def test_a_flood_of_silent_connections_keeps_out_neither_notifications_nor_clients(serve_inbound):
-    harness = serve_inbound(
+def test_a_flood_of_silent_connections_keeps_out_neither_notifications_nor_clients(start_server):
+    harness = start_server(
         Limits(
             connections=ConnectionLimits(inbound=6, reserved_for_workers=2),
             timeouts=Timeouts(evictable_idle_seconds=0.0, evict_silent_after_seconds=0.0),
@@ -92,23 +92,23 @@
     with contextlib.ExitStack() as stack:
         client = stack.enter_context(harness.connect())
         client.sendall(job_request("01"))
-        (waiting,) = wait_for(lambda: harness.requests(RequestReceived))
-        serve(waiting)
+        (open_request,) = wait_for(lambda: harness.requests(RequestReceived))
+        answer_request(open_request)
         assert exchange(0, b"", client).status == 200
         for _ in range(20):
-            stack.enter_context(harness.connect())  # and send nothing
+            stack.enter_context(harness.connect())  # sends nothing
         worker = stack.enter_context(harness.connect(WORKER_HOST))
         assert exchange(0, NOTIFICATION, worker).status == 200
-        # A new client is admitted, and the old one has kept its connection.
-        fresh = stack.enter_context(harness.connect())
-        fresh.sendall(job_request("02"))
+        # A new client is admitted, and the first one has kept its connection.
+        new_client = stack.enter_context(harness.connect())
+        new_client.sendall(job_request("02"))
         wait_for(lambda: len(harness.requests(RequestReceived)) == 2)
         client.sendall(job_request("03"))
         wait_for(lambda: len(harness.requests(RequestReceived)) == 3)
 
 
-def test_many_silent_connections_are_evicted_at_once_and_every_place_is_freed(serve_inbound):
-    harness = serve_inbound(
+def test_many_silent_connections_are_evicted_at_once_and_every_place_is_freed(start_server):
+    harness = start_server(
         Limits(
             connections=ConnectionLimits(inbound=12, reserved_for_workers=2),
             timeouts=Timeouts(evictable_idle_seconds=EVICTABLE_IDLE_SECONDS),
@@ -118,7 +118,7 @@
         for _ in range(10):
             stack.enter_context(harness.connect())
         wait_for(lambda: harness.server.external_count == 10)
-        # Time is the subject: after it each connection has been idle for longer than the limit.
+        # A fixed wait, after which each connection has been idle for longer than the limit.
         time.sleep(2 * EVICTABLE_IDLE_SECONDS)
         assert exchange(harness.port, READINESS_CHECK).status == 200
         # The next ones are admitted without an eviction.
@@ -127,8 +127,8 @@
     assert harness.server.external_count == 0
 
 
-def test_an_idle_client_is_evicted_before_a_slow_new_connection(serve_inbound):
-    harness = serve_inbound(
+def test_an_idle_client_is_evicted_before_a_slow_new_connection(start_server):
+    harness = start_server(
         Limits(
             connections=ConnectionLimits(inbound=2, reserved_for_workers=0),
             timeouts=Timeouts(
@@ -140,8 +140,8 @@
         wait_for(lambda: len(harness.server.connections) == 1)
         with harness.connect() as client:
             client.sendall(job_request())
-            (waiting,) = wait_for(lambda: harness.requests(RequestReceived))
-            serve(waiting)
+            (open_request,) = wait_for(lambda: harness.requests(RequestReceived))
+            answer_request(open_request)
             assert exchange(0, b"", client).status == 200
             assert exchange(harness.port, READINESS_CHECK).status == 200
             assert client.recv(1) == b""
@@ -150,23 +150,26 @@
 
 
 def test_a_closed_listener_ends_its_accepting_thread_without_a_fault(
-    serve_inbound, monkeypatch, capfd
+    start_server, monkeypatch, capfd
 ):
-    # Guards against `accept_failed [Errno 22]` at a stop: the thread took the close for a fault.
-    harness = serve_inbound()
+    # Guards against a logged `accept_failed [Errno 22]` at a stop: the thread took the close of its
+    # listener for a fault.
+    harness = start_server()
 
     def shut_down_and_wait(sock):
         shut_down(sock)
-        harness.accepting.join(0.2)
+        harness.accept_thread.join(0.2)
 
     monkeypatch.setattr(server, "shut_down", shut_down_and_wait)
     harness.server.close_listeners()
-    harness.accepting.join(WAIT_TIMEOUT_SECONDS)
+    harness.accept_thread.join(WAIT_TIMEOUT_SECONDS)
     assert "accept_failed" not in capfd.readouterr().err
 
 
-def test_a_connection_that_arrives_as_the_process_ends_is_closed_unread(serve_inbound, monkeypatch):
-    harness = serve_inbound()
+def test_a_connection_that_arrives_while_the_process_ends_is_closed_without_reading(
+    start_server, monkeypatch
+):
+    harness = start_server()
     arrived = []
 
     def shut_down_after_an_arrival(sock):
@@ -176,14 +179,14 @@
 
     monkeypatch.setattr(server, "shut_down", shut_down_after_an_arrival)
     harness.server.close_listeners()
-    # Guards against a request that is read and never answered.
+    # Guards against a request that is read but never answered.
     with arrived[0] as peer, contextlib.suppress(ConnectionResetError):
         assert peer.recv(1) == b""
     assert not harness.events
 
 
-def test_evicted_connections_count_against_the_budget_until_they_are_closed(serve_inbound):
-    harness = serve_inbound(
+def test_evicted_connections_count_against_the_budget_until_they_are_closed(start_server):
+    harness = start_server(
         Limits(
             connections=ConnectionLimits(inbound=2, reserved_for_workers=0, evicted_unclosed=0),
             timeouts=Timeouts(evictable_idle_seconds=0.0),
@@ -193,8 +196,8 @@
     assert exchange(harness.port, b"").status == 503
 
 
-def test_a_peer_with_half_a_message_is_evicted_for_a_new_connection(serve_inbound):
-    harness = serve_inbound(
+def test_a_peer_with_an_incomplete_message_is_evicted_for_a_new_connection(start_server):
+    harness = start_server(
         Limits(
             connections=ConnectionLimits(inbound=1, reserved_for_workers=0),
             timeouts=Timeouts(evictable_idle_seconds=0.0),
@@ -209,8 +212,8 @@
         assert slow.recv(1) == b""
 
 
-def test_a_peer_that_is_still_sending_after_its_error_is_not_evicted(serve_inbound):
-    harness = serve_inbound(
+def test_a_peer_that_still_sends_after_its_error_reply_is_not_evicted(start_server):
+    harness = start_server(
         Limits(
             connections=ConnectionLimits(inbound=1, reserved_for_workers=0),
             timeouts=Timeouts(evictable_idle_seconds=WAIT_TIMEOUT_SECONDS),
@@ -223,15 +226,18 @@
         closed.last_activity_at_seconds = 0.0  # long ago
         sending.sendall(bytes(1000))
         wait_for(lambda: closed.last_activity_at_seconds > 0.0)
-        # It is not evicted; how long it may linger counts from its error.
+        # It is not evicted. Its linger time counts from the error reply, not from the latest byte.
         assert exchange(harness.port, b"").status == 503
         assert closed.phase_started_at_seconds < closed.last_activity_at_seconds
         assert closed in harness.server.connections
 
 
-def test_a_rejected_peer_can_still_send_and_reads_its_503(serve_inbound):
-    """Closed at once, the connection would be reset by what its peer sends, and the 503 lost."""
-    harness = serve_inbound(Limits(connections=ConnectionLimits(inbound=1, reserved_for_workers=0)))
+def test_a_rejected_peer_can_still_send_and_reads_its_503(start_server):
+    """If the connection were closed at once, bytes from its peer would cause a reset.
+
+    The reset would destroy the 503.
+    """
+    harness = start_server(Limits(connections=ConnectionLimits(inbound=1, reserved_for_workers=0)))
     with harness.connect() as first:
         first.sendall(job_request())
         wait_for(lambda: harness.requests(RequestReceived))
@@ -239,13 +245,14 @@
             wait_for(lambda: harness.server.rejected_count)
             for part in (job_request()[:30], job_request()[30:]):
                 peer.sendall(part)
-                # Time is the subject: a reset would come within it, and nothing else would.
-                time.sleep(RESET_SECONDS)
+                # A fixed wait, because there is no event to wait for: a reset would arrive within
+                # this time.
+                time.sleep(RESET_WAIT_SECONDS)
             assert exchange(0, b"", peer).status == 503
 
 
-def test_rejected_connections_are_bounded_and_closed_in_time(serve_inbound):
-    harness = serve_inbound(
+def test_rejected_connections_are_limited_and_closed_in_time(start_server):
+    harness = start_server(
         Limits(
             connections=ConnectionLimits(inbound=0, reserved_for_workers=0, lingering=3),
             timeouts=Timeouts(rejected_linger_seconds=0.05),
@@ -256,4 +263,4 @@
             stack.enter_context(harness.connect())
         wait_for(lambda: harness.server.rejected_count == 10)
         assert len(harness.server.lingering) <= 3
-        harness.check_timeouts_until(lambda: not harness.server.lingering)
+        harness.enforce_timeouts_until(lambda: not harness.server.lingering)
--- a/tests/http/test_session.py
+++ b/tests/http/test_session.py
@@ -1,4 +1,4 @@
-"""Inbound sessions as state machines, by random steps against a model of their states."""
+"""Inbound sessions: random steps, compared with a model of their states."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
@@ -25,12 +25,15 @@
 }
 
 
-KINDS = st.sampled_from(list(MESSAGES))
-HALF_BYTES = 5
+MESSAGE_NAMES = st.sampled_from(list(MESSAGES))
+FIRST_PART_BYTES = 5
 
 
 class SessionMachine(RuleBasedStateMachine):
-    """The model: complete messages that wait, and whether the session is idle, open or closed."""
+    """The model: complete messages that wait, and whether the session is idle, open or closed.
+
+    Open means that a request awaits its answer.
+    """
 
     def __init__(self):
         super().__init__()
@@ -45,22 +48,22 @@
         self.request = None
 
     @precondition(lambda self: not self.rest_of_message)
-    @rule(kind=KINDS)
-    def send(self, kind):
-        self.waiting_messages.append(kind)
-        self.receive(MESSAGES[kind])
+    @rule(name=MESSAGE_NAMES)
+    def send(self, name):
+        self.waiting_messages.append(name)
+        self.receive(MESSAGES[name])
 
     @precondition(lambda self: not self.rest_of_message)
-    @rule(kind=KINDS)
-    def send_half(self, kind):
-        self.rest_of_message = MESSAGES[kind][HALF_BYTES:]
-        self.half_sent = kind
-        self.receive(MESSAGES[kind][:HALF_BYTES])
+    @rule(name=MESSAGE_NAMES)
+    def send_first_part(self, name):
+        self.rest_of_message = MESSAGES[name][FIRST_PART_BYTES:]
+        self.partly_sent = name
+        self.receive(MESSAGES[name][:FIRST_PART_BYTES])
 
     @precondition(lambda self: self.rest_of_message)
     @rule()
     def send_rest(self):
-        self.waiting_messages.append(self.half_sent)
+        self.waiting_messages.append(self.partly_sent)
         data = self.rest_of_message
         self.rest_of_message = b""
         self.receive(data)
@@ -99,24 +102,24 @@
 
     def advance_model(self):
         while self.waiting_messages and self.state == "idle":
-            kind = self.waiting_messages.pop(0)
-            if kind == "request":
+            name = self.waiting_messages.pop(0)
+            if name == "request":
                 self.expected.append(Request)
                 self.state = "open"
-            elif kind in ("junk", "unknown path"):
-                self.expected.append(({"junk": 400, "unknown path": 404}[kind], True))
+            elif name in ("junk", "unknown path"):
+                self.expected.append(({"junk": 400, "unknown path": 404}[name], True))
                 self.state = "closed"
             else:
-                self.is_worker = self.is_worker or kind == "notification"
-                readiness = 503 if self.server_state.shutting_down else 200
-                self.expect_reply({"notification": 200, "readiness": readiness}[kind])
-                if kind == "notification":
+                self.is_worker = self.is_worker or name == "notification"
+                readiness_status = 503 if self.server_state.shutting_down else 200
+                self.expect_reply({"notification": 200, "readiness": readiness_status}[name])
+                if name == "notification":
                     self.expected.append(JobNotification)
 
     def expect_reply(self, status):
-        # A complete message behind this one is answered before the connection closes.
-        another_waits = bool(self.waiting_messages) and self.waiting_messages[0] != "junk"
-        close = self.server_state.shutting_down and not self.is_worker and not another_waits
+        # A complete message after this one is answered before the connection closes.
+        another_message_waits = bool(self.waiting_messages) and self.waiting_messages[0] != "junk"
+        close = self.server_state.shutting_down and not self.is_worker and not another_message_waits
         self.expected.append((status, close))
         self.state = "closed" if close else "idle"
 
--- a/tests/http/test_staleness.py
+++ b/tests/http/test_staleness.py
@@ -1,4 +1,4 @@
-"""Refused connections against the endpoint list: when it is checked."""
+"""Refused connections, and when they cause a check of the endpoint list."""
 
 import random
 
@@ -15,37 +15,37 @@
         return high
 
 
-def refused(worker, seconds):
+def refusal(worker, seconds):
     return "record_refusal", worker, seconds
 
 
-TWO_REFUSE = [refused("a", 0.0), refused("b", 1.0)]
+TWO_REFUSALS = [refusal("a", 0.0), refusal("b", 1.0)]
 
 
 @pytest.mark.parametrize(
     ("steps", "due_seconds"),
     [
-        # one worker: a crash that the list will report
-        ([refused("a", 0.0)], None),
-        ([refused("a", 0.0), refused("a", 1.0)], None),
-        # the notification delay and the spread after the second
-        (TWO_REFUSE, 3.1),
-        ([*TWO_REFUSE, ("record_connect", "a")], None),
-        ([*TWO_REFUSE, ("record_listed", {"b"})], None),
-        ([*TWO_REFUSE, ("record_listed", {"c"})], 3.1),
-        ([*TWO_REFUSE, ("record_listed", None)], None),
-        ([*TWO_REFUSE, ("claim_check", 4.0), refused("a", 5.0)], None),
-        # the check interval after the check at 4 s
+        # One worker has probably crashed, and the list will report that.
+        ([refusal("a", 0.0)], None),
+        ([refusal("a", 0.0), refusal("a", 1.0)], None),
+        # The second refusal, the crash report delay of 2 s and the spread of 0.1 s.
+        (TWO_REFUSALS, 3.1),
+        ([*TWO_REFUSALS, ("record_connect", "a")], None),
+        ([*TWO_REFUSALS, ("record_listed", {"b"})], None),
+        ([*TWO_REFUSALS, ("record_listed", {"c"})], 3.1),
+        ([*TWO_REFUSALS, ("record_listed", None)], None),
+        ([*TWO_REFUSALS, ("claim_check", 4.0), refusal("a", 5.0)], None),
+        # The check at 4 s, the minimum interval of 15 s, the delay of 2 s and the spread of 0.1 s.
         (
-            [refused(worker, 1.0) for worker in "ab"]
+            [refusal(worker, 1.0) for worker in "ab"]
             + [("claim_check", 4.0)]
-            + [refused(worker, 5.0) for worker in "ab"],
+            + [refusal(worker, 5.0) for worker in "ab"],
             21.1,
         ),
     ],
     ids=case_id,
 )
-def test_a_list_is_checked_once_several_workers_that_it_calls_active_refuse(steps, due_seconds):
+def test_a_list_is_checked_after_several_workers_that_it_shows_as_active_refuse(steps, due_seconds):
     detector = StalenessDetector(3, UpperBound(0))
     for step, *arguments in steps:
         getattr(detector, step)(*arguments)
