--- a/tests/core/builders.py
+++ b/tests/core/builders.py
@@ -3,7 +3,7 @@
 from stepstream.core.requests import Payload, Request
 from stepstream.model.endpoints import Endpoint
 
-WORKERS = tuple(Endpoint(f"s-{number}", zone=0, cell=number % 2) for number in range(4))
+WORKERS = tuple(Endpoint(f"s-{index}", zone=0, cell=index % 2) for index in range(4))
 
 
 def make_request(request_id, now_us=1_000_000, job_class=0, budget_us=5_000_000):
--- a/tests/core/harness.py
+++ b/tests/core/harness.py
@@ -1,4 +1,4 @@
-"""A dispatcher with a clock of the tests' own."""
+"""A dispatcher whose clock and policy the tests control."""
 
 from types import SimpleNamespace
 
@@ -13,22 +13,22 @@
 
 
 def commands_of_type(kind, commands):
-    """Return the commands of a type."""
+    """Return the commands that are of type `kind`."""
     return [command for command in commands if isinstance(command, kind)]
 
 
 class RecordingLog:
-    """The core's log events, in their order."""
+    """Records the core's log events in their order."""
 
     def __init__(self):
         self.events = []
 
     def internal_fault(self, *, where, error):
-        """Keep the event of a fault."""
+        """Record the event of a fault."""
         self.events.append(("internal_fault", where, repr(error)))
 
     def worker_id_conflict(self, *, worker, source, owner):
-        """Keep the event of an id that two sources list."""
+        """Record the event of an id that two sources list."""
         self.events.append(("worker_id_conflict", worker, source, owner))
 
 
@@ -50,18 +50,18 @@
         self.post(EndpointList(EndpointListKind.PERSISTED, WORKERS))
 
     def post(self, *events):
-        """Run one round with these events; return its commands."""
+        """Run one round of the dispatcher with these events; return its commands."""
         commands = self.dispatcher.handle(self.now_us, list(events))
         self.commands += commands
         return commands
 
     def receive(self, name="aa", **fields):
-        """Post a new request; return it and the commands."""
-        received = make_request(name, self.now_us, **fields)
-        return received, self.post(RequestReceived(received))
+        """Post a new request; return it and the commands of its round."""
+        request = make_request(name, self.now_us, **fields)
+        return request, self.post(RequestReceived(request))
 
-    def decide(self, *actions):
-        """Run one round in which the policy decides on these actions and nothing else."""
+    def apply_policy_actions(self, *actions):
+        """Run one round in which a stand-in for the policy returns exactly these actions."""
         policy = self.dispatcher.load_balancer
         decisions = [list(actions)]
         self.dispatcher.load_balancer = SimpleNamespace(
@@ -72,7 +72,7 @@
         return commands
 
     def run_until(self, end_us):
-        """Run a round for each timer up to then, at its time; return their commands."""
+        """Run a round at the time of each timer up to `end_us`; return the commands of all."""
         commands = []
         while (due_us := self.dispatcher.next_timer_us()) is not None and due_us <= end_us:
             self.now_us = max(due_us, self.now_us)
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -46,17 +46,17 @@
 # -- notifications ------------------------------------------------------------------------------
 
 
-def test_the_first_done_answers_at_once_and_a_repeat_does_nothing():
+def test_a_done_notification_answers_the_request_and_its_repeat_has_no_effect():
     harness = DispatcherHarness()
-    received, commands = harness.receive()
+    request, commands = harness.receive()
     done = JobNotification("aa", only_call(commands).worker_id, JobStatus.DONE, "42")
-    assert harness.post(done) == [Answer(received, Outcome.SERVED, "42")]
+    assert harness.post(done) == [Answer(request, Outcome.SERVED, "42")]
     assert harness.post(done) == []
     assert not harness.dispatcher.requests
     assert harness.dispatcher.open_count == 0
 
 
-def test_a_notification_from_another_worker_or_of_an_unknown_job_is_ignored():
+def test_a_notification_from_another_worker_or_for_an_unknown_job_is_ignored():
     harness = DispatcherHarness()
     _, commands = harness.receive()
     other = other_worker(only_call(commands))
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("status", [JobStatus.FAILED, JobStatus.LOST, JobStatus.RETURNED])
-def test_a_job_that_ended_badly_goes_to_another_worker(status):
+def test_a_job_that_ended_without_a_result_is_started_at_another_worker(status):
     harness = DispatcherHarness()
     _, commands = harness.receive()
     first = only_call(commands)
@@ -82,51 +82,52 @@
     assert harness.post(JobNotification("aa", first.worker_id, status)) == []
 
 
-def test_no_call_goes_to_a_worker_that_refused_while_the_list_is_unconfirmed_for_too_long():
-    # Guards against jobs at a worker that was removed and is back, cold, as another process.
+def test_a_worker_that_refused_a_connection_gets_no_call_until_an_old_list_is_confirmed():
+    # Guards against jobs for a worker that was removed from the list and has come back as a new
+    # process, which is not warmed up yet.
     harness = DispatcherHarness()
     harness.post(ConnectionRefused("s-1"), EndpointCallFailed())
     harness.now_us += MAX_UNCONFIRMED_US
 
-    def workers_of_calls(numbers):
-        calls = [only_call(harness.receive(f"{number:02x}")[1]) for number in numbers]
+    def workers_that_serve(request_numbers):
+        calls = [only_call(harness.receive(f"{number:02x}")[1]) for number in request_numbers]
         for call in calls:
             harness.post(JobNotification(call.request.id, call.worker_id, JobStatus.DONE, "42"))
         return {call.worker_id for call in calls}
 
-    assert "s-1" not in workers_of_calls(range(24))
+    assert "s-1" not in workers_that_serve(range(24))
     harness.post(EndpointListConfirmed())
-    assert "s-1" in workers_of_calls(range(24, 48))
+    assert "s-1" in workers_that_serve(range(24, 48))
 
 
-def test_a_waiting_job_whose_deadline_ends_before_its_wait_is_rejected_as_it_never_ran():
-    # Guards against 502 for a job that never ran: its client would not dare to send it again.
+def test_a_job_that_reaches_its_deadline_while_waiting_is_rejected_and_not_failed():
+    # Guards against status 502 for a job that never ran: its client could not safely retry it.
     harness = DispatcherHarness()
     harness.post(EndpointList(EndpointListKind.COMPLETE, ()))
-    received, commands = harness.receive(budget_us=100_000)  # it may wait for 160 ms
+    request, commands = harness.receive(budget_us=100_000)  # it may wait for 160 ms
     assert not commands_of_type(Answer, commands)
-    answered = harness.run_until(received.deadline_us)
+    answered = harness.run_until(request.deadline_us)
     (answer,) = commands_of_type(Answer, answered)
     assert answer.outcome is Outcome.REJECTED
     assert not harness.dispatcher.requests
 
 
-def test_done_after_a_broken_exchange_still_serves():
+def test_a_done_notification_after_a_reset_call_still_serves_the_request():
     harness = DispatcherHarness()
-    received, commands = harness.receive()
+    request, commands = harness.receive()
     first = only_call(commands)
     harness.post(CallEnded(first, AttemptResult.RESET))
     commands = harness.post(JobNotification("aa", first.worker_id, JobStatus.DONE, "7"))
-    assert commands_of_type(Answer, commands) == [Answer(received, Outcome.SERVED, "7")]
-    assert len(commands_of_type(StopCall, commands)) == 1  # the second call serves nobody
+    assert commands_of_type(Answer, commands) == [Answer(request, Outcome.SERVED, "7")]
+    assert len(commands_of_type(StopCall, commands)) == 1  # the second call is no longer needed
 
 
 def test_progress_is_reported_until_the_answer():
     harness = DispatcherHarness()
-    received, commands = harness.receive()
+    request, commands = harness.receive()
     worker = only_call(commands).worker_id
     running = JobNotification("aa", worker, JobStatus.RUNNING, progress=(2, 5))
-    assert harness.post(running) == [Progress(received, 2, 5)]
+    assert harness.post(running) == [Progress(request, 2, 5)]
     harness.post(JobNotification("aa", worker, JobStatus.DONE, "x"))
     assert harness.post(running) == []
 
@@ -134,31 +135,31 @@
 # -- deadlines and disconnections ---------------------------------------------------------------
 
 
-def test_the_deadline_ends_calls_and_answers_in_time_whatever_the_threads_do():
+def test_at_its_deadline_a_request_fails_and_its_call_is_stopped_without_a_report_of_the_carrier():
     harness = DispatcherHarness(
         Settings(classes=POLICY_SETTINGS.classes, attempt_limit=4, may_cancel=True)
     )
-    received, commands = harness.receive(job_class=1)
+    request, commands = harness.receive(job_class=1)
     call = only_call(commands)
-    commands = harness.run_until(received.deadline_us)
+    commands = harness.run_until(request.deadline_us)
     assert StopCall(call) in commands
-    assert commands_of_type(Answer, commands) == [Answer(received, Outcome.FAILED)]
-    # The carrier's own report comes too late to count.
+    assert commands_of_type(Answer, commands) == [Answer(request, Outcome.FAILED)]
+    # A later report of the carrier has no effect.
     assert harness.post(CallEnded(call, AttemptResult.OK)) == []
     assert not harness.dispatcher.requests
 
 
 def test_a_request_that_the_policy_leaves_without_answer_fails_a_tick_after_its_deadline():
     harness = DispatcherHarness()
-    received, _ = harness.receive()
+    request, _ = harness.receive()
     harness.dispatcher.load_balancer = SimpleNamespace(handle=lambda now_us, events: [])
-    deadline_us = received.deadline_us - LIMITS.loop.answer_margin_us
+    deadline_us = request.deadline_us - LIMITS.loop.answer_margin_us
     assert not commands_of_type(Answer, harness.run_until(deadline_us))
     commands = harness.run_until(deadline_us + 2 * LIMITS.loop.timer_tick_us)
-    assert commands_of_type(Answer, commands) == [Answer(received, Outcome.FAILED)]
+    assert commands_of_type(Answer, commands) == [Answer(request, Outcome.FAILED)]
 
 
-def test_a_call_past_the_limit_that_its_worker_has_set_is_stopped():
+def test_a_call_is_stopped_at_the_timeout_that_its_worker_has_set():
     harness = DispatcherHarness()
     _, commands = harness.receive()
     call = only_call(commands)
@@ -171,23 +172,23 @@
 def test_a_request_that_the_policy_rejects_is_answered_in_the_same_round():
     harness = DispatcherHarness()
     harness.post(EndpointList(EndpointListKind.COMPLETE, ()))
-    received, _ = harness.receive()
-    # The policy's patience ends far from the deadline.
+    request, _ = harness.receive()
+    # The policy's longest wait ends long before the deadline.
     commands = harness.run_until(START_US + 400_000)
     (answer,) = commands_of_type(Answer, commands)
     assert answer.outcome is Outcome.REJECTED
-    assert answer.request is received
+    assert answer.request is request
 
 
-def test_a_client_that_disconnects_is_owed_nothing_and_its_call_is_stopped():
+def test_a_disconnected_client_gets_no_answer_and_its_call_is_stopped():
     harness = DispatcherHarness()
-    received, commands = harness.receive()
-    assert harness.post(ClientDisconnected(received)) == [StopCall(only_call(commands))]
-    assert harness.post(ClientDisconnected(received)) == []
+    request, commands = harness.receive()
+    assert harness.post(ClientDisconnected(request)) == [StopCall(only_call(commands))]
+    assert harness.post(ClientDisconnected(request)) == []
     assert not harness.dispatcher.requests
 
 
-def test_before_the_process_ends_all_that_is_open_or_comes_is_answered():
+def test_requests_from_before_and_during_a_shutdown_are_answered_by_its_deadline():
     harness = DispatcherHarness()
     early, _ = harness.receive("aa")
     end_us = harness.now_us + 1_000_000
@@ -200,7 +201,7 @@
 # -- admission ----------------------------------------------------------------------------------
 
 
-def test_an_id_that_comes_twice_gets_an_answer_of_its_own():
+def test_a_second_request_with_an_open_id_fails_at_once_and_the_first_stays_open():
     harness = DispatcherHarness()
     first, first_commands = harness.receive()
     second, commands = harness.receive()
@@ -210,7 +211,7 @@
     assert not first.answered
 
 
-def test_beyond_the_open_requests_allowed_the_next_is_rejected_at_once():
+def test_a_request_beyond_max_open_requests_is_rejected_at_once():
     harness = DispatcherHarness(
         Settings(classes=POLICY_SETTINGS.classes, max_open_requests=1, max_retry_after_us=5)
     )
@@ -221,9 +222,9 @@
 
 def test_a_second_answer_to_a_request_with_an_open_call_is_dropped():
     harness = DispatcherHarness()
-    received, _ = harness.receive()
-    commands = harness.decide(Fail("aa"), Reject("aa", 5))
-    assert commands == [Answer(received, Outcome.FAILED)]
+    request, _ = harness.receive()
+    commands = harness.apply_policy_actions(Fail("aa"), Reject("aa", 5))
+    assert commands == [Answer(request, Outcome.FAILED)]
 
 
 # -- faults -------------------------------------------------------------------------------------
@@ -235,16 +236,16 @@
 
     harness = DispatcherHarness()
     monkeypatch.setattr(harness.dispatcher.load_balancer, "handle", broken)
-    received, commands = harness.receive()
-    assert commands == [Answer(received, Outcome.FAILED)]
+    request, commands = harness.receive()
+    assert commands == [Answer(request, Outcome.FAILED)]
     assert harness.log.events == [("internal_fault", "policy decisions", "KeyError('lost')")]
 
 
-def test_a_request_whose_thread_broke_is_answered():
+def test_a_request_that_its_front_failed_on_is_failed_and_its_call_is_stopped():
     harness = DispatcherHarness()
-    received, commands = harness.receive()
-    assert harness.post(RequestFaulted(received)) == [
-        Answer(received, Outcome.FAILED),
+    request, commands = harness.receive()
+    assert harness.post(RequestFaulted(request)) == [
+        Answer(request, Outcome.FAILED),
         StopCall(only_call(commands)),
     ]
 
@@ -273,10 +274,10 @@
 
 def test_a_second_attempt_at_a_worker_with_an_open_call_is_not_sent():
     harness = DispatcherHarness()
-    received, commands = harness.receive()
+    request, commands = harness.receive()
     call = only_call(commands)
-    commands = harness.decide(StartAttempt("aa", call.worker_id))
-    assert [attempt.open for attempt in received.calls] == [True, False]
+    commands = harness.apply_policy_actions(StartAttempt("aa", call.worker_id))
+    assert [attempt.open for attempt in request.calls] == [True, False]
     assert not commands_of_type(StartCall, commands)
 
 
@@ -292,21 +293,23 @@
         (AttemptResult.ERROR, False),
     ],
 )
-def test_a_worker_that_may_still_have_a_call_of_a_job_gets_no_second_one(result, may_collide):
-    """The cancellation of a call given up may still be on its way when the second one gets there."""
+def test_a_worker_that_may_still_work_on_a_call_gets_no_second_call_of_the_request(
+    result, may_collide
+):
+    """The cancellation of the first call could reach the worker after the second call."""
     harness = DispatcherHarness()
-    received, commands = harness.receive()
+    request, commands = harness.receive()
     first = only_call(commands)
     if result is not None:
         first.open = False
         first.result = result
-    commands = harness.decide(StartAttempt("aa", first.worker_id))
+    commands = harness.apply_policy_actions(StartAttempt("aa", first.worker_id))
     assert (not commands_of_type(StartCall, commands)) == may_collide
-    assert received.calls[-1].result == (AttemptResult.NOT_SENT if may_collide else None)
+    assert request.calls[-1].result == (AttemptResult.NOT_SENT if may_collide else None)
 
 
 @pytest.mark.parametrize(
-    ("number", "now_us", "answered", "allowed"),
+    ("attempt_number", "now_us", "answered", "allowed"),
     [
         (0, 99, False, True),
         (1, 99, False, False),  # beyond the attempt limit
@@ -314,49 +317,53 @@
         (0, 99, True, False),
     ],
 )
-def test_a_call_starts_only_within_the_limits_of_its_request(number, now_us, answered, allowed):
-    received = make_request("aa")
-    received.answered = answered
-    call = Call(received, number, "s-0", sent_us=now_us, deadline_us=100)
+def test_a_call_starts_only_within_the_limits_of_its_request(
+    attempt_number, now_us, answered, allowed
+):
+    request = make_request("aa")
+    request.answered = answered
+    call = Call(request, attempt_number, "s-0", sent_us=now_us, deadline_us=100)
     assert may_start(call, now_us, attempt_limit=1) == allowed
 
 
 @pytest.mark.parametrize(("timeout_us", "deadline_us"), [(0, 990), (20, 520), (800, 990)])
-def test_a_call_ends_at_its_own_timeout_and_before_its_request_is_answered(timeout_us, deadline_us):
-    received = make_request("aa", now_us=0, budget_us=1000)
-    assert call_deadline_us(received, 500, timeout_us, answer_margin_us=10) == deadline_us
+def test_a_call_ends_at_its_own_timeout_or_before_the_deadline_of_its_request(
+    timeout_us, deadline_us
+):
+    request = make_request("aa", now_us=0, budget_us=1000)
+    assert call_deadline_us(request, 500, timeout_us, answer_margin_us=10) == deadline_us
 
 
 @pytest.mark.parametrize(
-    ("result", "has_limit"),
+    ("result", "has_write_deadline"),
     [(AttemptResult.RESET, True), (None, True), (AttemptResult.CONNECT_FAILED, False)],
 )
-def test_a_retry_of_a_job_with_a_key_is_written_in_the_window_of_the_first_that_may_have_run(
-    result, has_limit
+def test_a_retry_must_be_written_in_the_key_window_of_the_first_call_that_may_have_run(
+    result, has_write_deadline
 ):
-    """Connecting and queueing take time: the window holds for the write, not for the decision."""
+    """Connecting and queueing take time, so the window limits the write, not the decision."""
     harness = DispatcherHarness()
-    received = replace(make_request("aa", harness.now_us, job_class=1), settings=POLICY_SETTINGS)
-    first = only_call(harness.post(RequestReceived(received)))
+    request = replace(make_request("aa", harness.now_us, job_class=1), settings=POLICY_SETTINGS)
+    first = only_call(harness.post(RequestReceived(request)))
     assert first.write_deadline_us is None
     if result is not None:
         first.open = False
         first.result = result
     harness.now_us += 50_000
-    harness.decide(StartAttempt("aa", other_worker(first)))
+    harness.apply_policy_actions(StartAttempt("aa", other_worker(first)))
     window_us = POLICY_SETTINGS.classes[1].idempotency_window_us
-    assert len(received.calls) == 2
-    assert received.calls[-1].write_deadline_us == (
-        first.sent_us + window_us if has_limit else None
+    assert len(request.calls) == 2
+    assert request.calls[-1].write_deadline_us == (
+        first.sent_us + window_us if has_write_deadline else None
     )
 
 
 # -- reload -------------------------------------------------------------------------------------
 
-REVERSED = replace(
+REVERSED_SETTINGS = replace(
     POLICY_SETTINGS, classes=POLICY_SETTINGS.classes[::-1], tenants=POLICY_SETTINGS.tenants[::-1]
 )
-WITHOUT_FIRST_CLASS = replace(POLICY_SETTINGS, classes=POLICY_SETTINGS.classes[1:])
+SETTINGS_WITHOUT_FIRST_CLASS = replace(POLICY_SETTINGS, classes=POLICY_SETTINGS.classes[1:])
 
 
 def mean_run_times_us(harness):
@@ -365,30 +372,30 @@
 
 def test_a_request_read_before_a_reload_keeps_its_class_and_tenant_by_name():
     harness = DispatcherHarness()
-    harness.post(SettingsChanged(REVERSED))
-    received = replace(make_request("aa", harness.now_us), settings=POLICY_SETTINGS)
-    assert only_call(harness.post(RequestReceived(received))).request is received
-    assert (received.job_class, received.tenant) == (1, 1)
+    harness.post(SettingsChanged(REVERSED_SETTINGS))
+    request = replace(make_request("aa", harness.now_us), settings=POLICY_SETTINGS)
+    assert only_call(harness.post(RequestReceived(request))).request is request
+    assert (request.job_class, request.tenant) == (1, 1)
 
 
-def test_a_request_of_a_class_that_a_reload_took_away_is_answered():
+def test_a_request_of_a_class_that_a_reload_removed_fails_at_once():
     harness = DispatcherHarness()
-    harness.post(SettingsChanged(WITHOUT_FIRST_CLASS))
-    received = replace(make_request("aa", harness.now_us), settings=POLICY_SETTINGS)
-    assert harness.post(RequestReceived(received)) == [Answer(received, Outcome.FAILED)]
+    harness.post(SettingsChanged(SETTINGS_WITHOUT_FIRST_CLASS))
+    request = replace(make_request("aa", harness.now_us), settings=POLICY_SETTINGS)
+    assert harness.post(RequestReceived(request)) == [Answer(request, Outcome.FAILED)]
 
 
-def test_a_job_open_over_a_reload_is_served_and_counted_for_its_class():
+def test_a_job_open_during_a_reload_is_served_and_its_run_time_counts_for_its_class():
     harness = DispatcherHarness()
     _, commands = harness.receive(job_class=1)
     call = only_call(commands)
     mean_run_times_us(harness)[:] = [1.0, 2.0, 3.0]
-    harness.post(SettingsChanged(REVERSED))
+    harness.post(SettingsChanged(REVERSED_SETTINGS))
     assert mean_run_times_us(harness) == [2.0, 1.0, 3.0]
     harness.now_us += 1_000_000
     done = JobNotification("aa", call.worker_id, JobStatus.DONE, "1")
     assert commands_of_type(Answer, harness.post(done))[0].outcome is Outcome.SERVED
     assert mean_run_times_us(harness)[0] > 2.0
     assert mean_run_times_us(harness)[1] == 1.0
-    harness.post(SettingsChanged(WITHOUT_FIRST_CLASS))
+    harness.post(SettingsChanged(SETTINGS_WITHOUT_FIRST_CLASS))
     assert len(mean_run_times_us(harness)) == 2
--- a/tests/core/test_dispatcher_model.py
+++ b/tests/core/test_dispatcher_model.py
@@ -1,4 +1,4 @@
-"""The dispatcher against a model, over random sequences of events."""
+"""Compare the dispatcher with a model, over random sequences of events."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
@@ -16,23 +16,23 @@
 
 
 class DispatcherMachine(RuleBasedStateMachine):
-    """The model: each request's open calls by worker, and whether it has had its answer."""
+    """The model: the open calls, the number of started calls by request, and the answers."""
 
     def __init__(self):
         super().__init__()
         self.harness = DispatcherHarness()
-        self.received = []
+        self.requests = []
         self.answers = {}
         self.open_calls = []
-        self.started_calls = {}  # their number by request id
+        self.started_call_counts = {}  # by request id
         self.checked_commands = 0
 
     # -- rules ----------------------------------------------------------------------------------
 
     @rule(job_class=st.integers(0, 1))
     def receive(self, job_class):
-        request_id = f"{len(self.received):04x}"
-        self.received.append(self.harness.receive(request_id, job_class=job_class)[0])
+        request_id = f"{len(self.requests):04x}"
+        self.requests.append(self.harness.receive(request_id, job_class=job_class)[0])
 
     @precondition(lambda self: self.open_calls)
     @rule(index=INDEXES, result=st.sampled_from(list(AttemptResult)))
@@ -41,20 +41,20 @@
         self.harness.post(CallEnded(call, result))
         assert not call.open
 
-    @precondition(lambda self: self.received)
+    @precondition(lambda self: self.requests)
     @rule(
         index=INDEXES,
         status=st.sampled_from(list(JobStatus)),
         worker_id=st.sampled_from(WORKER_IDS),
     )
     def notify(self, index, status, worker_id):
-        request = self.received[index % len(self.received)]
+        request = self.requests[index % len(self.requests)]
         self.harness.post(JobNotification(request.id, worker_id, status, "r"))
 
-    @precondition(lambda self: self.received)
+    @precondition(lambda self: self.requests)
     @rule(index=INDEXES)
     def disconnect(self, index):
-        request = self.received[index % len(self.received)]
+        request = self.requests[index % len(self.requests)]
         self.harness.post(ClientDisconnected(request))
 
     @rule(duration_us=st.integers(0, 2_000_000))
@@ -74,8 +74,10 @@
                     self.answers[answered.id] = command.outcome
         self.checked_commands = len(self.harness.commands)
         self.open_calls = [call for call in self.open_calls if call.open]
-        assert all(count <= POLICY_SETTINGS.attempt_limit for count in self.started_calls.values())
-        unanswered = [request for request in self.received if not request.answered]
+        assert all(
+            count <= POLICY_SETTINGS.attempt_limit for count in self.started_call_counts.values()
+        )
+        unanswered = [request for request in self.requests if not request.answered]
         assert self.harness.dispatcher.open_count == len(unanswered)
         assert all(self.harness.now_us <= request.deadline_us for request in unanswered)
         assert not self.harness.log.events
@@ -85,7 +87,7 @@
         others = [other for other in request.calls if other.open and other is not call]
         assert call.worker_id not in {other.worker_id for other in others}
         assert not request.answered or not call.open
-        self.started_calls[request.id] = self.started_calls.get(request.id, 0) + 1
+        self.started_call_counts[request.id] = self.started_call_counts.get(request.id, 0) + 1
         self.open_calls.append(call)
 
     def teardown(self):
--- a/tests/core/test_drain.py
+++ b/tests/core/test_drain.py
@@ -1,9 +1,9 @@
-"""A drain on a clock of the test's own."""
+"""A drain, with a clock that the test controls."""
 
 from stepstream.core.drain import DrainState
 
 
-def test_a_drain_closes_connections_after_its_time_and_ends_at_once():
+def test_a_drain_closes_connections_after_its_delay_and_ends_when_it_is_cancelled():
     drain = DrainState(close_after_seconds=0.5)
     assert not drain.active
     assert not drain.closes_connections(100.0)
--- a/tests/core/test_endpoint_set.py
+++ b/tests/core/test_endpoint_set.py
@@ -1,4 +1,4 @@
-"""The endpoint set merged from several sources, against a model that keeps a plain set a source."""
+"""The endpoint set of several sources, compared with a model that keeps one dict per source."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -17,7 +17,7 @@
 
 
 class EndpointSetMachine(RuleBasedStateMachine):
-    """The model: what each source last listed of each id, which source owns it, and what the policy sees."""
+    """The model: what each source lists, which source owns each id, and what the policy sees."""
 
     def __init__(self):
         super().__init__()
@@ -90,7 +90,7 @@
                 assert self.endpoints.owner(worker) is None
                 continue
             owner, state = self.policy_view[worker]
-            # The first owner stays; which of several that wait comes next is free.
+            # The first owner keeps the id. Of several waiting claims, any may be granted next.
             assert owner == self.owner.setdefault(worker, owner)
             assert owner in listing
             assert state is self.listed[owner][worker]
--- a/tests/core/test_maintenance.py
+++ b/tests/core/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Maintenance of workers: its registry, and what it does to listed endpoints."""
+"""Maintenance of workers: its registry, and its effect on listed endpoints."""
 
 from stepstream.core.endpoint_set import EndpointSet, EndpointsUpdated
 from stepstream.core.maintenance import MaintenanceOverlay, MaintenanceRegistry, MaintenanceState
@@ -6,7 +6,7 @@
 from tests.core.harness import RecordingLog
 
 
-def test_maintenance_states_are_counted_and_ordered_by_generation():
+def test_maintenance_commands_are_counted_and_only_a_newer_generation_is_adopted():
     registry = MaintenanceRegistry()
     assert registry.begin("s-1")
     assert not registry.begin("s-1")
@@ -22,22 +22,31 @@
     assert registry.contains("s-9")
 
 
-def test_a_worker_in_maintenance_is_draining_whatever_its_list_says_and_starts_anew():
-    members = EndpointSet(RecordingLog())
+def test_a_worker_is_draining_in_maintenance_and_counts_as_started_at_its_release():
+    endpoint_set = EndpointSet(RecordingLog())
     entries = (Endpoint("s-1", started_us=1_000), Endpoint("s-2"))
-    members.apply(EndpointsUpdated("discovery", EndpointList(EndpointListKind.COMPLETE, entries)))
-    started = members.apply_maintenance(MaintenanceState(1, frozenset({"s-1"})))
-    assert [(e.worker_id, e.state) for e in started.endpoints] == [("s-1", EndpointState.DRAINING)]
-    again = members.apply(
+    endpoint_set.apply(
         EndpointsUpdated("discovery", EndpointList(EndpointListKind.COMPLETE, entries))
     )
-    assert {e.worker_id: e.state for e in again.endpoints}["s-1"] is EndpointState.DRAINING
-    back = members.apply_maintenance(MaintenanceState(2, frozenset(), (("s-1", 9_000),)))
-    assert [(e.state, e.started_us) for e in back.endpoints] == [(EndpointState.ACTIVE, 9_000)]
-    later = members.apply(
+    in_maintenance = endpoint_set.apply_maintenance(MaintenanceState(1, frozenset({"s-1"})))
+    assert [(e.worker_id, e.state) for e in in_maintenance.endpoints] == [
+        ("s-1", EndpointState.DRAINING)
+    ]
+    relisted = endpoint_set.apply(
+        EndpointsUpdated("discovery", EndpointList(EndpointListKind.COMPLETE, entries))
+    )
+    assert {e.worker_id: e.state for e in relisted.endpoints}["s-1"] is EndpointState.DRAINING
+    after_release = endpoint_set.apply_maintenance(
+        MaintenanceState(2, frozenset(), (("s-1", 9_000),))
+    )
+    assert [(e.state, e.started_us) for e in after_release.endpoints] == [
+        (EndpointState.ACTIVE, 9_000)
+    ]
+    relisted_later = endpoint_set.apply(
         EndpointsUpdated("discovery", EndpointList(EndpointListKind.CHANGES, entries[:1]))
     )
-    assert later.endpoints[0].started_us == 9_000  # the list's older start does not make it warm
+    # The older start in the list does not replace the time of the release.
+    assert relisted_later.endpoints[0].started_us == 9_000
 
 
 def test_the_overlay_changes_neither_a_later_start_nor_a_removed_worker():
--- a/tests/core/test_timer_wheel.py
+++ b/tests/core/test_timer_wheel.py
@@ -12,20 +12,20 @@
 
 
 @pytest.mark.parametrize(
-    ("due_us", "first_us"),
+    ("due_us", "first_due_us"),
     [(12_000, 12_000), (12_001, 13_000), (12_999, 13_000), (10_000, 11_000), (3, 11_000)],
 )
-def test_a_timer_is_due_in_the_first_tick_not_before_its_time(due_us, first_us):
+def test_a_timer_is_due_in_the_first_tick_not_before_its_time(due_us, first_due_us):
     wheel = TimerWheel(10_000, TICK_US)
     wheel.schedule(due_us, PolicyTimer(1))
-    assert wheel.next_due_us() == first_us
-    assert wheel.pop_due(first_us - 1) == []
-    assert tokens(wheel.pop_due(first_us)) == [1]
+    assert wheel.next_due_us() == first_due_us
+    assert wheel.pop_due(first_due_us - 1) == []
+    assert tokens(wheel.pop_due(first_due_us)) == [1]
     assert wheel.next_due_us() is None
 
 
 @pytest.mark.parametrize("now_us", [13_000, 9_000_000])
-def test_due_timers_come_by_tick_and_then_in_the_order_they_were_set(now_us):
+def test_due_timers_are_ordered_by_tick_and_then_by_when_they_were_set(now_us):
     wheel = TimerWheel(10_000, TICK_US)
     for token, due_us in enumerate([13_000, 12_000, 11_000, 12_000]):
         wheel.schedule(due_us, PolicyTimer(token))
