--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -10,27 +10,27 @@
 
 
 @pytest.fixture(autouse=True)
-def end_threads(threads_end):
-    """Check after each test that no thread is left."""
+def check_no_thread_left(threads_end):
+    """Check after each test that no thread is still running."""
 
 
 @pytest.fixture
 def make_node():
-    """Make nodes in the test process; end their threads."""
+    """Create nodes in the test process; end their threads after the test."""
     nodes = []
 
-    def make(config):
+    def create(config):
         nodes.append(Node(config))
         return nodes[-1]
 
-    yield make
+    yield create
     for node in nodes:
         end_node(node)
 
 
 @pytest.fixture
 def start_node():
-    """Start nodes, each on a thread of its own, as `run` does on the main one; end the threads."""
+    """Start each node on a thread of its own, as `Node.run` does on the main thread."""
     threads = []
 
     def start(node):
--- a/tests/node/dispatcher_process.py
+++ b/tests/node/dispatcher_process.py
@@ -1,4 +1,4 @@
-"""A dispatcher's process with one worker and a discovery that names it."""
+"""A dispatcher in its own process, with a scripted worker and a scripted discovery."""
 
 import contextlib
 import json
@@ -18,7 +18,7 @@
 ROOT = Path(__file__).parents[2]
 READINESS_CHECK = b"GET /-/ready HTTP/1.1\r\n\r\n"
 SERVE = (sys.executable, "-m", "stepstream", "serve")
-WATCH_SECONDS = 0.2  # after which discovery answers a watch, though nothing has changed
+WATCH_SECONDS = 0.2  # discovery answers a watch after this time, though nothing has changed
 
 
 def start_serving(config_file, *options, **environment):
@@ -33,7 +33,7 @@
 
 
 def end_process(process):
-    """Kill a process if it still runs, and close its log."""
+    """Kill a process if it is still running, and close its log."""
     if process.poll() is None:
         process.kill()
     process.communicate()
@@ -51,9 +51,9 @@
     """A dispatcher's process, its worker and its discovery; `close` ends all three."""
 
     def __init__(self, folder, **configuration):
-        """Start and wait until it is ready; `configuration`: further keys of its file."""
+        """Start all three; return when it is ready. `configuration`: further keys of its file."""
         self.hold_jobs = threading.Event()  # while set, jobs are accepted but not completed
-        self.worker_answers = []  # what the worker gives in place of a 202, in this order
+        self.worker_answers = []  # what the worker answers in place of a 202, in this order
         self.closing = threading.Event()
         self.worker = ScriptedServer(self.worker_reply)
         self.discovery = ScriptedServer(self.discovery_reply)
@@ -77,7 +77,7 @@
             raise
 
     def endpoint(self):
-        """Return the worker in discovery's form."""
+        """Return the worker in the format of discovery."""
         return {
             "id": "s-1",
             "addr": f"127.0.0.1:{self.worker.port}",
@@ -89,7 +89,7 @@
     def settings():
         """Return settings without start notifications.
 
-        With them a job that is held here would look like a sign of a full worker.
+        With them, the policy would take a held job, which sends none, as a sign of a full worker.
         """
         section = CONFIGURATION["settings"]
         return {**section, "extra": {**section["extra"], "tells_start": False}}
@@ -101,14 +101,14 @@
         for line in self.process.stderr:
             if "configuration_reloaded" in line or "reload_failed" in line:
                 return line
-        raise AssertionError("the process ended without a line on the reload")
+        raise AssertionError("the process ended without a log line about the reload")
 
     def is_ready(self):
         """Return whether the readiness check succeeds."""
         return is_ready(self.port)
 
     def worker_reply(self, message):
-        """Accept a job, and complete it before the acceptance unless jobs are held."""
+        """Accept a job; unless jobs are held, notify its completion before that."""
         if message.method == "POST":
             if self.worker_answers:
                 return self.worker_answers.pop(0)
@@ -118,7 +118,7 @@
         return write_answer(200)
 
     def discovery_reply(self, message):
-        """Answer with the list, a watch only after a while: discovery has nothing new to report."""
+        """Answer with the list; answer a watch after WATCH_SECONDS, as nothing has changed."""
         if "wait=" in message.target:
             self.closing.wait(WATCH_SECONDS)
         return write_answer(200, json.dumps(self.endpoint_list).encode())
@@ -144,7 +144,7 @@
 
 @contextlib.contextmanager
 def running_process(config_file, *options, **environment):
-    """Give a process that serves; it is ended at the end."""
+    """Run `stepstream serve` inside the context, and kill it at the end."""
     process = start_serving(config_file, *options, **environment)
     try:
         yield process
--- a/tests/node/test_decision_thread.py
+++ b/tests/node/test_decision_thread.py
@@ -1,4 +1,4 @@
-"""The decision thread: which events it takes at a time, and whom it hands each command to."""
+"""The decision thread: which events are in a batch, and which component gets each command."""
 
 import time
 from types import SimpleNamespace
@@ -53,12 +53,12 @@
 @pytest.fixture
 def node():
     """A wired dispatcher that is not started, with a recording carrier for discovery's workers."""
-    made = Node(config_from(CONFIGURATION, {}))
-    made.carriers[DISCOVERY_SOURCE] = RecordingCarrier()
-    return made
+    created_node = Node(config_from(CONFIGURATION, {}))
+    created_node.carriers[DISCOVERY_SOURCE] = RecordingCarrier()
+    return created_node
 
 
-def test_a_batch_is_bounded_and_keeps_the_events_order(node):
+def test_a_batch_is_bounded_and_keeps_the_order_of_the_events(node):
     limit = node.limits.loop.event_batch
     for number in range(limit + 3):
         node.post(number)
@@ -66,14 +66,14 @@
     assert node.decision_thread.next_events() == [limit, limit + 1, limit + 2]
 
 
-def test_a_timer_that_is_due_is_not_waited_for(node, monkeypatch):
+def test_with_a_due_timer_there_is_no_wait_for_events(node, monkeypatch):
     monkeypatch.setattr(node.core, "next_timer_us", lambda: node.clock.now_us() - 1)
     started_at = time.monotonic()
     assert node.decision_thread.next_events() == []
     assert time.monotonic() - started_at < node.limits.loop.max_wait_seconds
 
 
-def test_without_a_timer_a_wait_for_events_ends_by_itself(node, monkeypatch):
+def test_without_a_timer_the_wait_for_events_ends_after_max_wait_seconds(node, monkeypatch):
     monkeypatch.setattr(node.core, "next_timer_us", lambda: None)
     started_at = time.monotonic()
     assert node.decision_thread.next_events() == []
@@ -89,14 +89,14 @@
     assert first.calls == [("start", call), ("stop", call)]
 
 
-def test_a_health_check_is_left_to_whom_it_is_delegated(node):
+def test_a_delegated_health_check_is_not_sent_by_this_dispatcher(node):
     node.is_health_check_delegated = lambda worker_id: worker_id == "s-1"
     node.decision_thread.execute(CheckWorkerHealth("s-1"))
     node.decision_thread.execute(CheckWorkerHealth("s-2"))
     assert node.carriers[DISCOVERY_SOURCE].calls == [("check_health", "s-2")]
 
 
-def test_answers_reach_their_sink_and_are_counted_by_outcome(node):
+def test_answers_reach_their_response_sink_and_are_counted_by_outcome(node):
     request = SimpleNamespace(response_sink=RecordingSink())
     answer = Answer(request, Outcome.SERVED, b"1")
     node.decision_thread.execute(Progress(request, 1, 2))
@@ -109,7 +109,7 @@
     }
 
 
-def test_other_commands_go_to_the_subsystem_that_handles_them_or_nowhere(node):
+def test_other_commands_go_to_a_subsystems_handler_or_are_dropped(node):
     handled = []
     command = ForwardNotification(object())
     node.decision_thread.execute(command)
@@ -118,13 +118,13 @@
     assert handled == [command]
 
 
-def test_a_fault_in_one_command_does_not_hold_up_the_next(node, monkeypatch, capsys):
+def test_a_fault_in_one_command_does_not_prevent_the_next(node, monkeypatch, capsys):
     broken = StopCall(SimpleNamespace(carrier=None))
     monkeypatch.setattr(node.core, "handle", lambda _now, _events: [broken, LogMessage("next")])
     node.post(object())
     node.decision_thread.run_batch()
-    fault, note = capsys.readouterr().err.splitlines()
-    assert fault.startswith(
+    fault_line, message_line = capsys.readouterr().err.splitlines()
+    assert fault_line.startswith(
         'stepstream: error internal_fault where="a command" error_type=AttributeError'
     )
-    assert note == "stepstream: info policy_message text=next"
+    assert message_line == "stepstream: info policy_message text=next"
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -1,6 +1,7 @@
-"""The whole program on loopback: a real process, a stand-in worker and a stand-in discovery.
+"""The whole program on loopback: a real process, a scripted worker and a scripted discovery.
 
-Waits end on what is seen, within generous bounds; no verdict rests on how fast the machine is.
+The tests wait for observed conditions within generous time limits, so that no result depends on the
+speed of the machine.
 """
 
 import contextlib
@@ -33,16 +34,16 @@
 
 
 def with_shutdown(limits, **seconds):
-    """The limits with other times of a shutdown."""
+    """Return the limits with other shutdown times."""
     return replace(limits, shutdown=replace(limits.shutdown, **seconds))
 
 
 def with_startup(limits, **seconds):
-    """The limits with other waits of a start."""
+    """Return the limits with other waiting times of the start."""
     return replace(limits, startup=replace(limits.startup, **seconds))
 
 
-def test_a_job_is_served_with_what_the_worker_gave_though_its_notification_precedes_the_202(
+def test_a_job_is_served_with_its_result_even_if_the_notification_precedes_the_202(
     dispatcher,
 ):
     answer = exchange(dispatcher.port, job_request(body=b"payload"))
@@ -53,7 +54,7 @@
         b"payload",
         "00000000000000aa",
     )
-    # A notification that comes again, and one of a job from before a restart: both acknowledged.
+    # A repeated notification and one for a job from before a restart are both acknowledged.
     assert dispatcher.notify("00000000000000aa", "done", "x") == 200
     assert dispatcher.notify("00ff", "lost") == 200
 
@@ -71,12 +72,14 @@
     ],
     ids=case_id,
 )
-def test_malformed_peers_get_their_status_and_the_program_goes_on(dispatcher, data, status):
+def test_a_malformed_message_gets_its_status_and_the_dispatcher_keeps_serving(
+    dispatcher, data, status
+):
     assert exchange(dispatcher.port, data).status == status
     assert exchange(dispatcher.port, job_request()).status == 200
 
 
-def test_a_pipelined_request_waits_for_the_one_before(dispatcher):
+def test_a_pipelined_request_waits_for_the_answer_to_the_one_before(dispatcher):
     with socket.create_connection(
         ("127.0.0.1", dispatcher.port), timeout=WAIT_TIMEOUT_SECONDS
     ) as peer:
@@ -87,7 +90,7 @@
         wait_for(lambda: len(dispatcher.job_calls()) == 2)
 
 
-def test_a_client_that_leaves_has_its_job_deleted_at_the_worker(dispatcher):
+def test_the_job_of_a_disconnected_client_is_deleted_at_its_worker(dispatcher):
     dispatcher.hold_jobs.set()
     with socket.create_connection(
         ("127.0.0.1", dispatcher.port), timeout=WAIT_TIMEOUT_SECONDS
@@ -101,7 +104,7 @@
     )
 
 
-def test_a_full_worker_is_retried_and_an_error_of_a_job_with_a_key_proves_nothing(dispatcher):
+def test_a_full_worker_is_retried_and_errors_of_a_keyed_job_do_not_count_as_not_run(dispatcher):
     dispatcher.worker_answers += [write_answer(503, headers={"Not-Started": "1"})]
     assert exchange(dispatcher.port, job_request("0c", path="/nav-publish")).status == 200
     dispatcher.worker_answers += [write_answer(500)] * 4
@@ -112,7 +115,7 @@
     )
 
 
-def test_sigterm_answers_what_is_open_takes_what_still_comes_and_ends_well(dispatcher):
+def test_after_sigterm_open_and_new_requests_are_served_and_the_process_exits_with_0(dispatcher):
     dispatcher.hold_jobs.set()
     answers = []
 
@@ -127,7 +130,8 @@
     second = threading.Thread(target=client, args=("0f",))
     second.start()
     wait_for(lambda: len(dispatcher.job_calls()) == 2)
-    # Notifications come on new connections: the listener must outlive the front's last one.
+    # Notifications arrive on new connections, so the listener must stay open even when the front
+    # proxy opens no more connections.
     for name in ("0e", "0f"):
         assert dispatcher.notify(name, "done", "1") == 200
     first.join(WAIT_TIMEOUT_SECONDS)
@@ -139,7 +143,7 @@
     assert log.endswith("stepstream: info shutdown_finished\n")
 
 
-def test_after_sigterm_clients_go_on_with_their_connections_until_these_close(
+def test_after_sigterm_clients_can_use_their_connections_until_the_serving_time_ends(
     dispatcher, make_node
 ):
     config = config_from({**dispatcher.config, "listen": f"127.0.0.1:{free_port()}"}, {})
@@ -150,7 +154,7 @@
     node.start()
     port = node.server.listeners[0].listener.getsockname()[1]
     with socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_SECONDS) as peer:
-        # The stand-in worker knows the first dispatcher only: its notifications do not come here.
+        # The scripted worker sends notifications only to the first dispatcher, not to this node.
         dispatcher.hold_jobs.set()
         peer.sendall(job_request("0a"))
         wait_for(dispatcher.job_calls)
@@ -166,7 +170,7 @@
         peer.sendall(job_request("0b"))
         wait_for(lambda: len(dispatcher.job_calls()) == 2)
         assert stop.is_alive()
-        # Now its connections close, and what is open has until then to be answered.
+        # From now on connections close, and the open request must be answered at once.
         node.limits = with_shutdown(node.limits, serving_seconds=0.0)
         wait_for(lambda: node.server.state.closing)
         node.events.put(ShutdownStarted(node.clock.now_us()))
@@ -179,7 +183,7 @@
 
 def test_a_reload_polls_the_new_discovery_and_keeps_open_requests(dispatcher, start_server):
     dispatcher.hold_jobs.set()
-    new = start_server(dispatcher.discovery_reply)
+    new_discovery = start_server(dispatcher.discovery_reply)
     with socket.create_connection(
         ("127.0.0.1", dispatcher.port), timeout=WAIT_TIMEOUT_SECONDS
     ) as peer:
@@ -189,20 +193,20 @@
             **dispatcher.config["settings"],
             "services": dispatcher.config["settings"]["services"][::-1],
         }
-        where = f"127.0.0.1:{new.port}"
-        assert where in dispatcher.reload(
-            {**dispatcher.config, "discovery": where, "settings": settings}
+        new_address = f"127.0.0.1:{new_discovery.port}"
+        assert new_address in dispatcher.reload(
+            {**dispatcher.config, "discovery": new_address, "settings": settings}
         )
-        wait_for(lambda: [m for m in new.requests if "wait=" in m.target])
-        before = len(dispatcher.discovery.requests)
-        # The job of before the reload is answered on its connection, and a new one after it.
+        wait_for(lambda: [m for m in new_discovery.requests if "wait=" in m.target])
+        old_discovery_count = len(dispatcher.discovery.requests)
+        # The job from before the reload is answered on its connection, and so is a new one.
         assert dispatcher.notify("0e", "done", "1") == 200
         assert exchange(0, b"", peer).body == b"1"
         dispatcher.hold_jobs.clear()
         assert exchange(0, job_request("0f"), peer).status == 200
-        wait_for(lambda: len([m for m in new.requests if "wait=" in m.target]) > 2)
-    assert new.requests[0].target == "/api/targets"
-    assert len(dispatcher.discovery.requests) == before
+        wait_for(lambda: len([m for m in new_discovery.requests if "wait=" in m.target]) > 2)
+    assert new_discovery.requests[0].target == "/api/targets"
+    assert len(dispatcher.discovery.requests) == old_discovery_count
 
 
 @pytest.mark.parametrize(
@@ -214,14 +218,14 @@
     ],
     ids=case_id,
 )
-def test_a_reload_of_a_bad_file_is_one_line_and_changes_nothing(dispatcher, change, key):
+def test_a_reload_of_a_faulty_file_logs_one_line_and_changes_nothing(dispatcher, change, key):
     assert key in dispatcher.reload({**dispatcher.config, **change})
     assert exchange(dispatcher.port, job_request()).status == 200
     before = len(dispatcher.discovery.requests)
     wait_for(lambda: len(dispatcher.discovery.requests) > before)
 
 
-def test_sigkill_and_a_new_start_on_the_same_address(dispatcher):
+def test_after_sigkill_a_new_process_can_start_on_the_same_address(dispatcher):
     with socket.create_connection(
         ("127.0.0.1", dispatcher.port), timeout=WAIT_TIMEOUT_SECONDS
     ) as peer:
@@ -232,7 +236,7 @@
             wait_for(dispatcher.is_ready)
 
 
-def test_an_address_in_use_is_one_line_that_names_the_key(tmp_path):
+def test_an_address_in_use_ends_the_start_with_one_line_that_names_its_key(tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path = tmp_path / "config.json"
         path.write_text(
@@ -251,49 +255,49 @@
     assert len(run.stderr.splitlines()) == 1
 
 
-class Signals:
-    """A queue of signals in which no signal cuts a wait short, as where a bench controls the waits."""
+class UninterruptibleSignalQueue:
+    """A signal queue whose waits no signal interrupts, as on a test bench that controls the waits."""
 
-    def __init__(self, after):
-        self.after, self.waits = after, []
+    def __init__(self, waits_before_sigterm):
+        self.waits_before_sigterm, self.waits = waits_before_sigterm, []
 
     def get(self, timeout):
         self.waits.append(timeout)
-        if len(self.waits) > self.after:
+        if len(self.waits) > self.waits_before_sigterm:
             return signal.SIGTERM
         raise Empty
 
 
 def test_sigterm_is_handled_soon_even_if_it_does_not_interrupt_the_wait(monkeypatch):
     node = Node(config_from(CONFIGURATION, {}))
-    node.signals = Signals(after=3)
-    rounds, stopped = [], []
+    node.signals = UninterruptibleSignalQueue(waits_before_sigterm=3)
+    task_runs, stopped = [], []
     monkeypatch.setattr(node, "start", lambda: None)
     monkeypatch.setattr(node, "stop", lambda: stopped.append(True))
-    monkeypatch.setattr(node, "run_periodic_tasks", lambda: rounds.append(True))
-    switch = sys.getswitchinterval()
+    monkeypatch.setattr(node, "run_periodic_tasks", lambda: task_runs.append(True))
+    switch_interval_seconds = sys.getswitchinterval()
     handlers = {
-        number: signal.getsignal(number)
-        for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+        signal_number: signal.getsignal(signal_number)
+        for signal_number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
     }
     try:
         assert node.run() == 0
     finally:
-        sys.setswitchinterval(switch)
-        for number, handler in handlers.items():
-            signal.signal(number, handler)
+        sys.setswitchinterval(switch_interval_seconds)
+        for signal_number, handler in handlers.items():
+            signal.signal(signal_number, handler)
     assert stopped
     assert max(node.signals.waits) <= 0.05
-    assert not rounds  # periodic tasks keep their own pace
+    assert not task_runs  # the short waits do not make the periodic tasks run more often
 
 
-CROWD_INTERVAL_SECONDS = 0.1
+PEER_INTERVAL_SECONDS = 0.1
 
 
-def test_a_crowd_that_never_finishes_a_message_does_not_hold_the_stop(dispatcher):
+def test_many_peers_that_never_finish_a_message_do_not_delay_the_shutdown(dispatcher):
     dispatcher.process.send_signal(signal.SIGTERM)
     wait_for(lambda: exchange(dispatcher.port, b"GET /-/ready HTTP/1.1\r\n\r\n").status == 503)
-    # Time is the subject: new peers count as clients until then, later ones are nobody's requests.
+    # The sleep is part of the test: only peers that connect before its end count as clients.
     time.sleep(LIMITS.shutdown.new_connections_seconds + 0.1)
     peers = []
     until = time.monotonic() + 10.0
@@ -306,7 +310,7 @@
                 peer.sendall(b"POST /revalue HTTP/1.1\r\nRequest-Id: 0")
                 peers.append(peer)
             with contextlib.suppress(subprocess.TimeoutExpired):
-                dispatcher.process.wait(CROWD_INTERVAL_SECONDS)
+                dispatcher.process.wait(PEER_INTERVAL_SECONDS)
         assert dispatcher.process.wait(WAIT_TIMEOUT_SECONDS) == 0
         assert time.monotonic() < until
     finally:
@@ -314,11 +318,11 @@
             peer.close()
 
 
-@pytest.mark.parametrize("lists", ["automatic", "subscribe"])
-def test_a_start_is_not_ready_before_it_has_the_first_list(
-    lists, start_server, make_node, start_node
+@pytest.mark.parametrize("discovery_mode", ["automatic", "subscribe"])
+def test_a_dispatcher_is_not_ready_before_it_has_its_first_endpoint_list(
+    discovery_mode, start_server, make_node, start_node
 ):
-    """Pushed: the agent's list counts from the first request on. Polled: without a list there are no workers."""
+    """A pushed list must apply to the first request. Without a polled list there are no workers."""
     answer = threading.Event()
     drained = {"id": "s-1", "addr": "127.0.0.1:1", "state": "draining", "zone": "ruzinov"}
 
@@ -331,11 +335,11 @@
     discovery = start_server(reply)
     port = free_port()
     known = {"version": 3, "full": True, "servers": [{**drained, "state": "ready"}]}
-    settings = {**CONFIGURATION["settings"], "discovery": lists}
+    settings = {**CONFIGURATION["settings"], "discovery": discovery_mode}
     config = {
         **CONFIGURATION,
         "settings": settings,
-        "known": known if lists == "automatic" else {},
+        "known": known if discovery_mode == "automatic" else {},
         "listen": f"127.0.0.1:{port}",
         "discovery": f"127.0.0.1:{discovery.port}",
     }
@@ -347,8 +351,8 @@
     )
     thread = start_node(node)
     wait_for(lambda: discovery.requests)
-    if lists == "subscribe":
-        thread.join(WAIT_TIMEOUT_SECONDS)  # it listens, and says no
+    if discovery_mode == "subscribe":
+        thread.join(WAIT_TIMEOUT_SECONDS)  # it listens, but its readiness check fails
     else:
         with pytest.raises(ConnectionRefusedError):
             exchange(port, b"")
@@ -359,7 +363,7 @@
     assert node.destinations.usable_address("s-1") is None
 
 
-def test_a_start_beside_a_discovery_that_is_down_does_not_wait_for_long(make_node, start_node):
+def test_a_start_does_not_wait_long_for_a_discovery_that_is_down(make_node, start_node):
     port = free_port()
     config = {
         **CONFIGURATION,
@@ -375,15 +379,16 @@
     wait_for(lambda: is_ready(port))
 
 
-def test_a_reload_stops_the_old_discovery_client_before_the_new_one_calls(make_node, monkeypatch):
-    # Guards against an older list over a newer one: two clients adopted lists at one time.
+def test_a_reload_stops_the_old_discovery_client_before_the_new_one_polls(make_node, monkeypatch):
+    # Guards against two clients that adopt lists at the same time: an older list could replace a
+    # newer one.
     node = make_node(config_from(CONFIGURATION, {}))
     new_client_runs = threading.Event()
     old = node.discovery
     stop = old.stop
 
     def stop_slowly():
-        # Time is the subject: without a wait for this stop the new client would run by now.
+        # A new client that does not wait for this stop would run within these 0.2 s.
         assert not new_client_runs.wait(0.2)
         old.version = 9
         stop()
@@ -395,7 +400,7 @@
     assert node.discovery.version == 9
 
 
-def test_a_reload_that_leaves_discovery_where_it_is_goes_on_from_the_list_that_is_held(dispatcher):
+def test_a_reload_with_the_same_discovery_continues_the_watch_from_the_current_list(dispatcher):
     wait_for(lambda: dispatcher.discovery.requests)
     settings = {
         **dispatcher.config["settings"],
--- a/tests/node/test_shutdown.py
+++ b/tests/node/test_shutdown.py
@@ -23,7 +23,7 @@
     ("elapsed_seconds", "quiet_seconds", "ends"),
     [(0.8, 0.3, True), (0.7, 0.7, False), (5.0, 0.2, False)],
 )
-def test_a_shutdown_ends_once_it_has_been_quiet_but_not_before_the_least_time(
+def test_a_shutdown_ends_after_a_quiet_period_but_not_before_its_minimum_time(
     elapsed_seconds, quiet_seconds, ends
 ):
     assert may_end(elapsed_seconds, quiet_seconds, TIMEOUTS) == ends
--- a/tests/runtime/ports.py
+++ b/tests/runtime/ports.py
@@ -3,21 +3,21 @@
 import socket
 from collections import deque
 
-RESERVED_PORTS = 64  # the latest ones stay reserved; no test needs as many at once
+MAX_RESERVED_PORTS = 64  # the oldest are released first; no test needs as many at once
 
 _reservations = deque()
 
 
 def free_port():
-    """Return a port on which nobody listens, reserved against test programs that run beside.
+    """Return a port on which nobody listens, and reserve it against other test processes.
 
-    A bound socket without a listener holds it: the kernel gives it to nobody who asks for any free
-    port, and a server that asks for this one with SO_REUSEADDR may still listen on it.
+    A bound socket that does not listen reserves it. The kernel does not choose the port for others
+    that ask for any free port, but a server can still listen on this port with SO_REUSEADDR.
     """
     reservation = socket.socket()
     reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     reservation.bind(("127.0.0.1", 0))
     _reservations.append(reservation)
-    if len(_reservations) > RESERVED_PORTS:
+    if len(_reservations) > MAX_RESERVED_PORTS:
         _reservations.popleft().close()
     return reservation.getsockname()[1]
--- a/tests/runtime/test_log_events.py
+++ b/tests/runtime/test_log_events.py
@@ -1,4 +1,4 @@
-"""The log: its line form, and the events of the module against those of the on-call page."""
+"""The log: the format of its lines, and its events compared with those of the on-call page."""
 
 import ast
 import re
@@ -18,8 +18,8 @@
 
 
 def defined_events():
-    """Event by event, its severity and its fields in their order, as the module defines them."""
-    found = {}
+    """Return the severity and the ordered fields of each event, as the module defines them."""
+    events = {}
     for function in ast.parse(EVENTS_MODULE.read_text()).body:
         if not isinstance(function, ast.FunctionDef):
             continue
@@ -35,8 +35,8 @@
         severity = STRUCTURED if structured else call.args[0].attr.lower()
         parameters = [argument.arg for argument in function.args.kwonlyargs]
         fields = [keyword.arg for keyword in call.keywords if keyword.arg]
-        found[name] = (severity, fields + [name for name in parameters if name == "left_out"])
-    return found
+        events[name] = (severity, fields + [name for name in parameters if name == "left_out"])
+    return events
 
 
 def called_method(call):
@@ -48,8 +48,8 @@
 
 
 def explained_events():
-    """Event by event, its severity and fields as the on-call page has them."""
-    found = {}
+    """Return the severity and the fields of each event, as the on-call page states them."""
+    events = {}
     table = section("## Log events").split("\n### ", 1)[0]
     for row in re.findall(r"^\| `.*$", table, re.M):
         event, severity, fields, meaning, action, replaced = (
@@ -59,23 +59,25 @@
         assert action
         assert replaced
         name = event.strip("`")
-        assert name not in found
-        found[name] = (severity.strip("*"), re.findall(r"`(\w+)`", fields))
-    return found
+        assert name not in events
+        events[name] = (severity.strip("*"), re.findall(r"`(\w+)`", fields))
+    return events
 
 
 def test_the_on_call_page_explains_each_event_with_its_severity_and_fields():
     assert explained_events() == defined_events()
 
 
-def test_each_event_is_used_and_no_other_module_writes_lines():
-    texts = {path: path.read_text() for path in PACKAGE.rglob("*.py") if path.parent.name != "lab"}
-    code = "\n".join(text for path, text in texts.items() if path != EVENTS_MODULE)
+def test_each_event_is_used_and_no_other_module_writes_log_lines():
+    sources = {
+        path: path.read_text() for path in PACKAGE.rglob("*.py") if path.parent.name != "lab"
+    }
+    code = "\n".join(text for path, text in sources.items() if path != EVENTS_MODULE)
     unused = [
         name for name in defined_events() if not re.search(rf"\b_?log(_events)?\.{name}\b", code)
     ]
     assert unused == []
-    writers = {path.name for path, text in texts.items() if "write_event" in text}
+    writers = {path.name for path, text in sources.items() if "write_event" in text}
     assert writers == {"log.py", "log_events.py"}
     assert not re.search(r"\blogger\.(info|warning|error)\(", code)
 
@@ -113,11 +115,11 @@
     ],
     ids=repr,
 )
-def test_a_value_is_one_plain_word_or_a_json_string(value, text):
+def test_a_field_value_is_one_plain_word_or_a_json_string(value, text):
     assert format_value(value) == text
 
 
-def test_an_event_is_one_line_whatever_its_text_holds(capsys):
+def test_an_event_is_one_line_even_if_its_text_contains_a_line_break(capsys):
     log_events.internal_fault(where="a call", error=KeyError("a\nb"))
     assert capsys.readouterr().err == (
         'stepstream: error internal_fault where="a call" error_type=KeyError error="\'a\\\\nb\'"\n'
--- a/tests/runtime/test_structured_log.py
+++ b/tests/runtime/test_structured_log.py
@@ -1,4 +1,4 @@
-"""Log lines of changes: a line each, and the rest counted."""
+"""Log lines of changes: one line per change up to a limit, and one that counts the rest."""
 
 import io
 
@@ -14,8 +14,8 @@
     fields = [{"name": f"n{number}", "after": "alive"} for number in range(count)]
     log_changes(
         structured_logger("json", stream),
-        lambda logger, **change: logger.info("thing", **change),
-        lambda logger, *, more: logger.info("things", more=more),
+        lambda logger, **change: logger.info("changed", **change),
+        lambda logger, *, more: logger.info("changes_omitted", more=more),
         fields,
     )
     lines = [ujson.loads(line) for line in stream.getvalue().splitlines()]
@@ -23,8 +23,8 @@
         del line["timestamp"]
     logged = min(count, 50)
     expected = [
-        {"event": "thing", "name": f"n{number}", "after": "alive"} for number in range(logged)
+        {"event": "changed", "name": f"n{number}", "after": "alive"} for number in range(logged)
     ]
     if count > 50:
-        expected.append({"event": "things", "more": count - 50})
+        expected.append({"event": "changes_omitted", "more": count - 50})
     assert lines == expected
--- a/tests/runtime/test_threads.py
+++ b/tests/runtime/test_threads.py
@@ -1,11 +1,11 @@
-"""Threads that outlive a fault."""
+"""Threads that continue after a fault."""
 
 from stepstream.runtime.threads import ThreadPool, run_until_closed
 from tests.runtime.thread_ends import end_pool
 from tests.runtime.waiting import wait_for
 
 
-def test_a_thread_pool_outlives_the_faults_of_its_jobs(capfd):
+def test_a_thread_pool_continues_after_a_fault_of_a_job(capfd):
     pool = ThreadPool("test", 1)
     seen = []
     pool.submit(lambda: 1 / 0)
@@ -16,7 +16,7 @@
     assert "ZeroDivisionError" in capfd.readouterr().err
 
 
-def test_a_loop_outlives_faults_and_ends_once_closed(capfd, monkeypatch):
+def test_a_loop_continues_after_a_fault_and_a_pause_and_ends_once_closed(capfd, monkeypatch):
     pauses = []
     monkeypatch.setattr("stepstream.runtime.threads.time.sleep", pauses.append)
     steps = []
@@ -34,7 +34,7 @@
     )
 
 
-def test_a_loop_that_is_closed_takes_no_step():
+def test_a_closed_loop_runs_no_step():
     steps = []
     run_until_closed("the loop", lambda: steps.append(1), lambda: True, 0.5)
     assert steps == []
--- a/tests/runtime/thread_ends.py
+++ b/tests/runtime/thread_ends.py
@@ -1,7 +1,7 @@
 """End threads that a test has started in its own process.
 
-The program's pools and its decision thread run until the process ends. A test process goes on: what
-is left running would decide and write log lines beside later tests.
+The program's pools and its decision thread run until the process ends. A test process continues, so
+threads that are left running would make decisions and write log lines during later tests.
 """
 
 import contextlib
@@ -12,7 +12,7 @@
 
 
 def end_pool(pool):
-    """Let each thread of a pool end once it has run the jobs that are queued."""
+    """Let each thread of a pool end after the jobs that are already queued."""
     for _ in range(pool.thread_count):
         pool.jobs.put((sys.exit, ()))
 
@@ -45,7 +45,7 @@
 
 
 def ignore_exits(hook):
-    """Return a `threading.excepthook` to which a thread's SystemExit is no fault."""
+    """Return a `threading.excepthook` that ignores SystemExit and passes the rest to `hook`."""
 
     def ignoring_hook(arguments):
         if arguments.exc_type is not SystemExit:
@@ -56,24 +56,24 @@
 
 @contextlib.contextmanager
 def no_thread_left():
-    """Fail if a thread that starts within does not end; wait for it a while."""
-    before = set(threading.enumerate())
+    """Fail if a thread that starts inside the context is still running some time after it."""
+    threads_before = set(threading.enumerate())
     hook = threading.excepthook
     threading.excepthook = ignore_exits(hook)
     try:
         yield
-        wait_until_ended(before)
+        wait_until_ended(threads_before)
     finally:
         threading.excepthook = hook
 
 
-def wait_until_ended(before):
-    """Wait until no thread runs but those from before; name the others in the failure."""
+def wait_until_ended(threads_before):
+    """Wait until only `threads_before` are running; name the others in the failure."""
 
-    def left():
-        return [thread.name for thread in threading.enumerate() if thread not in before]
+    def names_of_running():
+        return [thread.name for thread in threading.enumerate() if thread not in threads_before]
 
     try:
-        wait_for(lambda: not left())
+        wait_for(lambda: not names_of_running())
     except AssertionError as error:
-        raise AssertionError(f"threads are left: {left()}") from error
+        raise AssertionError(f"threads are still running: {names_of_running()}") from error
