--- a/tests/model/builders.py
+++ b/tests/model/builders.py
@@ -1,4 +1,4 @@
-"""Job classes and endpoints that tests of the policy and its records share."""
+"""Job classes and endpoints for the tests of the policy and of its records."""
 
 from stepstream.model.endpoints import Endpoint
 from stepstream.model.settings import Effect, JobClass, KeyScope
@@ -30,5 +30,5 @@
 
 
 def make_endpoint(number, **fields):
-    """Return the endpoint of the worker with this number."""
+    """Return an endpoint whose worker id ends in this number."""
     return Endpoint(f"10.0.0.{number}:5000", **fields)
--- a/tests/model/test_pool_load.py
+++ b/tests/model/test_pool_load.py
@@ -8,22 +8,23 @@
 
 
 def test_averages_follow_the_busy_slots_within_the_time_constant():
-    load = PoolLoad(0)
-    load.high_set.busy_slots, load.high_set.running_slots = 10.0, 4.0
-    load.advance(AVERAGING_TIME_CONSTANT_US)
-    assert load.high_set.mean_busy_slots == pytest.approx(6.32, abs=0.01)
-    assert load.high_set.mean_running_slots == pytest.approx(2.53, abs=0.01)
-    assert load.low_set.mean_busy_slots == 0.0
+    pool_load = PoolLoad(0)
+    pool_load.high_set.busy_slots, pool_load.high_set.running_slots = 10.0, 4.0
+    pool_load.advance(AVERAGING_TIME_CONSTANT_US)
+    assert pool_load.high_set.mean_busy_slots == pytest.approx(6.32, abs=0.01)
+    assert pool_load.high_set.mean_running_slots == pytest.approx(2.53, abs=0.01)
+    assert pool_load.low_set.mean_busy_slots == 0.0
 
 
 def test_a_recount_gives_each_pool_the_slots_of_its_workers():
-    load = PoolLoad(0)
+    pool_load = PoolLoad(0)
     workers = [
-        Worker(make_endpoint(k), 0, 0, load.high_set if k else load.low_set) for k in range(3)
+        Worker(make_endpoint(index), 0, 0, pool_load.high_set if index else pool_load.low_set)
+        for index in range(3)
     ]
     for worker in workers:
         worker.busy_slots, worker.running_slots = 2.0, 1.0
-    load.recount(workers)
-    assert (load.high_set.worker_count, load.low_set.worker_count) == (2, 1)
-    assert (load.high_set.busy_slots, load.low_set.busy_slots) == (4.0, 2.0)
-    assert (load.high_set.running_slots, load.low_set.running_slots) == (2.0, 1.0)
+    pool_load.recount(workers)
+    assert (pool_load.high_set.worker_count, pool_load.low_set.worker_count) == (2, 1)
+    assert (pool_load.high_set.busy_slots, pool_load.low_set.busy_slots) == (4.0, 2.0)
+    assert (pool_load.high_set.running_slots, pool_load.low_set.running_slots) == (2.0, 1.0)
--- a/tests/model/test_records.py
+++ b/tests/model/test_records.py
@@ -1,4 +1,4 @@
-"""Records compare, hash and print by their fields, as frozen dataclasses do."""
+"""Records compare, hash and print by their fields, like frozen dataclasses."""
 
 from dataclasses import dataclass, field, replace
 
@@ -9,7 +9,7 @@
 
 @record
 class Point:
-    """A record with a default, and a field that each instance has for itself."""
+    """A record with a default value and a default factory."""
 
     x: int
     y: int = 0
@@ -18,7 +18,7 @@
 
 @record
 class Size:
-    """A record of another class with the same fields."""
+    """A record with the same fields as `Point`, of another class."""
 
     x: int
     y: int = 0
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Reference:
-    """What the library makes of the same fields."""
+    """A frozen dataclass with the same fields as `Point`."""
 
     x: int
     y: int = 0
