--- a/tests/simulator_adapter/test_wire_forms.py
+++ b/tests/simulator_adapter/test_wire_forms.py
@@ -1,4 +1,4 @@
-"""Each message of the wire, read or written alone."""
+"""Reading and writing of each single message of the simulator's wire."""
 
 from typing import get_args
 
@@ -86,7 +86,7 @@
     assert set(ACTION_WRITERS) == {type(action) for action, _ in ACTIONS}
 
 
-def test_what_is_no_action_has_no_wire_form():
+def test_a_value_that_is_no_action_has_no_wire_form():
     with pytest.raises(TypeError, match="no wire form"):
         write_action("RELAY")
 
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "words"),
+    ("line", "expected_error"),
     [
         ("SAMPLED runner=w:1 gauge=1", "does not match load_report.columns"),
         ("SAMPLED runner=w:1 gauge=1,x", "not a list of numbers"),
@@ -110,21 +110,21 @@
         ("HELLO a=b", "message HELLO is not known"),
     ],
 )
-def test_a_message_that_cannot_be_read_is_a_wire_error(line, words):
-    with pytest.raises(WireError, match=words):
+def test_a_message_that_cannot_be_read_is_a_wire_error(line, expected_error):
+    with pytest.raises(WireError, match=expected_error):
         read_event(Message(line), SETTINGS)
 
 
 @pytest.mark.parametrize(
-    ("line", "words"),
+    ("line", "expected_error"),
     [
         ("HELLO junk", "'junk' is not name=value"),
         ("ANSWER msg_id=a runner=w:1 state_code=NEVER", "state_code=NEVER is not known"),
         ("WAKE", "ctx is missing"),
     ],
 )
-def test_a_faulty_pair_is_named(line, words):
-    with pytest.raises(ConfigurationError, match=words):
+def test_the_error_for_a_faulty_pair_names_the_pair(line, expected_error):
+    with pytest.raises(ConfigurationError, match=expected_error):
         read_event(Message(line), SETTINGS)
 
 
