--- a/tests/policy/cluster.py
+++ b/tests/policy/cluster.py
@@ -1,4 +1,4 @@
-"""A simulated cluster: many load balancers round one set of workers, which is all they share."""
+"""A simulated cluster: many load balancers that share nothing but one set of workers."""
 
 import heapq
 import random
@@ -18,7 +18,7 @@
 from stepstream.model.settings import Settings
 from stepstream.policy.load_balancer import LoadBalancer
 
-HOP_US = 1_000  # from a dispatcher to a worker, and back
+NETWORK_DELAY_US = 1_000  # in each direction between a dispatcher and a worker
 CLIENT_BUDGET_US = 5_000_000
 
 
@@ -32,7 +32,7 @@
 
 
 class ScheduledStep(NamedTuple):
-    """A step of the simulation; steps of one time run in the order of their numbers."""
+    """A step of the simulation; steps at the same time run in the order of their numbers."""
 
     at_us: int
     number: int
@@ -42,7 +42,7 @@
 
 @dataclass
 class SimulatedWorker:
-    """Jobs run in its slots and wait in turn; it may be dead or fail what it is sent."""
+    """A worker that runs jobs in its slots and queues the others; it may be dead, or fail jobs."""
 
     endpoint: Endpoint
     slots: int = 4
@@ -56,12 +56,12 @@
 
 @dataclass
 class SimulatedJob:
-    """A job, and what has become of it."""
+    """A job and its outcome."""
 
     job_class: int
     run_us: int
     submitted_us: int
-    latency_us: int | None = None  # of the answer, where it was served
+    latency_us: int | None = None  # from submission to answer; None: not served
     rejected: bool = False
     attempts: int = 0
     errors: int = 0
@@ -102,12 +102,12 @@
             self.notify(dispatcher, endpoints)
 
     def call_at(self, at_us, step, *arguments):
-        """Schedule a step."""
+        """Schedule a step of the simulation at this time."""
         self.scheduled_count += 1
         heapq.heappush(self.schedule, ScheduledStep(at_us, self.scheduled_count, step, arguments))
 
     def submit_jobs(self, rates_per_s, mean_runs_us, until_us):
-        """Schedule Poisson arrivals, by class."""
+        """Schedule Poisson arrivals of jobs; rates and mean run times are given by class."""
         for job_class, (rate, mean_run_us) in enumerate(
             zip(rates_per_s, mean_runs_us, strict=True)
         ):
@@ -118,7 +118,7 @@
                 self.call_at(at_us, self.submit, dispatcher, job_class, run_us)
 
     def run(self, until_us):
-        """Run the scheduled steps up to this time."""
+        """Run the scheduled steps up to and including this time."""
         while self.schedule and self.schedule[0].at_us <= until_us:
             scheduled = heapq.heappop(self.schedule)
             self.now_us = scheduled.at_us
@@ -142,14 +142,16 @@
                     number = self.jobs[job_id].attempts
                     self.jobs[job_id].attempts += 1
                     attempt = PlacedAttempt(dispatcher, job_id, number, worker_id)
-                    self.call_at(self.now_us + HOP_US, self.deliver, attempt)
+                    self.call_at(self.now_us + NETWORK_DELAY_US, self.deliver, attempt)
                 case CancelAttempt(job_id, number):
-                    self.call_at(self.now_us + HOP_US, self.cancel, dispatcher, job_id, number)
+                    self.call_at(
+                        self.now_us + NETWORK_DELAY_US, self.cancel, dispatcher, job_id, number
+                    )
                 case Reject(job_id) | Fail(job_id):
                     self.jobs[job_id].rejected = True
 
     def deliver(self, attempt):
-        """Let an attempt arrive at its worker."""
+        """Deliver an attempt to its worker."""
         worker = self.workers[attempt.worker_id]
         worker.received += 1
         if worker.dead:
@@ -167,23 +169,23 @@
             attempt = worker.queue.pop(0)
             worker.running.add(attempt)
             started = AttemptStarted(attempt.job_id, attempt.attempt_number, attempt.worker_id)
-            self.call_at(self.now_us + HOP_US, self.notify, attempt.dispatcher, started)
+            self.call_at(self.now_us + NETWORK_DELAY_US, self.notify, attempt.dispatcher, started)
             run_us = int(self.jobs[attempt.job_id].run_us / worker.speed)
             self.call_at(self.now_us + run_us, self.finish, attempt)
 
     def finish(self, attempt):
-        """End a run, and answer its job unless another attempt did."""
+        """End a run, and answer its job unless another attempt has answered it."""
         worker = self.workers[attempt.worker_id]
         if attempt in worker.running:
             worker.running.discard(attempt)
             job = self.jobs[attempt.job_id]
             if job.latency_us is None and not job.rejected:
-                job.latency_us = self.now_us + HOP_US - job.submitted_us
+                job.latency_us = self.now_us + NETWORK_DELAY_US - job.submitted_us
             self.report_end(attempt, AttemptResult.OK)
             self.start_queued(worker)
 
     def cancel(self, dispatcher, job_id, attempt_number):
-        """Remove an attempt from its worker."""
+        """Cancel an attempt: remove it from its worker, and report its end."""
         cancelled = (dispatcher, job_id, attempt_number)
         for worker in self.workers.values():
             for attempt in [a for a in (*worker.queue, *worker.running) if a[:3] == cancelled]:
@@ -193,15 +195,15 @@
                 self.start_queued(worker)
 
     def report_end(self, attempt, result):
-        """Report an attempt's end to its dispatcher, one hop later."""
+        """Report an attempt's end to its dispatcher after the network delay."""
         answered = self.jobs[attempt.job_id].latency_us is not None
         ended = AttemptEnded(
             attempt.job_id, attempt.attempt_number, attempt.worker_id, result, 1000, answered
         )
-        self.call_at(self.now_us + HOP_US, self.notify, attempt.dispatcher, ended)
+        self.call_at(self.now_us + NETWORK_DELAY_US, self.notify, attempt.dispatcher, ended)
 
     def jobs_submitted(self, job_class, since_us, until_us):
-        """Return a class's jobs submitted in this time."""
+        """Return the jobs of a class that were submitted between these times."""
         return [
             job
             for job in self.jobs.values()
@@ -209,7 +211,10 @@
         ]
 
     def fraction_in_time(self, job_class, since_us, until_us, objective_us):
-        """Return the fraction of a class's jobs that was served within its objective and twice its run."""
+        """Return the fraction of a class's jobs that was served in time.
+
+        A job is in time if its latency is at most the objective plus twice its run time.
+        """
         jobs = self.jobs_submitted(job_class, since_us, until_us)
         in_time = [
             job
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -1,4 +1,4 @@
-"""A load balancer on a clock of the test's own, and the actions that it answers."""
+"""A load balancer on a clock that the test controls, and the actions that it returns."""
 
 from stepstream.model.actions import Fail, PolicyAction, Reject, SetTimer, StartAttempt, TimerToken
 from stepstream.model.endpoints import EndpointList, EndpointListKind
@@ -22,10 +22,10 @@
 
 
 class PolicyHarness:
-    """One load balancer, its clock, the actions that it has answered, and events for it."""
+    """One load balancer, its clock, its actions so far, and methods that send events to it."""
 
     def __init__(self, *classes, workers=4, endpoints=None, seed=1, **settings):
-        """Start with these workers; `settings` are further fields of the policy's settings."""
+        """Create a load balancer with these workers; `settings` are fields of its settings."""
         fields = {"attempt_limit": 5, **settings}
         self.settings = Settings(classes=classes or (IDEMPOTENT,), **fields)
         self.now_us = START_US
@@ -38,13 +38,13 @@
         self.start_actions = self.handle(persisted)
 
     def handle(self, *events):
-        """Give the balancer events; return its actions."""
+        """Send events to the load balancer as one round; return its actions."""
         actions = self.balancer.handle(self.now_us, list(events))
         self.actions += actions
         return actions
 
     def advance(self, duration_us):
-        """Let time pass without a timer."""
+        """Advance the clock without firing timers."""
         self.now_us += duration_us
         return self
 
@@ -57,20 +57,20 @@
         return job_id, self.handle(JobSubmitted(job_id, job_class, budget_us, tenant, **fields))
 
     def end_attempt(self, job_id, worker, result, attempt=0, job_ended=None, report=None):
-        """Report the end of an attempt; only OK ends the job unless `job_ended` says so."""
+        """Report the end of an attempt; by default only the result OK ends the job."""
         if job_ended is None:
             job_ended = result is AttemptResult.OK
         return self.handle(AttemptEnded(job_id, attempt, worker, result, 1000, job_ended, report))
 
     def serve(self, gap_us=1000, report=None, **fields):
-        """Let time pass, submit a job and end its first attempt with OK; return the worker's id."""
+        """Advance the clock, submit a job, end its first attempt with OK; return the worker's id."""
         job_id, actions = self.advance(gap_us).submit(**fields)
-        worker_id = first_worker(actions)
+        worker_id = first_worker_id(actions)
         self.end_attempt(job_id, worker_id, AttemptResult.OK, report=report)
         return worker_id
 
     def report_headroom(self, number, headroom):
-        """Report a worker's free slots, or its queue where the number is below 0."""
+        """Report a worker's headroom by a health check: free slots, or queued jobs if negative."""
         report = {"free_slots": max(headroom, 0.0), "queue": max(-headroom, 0.0)}
         worker_id = make_endpoint(number).worker_id
         return self.handle(HealthChecked(worker_id, True, 500, report))
@@ -81,7 +81,7 @@
             self.report_headroom(number, headroom)
 
     def finish_period(self):
-        """Go to the end of the running period, whose first one has a random length."""
+        """Advance to the end of the present period and fire the timers that are due."""
         period_end_us = max(
             action.at_us
             for action in self.actions
@@ -91,14 +91,14 @@
         return self
 
     def fire_timers(self, duration_us=500_000):
-        """Let time pass; fire every timer that is due by then. Return the actions."""
+        """Advance the clock and fire every timer that is due by then; return the actions."""
         self.now_us += duration_us
         due = [action for action in self.actions if self.is_due(action)]
         self.actions = [action for action in self.actions if not self.is_due(action)]
         return self.handle(*[TimerFired(timer.token) for timer in due])
 
     def is_due(self, action):
-        """Return whether the action is a timer that has come due."""
+        """Return whether the action is a timer that is due now."""
         return isinstance(action, SetTimer) and action.at_us <= self.now_us
 
 
@@ -107,12 +107,12 @@
     return [action for action in actions if isinstance(action, StartAttempt)]
 
 
-def first_worker(actions):
+def first_worker_id(actions):
     """Return the id of the worker of the first attempt that these actions start."""
     return started_attempts(actions)[0].worker_id
 
 
-def workers_of(actions):
+def attempt_worker_ids(actions):
     """Return the ids of the workers of the attempts that these actions start."""
     return [attempt.worker_id for attempt in started_attempts(actions)]
 
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Rejections on arrival, decided on the records of one dispatcher."""
+"""Rejections of jobs on arrival, by the records of one dispatcher."""
 
 import pytest
 
@@ -24,7 +24,9 @@
     ("free_slots", "client_retry", "rejected"),
     [(2.0, False, False), (2.0, True, True), (4.0, True, False)],
 )
-def test_a_stale_retry_needs_a_whole_workers_headroom(free_slots, client_retry, rejected):
+def test_a_stale_retry_is_rejected_with_less_than_one_workers_headroom(
+    free_slots, client_retry, rejected
+):
     state = PolicyState(SETTINGS, 1, NOW_US)
     worker = Worker(make_endpoint(0), 0, 0, state.pools.low_set)
     worker.busy_slots = 4.0 - free_slots
--- a/tests/policy/test_cap_scenarios.py
+++ b/tests/policy/test_cap_scenarios.py
@@ -1,4 +1,4 @@
-"""Caps and the High Set by what attempts show of the workers."""
+"""Caps and the High Set, as learned from the attempts on the workers."""
 
 from stepstream.model.events import AttemptResult, AttemptStarted
 from stepstream.policy.capacity import headroom, median_cap
@@ -6,7 +6,7 @@
 from tests.policy.harness import (
     WITH_LOAD_REPORTS,
     PolicyHarness,
-    first_worker,
+    first_worker_id,
     started_attempts,
 )
 
@@ -21,8 +21,9 @@
     )
 
 
-def test_waiting_priority_jobs_make_the_high_set_borrow():
-    # Waiting keeps the busy slots at the caps: with it left out, the High Set never borrowed.
+def test_waiting_priority_jobs_make_the_high_set_borrow_a_worker():
+    # Guards against a High Set that never borrows: while jobs wait, its busy slots stay at its
+    # caps, so that it only seems over its caps if the waiting jobs count as load.
     def high_set_size(jobs):
         harness = PolicyHarness(IDEMPOTENT, workers=10, **WITH_LOAD_REPORTS)
         harness.finish_period().fire_timers(400_000)
@@ -35,8 +36,9 @@
     assert high_set_size(5) == high_set_size(0) + 1
 
 
-def test_the_high_set_keeps_its_size_where_few_headrooms_are_known():
-    # It gave back a worker each period, down to the same single one at every dispatcher.
+def test_the_high_set_keeps_its_size_while_few_headrooms_are_valid():
+    # Guards against a High Set that returns one worker each period, until all dispatchers have the
+    # same single worker left in it.
     high_sets = set()
     for seed in range(3):
         harness = PolicyHarness(IDEMPOTENT, workers=30, seed=seed, **WITH_LOAD_REPORTS)
@@ -49,11 +51,12 @@
     assert len(high_sets) == 3
 
 
-def test_a_worker_that_once_answered_full_is_not_preferred_to_unknown_ones():
-    # Its cap of one stayed, above the common cap, and drew the attempts of all dispatchers.
+def test_a_worker_with_an_old_full_answer_has_no_more_headroom_than_others():
+    # Guards against an old cap that attracts attempts: a worker that had answered 'full' kept a cap
+    # of one, above the common cap, and got the attempts of all dispatchers.
     harness = PolicyHarness(IDEMPOTENT, workers=6, **WITH_LOAD_REPORTS)
     job_id, actions = harness.submit()
-    full_id = first_worker(actions)
+    full_id = first_worker_id(actions)
     harness.end_attempt(job_id, full_id, AttemptResult.FULL)
     harness.advance(2_100_000)
     for number in range(6):
@@ -67,7 +70,7 @@
 
 
 def harness_with_one_overdue_start():
-    """Return a balancer and the attempt, of twelve on four workers, that has not started."""
+    """Return a harness, and the only attempt that has not started of twelve on four workers."""
     harness = PolicyHarness(NOT_IDEMPOTENT, workers=4, reports_start=True)
     attempts = [harness.submit()[1][0] for _ in range(12)]
     for attempt in attempts[1:]:
@@ -76,8 +79,9 @@
 
 
 def test_an_overdue_start_sets_the_cap_at_the_busy_slots_and_not_at_zero():
-    # A headroom of 0 less our attempts was kept as if it were a report: every cap became 0, and the
-    # High Set borrowed all workers of an idle dispatcher.
+    # Guards against treating an overdue start as a report of zero headroom from which our attempts
+    # are subtracted: every cap became 0, and the High Set of an idle dispatcher borrowed all
+    # workers.
     harness, overdue = harness_with_one_overdue_start()
     state = harness.balancer.state
     worker = state.workers.by_id[overdue.worker_id]
@@ -85,7 +89,7 @@
     harness.fire_timers(200_000)
     assert headroom(state, worker) == 0.0
     assert median_cap(state) == busy_slots > 1
-    # The answer 'full' leaves less than nothing.
+    # After an answer 'full' the headroom is negative.
     harness, overdue = harness_with_one_overdue_start()
     state = harness.balancer.state
     worker = state.workers.by_id[overdue.worker_id]
@@ -94,15 +98,15 @@
 
 
 def test_one_overdue_start_on_a_slow_worker_does_not_set_the_common_cap():
-    # The common cap stayed at one for seconds after a single overdue start with one busy slot: jobs
-    # waited though workers had headroom, and ordinary ones were rejected.
+    # Guards against a common cap of one for seconds after a single overdue start with one busy
+    # slot: jobs waited although workers had headroom, and ordinary jobs were rejected.
     harness = PolicyHarness(IDEMPOTENT, workers=4, reports_start=True)
 
     def run_overdue_starts(count):
         jobs = [harness.submit() for _ in range(count)]
         harness.fire_timers(200_000)
         for job_id, actions in jobs:
-            harness.end_attempt(job_id, first_worker(actions), AttemptResult.OK)
+            harness.end_attempt(job_id, first_worker_id(actions), AttemptResult.OK)
 
     run_overdue_starts(12)
     common_cap = median_cap(harness.balancer.state)
@@ -112,7 +116,7 @@
     assert median_cap(harness.balancer.state) == common_cap
 
 
-def test_a_prompt_start_beyond_the_common_cap_raises_it():
+def test_a_start_in_time_beyond_the_common_cap_raises_the_cap():
     harness = PolicyHarness(IDEMPOTENT, workers=1, reports_start=True)
     state = harness.balancer.state
     harness.submit()
--- a/tests/policy/test_health_checks.py
+++ b/tests/policy/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Which workers the balancer has health-checked at the end of a period."""
+"""Which workers the load balancer health-checks at the end of a period."""
 
 from stepstream.model.actions import CheckHealth
 from tests.model.builders import IDEMPOTENT, make_endpoint
@@ -6,7 +6,7 @@
 
 
 def checked_at_period_end(jobs, workers=30, **settings):
-    """Return the workers checked after this many jobs in a period, with one report known."""
+    """Return the workers checked after a period with this many jobs and one load report."""
     fields = {"may_check_health": True, **WITH_LOAD_REPORTS, **settings}
     harness = PolicyHarness(IDEMPOTENT, workers=workers, **fields)
     harness.finish_period().advance(400_000)
@@ -24,6 +24,7 @@
 
 
 def test_health_checks_are_bounded_by_own_jobs_and_not_by_the_number_of_workers():
-    # Where each dispatcher checked each silent worker, 93 of them with 50 workers made 21 a job.
+    # Guards against too many checks: when each dispatcher checked every silent worker, 93
+    # dispatchers with 50 workers made 21 checks for each job.
     assert len(checked_at_period_end(jobs=4)) == 4
     assert not checked_at_period_end(jobs=0)
--- a/tests/policy/test_hedged_requests.py
+++ b/tests/policy/test_hedged_requests.py
@@ -1,4 +1,4 @@
-"""Hedged requests: a second attempt where the first does not start soon."""
+"""Hedged requests: a second attempt if the first one does not start in time."""
 
 from typing import NamedTuple
 
@@ -8,24 +8,24 @@
 from tests.policy.harness import (
     WITH_LOAD_REPORTS,
     PolicyHarness,
-    first_worker,
+    attempt_worker_ids,
+    first_worker_id,
     started_attempts,
-    workers_of,
 )
 
-OVERDUE_US = 160_000  # after which a start is overdue
+START_DUE_US = 160_000  # after which a start is overdue
 
 
-class StartedJob(NamedTuple):
-    """A balancer, and a job whose first attempt has not started yet."""
+class SubmittedJob(NamedTuple):
+    """A harness, and a job whose first attempt was sent and has not started yet."""
 
     harness: PolicyHarness
     job_id: str
     worker_id: str
 
 
-def start_job(job_class, headrooms=(3.0, 3.0, 3.0)):
-    """Submit a job to a balancer with three workers."""
+def submit_job(job_class, headrooms=(3.0, 3.0, 3.0)):
+    """Submit a job to a load balancer with three workers."""
     harness = PolicyHarness(
         job_class,
         workers=3,
@@ -36,13 +36,13 @@
     )
     harness.report_headrooms(headrooms)
     job_id, actions = harness.submit()
-    return StartedJob(harness, job_id, first_worker(actions))
+    return SubmittedJob(harness, job_id, first_worker_id(actions))
 
 
-def test_an_attempt_that_does_not_start_soon_is_hedged_and_the_first_to_start_stays():
-    # Late reports kept jobs behind long queues at workers that looked free.
-    job = start_job(IDEMPOTENT)
-    (hedged,) = started_attempts(job.harness.fire_timers(OVERDUE_US))
+def test_an_overdue_attempt_is_hedged_and_is_cancelled_when_the_other_one_starts():
+    # Guards against jobs that stay in long queues: by old load reports their workers looked free.
+    job = submit_job(IDEMPOTENT)
+    (hedged,) = started_attempts(job.harness.fire_timers(START_DUE_US))
     assert hedged.job_id == job.job_id
     assert hedged.worker_id != job.worker_id
     assert not started_attempts(job.harness.fire_timers(10_000))
@@ -60,23 +60,23 @@
         (NOT_IDEMPOTENT, (3.0, 3.0, 3.0)),
         (IDEMPOTENT, (1.0, 0.0, 0.0)),
     ):
-        job = start_job(job_class, headrooms)
-        assert not started_attempts(job.harness.fire_timers(OVERDUE_US))
-    job = start_job(IDEMPOTENT)
+        job = submit_job(job_class, headrooms)
+        assert not started_attempts(job.harness.fire_timers(START_DUE_US))
+    job = submit_job(IDEMPOTENT)
     job.harness.handle(AttemptStarted(job.job_id, 0, job.worker_id))
-    assert not started_attempts(job.harness.fire_timers(OVERDUE_US))
+    assert not started_attempts(job.harness.fire_timers(START_DUE_US))
 
 
-def test_a_worker_with_an_overdue_start_has_no_headroom():
-    job = start_job(NOT_IDEMPOTENT)
-    job.harness.fire_timers(OVERDUE_US)
+def test_a_worker_with_an_overdue_start_gets_no_further_job():
+    job = submit_job(NOT_IDEMPOTENT)
+    job.harness.fire_timers(START_DUE_US)
     for _ in range(4):
-        assert job.worker_id not in workers_of(job.harness.advance(1000).submit()[1])
+        assert job.worker_id not in attempt_worker_ids(job.harness.advance(1000).submit()[1])
 
 
 def test_a_hedged_request_in_flight_when_the_job_is_answered_is_cancelled():
-    job = start_job(IDEMPOTENT)
-    job.harness.fire_timers(OVERDUE_US)
+    job = submit_job(IDEMPOTENT)
+    job.harness.fire_timers(START_DUE_US)
     assert job.harness.end_attempt(job.job_id, job.worker_id, AttemptResult.OK) == [
         CancelAttempt(job.job_id, 1)
     ]
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -15,8 +15,8 @@
 NOW_US = 10_000_000
 
 
-def hedged_to(busy_slots, **settings):
-    """Workers that get a hedged request, where one of two has an overdue attempt of the job."""
+def workers_of_hedged_requests(busy_slots, **settings):
+    """Return the workers that get a hedged request, if one of two has an overdue attempt."""
     permissions = {"may_hedge": True, "attempt_limit": 2, **settings}
     state = PolicyState(Settings(classes=(IDEMPOTENT,), **permissions), 1, NOW_US)
     state.measurements.common_cap = 1.0
@@ -34,12 +34,12 @@
     return [action.worker_id for action in state.actions if isinstance(action, StartAttempt)]
 
 
-@pytest.mark.parametrize(("busy_slots", "hedged"), [(0.0, True), (1.0, False)])
-def test_a_hedged_request_goes_to_a_worker_with_the_slots_for_it(busy_slots, hedged):
-    # A cap alone holds up no priority job, but it does hold up a hedged request.
-    assert hedged_to(busy_slots) == [make_endpoint(1).worker_id] * hedged
+@pytest.mark.parametrize(("busy_slots", "is_hedged"), [(0.0, True), (1.0, False)])
+def test_a_hedged_request_goes_to_a_worker_with_the_slots_for_it(busy_slots, is_hedged):
+    # A cap without a measurement holds up no priority job, but it holds up a hedged request.
+    assert workers_of_hedged_requests(busy_slots) == [make_endpoint(1).worker_id] * is_hedged
 
 
 @pytest.mark.parametrize("forbidden", [{"may_hedge": False}, {"attempt_limit": 1}], ids=case_id)
-def test_no_hedged_request_where_the_platform_or_the_limit_forbids_it(forbidden):
-    assert hedged_to(0.0, **forbidden) == []
+def test_no_hedged_request_is_sent_where_the_platform_or_the_attempt_limit_forbids_it(forbidden):
+    assert workers_of_hedged_requests(0.0, **forbidden) == []
--- a/tests/policy/test_idempotency.py
+++ b/tests/policy/test_idempotency.py
@@ -1,4 +1,4 @@
-"""What the rules allow for a job by its effect and its attempts."""
+"""Which repeats and retries are allowed for a job, by its effect and its attempts."""
 
 from dataclasses import replace
 
@@ -24,18 +24,20 @@
 )
 
 SENT_US = 1_000_000
-WORKERS = [Worker(make_endpoint(k, zone=k % 2, cell=k), 0, 0, Pool()) for k in range(4)]
+WORKERS = [
+    Worker(make_endpoint(index, zone=index % 2, cell=index), 0, 0, Pool()) for index in range(4)
+]
 
 
-def tried(class_settings, *, never_ran):
-    """A job with one attempt, on the first worker."""
+def job_with_one_attempt(class_settings, *, never_ran):
+    """Return a job with one attempt, on the first worker."""
     job = InFlightJob(JobSubmitted("a", 0, 1), class_settings, 0, 0, False, 1.0)
     job.attempts.append(Attempt(WORKERS[0], SENT_US, never_ran=never_ran))
     return job
 
 
 @pytest.mark.parametrize(
-    ("class_settings", "never_ran", "repeats", "harmless"),
+    ("class_settings", "never_ran", "may_be_repeated", "is_retry_harmless"),
     [
         (IDEMPOTENT, False, True, True),
         (IDEMPOTENT, True, True, True),
@@ -53,35 +55,37 @@
         "key",
     ],
 )
-def test_the_effect_and_a_possible_run_decide_on_repeats(
-    class_settings, never_ran, repeats, harmless
+def test_whether_a_job_may_repeat_depends_on_its_effect_and_on_a_possible_run(
+    class_settings, never_ran, may_be_repeated, is_retry_harmless
 ):
-    job = tried(class_settings, never_ran=never_ran)
-    assert may_repeat(job, SENT_US + 1) is repeats
-    assert is_client_retry_harmless(job) is harmless
+    job = job_with_one_attempt(class_settings, never_ran=never_ran)
+    assert may_repeat(job, SENT_US + 1) is may_be_repeated
+    assert is_client_retry_harmless(job) is is_retry_harmless
 
 
-def test_a_key_holds_for_its_window_only():
-    job = tried(WITH_KEY_IN_ZONE, never_ran=False)
+def test_a_job_with_a_key_may_repeat_only_within_the_keys_window():
+    job = job_with_one_attempt(WITH_KEY_IN_ZONE, never_ran=False)
     window_us = WITH_KEY_IN_ZONE.idempotency_window_us
     assert may_repeat(job, SENT_US + window_us)
     assert not may_repeat(job, SENT_US + window_us + 1)
 
 
 @pytest.mark.parametrize(
-    ("scope", "allowed"),
+    ("key_scope", "allowed_indexes"),
     [(KeyScope.ALL, [0, 1, 2, 3]), (KeyScope.ZONE, [0, 2]), (KeyScope.CELL, [0])],
 )
-def test_repeats_stay_in_the_key_scope_of_the_first_possible_run(scope, allowed):
-    class_settings = replace(WITH_KEY_IN_ZONE, key_scope=scope)
-    job = tried(class_settings, never_ran=False)
-    assert workers_in_idempotency_scope(job, WORKERS) == [WORKERS[k] for k in allowed]
-    never_ran = tried(class_settings, never_ran=True)
+def test_repeats_stay_in_the_key_scope_of_the_first_possible_run(key_scope, allowed_indexes):
+    class_settings = replace(WITH_KEY_IN_ZONE, key_scope=key_scope)
+    job = job_with_one_attempt(class_settings, never_ran=False)
+    assert workers_in_idempotency_scope(job, WORKERS) == [
+        WORKERS[index] for index in allowed_indexes
+    ]
+    never_ran = job_with_one_attempt(class_settings, never_ran=True)
     assert workers_in_idempotency_scope(never_ran, WORKERS) == WORKERS
 
 
-def test_attempts_end_with_the_limit_and_with_the_job():
-    job = tried(IDEMPOTENT, never_ran=False)
+def test_no_attempt_is_allowed_at_the_limit_or_after_the_job_has_ended():
+    job = job_with_one_attempt(IDEMPOTENT, never_ran=False)
     assert may_attempt(job, 2, SENT_US)
     assert not may_attempt(job, 1, SENT_US)
     job.ended = True
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -1,4 +1,4 @@
-"""The load balancer as a whole: its polls of the endpoint list, and its determinism."""
+"""The load balancer as a whole: it polls the endpoint list, and its actions are deterministic."""
 
 from stepstream.model.actions import SetTimer, WatchEndpoints
 from stepstream.model.endpoints import EndpointList, EndpointListKind
@@ -7,7 +7,7 @@
 from tests.policy.harness import PolicyHarness
 
 
-def test_an_endpoint_list_that_must_be_polled_is_polled_at_once_and_again_after_failures():
+def test_the_endpoint_list_is_polled_at_once_and_again_after_failures():
     harness = PolicyHarness(IDEMPOTENT, polls_endpoints=True)
     assert WatchEndpoints(True) in harness.start_actions
     waits_us = []
@@ -24,11 +24,11 @@
 
 
 def test_same_events_give_the_same_actions():
-    def play():
+    def run_jobs():
         harness = PolicyHarness(IDEMPOTENT, HIGH_PRIORITY, workers=5, seed=7, polls_endpoints=True)
         for number in range(50):
             harness.advance(1000).submit(number % 2)
         harness.fire_timers()
         return harness.actions
 
-    assert play() == play()
+    assert run_jobs() == run_jobs()
--- a/tests/policy/test_many_dispatchers.py
+++ b/tests/policy/test_many_dispatchers.py
@@ -1,4 +1,4 @@
-"""Many dispatchers that share nothing: what is harmless from one of them and harmful from forty."""
+"""Many dispatchers that do not communicate: together they must not overload discovery or workers."""
 
 import heapq
 from dataclasses import dataclass
@@ -25,14 +25,14 @@
 
 
 class DiscoveryAnswer(NamedTuple):
-    """When a caller has its answer, and whether that is the list."""
+    """The answer to a call: when it comes, and whether it is the list or a failure."""
 
     at_us: int
     is_served: bool
 
 
 class SerialDiscovery:
-    """Serve calls in turn, also those that were given up; one that waits too long has failed."""
+    """A discovery that serves calls one by one, also those that failed by waiting too long."""
 
     def __init__(self, call_us, timeout_us=2_000_000):
         self.call_us = call_us
@@ -40,7 +40,7 @@
         self.free_at_us = 0
 
     def call(self, now_us):
-        """Return the answer to a call that comes now."""
+        """Return the answer to a call that arrives now."""
         self.free_at_us = max(self.free_at_us, now_us) + self.call_us
         timeout_at_us = now_us + self.timeout_us
         if self.free_at_us > timeout_at_us:
@@ -49,7 +49,7 @@
 
 
 class ScheduledEvents(NamedTuple):
-    """Events for a dispatcher, in the order of time and of dispatchers."""
+    """Events for a dispatcher, ordered by time and then by dispatcher."""
 
     at_us: int
     dispatcher: int
@@ -58,14 +58,14 @@
 
 @dataclass
 class PollResult:
-    """When each dispatcher had its first list, and the number of all calls."""
+    """When each dispatcher got its list, and the number of all calls."""
 
     served_at_us: dict[int, int]
     calls: int = 0
 
 
 def poll_all(balancers, discovery, until_us):
-    """Play the first calls and the retries of all dispatchers."""
+    """Simulate the first calls and the retries of all dispatchers."""
     schedule = [ScheduledEvents(0, dispatcher, []) for dispatcher in range(len(balancers))]
     result = PollResult({})
     while schedule and schedule[0].at_us <= until_us:
@@ -80,8 +80,8 @@
                 kind = EndpointListKind.CHANGES if answer.is_served else EndpointListKind.FAILED
                 if answer.is_served:
                     result.served_at_us[dispatcher] = answer.at_us
-                listed = [EndpointList(kind)]
-                heapq.heappush(schedule, ScheduledEvents(answer.at_us, dispatcher, listed))
+                endpoint_lists = [EndpointList(kind)]
+                heapq.heappush(schedule, ScheduledEvents(answer.at_us, dispatcher, endpoint_lists))
     return result
 
 
@@ -94,14 +94,14 @@
 
 def test_dispatchers_whose_polls_fail_together_back_off_until_all_are_served():
     discovery = SerialDiscovery(140_000)
-    discovery.free_at_us = 5_000_000  # it was down, or others have filled it
+    discovery.free_at_us = 5_000_000  # as if it were down, or busy with other calls, until then
     result = poll_all(polling_balancers(), discovery, 60_000_000)
     assert len(result.served_at_us) == DISPATCHER_COUNT
     assert max(result.served_at_us.values()) < 35_000_000
     assert result.calls <= DISPATCHER_COUNT * 4
 
 
-def test_one_of_few_dispatchers_or_one_with_jobs_and_no_worker_polls_at_once():
+def test_a_dispatcher_polls_at_once_if_there_are_few_or_if_it_has_jobs_but_no_workers():
     for balancer in polling_balancers(MAX_FEW_DISPATCHERS):
         assert WatchEndpoints(True) in balancer.handle(0, [])
     balancer = polling_balancers()[0]
@@ -110,7 +110,7 @@
     assert balancer.handle(0, jobs).count(WatchEndpoints(True)) == 1
 
 
-# -- caps in fractions of a slot ------------------------------------------------------------------
+# -- caps below one slot --------------------------------------------------------------------------
 
 LONG = JobClass(
     latency_objective_us=200_000,
@@ -136,7 +136,7 @@
 
 
 def loaded_cluster(load, until_us=8_000_000):
-    """Run forty dispatchers and 30 workers of four slots at this fraction of their capacity."""
+    """Run 40 dispatchers and 30 workers of four slots at this fraction of the workers' capacity."""
     cluster = SimulatedCluster(CLASSES, workers=30)
     slots = sum(worker.slots for worker in cluster.workers.values())
     mean_run_seconds = sum(
@@ -163,7 +163,8 @@
 
 
 def test_under_overload_the_lowest_weight_is_rejected_and_the_rest_is_served_in_time():
-    """One slot a dispatcher is forty a worker: no rejection, and nothing in time for any class."""
+    # Guards against a cap of one slot for each dispatcher: a worker then gets forty attempts, no
+    # job is rejected, and no job of any class is in time.
     cluster = loaded_cluster(1.4)
     in_time = fractions_in_time(cluster, 4_000_000, 8_000_000)
     assert in_time[0] > 0.3
@@ -175,13 +176,13 @@
     assert rejected[2] < 0.01
 
 
-def test_with_headroom_next_to_nothing_is_rejected():
+def test_hardly_any_job_is_rejected_while_there_is_headroom():
     cluster = loaded_cluster(0.6)
     assert min(fractions_in_time(cluster, 2_000_000, 8_000_000)) > 0.97
     assert max(fractions_rejected(cluster, 2_000_000, 8_000_000)) < 0.02
 
 
-def test_high_sets_of_dispatchers_that_share_nothing_hold_the_same_ids():
+def test_the_high_sets_of_many_dispatchers_hold_nearly_the_same_lowest_ids():
     cluster = loaded_cluster(1.0)
     for balancer in cluster.balancers:
         state = balancer.state
@@ -191,13 +192,14 @@
         assert sum(is_high[: size + 3]) >= size - 1
 
 
-def test_a_wide_ordinary_job_goes_to_a_worker_with_none_of_ours():
-    """A cap of one slot, which one overdue start brings, would hold it back until it is rejected."""
+def test_an_ordinary_job_of_two_slots_goes_to_a_worker_without_attempts_of_ours():
+    # Guards against a job that waits until it is rejected: one overdue start had set a cap of one
+    # slot.
     cluster = SimulatedCluster(CLASSES, workers=4)
     balancer = cluster.balancers[0]
     state = balancer.state
     state.measurements.observed_caps.append(1)
-    state.measurements.job_mix.mean_weight = 5.0  # with less the first job would be a priority one
+    state.measurements.job_mix.mean_weight = 5.0  # makes the job below an ordinary one
     state.pools.worker_cap = 0.5
     state.pools.high_set.worker_count = 2
     state.pools.low_set.worker_count = 2
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -1,4 +1,4 @@
-"""Ejections of workers and of classes, and probation."""
+"""Ejections of workers and of job classes, and their probation."""
 
 from dataclasses import replace
 
@@ -31,15 +31,15 @@
     return Worker(make_endpoint(0), 0, 0, Pool())
 
 
-def test_an_ejection_doubles_from_the_first_to_the_longest():
-    times = [next_ejection_time_us(0)]
-    while len(times) < 6:
-        times.append(next_ejection_time_us(times[-1]))
-    assert times == [10**6, 2 * 10**6, 4 * 10**6, 8 * 10**6, 8 * 10**6, 8 * 10**6]
-    assert (times[0], times[-1]) == (BASE_EJECTION_TIME_US, MAX_EJECTION_TIME_US)
+def test_ejection_times_double_from_the_shortest_to_the_longest():
+    times_us = [next_ejection_time_us(0)]
+    while len(times_us) < 6:
+        times_us.append(next_ejection_time_us(times_us[-1]))
+    assert times_us == [10**6, 2 * 10**6, 4 * 10**6, 8 * 10**6, 8 * 10**6, 8 * 10**6]
+    assert (times_us[0], times_us[-1]) == (BASE_EJECTION_TIME_US, MAX_EJECTION_TIME_US)
 
 
-def test_an_ejected_worker_accepts_one_attempt_on_probation(worker):
+def test_an_ejected_worker_accepts_one_probation_attempt_after_its_ejection_time(worker):
     eject(worker, BASE_EJECTION_TIME_US, NOW_US)
     assert not accepts(worker, ANY_CLASS, NOW_US + BASE_EJECTION_TIME_US - 1)
     assert accepts(worker, ANY_CLASS, NOW_US + BASE_EJECTION_TIME_US)
@@ -47,7 +47,7 @@
     assert not accepts(worker, ANY_CLASS, NOW_US + BASE_EJECTION_TIME_US + 1)
 
 
-def test_an_ejected_class_leaves_the_worker_to_the_others(worker):
+def test_a_worker_with_an_ejected_class_accepts_the_other_classes(worker):
     eject_class(worker, 1, NOW_US - 1, NOW_US)
     assert not accepts(worker, 1, NOW_US)
     assert accepts(worker, 0, NOW_US)
@@ -56,7 +56,7 @@
     assert accepting_workers([worker], 0, NOW_US) == [worker]
 
 
-def test_attempts_sent_before_a_verdict_do_not_extend_it(worker):
+def test_attempts_sent_before_an_ejection_do_not_extend_it(worker):
     eject_class(worker, 1, NOW_US - 1, NOW_US)
     eject_class(worker, 1, NOW_US - 1, NOW_US + 5)
     assert worker.class_ejections[1].ejection_time_us == BASE_EJECTION_TIME_US
@@ -64,23 +64,26 @@
     assert worker.class_ejections[1].ejection_time_us == 2 * BASE_EJECTION_TIME_US
 
 
-def test_each_start_halves_a_class_ejection_until_it_is_over(worker):
+def test_each_start_halves_a_class_ejection_until_it_ends(worker):
     eject_class(worker, 1, NOW_US, NOW_US)
     eject_class(worker, 1, NOW_US, NOW_US)
     shorten_class_ejection(worker, 1)
-    assert accepts(worker, 1, NOW_US)  # the next one at once
+    assert accepts(worker, 1, NOW_US)  # the next probation attempt is allowed at once
     postpone_next_probation(worker, 1, NOW_US)
-    assert not accepts(worker, 1, NOW_US)  # and one at a time
+    assert not accepts(worker, 1, NOW_US)  # only one attempt at a time
     shorten_class_ejection(worker, 1)
     assert worker.class_ejections == {}
 
 
-def test_a_lost_attempt_of_a_class_that_is_gone_does_not_eject_its_worker_as_a_whole():
-    gone, stays = replace(NOT_IDEMPOTENT, name="gone"), replace(IDEMPOTENT, name="stays")
-    harness = PolicyHarness(gone, stays)
-    name, _ = harness.submit(0)
-    harness.handle(SettingsChanged(replace(harness.settings, classes=(stays,))))
-    (attempt,) = harness.balancer.state.jobs.in_flight[name].attempts
+def test_a_lost_attempt_of_a_removed_class_does_not_eject_its_worker():
+    removed_class, kept_class = (
+        replace(NOT_IDEMPOTENT, name="gone"),
+        replace(IDEMPOTENT, name="stays"),
+    )
+    harness = PolicyHarness(removed_class, kept_class)
+    job_id, _ = harness.submit(0)
+    harness.handle(SettingsChanged(replace(harness.settings, classes=(kept_class,))))
+    (attempt,) = harness.balancer.state.jobs.in_flight[job_id].attempts
     attempt.start_overdue = True
     harness.advance(MAX_REPORT_LAG_US + 1).handle()
     presume_lost(harness.balancer.state, attempt.worker)
@@ -89,7 +92,7 @@
     assert accepts(attempt.worker, ANY_CLASS, harness.now_us)
 
 
-def test_an_ejected_class_keeps_its_ejection_by_name_over_a_reload():
+def test_a_reload_keeps_the_ejection_of_a_class_by_its_name():
     first, second = replace(IDEMPOTENT, name="first"), replace(IDEMPOTENT, name="second")
     harness = PolicyHarness(first, second)
     worker = harness.balancer.state.workers.by_id[make_endpoint(0).worker_id]
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -1,4 +1,4 @@
-"""Which workers jobs go to: affinity keys, zones, rotation, and the cost of a choice."""
+"""Which workers jobs go to: affinity keys, zones, round robin, and the cost of a choice."""
 
 from stepstream.model.actions import SetTimer
 from stepstream.policy import capacity
@@ -6,21 +6,21 @@
 from tests.policy.harness import (
     WITH_LOAD_REPORTS,
     PolicyHarness,
+    attempt_worker_ids,
     started_attempts,
-    workers_of,
 )
 
 
 def submit_jobs(harness, count, **fields):
-    """Submit jobs 1 ms after each other; return the ids of their workers."""
+    """Submit jobs at intervals of 1 ms; return the ids of their workers."""
     return [
         worker_id
         for _ in range(count)
-        for worker_id in workers_of(harness.advance(1000).submit(**fields)[1])
+        for worker_id in attempt_worker_ids(harness.advance(1000).submit(**fields)[1])
     ]
 
 
-def test_jobs_of_an_affinity_key_go_to_two_workers_at_every_dispatcher():
+def test_jobs_of_an_affinity_key_go_to_the_same_two_workers_at_every_dispatcher():
     key_workers = set()
     for seed in (1, 2):
         harness = PolicyHarness(IDEMPOTENT, workers=10, seed=seed, **WITH_LOAD_REPORTS)
@@ -31,7 +31,7 @@
     assert {worker_id for started in others for worker_id in started} - key_workers
 
 
-def test_the_own_zone_comes_first_only_where_crossing_has_a_price_and_it_has_headroom():
+def test_the_own_zone_is_preferred_only_if_crossing_has_a_price_and_the_zone_has_headroom():
     endpoints = [make_endpoint(number, zone=number % 2) for number in range(8)]
 
     def zones_of_jobs(price, headrooms):
@@ -47,7 +47,7 @@
     assert zones_of_jobs(0.05, [8.0, 0.0] * 4) == {0}
 
 
-def test_the_rotation_uses_workers_with_at_least_half_of_the_largest_headroom():
+def test_the_round_robin_uses_workers_with_at_least_half_of_the_largest_headroom():
     harness = PolicyHarness(IDEMPOTENT, workers=4, **WITH_LOAD_REPORTS)
     harness.report_headrooms([20.0, 2.0, 20.0, 20.0])
     worker_ids = submit_jobs(harness, 6)
@@ -55,8 +55,9 @@
     assert make_endpoint(1).worker_id not in worker_ids
 
 
-def test_a_hot_affinity_key_gets_more_workers():
-    # With two workers for each key, its jobs waited and were rejected while the others had headroom.
+def test_a_frequent_affinity_key_gets_more_workers():
+    # Guards against two workers for every key: a frequent key's jobs waited and were rejected while
+    # other workers had headroom.
     harness = PolicyHarness(IDEMPOTENT, workers=60, **WITH_LOAD_REPORTS)
     harness.report_headrooms([9.0] * 60)
     key_workers = {"hot": set(), "rare1": set()}
@@ -69,7 +70,8 @@
 
 
 def test_dispatchers_that_start_together_choose_different_workers_and_times():
-    # In step they chose the same worker first, and looked at their pools and probed at the same moment.
+    # Guards against dispatchers in step: they chose the same worker first, and resized their pools
+    # and checked health at the same moment.
     first_workers = set()
     period_ends_us = set()
     for seed in range(20):
@@ -77,13 +79,14 @@
         period_ends_us |= {
             action.at_us for action in harness.start_actions if isinstance(action, SetTimer)
         }
-        first_workers |= set(workers_of(harness.submit()[1]))
+        first_workers |= set(attempt_worker_ids(harness.submit()[1]))
     assert len(period_ends_us) >= 15
     assert len(first_workers) >= 5
 
 
 def test_a_choice_considers_a_bounded_number_of_workers(monkeypatch):
-    # With 330 workers a choice cost a millisecond, and each event several.
+    # Guards against examining all workers: with 330 of them a choice took a millisecond, and an
+    # event several milliseconds.
     considered = []
     original = capacity.headroom
 
@@ -101,7 +104,8 @@
 
 
 def test_the_work_of_a_decision_is_bounded_with_many_workers(monkeypatch):
-    # The median cap and the order of a key's workers, computed anew for each event, took too long.
+    # Guards against computing the median cap and the order of a key's workers anew for each event,
+    # which took too long.
     workers = 200
     calls = {"headroom": 0, "median_cap": 0}
     harness = PolicyHarness(IDEMPOTENT, workers=workers, dispatcher_count=300, **WITH_LOAD_REPORTS)
--- a/tests/policy/test_pool_capacity.py
+++ b/tests/policy/test_pool_capacity.py
@@ -1,4 +1,4 @@
-"""The cap of a worker in parts of a slot, and the headroom of whole pools."""
+"""The cap of a worker in fractions of a slot, and the headroom of whole pools."""
 
 import pytest
 
@@ -21,40 +21,39 @@
 )
 from tests.model.builders import IDEMPOTENT, make_endpoint
 
-FLEET = 40
+DISPATCHER_COUNT = 40
 
 
-def settled_load(level=2.0, running=2.0, workers=20):
+def settled_load(busy_slots=2.0, running_slots=2.0, worker_count=20):
     load = PoolLoad(0)
-    load.low_set.worker_count = workers
-    load.low_set.mean_busy_slots = level
-    load.low_set.mean_running_slots = running
+    load.low_set.worker_count = worker_count
+    load.low_set.mean_busy_slots = busy_slots
+    load.low_set.mean_running_slots = running_slots
     load.averaged_at_us = AVERAGES_SETTLE_US
     return load
 
 
-def test_a_late_start_bounds_the_cap_by_what_runs_of_ours_and_not_by_what_waits():
-    load = settled_load(level=16.0, running=2.0)
-    assert mean_pool_headroom(load, load.low_set) == float(
-        "inf"
-    )  # until a late start pools stay as they are
+def test_an_overdue_start_bounds_the_cap_by_our_running_slots_and_not_by_our_busy_slots():
+    load = settled_load(busy_slots=16.0, running_slots=2.0)
+    # Before an overdue start the cap, and so the headroom, is unlimited.
+    assert mean_pool_headroom(load, load.low_set) == float("inf")
     learn_from_low_set_start(load, overdue=True)
     assert load.worker_cap <= MAX_CAP_TO_RUNNING_SLOTS_RATIO * 2.0 / 20
     assert mean_pool_headroom(load, load.low_set) < -10
 
 
-def test_the_cap_sinks_with_late_starts_only_while_it_is_kept_and_comes_back():
+def test_overdue_starts_lower_the_cap_to_the_load_and_starts_in_time_raise_it():
     load = settled_load()
     for _ in range(100):
         learn_from_low_set_start(load, overdue=True)
-    assert 0.08 < load.worker_cap < 0.1  # just below the load at which they were late
+    assert 0.08 < load.worker_cap < 0.1  # just below the load of 0.1 slots a worker
     load.low_set.mean_busy_slots = 4.0
     for _ in range(100):
         learn_from_low_set_start(load, overdue=False)
     assert load.worker_cap == pytest.approx(MAX_CAP_TO_BUSY_SLOTS_RATIO * 4.0 / 20, rel=0.1)
 
 
-def test_a_pool_whose_jobs_were_all_refused_is_tried_again():
+def test_a_pool_keeps_a_cap_of_at_least_one_slot_after_many_overdue_starts():
     load = settled_load()
     for _ in range(200):
         learn_from_low_set_start(load, overdue=True)
@@ -63,12 +62,12 @@
     assert load.worker_cap * load.low_set.worker_count >= 1
 
 
-def test_early_starts_set_no_cap_and_a_small_fleet_goes_by_whole_slots():
+def test_a_new_dispatcher_learns_no_cap_and_few_dispatchers_use_caps_of_single_workers():
     load = settled_load()
     load.averaged_at_us = AVERAGES_SETTLE_US - 1
     learn_from_low_set_start(load, overdue=True)
     assert load.worker_cap == float("inf")
-    assert has_many_dispatchers(Settings(classes=(IDEMPOTENT,), dispatcher_count=FLEET))
+    assert has_many_dispatchers(Settings(classes=(IDEMPOTENT,), dispatcher_count=DISPATCHER_COUNT))
     assert not has_many_dispatchers(
         Settings(classes=(IDEMPOTENT,), dispatcher_count=MAX_FEW_DISPATCHERS)
     )
--- a/tests/policy/test_pools.py
+++ b/tests/policy/test_pools.py
@@ -1,4 +1,4 @@
-"""The High Set and the Low Set, as the balancer's actions and state show them."""
+"""The High Set and the Low Set, as seen in the load balancer's actions and state."""
 
 import pytest
 
@@ -9,20 +9,20 @@
 from tests.model.builders import HIGH_PRIORITY, IDEMPOTENT, NOT_IDEMPOTENT, make_endpoint
 from tests.policy.harness import (
     PolicyHarness,
+    attempt_worker_ids,
     final_actions,
-    first_worker,
+    first_worker_id,
     started_attempts,
-    workers_of,
 )
 
-OVER_QUOTA = 0  # a tenant that nearly always is
-WITHIN_QUOTA = 1  # a tenant that always is
+OVER_QUOTA = 0  # a tenant that is nearly always over its quota
+WITHIN_QUOTA = 1  # a tenant that is always within its quota
 QUOTAS = {"quotas_per_s": (0.5, 1000.0), "over_quota_weight_fraction": 0.05}
 START_PRIORITY_FRACTION = 0.2
 
 
 def serve_both_tenants(harness, count=40):
-    """Serve jobs of both tenants in turn, so that the mean weight lies between theirs."""
+    """Serve jobs of both tenants in turn, so that the mean weight is between their weights."""
     for number in range(count):
         job_id, actions = harness.advance(1000).submit(tenant=number % 2)
         for attempt in started_attempts(actions):
@@ -30,7 +30,7 @@
 
 
 def harness_with_both_tenants(workers):
-    """Return a balancer that has served both tenants."""
+    """Return a harness that has served jobs of both tenants."""
     harness = PolicyHarness(IDEMPOTENT, workers=workers, **QUOTAS)
     serve_both_tenants(harness)
     return harness
@@ -47,7 +47,7 @@
     return worker_ids
 
 
-def test_the_high_set_starts_with_the_lowest_ids_by_the_formula():
+def test_the_first_high_set_holds_the_lowest_ids_in_the_number_of_the_formula():
     harness = harness_with_both_tenants(workers=10)
     # ceil(0.2 * 10 + 10 * 0.8 * (1 - 18 / 26)) = 5
     worker_ids = sorted(make_endpoint(number).worker_id for number in range(10))
@@ -55,7 +55,7 @@
     assert workers_of_tenant(harness, OVER_QUOTA) == set(worker_ids[5:])
 
 
-def test_nothing_is_rejected_before_the_first_full():
+def test_no_job_is_rejected_before_the_first_answer_full():
     harness = harness_with_both_tenants(workers=4)
     for _ in range(300):
         actions = harness.advance(1000).submit(tenant=OVER_QUOTA)[1]
@@ -66,8 +66,8 @@
 def test_ordinary_jobs_are_rejected_over_the_low_sets_caps_and_priority_jobs_are_not():
     harness = harness_with_both_tenants(workers=4)
     job_id, actions = harness.submit(tenant=OVER_QUOTA)
-    # Caps are known from here on.
-    harness.end_attempt(job_id, first_worker(actions), AttemptResult.FULL)
+    # From this answer 'full' on, caps are known.
+    harness.end_attempt(job_id, first_worker_id(actions), AttemptResult.FULL)
     ordinary = [harness.advance(1000).submit(tenant=OVER_QUOTA)[1] for _ in range(30)]
     assert any(final_actions(actions) for actions in ordinary)
     priority = [harness.advance(1000).submit(tenant=WITHIN_QUOTA)[1] for _ in range(5)]
@@ -75,36 +75,38 @@
     assert any(isinstance(action, Reject) for actions in ordinary for action in actions)
 
 
-def test_the_high_set_borrows_when_over_its_caps_and_gives_back_when_idle():
+def test_the_high_set_borrows_workers_when_over_its_caps_and_returns_them_when_idle():
     harness = harness_with_both_tenants(workers=6)
     before = workers_of_tenant(harness, WITHIN_QUOTA)
     job_id, actions = harness.submit(tenant=WITHIN_QUOTA)
-    harness.end_attempt(job_id, first_worker(actions), AttemptResult.FULL)
+    harness.end_attempt(job_id, first_worker_id(actions), AttemptResult.FULL)
     submitted = [harness.submit(tenant=WITHIN_QUOTA) for _ in range(40)]
     for _ in range(3):
         harness.fire_timers()
     for job_id, actions in submitted:
-        for worker_id in workers_of(actions):
+        for worker_id in attempt_worker_ids(actions):
             harness.end_attempt(job_id, worker_id, AttemptResult.OK)
-    grown = workers_of_tenant(harness, WITHIN_QUOTA)
-    assert len(before) < len(grown) < 6  # a worker always stays in the Low Set
+    grown_set = workers_of_tenant(harness, WITHIN_QUOTA)
+    assert len(before) < len(grown_set) < 6  # a worker always stays in the Low Set
     for _ in range(10):
         harness.fire_timers()
-    assert len(workers_of_tenant(harness, WITHIN_QUOTA)) < len(grown)
+    assert len(workers_of_tenant(harness, WITHIN_QUOTA)) < len(grown_set)
 
 
-def test_a_class_that_only_the_other_pool_can_run_goes_there():
+def test_a_job_goes_to_the_other_pool_if_only_a_worker_there_can_run_it():
     only_kind_1 = JobClass(400_000, 5_000_000, Effect.IDEMPOTENT, worker_kind=1)
-    for able in (0, 3):
-        endpoints = [make_endpoint(number, worker_kind=int(number == able)) for number in range(4)]
+    for capable_number in (0, 3):
+        endpoints = [
+            make_endpoint(number, worker_kind=int(number == capable_number)) for number in range(4)
+        ]
         harness = PolicyHarness(only_kind_1, endpoints=endpoints, **QUOTAS)
         for tenant in (0, 1):
             for _ in range(10):
                 actions = harness.advance(1000).submit(tenant=tenant)[1]
-                assert first_worker(actions) == make_endpoint(able).worker_id
+                assert first_worker_id(actions) == make_endpoint(capable_number).worker_id
 
 
-def test_the_low_set_keeps_a_worker_when_all_of_it_is_removed():
+def test_the_low_set_gets_a_worker_when_all_of_its_workers_are_removed():
     harness = PolicyHarness(IDEMPOTENT, workers=6, **QUOTAS)
     state = harness.balancer.state
     high_set = state.pools.high_set
@@ -118,7 +120,7 @@
     assert sum(worker.pool is not high_set for worker in state.workers.eligible) == 1
 
 
-def test_equal_weights_count_as_priority():
+def test_jobs_of_equal_weight_count_as_priority_jobs():
     harness = PolicyHarness(IDEMPOTENT, IDEMPOTENT, workers=4)
     for number in range(50):
         assert started_attempts(harness.advance(1000).submit(number % 2)[1])
@@ -126,7 +128,7 @@
     assert job_mix.priority_fraction > START_PRIORITY_FRACTION
 
 
-def test_the_class_with_the_higher_weight_is_priority():
+def test_classes_of_higher_and_lower_weight_are_served_by_different_workers():
     harness = PolicyHarness(IDEMPOTENT, HIGH_PRIORITY, workers=10)
     worker_ids = {0: set(), 1: set()}  # by class
     for number in range(200):
@@ -136,7 +138,7 @@
     assert not worker_ids[0] & worker_ids[1]
 
 
-def test_the_rotation_is_weighted():
+def test_the_round_robin_follows_the_endpoints_weights():
     endpoints = [
         make_endpoint(0, weight=1.0),
         make_endpoint(1, weight=3.0),
@@ -152,17 +154,18 @@
 
 
 @pytest.mark.parametrize("change", ["removed", "restarted"])
-def test_attempts_on_a_process_that_has_gone_leave_their_pool_once(change):
-    # Guards against a pool that looks emptier than it is: a recount and the end took them off.
+def test_the_slots_of_attempts_on_an_ended_process_leave_their_pool_once(change):
+    # Guards against a pool that looks emptier than it is: both the recount and the attempt's end
+    # took the slots off.
     harness = PolicyHarness(workers=4)
     job_id, actions = harness.submit()
-    worker_id = first_worker(actions)
+    worker_id = first_worker_id(actions)
     pool = harness.balancer.state.workers.by_id[worker_id].pool
     before = pool.busy_slots
     state = EndpointState.REMOVED if change == "removed" else EndpointState.ACTIVE
     gone = Endpoint(worker_id, state=state, started_us=harness.now_us)
     harness.handle(EndpointList(EndpointListKind.CHANGES, (gone,)))
-    harness.finish_period()  # counts the pools anew
+    harness.finish_period()  # recounts the pools
     assert pool.busy_slots == before - 1.0
     harness.end_attempt(job_id, worker_id, AttemptResult.RESET, job_ended=True)
     assert pool.busy_slots == before - 1.0
--- a/tests/policy/test_quota_scenarios.py
+++ b/tests/policy/test_quota_scenarios.py
@@ -1,4 +1,4 @@
-"""Tenants within and over their quotas, as the balancer treats their jobs."""
+"""How the load balancer treats jobs of tenants within and over their quotas."""
 
 from stepstream.model.actions import Reject
 from stepstream.model.events import AttemptResult
@@ -7,16 +7,17 @@
     WITH_LOAD_REPORTS,
     PolicyHarness,
     final_actions,
-    first_worker,
+    first_worker_id,
     started_attempts,
 )
 
-OVER_QUOTA = 0  # a tenant
-WITHIN_QUOTA = 1  # a tenant
+OVER_QUOTA = 0  # the tenant that is over its quota
+WITHIN_QUOTA = 1  # the tenant that is within its quota
 
 
 def test_a_tenant_within_its_quota_is_recognized_by_its_fraction_of_the_jobs():
-    # Its quota by dispatcher is under one job a second: by that rate every tenant was over it.
+    # Guards against comparing rates: a tenant's quota is less than one job a second for each
+    # dispatcher, and by its rate at one dispatcher every tenant was over its quota.
     harness = PolicyHarness(
         IDEMPOTENT,
         workers=6,
@@ -39,7 +40,7 @@
 
 
 def harness_with_tenant_over_quota(headrooms):
-    """Return a balancer, and the id and the actions of a job of the tenant that is over quota."""
+    """Return a harness, and the id and the actions of a job of the tenant that is over quota."""
     harness = PolicyHarness(
         IDEMPOTENT,
         workers=len(headrooms),
@@ -57,16 +58,17 @@
 
 
 def test_a_job_over_quota_gets_one_attempt():
-    # Retried again and again, such jobs took the workers from tenants within their quotas.
+    # Guards against many retries of jobs over quota: they took the workers from tenants within
+    # their quotas.
     harness, job_id, actions = harness_with_tenant_over_quota([3.0] * 6)
-    after_full = harness.end_attempt(job_id, first_worker(actions), AttemptResult.FULL)
+    after_full = harness.end_attempt(job_id, first_worker_id(actions), AttemptResult.FULL)
     assert final_actions(after_full) == [Reject(job_id)]
     job_id, actions = harness.submit(tenant=WITHIN_QUOTA)
-    after_full = harness.end_attempt(job_id, first_worker(actions), AttemptResult.FULL)
+    after_full = harness.end_attempt(job_id, first_worker_id(actions), AttemptResult.FULL)
     assert started_attempts(after_full)
 
 
-def test_a_job_over_quota_leaves_a_slot_free():
+def test_a_job_over_quota_does_not_take_the_last_free_slot():
     harness, _, actions = harness_with_tenant_over_quota([1.0] * 6)
     assert not started_attempts(actions)
     assert started_attempts(harness.submit(tenant=WITHIN_QUOTA)[1])
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -1,4 +1,4 @@
-"""Whether a tenant is within its quota, by the mix of jobs."""
+"""Whether a tenant is within its quota, by its fraction of the jobs."""
 
 import pytest
 
@@ -6,8 +6,8 @@
 from stepstream.policy.quotas import charge_quota
 
 
-def played(usage, quotas, tenants):
-    """The fraction of each tenant's jobs that were within its quota."""
+def fractions_within_quota(usage, quotas, tenants):
+    """Charge 600 jobs of these tenants in turn; return each tenant's fraction within its quota."""
     within = {tenant: [] for tenant in tenants}
     for number in range(600):
         tenant = tenants[number % len(tenants)]
@@ -15,16 +15,16 @@
     return {tenant: sum(answers) / len(answers) for tenant, answers in within.items()}
 
 
-def test_tenants_that_use_their_quotas_alike_are_within_them():
+def test_tenants_with_equal_usage_are_within_their_quotas():
     quotas = (10.0, 10.0)
-    assert played(TenantUsage(quotas), quotas, [0, 1]) == {0: 1.0, 1: 1.0}
+    assert fractions_within_quota(TenantUsage(quotas), quotas, [0, 1]) == {0: 1.0, 1: 1.0}
 
 
-def test_a_tenant_far_past_its_quota_has_only_a_part_within_it():
+def test_only_a_part_of_the_jobs_of_a_tenant_far_over_its_quota_is_within_it():
     quotas = (10.0, 10.0, 10.0)
-    parts = played(TenantUsage(quotas), quotas, [0, 0, 0, 0, 0, 0, 1, 2])
-    assert parts[0] < 0.5
-    assert parts[1] == parts[2] == 1.0
+    fractions = fractions_within_quota(TenantUsage(quotas), quotas, [0, 0, 0, 0, 0, 0, 1, 2])
+    assert fractions[0] < 0.5
+    assert fractions[1] == fractions[2] == 1.0
 
 
 @pytest.mark.parametrize("tenant", [-1, 2])
--- a/tests/policy/test_random_outcomes.py
+++ b/tests/policy/test_random_outcomes.py
@@ -1,4 +1,4 @@
-"""The retry rules under random outcomes and list changes, and under unusual settings and events."""
+"""The retry rules under random outcomes and list changes, and with unusual settings and events."""
 
 import random
 from dataclasses import dataclass, field
@@ -42,7 +42,7 @@
 
 @dataclass
 class RecordedJob:
-    """A job, its attempts, and whether it has its final answer."""
+    """A submitted job, its attempts, and whether it has its final answer."""
 
     job_class: int
     deadline_us: int
@@ -66,7 +66,7 @@
 
 
 class RandomOutcomes:
-    """End attempts at random, and check each of the balancer's actions against the rules."""
+    """Ends attempts at random, and checks each of the load balancer's actions by the rules."""
 
     def __init__(self, seed):
         self.random = random.Random(seed)
@@ -123,7 +123,7 @@
     # -- events ---------------------------------------------------------------------------------
 
     def record_start(self, action):
-        """Record an attempt, and draw when it ends."""
+        """Record an attempt, and choose at random when it ends."""
         job = self.jobs[action.job_id]
         now_us = self.harness.now_us
         job.attempts.append(RecordedAttempt(action.worker_id, now_us))
@@ -134,7 +134,7 @@
         self.in_flight.append(AttemptEnd(at_us, action.job_id, number, action.worker_id))
 
     def end_attempt(self, end):
-        """End an attempt with a random result, past the job's deadline with a timeout."""
+        """End an attempt with a random result, or with a timeout from the job's deadline on."""
         job = self.jobs[end.job_id]
         result = self.random.choice(list(AttemptResult))
         if end.at_us >= job.deadline_us:
@@ -171,7 +171,7 @@
         self.check(self.harness.submit(job_class, tenant=self.random.randrange(2))[1])
 
     def change_endpoint(self):
-        """List a random worker in a random state."""
+        """Send a list change with a random worker in a random state."""
         number = self.random.randrange(WORKER_COUNT)
         state = self.random.choice(list(EndpointState))
         is_active = state is EndpointState.ACTIVE
@@ -184,7 +184,7 @@
         self.check(self.harness.handle(EndpointList(EndpointListKind.CHANGES, (endpoint,))))
 
     def run(self):
-        """Play all steps; in the last ones no job is submitted, so that all can end."""
+        """Run all steps; in the last ones no job is submitted, so that all jobs can end."""
         for step in range(STEPS):
             self.start_some_attempts()
             until_us = self.harness.now_us + self.random.randrange(1000, 60_000)
@@ -196,31 +196,31 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_rules_hold_under_any_mix_of_outcomes_and_list_changes(seed):
+def test_the_retry_rules_hold_under_random_outcomes_and_list_changes(seed):
     outcomes = RandomOutcomes(seed)
     outcomes.run()
     assert outcomes.jobs
     assert all(job.answered for job in outcomes.jobs.values())
-    assert not outcomes.harness.balancer.state.jobs.in_flight  # no job that has ended is left
+    assert not outcomes.harness.balancer.state.jobs.in_flight  # the records of all jobs are removed
 
 
 class UnusualEvents:
-    """Answer each attempt with events that no sound platform sends."""
+    """Answers each attempt with events that no correct platform sends."""
 
     def __init__(self, harness):
         self.harness = harness
         self.answered = set()
 
     def answer_attempts(self):
-        """Answer the attempts that have none yet."""
-        for place, attempt in enumerate(started_attempts(self.harness.actions)):
-            if (attempt.job_id, place) not in self.answered:
-                self.answered.add((attempt.job_id, place))
-                self.answer(attempt, {"free_slots": -3.0} if place % 2 else {})
+        """Answer the attempts that have no answer yet."""
+        for index, attempt in enumerate(started_attempts(self.harness.actions)):
+            if (attempt.job_id, index) not in self.answered:
+                self.answered.add((attempt.job_id, index))
+                self.answer(attempt, {"free_slots": -3.0} if index % 2 else {})
         self.harness.handle(HealthChecked("nobody", True, 1, {"free_slots": 1.0}))
 
     def answer(self, attempt, report):
-        """Report starts and ends of attempts, most of which were never made."""
+        """Report starts and ends of attempts, most of which do not exist."""
         job_id = attempt.job_id
         worker_id = attempt.worker_id
         self.harness.handle(
@@ -233,16 +233,16 @@
         self.harness.end_attempt("gone", worker_id, AttemptResult.OK)
 
 
-@pytest.mark.parametrize("fleet", [1, 500])
+@pytest.mark.parametrize("dispatcher_count", [1, 500])
 @pytest.mark.parametrize("quotas", [(), (0.0, 0.0), (0.0, 5.0)], ids=case_id)
-def test_unusual_settings_and_events_lose_no_job(fleet, quotas):
+def test_unusual_settings_and_events_lose_no_job(dispatcher_count, quotas):
     harness = PolicyHarness(
         IDEMPOTENT,
         NOT_IDEMPOTENT,
         workers=1,
         may_hedge=True,
         may_cancel=True,
-        dispatcher_count=fleet,
+        dispatcher_count=dispatcher_count,
         quotas_per_s=quotas,
         over_quota_weight_fraction=0.1,
         may_check_health=True,
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -1,4 +1,4 @@
-"""The answers to jobs that have no good attempt left."""
+"""The answers to jobs that get no further attempt."""
 
 import pytest
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -33,7 +33,7 @@
     assert is_admitted(state, job, worker)
 
 
-def test_a_warm_worker_serves_its_part_of_the_jobs_by_capacity_and_run_time():
+def test_the_interval_of_a_warm_workers_jobs_follows_capacity_and_run_time():
     settings = Settings(
         classes=(IDEMPOTENT, IDEMPOTENT), dispatcher_count=3, overload_window_us=1_000_000
     )
@@ -42,7 +42,7 @@
         Worker(make_endpoint(index), 0, 0, state.pools.low_set) for index in range(4)
     ]
     state.workers.warm_worker_equivalents = 2.5  # some of them are warming up
-    # Before any job is served: one job in a window of all dispatchers together.
+    # Before any job is served, one job in a window is expected of all dispatchers together.
     assert warm_worker_interval_us(state, 0) == 3 * 1_000_000 * 2.5
     run_times = state.measurements.run_times
     run_times.served_interval_us = 100_000.0
--- a/tests/policy/test_unconfirmed_list.py
+++ b/tests/policy/test_unconfirmed_list.py
@@ -1,4 +1,4 @@
-"""Workers that refused connections while nothing confirms the endpoint list."""
+"""The use of workers that refused connections while the endpoint list is unconfirmed."""
 
 import pytest
 
@@ -8,13 +8,13 @@
 from tests.model.builders import make_endpoint
 from tests.policy.harness import PolicyHarness
 
-REFUSED = make_endpoint(0).worker_id
-JOBS = 30
+REFUSING_WORKER = make_endpoint(0).worker_id
+JOB_COUNT = 30
 
 
-def workers_used(harness):
-    """Serve some jobs; return the workers that got them."""
-    return {harness.serve() for _ in range(JOBS)}
+def serve_jobs(harness):
+    """Serve some jobs; return the ids of the workers that got them."""
+    return {harness.serve() for _ in range(JOB_COUNT)}
 
 
 @pytest.mark.parametrize(
@@ -22,45 +22,46 @@
     [
         (MAX_UNCONFIRMED_US, 0, False),
         (MAX_UNCONFIRMED_US, MAX_REPORT_DELAY_US, False),
-        (MAX_UNCONFIRMED_US, MAX_REPORT_DELAY_US + 1, True),  # discovery would have said so
-        (MAX_UNCONFIRMED_US - 2 * JOBS * 1000, 0, True),
+        # Discovery would have reported the worker's end before its calls failed.
+        (MAX_UNCONFIRMED_US, MAX_REPORT_DELAY_US + 1, True),
+        (MAX_UNCONFIRMED_US - 2 * JOB_COUNT * 1000, 0, True),
     ],
 )
-def test_a_worker_that_refused_is_not_used_once_the_list_is_unconfirmed_for_too_long(
+def test_a_worker_that_refused_a_connection_is_not_used_with_a_long_unconfirmed_list(
     unconfirmed_us, refused_before_us, is_used
 ):
-    # Guards against jobs at a worker that was removed and is back, cold, as another process.
+    # Guards against jobs on a removed worker whose address is in use again by a new, cold process.
     harness = PolicyHarness(workers=4)
-    harness.handle(ConnectionRefused(REFUSED))
+    harness.handle(ConnectionRefused(REFUSING_WORKER))
     harness.advance(refused_before_us).handle(EndpointCallFailed())
     harness.advance(unconfirmed_us)
-    assert (REFUSED in workers_used(harness)) is is_used
+    assert (REFUSING_WORKER in serve_jobs(harness)) is is_used
 
 
-def test_a_watch_that_fell_silent_counts_from_its_begin():
+def test_the_list_is_unconfirmed_since_the_begin_of_the_failed_watch():
     harness = PolicyHarness(workers=4)
-    harness.handle(ConnectionRefused(REFUSED), EndpointCallFailed(MAX_UNCONFIRMED_US))
-    harness.handle(EndpointCallFailed())  # the call beside it
-    assert REFUSED not in workers_used(harness)
+    harness.handle(ConnectionRefused(REFUSING_WORKER), EndpointCallFailed(MAX_UNCONFIRMED_US))
+    harness.handle(EndpointCallFailed())  # a second call fails too; the time stays
+    assert REFUSING_WORKER not in serve_jobs(harness)
 
 
 def test_an_answer_of_discovery_makes_the_worker_usable_again():
     harness = PolicyHarness(workers=4)
-    harness.handle(ConnectionRefused(REFUSED), EndpointCallFailed(MAX_UNCONFIRMED_US))
-    assert REFUSED not in workers_used(harness)
+    harness.handle(ConnectionRefused(REFUSING_WORKER), EndpointCallFailed(MAX_UNCONFIRMED_US))
+    assert REFUSING_WORKER not in serve_jobs(harness)
     harness.handle(EndpointListConfirmed())
-    assert REFUSED in workers_used(harness)
+    assert REFUSING_WORKER in serve_jobs(harness)
 
 
-def test_another_sources_list_does_not_confirm_that_of_discovery():
+def test_a_list_from_another_source_does_not_confirm_discoverys_list():
     harness = PolicyHarness(workers=4)
-    harness.handle(ConnectionRefused(REFUSED), EndpointCallFailed(MAX_UNCONFIRMED_US))
+    harness.handle(ConnectionRefused(REFUSING_WORKER), EndpointCallFailed(MAX_UNCONFIRMED_US))
     harness.handle(EndpointList(EndpointListKind.CHANGES, (make_endpoint(9),)))
-    assert REFUSED not in workers_used(harness)
+    assert REFUSING_WORKER not in serve_jobs(harness)
 
 
-def test_where_all_workers_refused_all_are_used():
+def test_all_workers_are_used_if_all_have_refused_connections():
     harness = PolicyHarness(workers=2)
     refusals = [ConnectionRefused(make_endpoint(number).worker_id) for number in range(2)]
     harness.handle(*refusals, EndpointCallFailed(MAX_UNCONFIRMED_US))
-    assert workers_used(harness)
+    assert serve_jobs(harness)
--- a/tests/policy/test_waiting.py
+++ b/tests/policy/test_waiting.py
@@ -10,9 +10,9 @@
 
 def test_priority_jobs_that_wait_come_first_and_others_keep_their_order():
     state = PolicyState(Settings(classes=(IDEMPOTENT,)), 1, 0)
-    for name, priority in (("a", False), ("b", True), ("c", False), ("d", True), ("e", False)):
-        job = InFlightJob(JobSubmitted(name, 0, 1), IDEMPOTENT, 0, 0, priority, 1.0)
-        job.ended = name == "c"  # answered meanwhile
+    for job_id, priority in (("a", False), ("b", True), ("c", False), ("d", True), ("e", False)):
+        job = InFlightJob(JobSubmitted(job_id, 0, 1), IDEMPOTENT, 0, 0, priority, 1.0)
+        job.ended = job_id == "c"  # this job was answered while it waited
         add_waiting_job(state, job)
     assert [job.request.job_id for job in take_waiting_jobs(state)] == ["b", "d", "a", "e"]
     assert take_waiting_jobs(state) == []
--- a/tests/policy/test_waiting_jobs.py
+++ b/tests/policy/test_waiting_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs that wait for headroom, as the balancer's actions show them."""
+"""Jobs that wait for headroom, as seen in the load balancer's actions."""
 
 from stepstream.model.actions import Reject, SetTimer
 from stepstream.model.events import AttemptResult
@@ -6,21 +6,21 @@
 from tests.policy.harness import (
     WITH_LOAD_REPORTS,
     PolicyHarness,
+    attempt_worker_ids,
     final_actions,
-    first_worker,
+    first_worker_id,
     started_attempts,
-    workers_of,
 )
 
 
 def harness_without_headroom():
-    """Return a balancer whose three workers report no free slot."""
+    """Return a harness whose three workers report no free slot."""
     harness = PolicyHarness(IDEMPOTENT, workers=3, **WITH_LOAD_REPORTS)
     harness.report_headrooms([0.0, 0.0, 0.0])
     return harness
 
 
-def test_a_job_waits_without_headroom_and_takes_the_first_that_is_reported():
+def test_a_job_waits_without_headroom_and_starts_where_headroom_is_first_reported():
     harness = PolicyHarness(IDEMPOTENT, workers=3, **WITH_LOAD_REPORTS)
     harness.report_headrooms([0.0, 0.0, -2.0])
     job_id, actions = harness.submit()
@@ -51,17 +51,20 @@
         assert [answer.job_id for answer in answers] == [job_id]
 
 
-def test_old_reports_hold_up_no_priority_job():
+def test_a_priority_job_does_not_wait_because_of_old_load_reports():
     harness = harness_without_headroom()
     harness.advance(2_100_000)
     assert started_attempts(harness.submit()[1])
 
 
 def test_half_of_the_attempts_wait_until_headroom_has_changed():
-    # With too little capacity all attempts ended as full within milliseconds.
+    # Guards against using up all attempts within milliseconds: with too little capacity each one
+    # ended as full.
     harness = PolicyHarness(IDEMPOTENT, workers=8, attempt_limit=4)
     job_id, actions = harness.submit()
-    second = workers_of(harness.end_attempt(job_id, first_worker(actions), AttemptResult.FULL))
+    second = attempt_worker_ids(
+        harness.end_attempt(job_id, first_worker_id(actions), AttemptResult.FULL)
+    )
     assert second
     third = harness.end_attempt(job_id, second[0], AttemptResult.FULL, attempt=1)
     assert not started_attempts(third)
--- a/tests/policy/test_warming_workers.py
+++ b/tests/policy/test_warming_workers.py
@@ -1,11 +1,11 @@
-"""Workers that warm up after a start, as the balancer's attempts show them."""
+"""Workers that warm up after a start, as seen in the load balancer's attempts."""
 
 import pytest
 
 from stepstream.model.endpoints import EndpointList, EndpointListKind
 from stepstream.model.events import AttemptResult
 from tests.model.builders import IDEMPOTENT, make_endpoint
-from tests.policy.harness import PolicyHarness, started_attempts, workers_of
+from tests.policy.harness import PolicyHarness, attempt_worker_ids, started_attempts
 
 SLOW_START = {
     "cold_capacity_fraction": 0.2,
@@ -16,12 +16,12 @@
 
 
 def restart(harness, *endpoints):
-    """Let discovery list these workers as started at their new time."""
+    """Send a list change that names these workers with their new start times."""
     harness.handle(EndpointList(EndpointListKind.CHANGES, endpoints))
 
 
 def harness_with_restarted_worker(seed, gap_us, workers=4):
-    """Return a balancer with a job every `gap_us`, whose first worker has just started."""
+    """Return a harness that served a job every `gap_us` and whose first worker just restarted."""
     harness = PolicyHarness(IDEMPOTENT, workers=workers, seed=seed, **SLOW_START)
     for _ in range(100):
         harness.serve(gap_us)
@@ -30,7 +30,10 @@
 
 
 def jobs_until_first_attempt(harness):
-    """Return how many jobs other workers get before the restarted one; None for all."""
+    """Return how many jobs go to other workers before one goes to the restarted worker.
+
+    Return None if none of 60 jobs goes to it.
+    """
     for count in range(60):
         if harness.serve(300_000) == FIRST_WORKER:
             return count
@@ -38,7 +41,8 @@
 
 
 def test_first_attempts_on_a_worker_that_warms_up_come_at_random_times():
-    # Equal gaps after a start that all learn of at once brought all dispatchers' attempts together.
+    # Guards against equal waits after a start: all dispatchers learn of it at the same time, and
+    # their first attempts came together.
     waits = {
         jobs_until_first_attempt(harness_with_restarted_worker(seed, 500_000)) for seed in range(8)
     }
@@ -46,29 +50,32 @@
 
 
 def test_unused_attempts_on_a_worker_that_warms_up_do_not_accumulate():
-    # 67 dispatchers had each saved one attempt for a worker 16 s old: in a burst they came together.
+    # Guards against saved attempts: 67 dispatchers had each saved one for a worker that had started
+    # 16 s before, and sent them together in a burst of jobs.
     attempts = 0
     for seed in range(60):
         harness = harness_with_restarted_worker(seed, 500_000, workers=20)
         harness.advance(12_000_000)
         for _ in range(25):  # a burst: more jobs in one moment than there are workers
-            attempts += workers_of(harness.advance(1000).submit()[1]).count(FIRST_WORKER)
+            attempts += attempt_worker_ids(harness.advance(1000).submit()[1]).count(FIRST_WORKER)
     assert attempts <= 15  # a warm worker serves 60 x 2 / 20 = 6 a second of these dispatchers
 
 
 @pytest.mark.parametrize("name", ["overload_multiple", "cold_capacity_fraction", "slow_start_us"])
-def test_a_slow_start_setting_of_zero_costs_no_job(name):
+def test_no_job_is_lost_with_a_slow_start_setting_of_zero(name):
     harness = PolicyHarness(IDEMPOTENT, workers=4, **{**SLOW_START, name: 0})
     never_warms_up = name == "slow_start_us"
-    # Without a slow start only a worker that starts a moment from now, by its own clock, is cold.
+    # Without a slow start only a worker whose start time is in the future is cold. This happens if
+    # its clock is ahead.
     started_us = harness.now_us + 1000 if never_warms_up else harness.now_us
     restart(harness, make_endpoint(0, started_us=started_us))
-    worker_ids = [workers_of(harness.submit()[1])[0] for _ in range(20)]
+    worker_ids = [attempt_worker_ids(harness.submit()[1])[0] for _ in range(20)]
     assert FIRST_WORKER not in worker_ids or never_warms_up
 
 
-def test_workers_get_jobs_though_most_of_them_warm_up():
-    # A budget by served jobs a worker shrank with what the cold ones served, and starved them.
+def test_cold_workers_get_jobs_even_if_most_workers_are_cold():
+    # Guards against a budget from the number of jobs served per worker: as cold workers served few
+    # jobs, the budget shrank, and they got none.
     harness = PolicyHarness(IDEMPOTENT, workers=8, **SLOW_START)
     for _ in range(200):
         harness.serve(20_000)
@@ -84,8 +91,9 @@
     assert served >= 20
 
 
-def test_a_worker_of_another_zone_that_warms_up_gets_its_turns():
-    # It must be warm before it is needed, though the own zone has headroom meanwhile.
+def test_a_worker_of_another_zone_gets_jobs_while_it_warms_up():
+    # The worker must be warm before it is needed, so it gets jobs although the own zone has
+    # headroom.
     endpoints = [make_endpoint(number, zone=number % 2) for number in range(6)]
     harness = PolicyHarness(
         IDEMPOTENT, endpoints=endpoints, zone=0, cross_zone_price=0.05, **SLOW_START
