--- a/stepstream/gearman/access.py
+++ b/stepstream/gearman/access.py
@@ -1,6 +1,7 @@
-"""Access checks: what peers may do where the identity subsystem is on.
+"""Access checks: what peers may do while the identity subsystem is on.
 
-Without access control everything is allowed. The service calls it, under the lock of its front.
+Without access control everything is allowed. The service calls this module under the lock of the
+front that owns it.
 """
 
 from stepstream.gearman import codec
@@ -10,81 +11,89 @@
 from stepstream.gearman.names import FunctionName
 from stepstream.gearman.peers import Peer, Worker
 from stepstream.gearman.session import TOKEN_OPTION
-from stepstream.gearman.state import SOURCE, ServiceState
+from stepstream.gearman.state import FRONT_NAME, ServiceState
 from stepstream.ports.access_control import Authorization, Rejection, RejectionKind
 
-# No longer than a changed key file takes to be read: a revoked credential ends as soon.
+# No longer than it takes to notice a changed key file, so that a revoked credential of a worker
+# ends as quickly.
 CREDENTIAL_RECHECK_PERIOD_US = 500_000
 
 
 class AccessChecks:
-    """Calls the access control, and turns its rejections into errors."""
+    """Asks the access control, and raises its rejections as `RequestError`."""
 
     def __init__(self, state: ServiceState) -> None:
         self.state = state
 
     def set_token(self, _now_us: int, peer: Peer, packet: Packet) -> None:
-        """Take the bearer token of OPTION_REQ `token:JWT`; it is verified at each later request."""
+        """Store the bearer token of OPTION_REQ `token:JWT`; each later request verifies it."""
         token = packet.args[0].removeprefix(TOKEN_OPTION)
         peer.token = token or None
         peer.authorized_at_us = 0
         self.state.output.send(peer, codec.encode_response(PacketKind.OPTION_RES, "token"))
 
     def authorize_submission(self, peer: Peer, function: FunctionName) -> Authorization | None:
-        """Authorize a job; None where callers are not identified."""
+        """Authorize a submission; return None if the identity subsystem is off."""
         access_control = self.state.host.access_control
         if access_control is None:
             return None
-        found = access_control.authorize_request(
-            SOURCE, peer.credential, function.class_name, function.tenant
+        decision = access_control.authorize_request(
+            FRONT_NAME, peer.credential, function.class_name, function.tenant
         )
-        if isinstance(found, Rejection):
-            raise _error_for(found)
-        return found
+        if isinstance(decision, Rejection):
+            raise _error_for(decision)
+        return decision
 
     def check_job_access(self, peer: Peer, job: Job | None) -> None:
-        """Check that a job is the peer's; an unknown one is rejected like another caller's."""
+        """Check that the peer submitted a job; reject an unknown job like another caller's."""
         access_control = self.state.host.access_control
         if access_control is not None:
             callers = job.callers if job else set()
-            _raise_if(access_control.authorize_job_access(SOURCE, peer.credential, callers))
+            _raise_if_rejected(
+                access_control.authorize_job_access(FRONT_NAME, peer.credential, callers)
+            )
 
     def check_new_worker(self, peer: Peer, worker_name: str) -> None:
         """Check that the peer may be a worker of this name."""
         access_control = self.state.host.access_control
         if access_control is not None:
-            _raise_if(access_control.authorize_worker(SOURCE, peer.credential, worker_name))
+            _raise_if_rejected(
+                access_control.authorize_worker(FRONT_NAME, peer.credential, worker_name)
+            )
 
     def check_worker(self, now_us: int, worker: Worker) -> None:
-        """Check that a worker's credential has not expired since it registered.
+        """Check that a worker's credential is still valid.
 
-        Such a worker gets no further job and may end the jobs that it holds.
+        A worker whose credential has expired gets no further job; it may end the jobs that it
+        holds.
         """
         access_control = self.state.host.access_control
         peer = worker.peer
         if access_control is None or not needs_recheck(now_us, peer.authorized_at_us):
             return
-        _raise_if(access_control.authorize_worker(SOURCE, peer.credential, worker.identity.name))
+        _raise_if_rejected(
+            access_control.authorize_worker(FRONT_NAME, peer.credential, worker.identity.name)
+        )
         peer.authorized_at_us = now_us
 
     def authorize_command(self, peer: Peer, tokens: tuple[str, ...]) -> Rejection | None:
-        """Authorize a text command; None if it is allowed."""
+        """Authorize a text command; return None if it is allowed."""
         access_control = self.state.host.access_control
         if access_control is None:
             return None
-        return access_control.authorize_admin(SOURCE, peer.credential, " ".join(tokens))
+        return access_control.authorize_admin(FRONT_NAME, peer.credential, " ".join(tokens))
 
 
 def needs_recheck(now_us: int, authorized_at_us: int) -> bool:
     """Decide whether a worker's credential is verified again before it is assigned a job.
 
-    Times are microseconds on the node's clock. A verification for each GRAB_JOB would cost too
-    much, and one at the registration only would keep a revoked worker for hours.
+    Times are microseconds on the node's clock. A verification at each GRAB_JOB would cost too much;
+    with one at the registration only, a revoked worker would get jobs for hours.
     """
     return now_us - authorized_at_us >= CREDENTIAL_RECHECK_PERIOD_US
 
 
-def _raise_if(rejection: Rejection | None) -> None:
+def _raise_if_rejected(rejection: Rejection | None) -> None:
     if rejection is not None:
         raise _error_for(rejection)
 
--- a/stepstream/gearman/admin.py
+++ b/stepstream/gearman/admin.py
@@ -1,7 +1,7 @@
-"""The text commands of the protocol, for operators and their scripts.
+"""Runs the protocol's text commands, for operators and their scripts.
 
 Reader threads call this module, under the lock of the front that owns the service. Tables end with
-a line that holds a period.
+a line that holds only a period.
 """
 
 from collections.abc import Callable, Iterator
@@ -16,7 +16,7 @@
 END_OF_TABLE = ".\n"
 OK = "OK\n"
 MAX_MAXQUEUE = 10**9
-MAX_MAXQUEUE_DIGITS = 10  # further digits are not checked against the bound
+MAX_MAXQUEUE_DIGITS = 10  # only the first digits are compared with MAX_MAXQUEUE
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,16 +60,18 @@
         return f"OK {__version__}\n"
 
     def _workers(self) -> str:
-        """List `NUMBER HOST ID : FUNCTION ...` for each connection."""
+        """List each connection as `NUMBER HOST ID : FUNCTION ...`."""
         rows = []
         for peer in self.state.peers:
             functions = " ".join(sorted(peer.worker.timeouts_us)) if peer.worker else ""
             name = peer.client_id.decode("utf-8", "replace").partition(";")[0] or "-"
-            rows.append(f"{peer.number} {peer.host} {name} : {functions}".rstrip() + "\n")
+            rows.append(
+                f"{peer.connection_number} {peer.host} {name} : {functions}".rstrip() + "\n"
+            )
         return "".join(rows) + END_OF_TABLE
 
     def _status(self) -> str:
-        """List `FUNCTION TOTAL RUNNING WORKERS` for each function of the settings, by tabs."""
+        """List each function of the settings as `FUNCTION TOTAL RUNNING WORKERS`, with tabs."""
         jobs = self.state.jobs
         running_counts: dict[str, int] = {}
         for job in jobs.by_handle.values():
@@ -87,14 +89,14 @@
         return "".join(rows) + END_OF_TABLE
 
     def _functions(self) -> Iterator[tuple[str, str, str]]:
-        """Yield each function of the settings: full name, class and tenant."""
+        """Yield the full name, class name and tenant name of each function of the settings."""
         settings = self.state.settings
         for tenant in settings.tenants or ("",):
             for class_name in settings.class_names:
                 yield f"{tenant}/{class_name}" if tenant else class_name, class_name, tenant
 
     def _maxqueue(self, args: tuple[str, ...]) -> str:
-        """Run `maxqueue FUNCTION [N]`: bound its open jobs by N; without N there is no bound."""
+        """Run `maxqueue FUNCTION [N]`: limit the function's open jobs to N, or remove the limit."""
         functions = {function for function, _, _ in self._functions()}
         if not args or args[0] not in functions:
             known = ", ".join(sorted(functions))
@@ -103,11 +105,11 @@
         if not numbers:
             self.state.max_queue.pop(function, None)
             return OK
-        text = numbers[0]
-        is_number = text.isascii() and text.isdigit()
-        if not is_number or int(text[:MAX_MAXQUEUE_DIGITS]) > MAX_MAXQUEUE:
-            return error_line("BAD_NUMBER", f"{text} is not a number of jobs")
-        self.state.max_queue[function] = int(text)
+        limit_text = numbers[0]
+        is_number = limit_text.isascii() and limit_text.isdigit()
+        if not is_number or int(limit_text[:MAX_MAXQUEUE_DIGITS]) > MAX_MAXQUEUE:
+            return error_line("BAD_NUMBER", f"{limit_text} is not a number of jobs")
+        self.state.max_queue[function] = int(limit_text)
         return OK
 
     def _cancel_job(self, now_us: int, args: tuple[str, ...]) -> str:
@@ -118,7 +120,7 @@
         return OK
 
     def _show_jobs(self) -> str:
-        """List `HANDLE STAGE RUNNING CLIENTS FUNCTION` by tabs, of open and retained jobs."""
+        """List open and retained jobs as `HANDLE STAGE RUNNING CLIENTS FUNCTION`, with tabs."""
         rows = []
         for job in self.state.jobs.by_handle.values():
             columns = (
--- a/stepstream/gearman/admission_rules.py
+++ b/stepstream/gearman/admission_rules.py
@@ -1,7 +1,7 @@
-"""Which submissions are admitted, as pure functions.
+"""The rules of job admission, as pure functions.
 
-Each rule raises the error that the client is answered with; a submission that passes all of them is
-admitted. `job_admission` applies them in the order of this module.
+Each rule raises the error that the service sends to the client. A submission that passes all rules
+is admitted. `job_admission` applies them in the order of this module.
 """
 
 import hashlib
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenJobUsage:
-    """What is open at this dispatcher when a submission would open one more job."""
+    """The dispatcher's open jobs and their memory, before a submission opens one more job."""
 
     function: str  # TENANT/CLASS, or CLASS where the settings name no tenants
     function_jobs: int  # open jobs of that function
-    max_function_jobs: int | None  # set by the text command `maxqueue`; None: no bound
+    max_function_jobs: int | None  # set by the text command `maxqueue`; None: no limit
     jobs: int  # open jobs of all functions
-    workload_bytes: int  # their workloads together
-    core_is_full: bool  # the core takes no further request
+    workload_bytes: int  # workloads of all open jobs together
+    core_is_full: bool  # the core accepts no further request
 
 
 def check_submission(
@@ -34,9 +34,9 @@
 ) -> None:
     """Raise `RequestError` for a submission that no retry can make admissible.
 
-    A class that is idempotent with a key needs a unique id, because it is the key; without one a
-    retry could run the job twice. The bounds of the unique id and the workload, in bytes, are those
-    that every worker accepts.
+    A class that is idempotent with a key needs a unique id, which becomes the idempotency key:
+    without it a retry could run the job twice. Every worker accepts unique ids and workloads up to
+    these limits, in bytes.
     """
     needs_key = job_class.effect is Effect.IDEMPOTENT_WITH_KEY
     if needs_key and not 1 <= len(unique) <= MAX_IDEMPOTENCY_KEY_BYTES:
@@ -57,9 +57,10 @@
 def idempotency_key(unique: bytes) -> str:
     """Return the idempotency key for a unique id, which the protocol treats as opaque bytes.
 
-    A key is printable text without spaces. A unique id of that form is its own key. Any other is
-    hashed, as printable text of the key's length cannot tell all of them apart; so is one that
-    looks like a hashed key.
+    A key is printable text without spaces. A unique id of that form is its own key. Any other
+    unique id is hashed, because printable text of a key's length cannot represent every byte
+    string. A unique id that looks like a hashed key is hashed, too, so that no two ids share a
+    key.
     """
     if IDEMPOTENCY_KEY.fullmatch(unique) and not unique.startswith(HASHED_KEY_PREFIX):
         return unique.decode("ascii")
@@ -71,25 +72,28 @@
 ) -> None:
     """Raise `JobQueueFullError` for a client connection with too many open submissions.
 
-    One connection could take all open jobs of the dispatcher otherwise.
+    Without this limit one connection could use up the open jobs of the whole dispatcher.
     """
     if open_submissions >= max_open_submissions:
         raise JobQueueFullError("this connection has too many open jobs", retry_after_seconds)
 
 
 def check_shutdown(*, is_closing: bool) -> None:
-    """Raise `RequestError` in a shutdown: a new job might not end before the process does."""
+    """Raise `RequestError` during a shutdown: the process might end before a new job does."""
     if is_closing:
-        raise RequestError("SHUTTING_DOWN", "no new jobs are taken; another server may")
+        raise RequestError(
+            "SHUTTING_DOWN",
+            "this server is shutting down and accepts no new jobs; submit to another server",
+        )
 
 
 def check_dispatcher_usage(
     usage: OpenJobUsage, workload_bytes: int, limits: GearmanLimits, retry_after_seconds: float
 ) -> None:
-    """Raise `JobQueueFullError` if the dispatcher has no room for one more open job.
+    """Raise `JobQueueFullError` if the dispatcher cannot open one more job.
 
-    `workload_bytes` is the size of the new job's workload. The operator's bound of a function comes
-    first, then the core's bound, then those that guard the memory of the process.
+    `workload_bytes` is the size of the new job's workload. The operator's limit of the function is
+    checked first, then the core's limit, then the two that bound the memory of the process.
     """
     max_function_jobs = usage.max_function_jobs
     if max_function_jobs is not None and usage.function_jobs >= max_function_jobs:
@@ -100,4 +104,4 @@
     open_bytes = usage.workload_bytes + workload_bytes
     has_too_many_bytes = open_bytes > limits.in_flight_workload_bytes
     if usage.core_is_full or has_too_many_jobs or has_too_many_bytes:
-        raise JobQueueFullError("too many jobs are open here", retry_after_seconds)
+        raise JobQueueFullError("too many jobs are open on this server", retry_after_seconds)
--- a/stepstream/gearman/assignment_rules.py
+++ b/stepstream/gearman/assignment_rules.py
@@ -1,6 +1,6 @@
-"""Which calls wait for a worker and which are assigned to it, as pure functions.
+"""The rules for queueing calls for a worker and assigning them, as pure functions.
 
-Up to the assignment a call has provably never run; from then on it may have.
+A call has certainly not run before it is assigned; after that it may have run.
 """
 
 from collections.abc import Container
@@ -14,12 +14,13 @@
 def reason_not_to_queue(
     worker: Worker, call: Call, class_name: str, tenant: str, queue_length: int
 ) -> AttemptResult | None:
-    """Decide whether a call may wait for its worker; return how it ends if not.
+    """Return None if a call may wait for its worker, otherwise the result that the call ends with.
 
-    `queue_length` is how many calls may wait beyond the worker's slots. NOT_SENT where the worker
-    has not registered the function, or still holds an earlier attempt of the same request: the
-    protocol cannot recall a job, and the worker would run it twice. FULL beyond the queue, so that
-    the policy sends the job elsewhere.
+    `queue_length` is how many calls may wait beyond the worker's slots.
+
+    The result is NOT_SENT if the worker has not registered the function, or if it still holds an
+    earlier attempt of the same request: the protocol cannot recall a job, and the worker would run
+    it twice. The result is FULL if the queue is full, so that the policy sends the job elsewhere.
     """
     if registered_name(worker.timeouts_us, class_name, tenant) is None:
         return AttemptResult.NOT_SENT
@@ -34,15 +35,16 @@
 def has_free_slot(worker: Worker) -> bool:
     """Decide whether a worker may be assigned one more job.
 
-    It holds at most its slots: further jobs would wait inside the worker, unseen by the policy.
+    A worker holds at most one job per slot. Further jobs would wait inside the worker, where the
+    policy does not see them.
     """
     return len(worker.assigned) < worker.identity.slots
 
 
 def is_wakeup_due(worker: Worker) -> bool:
-    """Decide whether a worker that sleeps is sent a NOOP.
+    """Decide whether a worker is sent a NOOP: it sleeps, has a queued call and a free slot.
 
-    Only if a call waits that it may be assigned; a NOOP without work costs a round trip.
+    A NOOP without work would only cost a round trip.
     """
     has_work = bool(worker.queue) and has_free_slot(worker)
     return worker.asleep and has_work
@@ -51,8 +53,9 @@
 def function_to_assign(queued: QueuedCall, functions: Container[str], now_us: int) -> str | None:
     """Return the registered function under which a queued call is assigned at `now_us`.
 
-    None for a call that the core has given up, whose deadline has passed, or whose function the
-    worker has removed: it would run for nothing. This is the last check before the job is sent.
+    Return None if the core has given the call up, its deadline has passed, or the worker has
+    removed its function: running it would be useless. This is the last check before the job is
+    sent.
     """
     call = queued.call
     is_needed = call.open and now_us < call.deadline_us
@@ -62,8 +65,8 @@
 
 
 def has_waited_too_long(queued: QueuedCall, now_us: int, max_wait_us: int) -> bool:
-    """Decide whether a call that no GRAB_JOB came for is given back to the policy.
+    """Decide whether a queued call is returned to the policy because no GRAB_JOB came for it.
 
-    A worker that is busy or silent would keep the job while another one is idle.
+    Otherwise a busy or silent worker would keep the job while another worker is idle.
     """
     return now_us - queued.queued_at_us >= max_wait_us
--- a/stepstream/gearman/codec.py
+++ b/stepstream/gearman/codec.py
@@ -1,9 +1,9 @@
-"""Gearman's packets as tables, their parser and their writer; free of I/O.
+"""The packet types and their arguments, a parser and an encoder; free of I/O.
 
 Source: the published protocol (gearman.org, "Gearman Protocol"). A packet is a magic (NUL and REQ
-or RES), its type and its size, each four bytes, most significant first, then its arguments, all but
-the last ended by a NUL. A message that does not begin with a NUL is a text command, which ends with
-a line feed. Both may come on one connection.
+or RES), its type and its size, each four bytes, most significant first, then its arguments. A NUL
+ends each argument but the last. A message that does not begin with a NUL is a text command, which
+ends with a line feed. One connection may carry both.
 
 A parser belongs to one connection, whose owner lets one thread at a time use it.
 """
@@ -28,7 +28,7 @@
 
 
 class PacketKind(IntEnum):
-    """The types of packets, by their numbers on the wire."""
+    """The packet types with their numbers on the wire."""
 
     CAN_DO = 1
     CANT_DO = 2
@@ -73,9 +73,9 @@
     STATUS_RES_UNIQUE = 42
 
 
-_SUBMIT = ("function", "unique", "workload")
-_REDUCE = ("function", "unique", "reducer", "workload")
-_WORK = {
+_SUBMIT_JOB_ARGUMENTS = ("function", "unique", "workload")
+_REDUCE_JOB_ARGUMENTS = ("function", "unique", "reducer", "workload")
+_WORK_REPORT_ARGUMENTS = {
     PacketKind.WORK_STATUS: ("handle", "numerator", "denominator"),
     PacketKind.WORK_COMPLETE: ("handle", "data"),
     PacketKind.WORK_FAIL: ("handle",),
@@ -83,7 +83,7 @@
     PacketKind.WORK_DATA: ("handle", "data"),
     PacketKind.WORK_WARNING: ("handle", "data"),
 }
-# The names of the arguments in the packets that clients and workers send.
+# Argument names of the packets that clients and workers send.
 REQUEST_ARGUMENTS: dict[PacketKind, tuple[str, ...]] = {
     PacketKind.CAN_DO: ("function",),
     PacketKind.CAN_DO_TIMEOUT: ("function", "timeout"),
@@ -95,12 +95,12 @@
     PacketKind.GRAB_JOB_ALL: (),
     PacketKind.ALL_YOURS: (),
     PacketKind.SET_CLIENT_ID: ("id",),
-    PacketKind.SUBMIT_JOB: _SUBMIT,
-    PacketKind.SUBMIT_JOB_BG: _SUBMIT,
-    PacketKind.SUBMIT_JOB_HIGH: _SUBMIT,
-    PacketKind.SUBMIT_JOB_HIGH_BG: _SUBMIT,
-    PacketKind.SUBMIT_JOB_LOW: _SUBMIT,
-    PacketKind.SUBMIT_JOB_LOW_BG: _SUBMIT,
+    PacketKind.SUBMIT_JOB: _SUBMIT_JOB_ARGUMENTS,
+    PacketKind.SUBMIT_JOB_BG: _SUBMIT_JOB_ARGUMENTS,
+    PacketKind.SUBMIT_JOB_HIGH: _SUBMIT_JOB_ARGUMENTS,
+    PacketKind.SUBMIT_JOB_HIGH_BG: _SUBMIT_JOB_ARGUMENTS,
+    PacketKind.SUBMIT_JOB_LOW: _SUBMIT_JOB_ARGUMENTS,
+    PacketKind.SUBMIT_JOB_LOW_BG: _SUBMIT_JOB_ARGUMENTS,
     PacketKind.SUBMIT_JOB_SCHED: (
         "function",
         "unique",
@@ -112,15 +112,15 @@
         "workload",
     ),
     PacketKind.SUBMIT_JOB_EPOCH: ("function", "unique", "epoch", "workload"),
-    PacketKind.SUBMIT_REDUCE_JOB: _REDUCE,
-    PacketKind.SUBMIT_REDUCE_JOB_BACKGROUND: _REDUCE,
+    PacketKind.SUBMIT_REDUCE_JOB: _REDUCE_JOB_ARGUMENTS,
+    PacketKind.SUBMIT_REDUCE_JOB_BACKGROUND: _REDUCE_JOB_ARGUMENTS,
     PacketKind.GET_STATUS: ("handle",),
     PacketKind.GET_STATUS_UNIQUE: ("unique",),
     PacketKind.OPTION_REQ: ("option",),
     PacketKind.ECHO_REQ: ("data",),
-    **_WORK,
+    **_WORK_REPORT_ARGUMENTS,
 }
-# The names of the arguments in the packets that the server sends.
+# Argument names of the packets that the server sends.
 RESPONSE_ARGUMENTS: dict[PacketKind, tuple[str, ...]] = {
     PacketKind.NOOP: (),
     PacketKind.NO_JOB: (),
@@ -140,7 +140,7 @@
     PacketKind.OPTION_RES: ("option",),
     PacketKind.ECHO_RES: ("data",),
     PacketKind.ERROR: ("code", "text"),
-    **_WORK,
+    **_WORK_REPORT_ARGUMENTS,
 }
 
 
@@ -154,14 +154,14 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownPacket:
-    """A complete packet of a type that the protocol does not have, or not in this direction."""
+    """A complete packet whose type does not exist, or is not allowed in this direction."""
 
-    number: int
+    type_number: int
 
 
 @dataclass(frozen=True, slots=True)
 class TextLine:
-    """A line of text, split into its tokens at blanks."""
+    """A line of text, split into tokens at white space."""
 
     tokens: tuple[str, ...]
 
@@ -176,47 +176,47 @@
     HEADER = 2
     BODY = 3
     TEXT = 4
-    BROKEN = 5  # nothing
+    BROKEN = 5  # nothing: a framing error occurred
 
 
 class Parser:
-    """Bytes in, complete packets and text commands out; a broken parser stays broken."""
+    """Splits received bytes into packets and text commands; nothing follows a framing error."""
 
     def __init__(self, limits: Limits, *, responses: bool = False) -> None:
-        """`responses`: parse what a server sends, as clients and workers do; no text commands."""
+        """Create a parser; `responses`: it parses what a server sends, without text commands."""
         self.limits = limits
         self.magic = RES if responses else REQ
         self.argument_names = RESPONSE_ARGUMENTS if responses else REQUEST_ARGUMENTS
         self.state = ParserState.IDLE
         self.buffer = bytearray()
-        self.type_number = 0  # of the packet whose body is read
+        self.type_number = 0  # of the packet whose body is being read
         self.body_bytes = 0
-        self.searched_bytes = 0  # the buffer's beginning, known to hold no end of a text line
+        self.searched_bytes = 0  # bytes at the buffer's start that are known to hold no line feed
 
     @property
     def is_idle(self) -> bool:
-        """Whether no byte of the next message has come."""
+        """Whether no byte of the next message has been received."""
         return self.state is ParserState.IDLE and not self.buffer
 
     def feed(self, data: bytes) -> None:
-        """Take received bytes."""
+        """Append received bytes to the buffer."""
         self.buffer += data
 
     def next_message(self) -> Message | None:
         """Return the next message, or None until more bytes are fed.
 
-        Raise `FramingError` where the bytes cannot be split; the connection must end.
+        Raise `FramingError` if the bytes cannot be split into messages; the connection must end.
         """
         try:
             while True:
-                item, proceed = self.STEPS[self.state](self)
-                if item is not None or not proceed:
-                    return item
+                message, proceed = self.STEPS[self.state](self)
+                if message is not None or not proceed:
+                    return message
         except FramingError:
             self.state = ParserState.BROKEN
             raise
 
-    # -- steps: return an item, and whether to proceed with the next step without one -------------
+    # -- steps: return a message or None, and whether to go on to the next step without one -------
 
     def _step_idle(self) -> tuple[Message | None, bool]:
         if not self.buffer:
@@ -229,7 +229,7 @@
         return None, True
 
     def _step_header(self) -> tuple[Message | None, bool]:
-        # The magic is checked as it arrives: a peer of another protocol sends no complete header.
+        # The magic is checked byte by byte: a peer of another protocol may send no complete header.
         if not self.magic.startswith(bytes(self.buffer[:MAGIC_BYTES])):
             raise FramingError("BAD_MAGIC", "the packet does not begin with its magic")
         if len(self.buffer) < HEADER.size:
@@ -237,7 +237,7 @@
         _, self.type_number, self.body_bytes = HEADER.unpack_from(self.buffer)
         max_bytes = self.limits.gearman.packet_bytes
         if self.body_bytes > max_bytes:
-            # Guards memory: a body is read only after its size is bounded.
+            # Limits memory: the size is checked before the body is buffered.
             raise FramingError("PACKET_TOO_LARGE", f"a packet holds at most {max_bytes} bytes")
         del self.buffer[: HEADER.size]
         self.state = ParserState.BODY
@@ -265,13 +265,15 @@
         line = bytes(self.buffer[:end]).rstrip(b"\r")
         del self.buffer[: end + 1]
         self.state = ParserState.IDLE
-        # Guards against another protocol whose bytes would be read as text commands.
+        # Bytes of another protocol must not be read as text commands.
         if not all(FIRST_PRINTABLE <= byte <= LAST_PRINTABLE or byte == TAB for byte in line):
             raise FramingError("BAD_TEXT", "a text command holds bytes that are no text")
         return TextLine(tuple(line.decode("ascii").split())), False
 
     def _step_broken(self) -> NoReturn:
-        raise FramingError("BROKEN_CONNECTION", "the connection broke the protocol before")
+        raise FramingError(
+            "BROKEN_CONNECTION", "an earlier message on this connection broke the protocol"
+        )
 
     STEPS: ClassVar[dict[ParserState, Callable[["Parser"], tuple[Message | None, bool]]]] = {
         ParserState.IDLE: _step_idle,
@@ -295,24 +297,24 @@
     return Packet(kind, tuple(args))
 
 
-def parse_number(name: str, argument: bytes) -> int:
-    """Parse an argument that is a whole number, 0 or more; some libraries send 3.0 for 3."""
+def parse_number_argument(name: str, argument: bytes) -> int:
+    """Parse a whole number of at least 0; some client libraries send 3.0 for 3."""
     try:
-        number = float(argument)
+        value = float(argument)
     except ValueError:
-        number = -1.0
-    if not 0 <= number <= MAX_ARGUMENT_NUMBER:
+        value = -1.0
+    if not 0 <= value <= MAX_ARGUMENT_NUMBER:
         raise RequestError(
             "BAD_ARGUMENTS", f"{name} is not a number from 0 to {MAX_ARGUMENT_NUMBER}"
         )
-    return int(number)
+    return int(value)
 
 
 def encode_packet(magic: bytes, kind: PacketKind, *args: bytes) -> bytes:
     """Return the bytes of a packet.
 
-    Raise PacketArgumentError for a wrong number of arguments, and for a NUL in any but the last:
-    the packet could not be split again.
+    Raise `PacketArgumentError` for a wrong number of arguments, and for a NUL in any argument but
+    the last: the receiver could not split the packet.
     """
     argument_names = RESPONSE_ARGUMENTS if magic is RES else REQUEST_ARGUMENTS
     if len(args) != len(argument_names[kind]):
--- a/stepstream/gearman/connection.py
+++ b/stepstream/gearman/connection.py
@@ -1,12 +1,14 @@
-"""A Gearman connection: its reader thread, its sending side, and how the inbound server sees it.
+"""A Gearman connection: its reader thread, its sending side and its `ports.Connection` interface.
 
-Each connection has a reader thread of the server's pool, which feeds the session and passes the
-service its steps. Any thread sends, without waiting. What the peer does not take is buffered, up to
-a bound, and left to the writer thread.
+Each connection has a reader thread from the server's pool. The thread feeds received bytes to the
+session and passes the resulting steps to the service. Any thread may send; sending never blocks.
+Bytes that the peer does not accept at once are buffered, up to a limit, and the writer thread sends
+them later.
 
 Locks are taken in this order: the front's, which guards the service and the session; the
 connection's, which guards its sending side; the writer's. The server's lock is taken under the
-front's, and the server calls a connection without holding its own. Times are monotonic seconds.
+front's. The server holds no lock of its own while it calls a connection. Times are monotonic
+seconds.
 """
 
 import signal
@@ -33,12 +35,12 @@
 KEEPALIVE_OPTIONS = {
     socket.TCP_KEEPIDLE: 30,  # seconds without a byte before the first probe
     socket.TCP_KEEPINTVL: 10,  # seconds between probes
-    socket.TCP_KEEPCNT: 3,  # probes without an answer until the connection is dead
+    socket.TCP_KEEPCNT: 3,  # unanswered probes after which the connection is dead
 }
 
 
 class ConnectionOwner(Protocol):
-    """What a connection uses of the front that it belongs to."""
+    """The part of the front that its connections use."""
 
     server: InboundServer
     signals: "SimpleQueue[int]"
@@ -52,14 +54,14 @@
         """Return the time on the node's clock in microseconds."""
 
     def flush(self) -> None:
-        """Pass on the service's output; the caller holds the lock."""
+        """Send and post the service's output; the caller holds the lock."""
 
 
 class GearmanConnection:
     """An inbound Gearman connection; a `ports.Connection`."""
 
     def __init__(self, transport: Transport, front: ConnectionOwner, *, is_external: bool) -> None:
-        """`is_external`: its peer is not on a worker's host."""
+        """Register a connection with the front; `is_external`: no worker is on the peer's host."""
         self.transport = transport
         self.front = front
         self.server = front.server
@@ -68,17 +70,18 @@
         # Guards the transport's unsent bytes and the flags of the sending side: `ended`,
         # `last_reply_sent`, `sent_at_seconds`.
         self.lock = threading.Lock()
-        self.ended = False  # the reader thread closes the socket
+        self.ended = False  # the socket is closed, or about to be closed by the reader thread
         self.last_reply_sent = False  # nothing is sent after it
         self.sent_at_seconds = 0.0  # when the peer last took some of the unsent bytes
         self.dropped = False  # the peer reads too little: its further messages are ignored
-        # Guarded by the front's lock, so that a close sees a message that was received.
+        # The next two are guarded by the front's lock, so that whoever closes the connection sees
+        # the messages that were received.
         self.unhandled_messages = 0
-        self.closed_idle = False  # closed between messages: what comes later is ignored
+        self.closed_idle = False  # closed between messages: bytes that arrive later are ignored
         self.session = Session(front.server.limits)
-        # A phase starts with the first byte of a message, or with the end of the last reply once
-        # the session is closed. No lock guards these values: the server's checks may read one that
-        # is a moment old. Only the reader thread uses the registration credit.
+        # A phase starts with the first byte of a message or, once the session is closed, with the
+        # end of the last reply. No lock guards these times: the server's checks tolerate values
+        # that are slightly out of date. Only the reader thread uses the registration credit.
         now_seconds = time.monotonic()
         self.phase_started_at_seconds = now_seconds
         self.last_activity_at_seconds = now_seconds
@@ -92,19 +95,19 @@
     # -- the reader thread ------------------------------------------------------------------------
 
     def run(self) -> None:
-        """Read until the connection ends, then end what it has open and close it."""
+        """Read until the connection ends; then end its open jobs and its worker, and close it."""
         try:
             self._enable_keepalive()
             self.transport.handshake()
             self.peer.certificate = self.transport.certificate
             self._read_until_end()
         except OSError:
-            pass  # the connection has ended before its first message
+            pass  # the connection ended before its first message
         finally:
             self._end()
 
     def _enable_keepalive(self) -> None:
-        # A sleeping worker sends nothing for hours: only the kernel detects that its host is gone.
+        # A sleeping worker sends nothing for hours; only keep-alive detects that its host is gone.
         sock = self.transport.sock
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         for option, value in KEEPALIVE_OPTIONS.items():
@@ -121,16 +124,17 @@
                 return
             try:
                 self._process(steps)
-            except Exception as error:  # noqa: BLE001  whatever it is, the thread goes on to `_end`
-                # Guards the thread: this connection ends and gives back what it holds.
+            except Exception as error:  # noqa: BLE001  on any error the thread must reach `_end`
+                # The fault ends this connection only: `_end` frees its jobs, worker and socket.
                 log_events.internal_fault(where="gearman", error=error)
                 return
 
     def _receive(self, max_bytes: int) -> list[Step]:
-        """Receive the bytes that have arrived, and feed the session; return what is complete.
+        """Receive the bytes that have arrived and feed them to the session; return its steps.
 
-        Bytes leave the kernel only under the front's lock: whoever closes the connection under it
-        sees either unread bytes or unhandled messages.
+        Bytes are read from the kernel only under the front's lock. A caller that closes the
+        connection under that lock sees received data either as unread bytes or as unhandled
+        messages.
         """
         now_seconds = time.monotonic()
         with self.front.lock:
@@ -143,7 +147,8 @@
             steps = self.session.feed(data)
             self.unhandled_messages = len(steps)
         if steps:
-            self.phase_started_at_seconds = now_seconds  # of the message that is partly here
+            # A message may be partly received; its phase starts now.
+            self.phase_started_at_seconds = now_seconds
         return steps
 
     def _process(self, steps: list[Step]) -> None:
@@ -151,7 +156,7 @@
         for step in steps:
             if self.dropped:
                 return
-            # One step at a time: no thread waits for the lock longer than for one step.
+            # The lock is released after each step, so that other threads wait for one step at most.
             self._throttle(step)
             with self.front.lock:
                 self._handle(step)
@@ -172,9 +177,9 @@
                     self.front.signals.put(signal.SIGTERM)
 
     def _throttle(self, step: Step) -> None:
-        """Wait if the peer sends faster than is fair to all others.
+        """Wait if the peer sends faster than is fair to the other peers.
 
-        It waits in its own thread, and what it sends meanwhile waits in its own socket.
+        Only this connection's reader thread waits; further bytes of the peer wait in its socket.
         """
         if connection_rules.costs_registration_credit(step):
             limits = self.server.limits.gearman
@@ -191,7 +196,7 @@
             time.sleep(limits.core_backlog_check_seconds)
 
     def _end(self) -> None:
-        """End what the connection has open, and close it."""
+        """End the connection's open jobs and its worker, and close it."""
         with self.front.lock:
             self.front.service.disconnect(self.peer)
             self.front.flush()
@@ -205,10 +210,10 @@
     # -- sending ----------------------------------------------------------------------------------
 
     def send(self, data: bytes, *, close: bool = False) -> None:
-        """Send without waiting; any thread may call it. After bytes with `close`, nothing is sent.
+        """Send without blocking; any thread may call it. Nothing is sent after bytes with `close`.
 
-        The writer thread sends what the peer does not take. A peer that takes too little is
-        dropped.
+        The writer thread sends what the peer does not accept at once. A peer with too many unsent
+        bytes is dropped.
         """
         with self.lock:
             if self.ended or self.last_reply_sent:
@@ -227,13 +232,13 @@
             if not had_unsent:
                 self.sent_at_seconds = time.monotonic()
             if len(self.transport.unsent) > self.server.limits.sizes.unsent_bytes:
-                # Guards memory against a peer that requests much and reads little.
+                # Limits memory: the peer requests much and reads little.
                 self._drop()
                 return
             self.front.writer.add(self)
 
     def send_unsent(self) -> None:
-        """Send more of the unsent bytes without waiting; the writer thread calls it."""
+        """Send more of the unsent bytes without blocking; the writer thread calls it."""
         with self.lock:
             before_bytes = len(self.transport.unsent)
             try:
@@ -253,14 +258,14 @@
         self.transport.shut_down()
 
     def _half_close(self) -> None:
-        """Shut down the sending side; a full close could reset it and take the last reply with it.
+        """Shut down the sending side; the caller holds the connection's lock.
 
-        The caller holds the connection's lock.
+        A full close could reset the connection, and the peer would lose the last reply.
         """
         self.phase_started_at_seconds = time.monotonic()
         self.transport.half_close()
 
-    # -- as the server sees it: `ports.Connection` ------------------------------------------------
+    # -- `ports.Connection`, called by the server -------------------------------------------------
 
     def has_open_request(self) -> bool:
         """Return whether the peer is owed the outcome of a job."""
@@ -277,7 +282,7 @@
         )
 
     def eviction_state(self, now: float) -> EvictionState:
-        """Return the rank for eviction, and the time since which the connection is quiet."""
+        """Return the rank for eviction, and the time since which the connection is inactive."""
         unproven_seconds = self.server.limits.timeouts.evict_silent_after_seconds
         return connection_rules.eviction_state(self._view(), now, unproven_seconds)
 
@@ -312,9 +317,9 @@
                     self._end_slow_message()
 
     def _view(self) -> ConnectionView:
-        """Return what a decision needs; each value is read once.
+        """Return a snapshot for a decision; each value is read once.
 
-        A decision that closes the connection holds the front's lock.
+        A caller that may close the connection holds the front's lock.
         """
         return ConnectionView(
             is_worker=self.is_worker(),
@@ -330,13 +335,13 @@
         )
 
     def _end_slow_message(self) -> None:
-        error = FramingError("TOO_SLOW", "half a message, and then nothing")
+        error = FramingError("TOO_SLOW", "the rest of the message did not arrive in time")
         reply = self.session.close_with_error(error)
         self.send(reply.data, close=reply.close)
 
 
 def peer_host(sock: socket.socket) -> str:
-    """Return the address of a socket's peer; "-" if it has gone."""
+    """Return the address of a socket's peer; "-" if the peer has disconnected."""
     try:
         return str(sock.getpeername()[0])
     except OSError:
--- a/stepstream/gearman/connection_rules.py
+++ b/stepstream/gearman/connection_rules.py
@@ -1,6 +1,6 @@
-"""When a Gearman connection is slowed down, closed or evicted, as pure functions.
+"""The rules that slow down, close and evict Gearman connections, as pure functions.
 
-The connection passes what it knows of itself as a `ConnectionView` and carries the decision out.
+A connection passes a snapshot of its state as a `ConnectionView` and carries the decision out.
 Times are monotonic seconds.
 """
 
@@ -10,11 +10,11 @@
 
 from stepstream.config.limits import GearmanLimits, Timeouts
 from stepstream.gearman.codec import Packet, PacketKind, TextLine
-from stepstream.gearman.job_admission import SUBMISSIONS
+from stepstream.gearman.job_admission import SUBMIT_JOB_KINDS
 from stepstream.gearman.session import Step
 from stepstream.ports.connections import EvictionRank, EvictionState
 
-REGISTRATION_CHANGES = frozenset(
+REGISTRATION_KINDS = frozenset(
     (
         PacketKind.CAN_DO,
         PacketKind.CAN_DO_TIMEOUT,
@@ -27,18 +27,18 @@
 
 @dataclass(slots=True)
 class ConnectionView:
-    """What a decision needs to know of a connection."""
+    """The state of a connection that decisions use."""
 
     is_worker: bool
-    has_open_request: bool  # the peer is owed the outcome of a job
+    has_open_request: bool  # the peer waits for the outcome of a job
     has_unsent_bytes: bool
-    session_closed: bool  # its last reply is given
+    session_closed: bool  # the session has given its last reply
     session_idle: bool  # no message is partly received
-    has_sent_work: bool  # it has sent a message that means something
+    has_sent_work: bool  # the peer has sent a message for the service
     phase_started_at_seconds: float  # first byte of the message, or end of the last reply
     last_activity_at_seconds: float  # last byte received
     sent_at_seconds: float  # when the peer last took some of the unsent bytes
-    has_unhandled_messages: bool = False  # complete ones that the service has not got yet
+    has_unhandled_messages: bool = False  # complete messages that the service has not handled yet
 
     @property
     def is_in_use(self) -> bool:
@@ -47,19 +47,19 @@
 
 
 class TimeoutAction(Enum):
-    """What becomes of a connection whose timeouts are checked."""
+    """What a timeout check does with a connection."""
 
     NONE = 1
     CLOSE = 2
-    REPLY_AND_CLOSE = 3  # with the error of a message that took too long
+    REPLY_AND_CLOSE = 3  # reply that a message took too long to arrive, then close
 
 
 def timeout_action(view: ConnectionView, now_seconds: float, timeouts: Timeouts) -> TimeoutAction:
-    """Decide what a connection's timeouts demand at `now_seconds`.
+    """Decide whether a timeout of a connection has passed at `now_seconds`.
 
-    Without them, peers that send half a message, stay silent or read nothing would hold a reader
-    thread and a place for a connection each. A worker may sleep for hours: only the kernel's
-    keep-alive ends its connection.
+    Without timeouts, each peer that sends half a message, stays silent or reads nothing would
+    occupy a reader thread and one of the limited connections. A worker may sleep for hours: only
+    the kernel's keep-alive ends its connection.
     """
     if view.has_unsent_bytes and now_seconds - view.sent_at_seconds > timeouts.write_seconds:
         return TimeoutAction.CLOSE
@@ -80,10 +80,10 @@
 def eviction_state(
     view: ConnectionView, now_seconds: float, unproven_seconds: float
 ) -> EvictionState:
-    """Return a connection's rank for eviction, and the time since which it is quiet.
+    """Return a connection's rank for eviction, and the time since which it is inactive.
 
-    A connection that has sent nothing for `unproven_seconds` is evicted before an idle client: it
-    may never send anything.
+    A connection that has sent nothing for `unproven_seconds` is evicted before an idle client,
+    because it may never send anything.
     """
     if view.is_in_use or view.has_unsent_bytes:
         return EvictionState(EvictionRank.NEVER, math.inf)
@@ -99,8 +99,9 @@
 def delays_shutdown(view: ConnectionView, *, server_is_closing: bool) -> bool:
     """Decide whether a shutdown waits for a connection.
 
-    It does while the peer is owed something or is sending a message, and until the server closes
-    idle connections while a client may still submit on it.
+    It waits while bytes or an outcome are still due to the peer, and while a message is partly
+    received or not handled yet. Until the server closes idle connections, it also waits for each
+    client, which may still submit jobs.
     """
     if view.session_closed:
         return view.has_unsent_bytes
@@ -113,8 +114,8 @@
 def closes_when_idle(view: ConnectionView) -> bool:
     """Decide whether a drain or shutdown closes a connection now.
 
-    Only between messages and with nothing owed; the peer would lose a message or an outcome
-    otherwise.
+    It does so only between messages and with nothing left to send. Otherwise the peer would lose a
+    message or an outcome.
     """
     return not view.is_in_use and not view.has_unsent_bytes and view.session_idle
 
@@ -122,32 +123,32 @@
 def costs_registration_credit(step: Step) -> bool:
     """Decide whether a step spends registration credit.
 
-    A registration makes the policy go through its list of workers, a text command goes through all
-    jobs or connections: one peer could keep everyone else from the lock.
+    For a registration the policy goes through its list of workers; a text command goes through all
+    jobs or connections. Without a limit one peer could keep the front's lock from all others.
     """
     if isinstance(step, Packet):
-        return step.kind in REGISTRATION_CHANGES
+        return step.kind in REGISTRATION_KINDS
     return isinstance(step, TextLine)
 
 
 def waits_for_core(step: Step) -> bool:
-    """Decide whether a step waits while the core has a backlog of events: only submissions do."""
-    return isinstance(step, Packet) and step.kind in SUBMISSIONS
+    """Decide whether a step waits while the core has a backlog of events; only submissions do."""
+    return isinstance(step, Packet) and step.kind in SUBMIT_JOB_KINDS
 
 
 @dataclass(slots=True)
 class RegistrationCredit:
     """How many registrations and text commands a peer may send before it is slowed down.
 
-    The reader thread of the connection owns it. The credit grows by one each pause, up to its
-    bound, so that a peer may register a burst of functions and then one each pause.
+    Only the connection's reader thread uses it. The credit grows by one per pause length, up to a
+    limit: a peer may register a burst of functions, then one per pause length.
     """
 
     credit: float
     updated_at_seconds: float
 
     def spend(self, now_seconds: float, limits: GearmanLimits) -> float:
-        """Spend one; return how many seconds to pause before the step, 0.0 for none."""
+        """Spend one unit of credit; return how many seconds to pause before the step, or 0.0."""
         pause_seconds = limits.registration_change_pause_seconds
         earned = (now_seconds - self.updated_at_seconds) / pause_seconds
         self.credit = min(self.credit + earned, limits.registration_changes) - 1
--- a/stepstream/gearman/errors.py
+++ b/stepstream/gearman/errors.py
@@ -1,6 +1,6 @@
-"""The errors that Gearman's peers are answered with, under one base class.
+"""The errors that are reported to Gearman's peers, under one base class.
 
-Each becomes one ERROR packet: its code, then its text. The texts are part of the wire.
+Each becomes one ERROR packet that holds its code and its text. Peers see both.
 """
 
 
@@ -13,11 +13,11 @@
 
 
 class FramingError(GearmanError):
-    """The received bytes cannot be split into messages; the connection ends with the ERROR."""
+    """The received bytes cannot be split into messages; the connection ends after the ERROR."""
 
 
 class RequestError(GearmanError):
-    """A complete packet cannot be handled; the connection goes on."""
+    """A complete packet cannot be handled; the connection stays open."""
 
 
 class JobQueueFullError(RequestError):
@@ -31,4 +31,4 @@
 
 
 class PacketArgumentError(ValueError):
-    """Our own code asked for a packet that the protocol cannot express."""
+    """The dispatcher's own code tried to encode a packet that the protocol cannot express."""
--- a/stepstream/gearman/front.py
+++ b/stepstream/gearman/front.py
@@ -1,8 +1,9 @@
-"""The Gearman front and carrier: its listeners, and where it meets the core.
+"""The Gearman front and carrier: its listeners, and its connection to the core.
 
 `GearmanFront` owns the service and guards it with its lock. The main thread opens listeners,
-reloads and runs periodic tasks. The decision thread passes answers and calls. A reader thread for
-each connection passes what peers send, and one writer thread sends the rest to slow peers.
+reloads and runs periodic tasks. The decision thread passes the core's answers and calls. One reader
+thread per connection passes what the peer sends. One writer thread sends what slow peers did not
+accept at once.
 """
 
 import secrets
@@ -36,8 +37,8 @@
 class GearmanFront:
     """Listens for Gearman's peers, and carries the core's calls to its workers; a `ports.Carrier`.
 
-    `lock` guards the service and `connections`. The server's lock may be taken under it, and so may
-    a connection's.
+    `lock` guards the service and `connections`. A thread that holds it may take the server's lock
+    and a connection's lock.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
         pending_event_count: Callable[[], int],
         access_control: AccessControl | None = None,
     ) -> None:
-        """Create the front; `pending_event_count` counts the events that wait for the core."""
+        """Create the front; `pending_event_count` returns how many events wait for the core."""
         self.server = server
         self.signals = signals
         self.pending_event_count = pending_event_count
@@ -82,9 +83,9 @@
     ) -> ListenerSpec:
         """Listen over another kind of transport; raise OSError if that fails.
 
-        Connections beyond the server's budget are closed without an answer.
+        Connections beyond the server's limit are closed without an answer.
         """
-        no_response = bytes
+        no_response = bytes  # called, it returns b""
         return self.server.listen(address, self._connection_factory(create_transport), no_response)
 
     def _connection_factory(
@@ -101,7 +102,7 @@
             self.service.reconfigure(section, config.settings, self.server.limits)
 
     def run_periodic_tasks(self) -> None:
-        """End the queued calls and drop the retained outcomes whose time is over."""
+        """End queued calls that waited too long, and drop expired outcomes of background jobs."""
         with self.lock:
             self.service.run_periodic_tasks(self.now_us())
             self.flush()
@@ -115,8 +116,8 @@
     def flush(self) -> None:
         """Send and post the service's output.
 
-        The caller holds the lock, so that bytes and events leave in the order in which they became
-        due.
+        The caller holds the lock, so that bytes and events leave in the order in which the service
+        produced them.
         """
         output = self.service.take_output()
         for send in output.sends:
@@ -139,18 +140,18 @@
             self.flush()
 
     def start(self, call: Call) -> None:
-        """Queue a call for its worker."""
+        """Queue a call until its worker requests a job."""
         with self.lock:
             self.service.start(self.now_us(), call)
             self.flush()
 
     def stop(self, call: Call) -> None:
-        """Drop a call; its worker ends one that is assigned already."""
+        """Drop a call if it is still queued; a worker that holds it already finishes it."""
         with self.lock:
             self.service.stop(call)
 
     def check_health(self, worker: str) -> None:
-        """Report a worker healthy if it is connected: Gearman has no probe of a worker."""
+        """Report whether a worker is connected; the protocol has no health check of a worker."""
         with self.lock:
             is_connected = worker in self.service.state.workers.by_id
             self.server.post(HealthChecked(worker, is_connected))
--- a/stepstream/gearman/job_admission.py
+++ b/stepstream/gearman/job_admission.py
@@ -1,8 +1,8 @@
-"""Job admission: SUBMIT_JOB packets from the access check to JOB_CREATED.
+"""Job admission: handles SUBMIT_JOB packets, from the access check to JOB_CREATED.
 
-A submission coalesces with the open job of its function and unique id, or opens a job.
-`admission_rules` decides whether it may. Reader threads call this module, under the lock of the
-front that owns the service.
+A submission joins the open job of the same function and unique id, or opens a new job.
+`admission_rules` decides whether it is admitted. Reader threads call this module, under the lock of
+the front that owns the service.
 """
 
 import hashlib
@@ -36,15 +36,15 @@
 from stepstream.model.settings import Effect
 from stepstream.ports.access_control import Authorization
 
-BACKGROUND_SUBMISSIONS = frozenset(
+BACKGROUND_SUBMIT_KINDS = frozenset(
     (PacketKind.SUBMIT_JOB_BG, PacketKind.SUBMIT_JOB_HIGH_BG, PacketKind.SUBMIT_JOB_LOW_BG)
 )
-SUBMISSIONS = BACKGROUND_SUBMISSIONS | {
+SUBMIT_JOB_KINDS = BACKGROUND_SUBMIT_KINDS | {
     PacketKind.SUBMIT_JOB,
     PacketKind.SUBMIT_JOB_HIGH,
     PacketKind.SUBMIT_JOB_LOW,
 }
-UNIQUE_OF_WORKLOAD = b"-"  # in place of a unique id: the hash of the workload counts
+WORKLOAD_HASH_AS_UNIQUE_ID = b"-"  # a unique id of "-" means the hash of the workload
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,9 +71,9 @@
         function_name, unique, workload = packet.args
         function = parse_function(function_name, self.state.settings)
         authorization = self.access.authorize_submission(peer, function)
-        if unique == UNIQUE_OF_WORKLOAD:
+        if unique == WORKLOAD_HASH_AS_UNIQUE_ID:
             unique = hashlib.sha256(workload).hexdigest().encode()
-        background = packet.kind in BACKGROUND_SUBMISSIONS
+        background = packet.kind in BACKGROUND_SUBMIT_KINDS
         submission = Submission(peer, function, unique, workload, background, authorization)
         try:
             self._admit(now_us, submission)
@@ -84,23 +84,23 @@
 
     def _admit(self, now_us: int, submission: Submission) -> None:
         state = self.state
-        target = self._target_of(submission)
+        target = self._find_target(submission)
         self._check_submission(submission, target)
         function = full_function_name(state.settings, target.job_class, target.tenant)
         job = state.jobs.find_open(function, submission.unique)
         if job is None:
             job = self._open_job(now_us, function, submission, target)
         elif submission.authorization is not None:
-            # The job counts once, for the caller that opened it.
+            # A job counts once, against the limits of the caller that opened it.
             submission.authorization.release()
-        self._join(job, submission)
-        # The handle comes before the outcome, which may follow at once.
+        self._add_submitter(job, submission)
+        # The client must get the handle before the outcome, which may follow at once.
         state.output.send(
             submission.client, codec.encode_response(PacketKind.JOB_CREATED, job.handle)
         )
 
-    def _target_of(self, submission: Submission) -> FunctionTarget:
-        """Return the class and tenant of a submission; an identified caller's tenant counts."""
+    def _find_target(self, submission: Submission) -> FunctionTarget:
+        """Return the class and tenant of a submission; an identified caller sets the tenant."""
         state = self.state
         tenant = submission.function.tenant
         if submission.authorization is not None:
@@ -123,7 +123,7 @@
             self._retry_after_seconds(),
         )
 
-    def _join(self, job: Job, submission: Submission) -> None:
+    def _add_submitter(self, job: Job, submission: Submission) -> None:
         """Add a submission's caller and client to its job."""
         if submission.authorization is not None:
             job.callers.add(submission.authorization.caller)
@@ -134,7 +134,7 @@
     def _open_job(
         self, now_us: int, function: str, submission: Submission, target: FunctionTarget
     ) -> Job:
-        self._check_usage(function, len(submission.workload))
+        self._check_dispatcher_usage(function, len(submission.workload))
         state = self.state
         job_class = state.settings.classes[target.job_class]
         job = Job(state.new_handle(), function, submission.unique, len(submission.workload))
@@ -156,8 +156,8 @@
         state.output.post(RequestReceived(job.request))
         return job
 
-    def _check_usage(self, function: str, workload_bytes: int) -> None:
-        """Raise `RequestError` if no further job is opened here."""
+    def _check_dispatcher_usage(self, function: str, workload_bytes: int) -> None:
+        """Raise `RequestError` if the dispatcher cannot open one more job."""
         state = self.state
         jobs = state.jobs
         check_shutdown(is_closing=state.host.is_closing())
--- a/stepstream/gearman/job_assignment.py
+++ b/stepstream/gearman/job_assignment.py
@@ -1,8 +1,8 @@
-"""Job assignment: calls of the core wait for their worker and are assigned by its GRAB_JOB.
+"""Job assignment: a call of the core waits for its worker's GRAB_JOB, which assigns it.
 
-`assignment_rules` decides what waits and what is assigned. The decision thread starts and stops
-calls, reader threads pass the workers' packets, all under the lock of the front that owns the
-service.
+`assignment_rules` decides which calls wait and which are assigned. The decision thread starts and
+stops calls; reader threads pass the workers' packets. All of them hold the lock of the front that
+owns the service.
 """
 
 from stepstream.core.events import CallTimeoutSet, JobNotification, JobStatus
@@ -13,7 +13,7 @@
 from stepstream.gearman.peers import AssignedCall, Peer, Worker
 from stepstream.gearman.state import ServiceState
 
-GRABS = frozenset((PacketKind.GRAB_JOB, PacketKind.GRAB_JOB_UNIQ, PacketKind.GRAB_JOB_ALL))
+GRAB_JOB_KINDS = frozenset((PacketKind.GRAB_JOB, PacketKind.GRAB_JOB_UNIQ, PacketKind.GRAB_JOB_ALL))
 NO_REDUCER = ""
 
 
@@ -27,7 +27,7 @@
     def start(self, now_us: int, call: Call) -> None:
         """Queue a call for its worker, and wake the worker if it sleeps."""
         request = call.request
-        settings = request.settings or self.state.settings  # those that the class index belongs to
+        settings = request.settings or self.state.settings  # the class index refers to these
         class_name = settings.classes[request.job_class].name
         tenant = settings.tenant_name(request.tenant)
         ended = self.state.workers.enqueue(now_us, call, class_name, tenant)
@@ -36,17 +36,17 @@
             self.wake(self.state.workers.by_id[call.worker_id])
 
     def stop(self, call: Call) -> None:
-        """Drop a call that the core gave up; its worker ends one that is assigned already."""
+        """Drop a call that the core has given up; a worker that holds it already finishes it."""
         self.state.workers.stop(call)
 
     def pre_sleep(self, _now_us: int, peer: Peer, _packet: Packet) -> None:
-        """Handle PRE_SLEEP: the worker waits for a NOOP, which it gets at once if it has work."""
+        """Handle PRE_SLEEP: the worker sleeps until a NOOP; send it at once if there is work."""
         if peer.worker is not None:
             peer.worker.asleep = True
             self.wake(peer.worker)
 
-    def grab(self, now_us: int, peer: Peer, packet: Packet) -> None:
-        """Answer GRAB_JOB in any of its forms by a JOB_ASSIGN or NO_JOB."""
+    def grab_job(self, now_us: int, peer: Peer, packet: Packet) -> None:
+        """Answer any form of GRAB_JOB with a JOB_ASSIGN or NO_JOB packet."""
         worker = peer.worker
         if worker is None:
             self.state.output.send(peer, codec.encode_response(PacketKind.NO_JOB))
@@ -64,7 +64,7 @@
             self.state.output.post(CallTimeoutSet(call, now_us + timeout_us))
 
     def wake(self, worker: Worker) -> None:
-        """Send a worker a NOOP if it sleeps and has work; other workers stay asleep."""
+        """Send one worker a NOOP if it sleeps and has work."""
         if self.state.workers.take_wakeup(worker):
             self.state.output.send(worker.peer, codec.encode_response(PacketKind.NOOP))
 
@@ -73,14 +73,14 @@
         self.state.output.post_all(self.state.workers.expire_queued(now_us))
 
 
-def assignment_packet(assigned: AssignedCall, grab: PacketKind) -> bytes:
+def assignment_packet(assigned: AssignedCall, grab_kind: PacketKind) -> bytes:
     """Return the JOB_ASSIGN packet that answers this form of GRAB_JOB."""
     request = assigned.call.request
     payload = request.payload
     unique = payload.idempotency_key or request.id
     handle = assigned.handle
     function = assigned.function
-    match grab:
+    match grab_kind:
         case PacketKind.GRAB_JOB_UNIQ:
             return codec.encode_response(
                 PacketKind.JOB_ASSIGN_UNIQ, handle, function, unique, payload.body
--- a/stepstream/gearman/jobs.py
+++ b/stepstream/gearman/jobs.py
@@ -1,9 +1,9 @@
-"""Clients' jobs: who waits for which, how they ended, and the retained outcomes; free of I/O.
+"""The table of clients' jobs, with the clients that wait and the retained outcomes; free of I/O.
 
 A job is one request of the core, even if several clients submitted it. It is cancelled when the
-last client that waits for it disconnects, unless one of them submitted it as a background job.
+last client that waits for it disconnects, unless a client submitted it as a background job.
 
-The service owns the table; all access is under the lock of its front.
+The service owns the table; all access is under the lock of the front that owns the service.
 """
 
 from collections import OrderedDict
@@ -19,7 +19,7 @@
 
 
 class JobStage(Enum):
-    """The stage of a job. The values are the words of the text command `show jobs`."""
+    """The stage of a job; the values appear in the output of the text command `show jobs`."""
 
     OPEN = "open"
     SERVED = "served"
@@ -35,7 +35,7 @@
 
 
 class StatusFields(NamedTuple):
-    """The fields of STATUS_RES behind the handle; see docs/gearman.md, "Status"."""
+    """The fields of STATUS_RES that follow the handle; see docs/gearman.md, "Status"."""
 
     known: int
     running: int
@@ -48,9 +48,9 @@
 
 @dataclass(eq=False, slots=True)
 class Job:
-    """A job by its handle, open or ended.
+    """An open or ended job.
 
-    `clients` holds one entry a submission: each JOB_CREATED is owed an outcome of its own.
+    `clients` holds one entry per foreground submission: each one gets an outcome of its own.
     """
 
     handle: str
@@ -59,23 +59,23 @@
     workload_bytes: int
     background: bool = False  # at least one client submitted it in the background
     clients: list[Peer] = field(default_factory=list)
-    request: Request | None = None  # None once it has ended
+    request: Request | None = None  # None after the job has ended
     stage: JobStage = JobStage.OPEN
     numerator: int = 0  # its progress, over `denominator`
     denominator: int = 0
     retry_after_us: int = 0
     exception: bytes = b""  # reported by the worker of the latest failed attempt
     ended_us: int = 0
-    authorization: Authorization | None = None  # held by the caller that opened it
-    callers: set[str] = field(default_factory=set)  # all that submitted it, if identified
+    authorization: Authorization | None = None  # of the caller that opened the job
+    callers: set[str] = field(default_factory=set)  # identified callers that submitted the job
 
     @property
     def running(self) -> bool:
-        """Whether a worker holds it, as far as this dispatcher knows."""
+        """Whether a worker holds the job, as far as this dispatcher knows."""
         return self.request is not None and self.request.has_open_calls
 
     def status(self) -> StatusFields:
-        """Return its status as STATUS_RES encodes it."""
+        """Return the job's status as STATUS_RES encodes it."""
         if self.stage is JobStage.OPEN:
             if self.running:
                 return StatusFields(1, 1, self.numerator, self.denominator)
@@ -92,8 +92,8 @@
 def is_abandoned(job: Job) -> bool:
     """Decide whether an open job is cancelled because no client waits for it.
 
-    A background job goes on: its outcome is retained. A foreground job would take a worker's slot
-    for a result that has no recipient.
+    A background job goes on, because its outcome is retained. A foreground job would occupy a
+    worker's slot for a result that nobody receives.
     """
     return not job.clients and not job.background
 
@@ -102,7 +102,7 @@
     """All open jobs, and the ended background jobs whose outcome clients may still ask for."""
 
     def __init__(self, retention_us: int, max_retained: int) -> None:
-        """Make an empty table.
+        """Create an empty table.
 
         `retention_us`: how long the outcome of a background job is retained, in microseconds.
         `max_retained`: how many outcomes are retained.
@@ -113,10 +113,10 @@
         self.open_by_unique: dict[tuple[str, bytes], Job] = {}  # by function and unique id
         # By unique id alone, for GET_STATUS_UNIQUE.
         self.latest_by_unique: dict[bytes, Job] = {}
-        self.retained: OrderedDict[str, Job] = OrderedDict()  # ended ones, oldest first
+        self.retained: OrderedDict[str, Job] = OrderedDict()  # ended jobs by handle, oldest first
         self.open_counts: dict[str, int] = {}  # open jobs by function
         self.open_workload_bytes = 0
-        # Each client's open foreground jobs, with the number of its submissions.
+        # By client: its open foreground jobs, each with the number of its submissions.
         self.submissions: dict[Peer, dict[Job, int]] = {}
 
     @property
@@ -144,24 +144,25 @@
         submissions[job] = submissions.get(job, 0) + 1
 
     def submission_count(self, client: Peer) -> int:
-        """Return how many outcomes a client is owed."""
+        """Return how many outcomes a client waits for."""
         return sum(self.submissions.get(client, {}).values())
 
     def remove_client(self, client: Peer) -> list[Job]:
-        """Remove a client that has disconnected; return the jobs that are abandoned with it."""
+        """Remove a disconnected client; return the jobs that nobody waits for any more."""
         submissions = self.submissions.pop(client, {})
         for job in submissions:
             job.clients = [other for other in job.clients if other is not client]
         return [job for job in submissions if is_abandoned(job)]
 
-    def finish(self, job: Job, answer: Answer, now_us: int) -> list[Peer]:
-        """End a job by the core's answer; return as `end` does."""
+    def end_with_answer(self, job: Job, answer: Answer, now_us: int) -> list[Peer]:
+        """End a job with the core's answer; return the same as `end`."""
         return self.end(job, STAGE_BY_OUTCOME[answer.outcome], now_us, answer.retry_after_us)
 
     def end(self, job: Job, stage: JobStage, now_us: int, retry_after_us: int = 0) -> list[Peer]:
-        """End an open job; return the clients that are owed the outcome, one entry a submission.
+        """End an open job; return the clients to notify, one entry per submission.
 
-        A background job is retained, any other forgotten. An ended job stays as it is.
+        The outcome of a background job is retained; any other job is removed. A job that has ended
+        already is not changed.
         """
         if job.stage is not JobStage.OPEN:
             return []
@@ -184,7 +185,7 @@
         return clients
 
     def expire_outcomes(self, now_us: int) -> None:
-        """Drop the retained outcomes that are too many or too old, the oldest first."""
+        """Drop retained outcomes that are too old, or the oldest if there are too many."""
         while self.retained:
             oldest = next(iter(self.retained.values()))
             if not self._must_drop(oldest, now_us):
@@ -193,7 +194,7 @@
             self._forget(oldest)
 
     def _must_drop(self, oldest: Job, now_us: int) -> bool:
-        """Decide whether the oldest retained outcome is dropped; guards memory."""
+        """Decide whether the oldest retained outcome is dropped, to limit memory."""
         has_too_many = len(self.retained) > self.max_retained
         return has_too_many or now_us - oldest.ended_us >= self.retention_us
 
--- a/stepstream/gearman/names.py
+++ b/stepstream/gearman/names.py
@@ -1,6 +1,6 @@
-"""The names on this wire: functions as job classes and tenants, client ids of workers.
+"""Parses function names, as job classes and tenants, and the client ids of workers.
 
-There is no state here; any thread may call the functions.
+The module holds no state; any thread may call its functions.
 """
 
 import re
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FunctionName:
-    """The parts of a function's name; `tenant` is None if the name has no tenant."""
+    """The parts of a function name; `tenant` is None if the name states no tenant."""
 
     class_name: str
     tenant: str | None
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FunctionTarget:
-    """The job class and tenant of a function, by index into the settings."""
+    """The job class and tenant of a function, as indexes into the settings."""
 
     job_class: int
     tenant: int
@@ -42,23 +42,24 @@
 
 
 def parse_function(name: bytes, settings: Settings) -> FunctionName:
-    """Parse `CLASS` or `TENANT/CLASS`, each with `+N` behind it for a job of N slots.
+    """Parse `CLASS` or `TENANT/CLASS`, optionally followed by `+N` for a job of N slots.
 
     Raise `RequestError` for an unknown class or a number of slots out of bounds.
     """
-    text = name.decode("utf-8", "replace")
-    full_name, plus, slots = text.partition("+")
+    decoded_name = name.decode("utf-8", "replace")
+    full_name, plus, slots = decoded_name.partition("+")
     if plus:
         slot_count = parse_whole_number(slots.lstrip("0"), MAX_SLOT_DIGITS)
         if slot_count is None or slot_count > MAX_SLOTS:
             raise RequestError(
-                "BAD_FUNCTION", f"{text}: the slots behind + are a number from 1 to {MAX_SLOTS}"
+                "BAD_FUNCTION",
+                f"{decoded_name}: the slots behind + are a number from 1 to {MAX_SLOTS}",
             )
     tenant, slash, class_name = full_name.rpartition("/")
     if class_name not in settings.class_names:
         raise RequestError(
             "UNKNOWN_FUNCTION",
-            f"{text}: no such class; there are {', '.join(settings.class_names)}",
+            f"{decoded_name}: no such class; there are {', '.join(settings.class_names)}",
         )
     return FunctionName(class_name, tenant if slash else None, float(slots or 1))
 
@@ -69,7 +70,7 @@
     Raise `RequestError` for an unknown tenant.
     """
     if settings.tenants and tenant not in settings.tenants:
-        reason = f"no such tenant {tenant}" if tenant else "a function here is TENANT/CLASS"
+        reason = f"no such tenant {tenant}" if tenant else "a function name must be TENANT/CLASS"
         raise RequestError("UNKNOWN_FUNCTION", f"{function.class_name}: {reason}")
     tenant_index = settings.tenants.index(tenant) if settings.tenants else 0
     job_class = settings.class_names.index(function.class_name)
@@ -86,7 +87,7 @@
 def registered_name(functions: Container[str], class_name: str, tenant: str) -> str | None:
     """Return the name under which a worker registered a class, or None.
 
-    TENANT/CLASS goes before CLASS: a worker may give the narrower one its own timeout.
+    TENANT/CLASS has priority over CLASS: a worker may register it with a timeout of its own.
     """
     candidates = (f"{tenant}/{class_name}", class_name)
     return next((name for name in candidates if name in functions), None)
@@ -94,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerIdentity:
-    """The worker that a client id describes, with the operator file's defaults for the rest.
+    """The properties of a worker, from its client id or the defaults of the operator's file.
 
     `zone` and `kind` are indexes into the settings.
     """
@@ -113,9 +114,9 @@
 ) -> WorkerIdentity:
     """Parse `ID` or `ID;zone=Z;kind=K;cell=N;slots=N;weight=W;start=MS`.
 
-    Each field comes at most once, in any order; raise `RequestError` otherwise. `start` is the
-    worker's last start in Unix milliseconds. Without it the connection counts as the start, and a
-    start in the future counts as `now_us`: a worker must not skip its slow start.
+    Fields may come in any order, each at most once; otherwise raise `RequestError`. `start` is the
+    worker's last start in Unix milliseconds. Without it, and for a start in the future, the start
+    is `now_us`: a worker must not skip its slow start.
     """
     name, *parts = client_id.decode("utf-8", "replace").split(";")
     if not CLIENT_ID.fullmatch(name):
@@ -150,7 +151,7 @@
 
 
 def _index_of(key: str, name: str, known_names: tuple[str, ...]) -> int:
-    """Return a name's index; that of the first for no name."""
+    """Return the index of a name; 0 for an empty name."""
     if not name:
         return 0
     if name not in known_names:
@@ -158,27 +159,27 @@
     return known_names.index(name)
 
 
-def _parse_integer(key: str, text: str, minimum: int, maximum: int) -> int:
+def _parse_integer(key: str, value_text: str, minimum: int, maximum: int) -> int:
     try:
-        number = int(text)
+        value = int(value_text)
     except ValueError:
-        raise _not_a_number(key, text, minimum, maximum) from None
-    if not minimum <= number <= maximum:
-        raise _not_a_number(key, text, minimum, maximum)
-    return number
+        raise _not_a_number(key, value_text, minimum, maximum) from None
+    if not minimum <= value <= maximum:
+        raise _not_a_number(key, value_text, minimum, maximum)
+    return value
 
 
-def _parse_float(key: str, text: str, minimum: float, maximum: float) -> float:
+def _parse_float(key: str, value_text: str, minimum: float, maximum: float) -> float:
     try:
-        number = float(text)
+        value = float(value_text)
     except ValueError:
-        raise _not_a_number(key, text, minimum, maximum) from None
-    if not minimum <= number <= maximum:  # true for NaN
-        raise _not_a_number(key, text, minimum, maximum)
-    return number
+        raise _not_a_number(key, value_text, minimum, maximum) from None
+    if not minimum <= value <= maximum:  # true for NaN
+        raise _not_a_number(key, value_text, minimum, maximum)
+    return value
 
 
-def _not_a_number(key: str, text: str, minimum: float, maximum: float) -> RequestError:
+def _not_a_number(key: str, value_text: str, minimum: float, maximum: float) -> RequestError:
     return RequestError(
-        "BAD_CLIENT_ID", f"{key}={text} is not a number from {minimum:g} to {maximum:g}"
+        "BAD_CLIENT_ID", f"{key}={value_text} is not a number from {minimum:g} to {maximum:g}"
     )
--- a/stepstream/gearman/notifications.py
+++ b/stepstream/gearman/notifications.py
@@ -1,7 +1,7 @@
-"""The packets that clients get about their jobs: WORK_* and the answers to status requests.
+"""The packets that clients get about their jobs: WORK_* and responses to status requests.
 
-The decision thread passes the core's answers and progress, reader threads pass requests, all under
-the lock of the front that owns the service.
+The decision thread passes the core's answers and progress; reader threads pass status requests. All
+of them hold the lock of the front that owns the service.
 """
 
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class JobResponseSink:
-    """Where the core answers a job: a `ports.ResponseSink` that passes on to the front."""
+    """A `ports.ResponseSink` that passes the core's answer to a job on to the front."""
 
     job: Job
     on_answer: Callable[[Job, Answer], None]
@@ -44,8 +44,8 @@
         self.access = access
 
     def send_outcome(self, now_us: int, job: Job, answer: Answer) -> None:
-        """End a job by the core's answer; each submission that waits for it gets the outcome."""
-        clients = self.state.jobs.finish(job, answer, now_us)
+        """End a job with the core's answer; send the outcome once per waiting submission."""
+        clients = self.state.jobs.end_with_answer(job, answer, now_us)
         self._notify_outcome(clients, job, answer.result)
 
     def send_progress(self, job: Job, numerator: int, denominator: int) -> None:
@@ -61,17 +61,17 @@
             )
 
     def cancel(self, now_us: int, job: Job) -> None:
-        """Cancel a job for an operator: its clients get a failure, its calls are cancelled."""
+        """Cancel a job for an operator: notify its clients of a failure and cancel its calls."""
         job.exception = b"cancelled by an operator"
-        self._notify_outcome(self._abandon(job, now_us), job, None)
+        self._notify_outcome(self._end_cancelled(job, now_us), job, None)
 
     def remove_client(self, peer: Peer) -> None:
-        """Cancel the jobs that are abandoned with a disconnected client."""
+        """Remove a disconnected client; cancel the jobs that nobody waits for any more."""
         for job in self.state.jobs.remove_client(peer):
-            self._abandon(job, 0)  # the end of a foreground job is not retained
+            self._end_cancelled(job, 0)  # the time is unused: these jobs are not retained
 
     def send_status(self, _now_us: int, peer: Peer, packet: Packet) -> None:
-        """Answer GET_STATUS."""
+        """Answer GET_STATUS with the status of a job handle."""
         (handle,) = packet.args
         require_no_nul("handle", handle)
         job = self.state.jobs.by_handle.get(handle.decode("ascii", "replace"))
@@ -81,7 +81,7 @@
         )
 
     def send_status_by_unique(self, _now_us: int, peer: Peer, packet: Packet) -> None:
-        """Answer GET_STATUS_UNIQUE for the latest job of a unique id."""
+        """Answer GET_STATUS_UNIQUE with the status of the latest job of a unique id."""
         (unique,) = packet.args
         require_no_nul("unique", unique)
         job = self.state.jobs.latest_by_unique.get(unique)
@@ -94,7 +94,7 @@
             ),
         )
 
-    def _abandon(self, job: Job, now_us: int) -> list[Peer]:
+    def _end_cancelled(self, job: Job, now_us: int) -> list[Peer]:
         request = job.request
         clients = self.state.jobs.end(job, JobStage.FAILED, now_us)
         if request is not None:
@@ -103,20 +103,22 @@
 
     def _notify_outcome(self, clients: list[Peer], job: Job, result: object) -> None:
         for peer in clients:
-            for data in outcome_packets(job, result, exceptions=peer.session.exceptions):
+            for data in outcome_packets(
+                job, result, exceptions_enabled=peer.session.exceptions_enabled
+            ):
                 self.state.output.send(peer, data)
 
 
 def require_no_nul(name: str, argument: bytes) -> None:
-    """Raise `RequestError` for an argument with a NUL: the answer could not repeat it."""
+    """Raise `RequestError` for an argument with a NUL: the response could not repeat it."""
     if b"\0" in argument:
         raise RequestError("BAD_ARGUMENTS", f"the {name} holds a NUL")
 
 
-def outcome_packets(job: Job, result: object, *, exceptions: bool) -> list[bytes]:
-    """Return the packets of an ended job's outcome: the table of docs/gearman.md, "Outcomes".
+def outcome_packets(job: Job, result: object, *, exceptions_enabled: bool) -> list[bytes]:
+    """Return the packets of an ended job's outcome, as docs/gearman.md lists under "Outcomes".
 
-    `exceptions`: the client has switched on WORK_EXCEPTION.
+    `exceptions_enabled`: the client has switched on WORK_EXCEPTION.
     """
     if job.stage is JobStage.SERVED:
         return _result_packets(job.handle, result)
@@ -124,7 +126,7 @@
         reason = f"refused retry-after={job.retry_after_us / SECOND_US:.3f}".encode()
     else:
         reason = b"failed " + job.exception if job.exception else b"failed"
-    kind = PacketKind.WORK_EXCEPTION if exceptions else PacketKind.WORK_WARNING
+    kind = PacketKind.WORK_EXCEPTION if exceptions_enabled else PacketKind.WORK_WARNING
     return [
         codec.encode_response(kind, job.handle, reason),
         codec.encode_response(PacketKind.WORK_FAIL, job.handle),
@@ -143,5 +145,5 @@
 
 
 def status_of(job: Job | None) -> StatusFields:
-    """Return the status of a job, or of one that is not known."""
+    """Return the status of a job; None stands for an unknown job."""
     return UNKNOWN_JOB_STATUS if job is None else job.status()
--- a/stepstream/gearman/peers.py
+++ b/stepstream/gearman/peers.py
@@ -1,7 +1,7 @@
-"""Records of a connection and of the worker that it may be; free of I/O.
+"""Records of connections, workers and their calls; free of I/O.
 
-The tables of `jobs` and `workers` and the service's parts share them, all under the lock of the
-front that owns the service. Times are microseconds on the node's clock.
+The tables of `jobs` and `workers` and the parts of the service share these records, all under the
+lock of the front that owns the service. Times are microseconds on the node's clock.
 """
 
 from collections import OrderedDict, deque
@@ -17,7 +17,7 @@
 
 @dataclass(eq=False, slots=True)
 class QueuedCall:
-    """A call that waits for its worker's next GRAB_JOB; it has provably not run."""
+    """A call that waits for its worker's next GRAB_JOB; it has certainly not run."""
 
     call: Call
     class_name: str
@@ -31,7 +31,7 @@
 
     call: Call
     handle: str  # the job handle that the worker was given
-    function: str  # as the worker registered it
+    function: str  # the name under which the worker registered it
     chunks: list[ResultChunk] = field(default_factory=list)  # of WORK_DATA and WORK_WARNING
     chunk_bytes: int = 0
 
@@ -41,16 +41,18 @@
     """A connection in its role as a worker, from its first CAN_DO on."""
 
     peer: "Peer"
-    worker_id: str  # its id in the core for as long as it is connected
+    worker_id: str  # its id in the core while it is connected
     identity: WorkerIdentity
-    timeouts_us: dict[str, int] = field(default_factory=dict)  # by registered function; 0 for none
+    timeouts_us: dict[str, int] = field(
+        default_factory=dict
+    )  # by registered function; 0: no timeout
     queue: deque[QueuedCall] = field(default_factory=deque)
     assigned: dict[str, AssignedCall] = field(default_factory=dict)  # by job handle
     ended_handles: OrderedDict[str, None] = field(default_factory=OrderedDict)  # oldest first
-    asleep: bool = False  # it sent PRE_SLEEP and waits for a NOOP
+    asleep: bool = False  # it has sent PRE_SLEEP and waits for a NOOP
 
     def endpoint(self, state: EndpointState | None = None) -> Endpoint:
-        """Return it as the core's endpoint; without a registered function it drains."""
+        """Return the worker as an endpoint of the core; it drains if it has no function."""
         identity = self.identity
         default_state = EndpointState.ACTIVE if self.timeouts_us else EndpointState.DRAINING
         return Endpoint(
@@ -67,11 +69,11 @@
 
 @dataclass(eq=False, slots=True)
 class Peer:
-    """A connection as the service knows it: a client, a worker, an operator, or all of them."""
+    """A connection in the service; its peer may be a client, a worker and an operator at once."""
 
     session: Session
     host: str = ""
-    number: int = 0  # counts the connections since the start
+    connection_number: int = 0  # 1 for the first connection since the start
     client_id: bytes = b""  # as SET_CLIENT_ID gave it
     token: bytes | None = None
     certificate: object = None  # set by the connection's reader thread before its first packet
@@ -81,5 +83,5 @@
 
     @property
     def credential(self) -> Credential:
-        """What it has presented to identify itself."""
+        """The token and certificate that the peer has presented."""
         return Credential(self.token, self.certificate)
--- a/stepstream/gearman/service.py
+++ b/stepstream/gearman/service.py
@@ -1,8 +1,9 @@
-"""The Gearman service without its sockets: packets, answers and calls in, packets and events out.
+"""The Gearman service, without sockets: it routes each input to the part that handles it.
 
-Routes each input to the part that handles it. The front that owns the service guards it with one
-lock: reader threads pass packets, the decision thread answers and calls, the main thread reloads
-and runs periodic tasks. It never waits; `take_output` returns the packets and events.
+The inputs are peers' packets and the core's answers and calls; the outputs are packets for peers
+and events for the core, which `take_output` returns. The front that owns the service guards it with
+one lock: reader threads pass packets, the decision thread passes answers and calls, and the main
+thread reloads and runs periodic tasks. No method blocks.
 """
 
 from collections.abc import Callable
@@ -15,8 +16,8 @@
 from stepstream.gearman.admin import AdminCommands
 from stepstream.gearman.codec import Packet, PacketKind
 from stepstream.gearman.errors import GearmanError
-from stepstream.gearman.job_admission import SUBMISSIONS, JobAdmission
-from stepstream.gearman.job_assignment import GRABS, JobAssignment
+from stepstream.gearman.job_admission import SUBMIT_JOB_KINDS, JobAdmission
+from stepstream.gearman.job_assignment import GRAB_JOB_KINDS, JobAssignment
 from stepstream.gearman.jobs import Job
 from stepstream.gearman.notifications import ClientNotifier
 from stepstream.gearman.peers import Peer
@@ -28,15 +29,17 @@
     parse_command,
     unknown_command_error,
 )
-from stepstream.gearman.work_reports import WORK_REPORTS, WorkReports
+from stepstream.gearman.work_reports import WORK_REPORT_KINDS, WorkReports
 from stepstream.gearman.worker_registry import WorkerRegistry
 from stepstream.model.settings import Settings
 
-PacketHandler = Callable[[int, Peer, Packet], None]  # given the time in microseconds
+PacketHandler = Callable[
+    [int, Peer, Packet], None
+]  # the first argument is the time in microseconds
 
 
 class GearmanService:
-    """The parts of the service, and the packets that each of them handles."""
+    """Creates the parts of the service, and passes each packet to the part that handles it."""
 
     def __init__(
         self,
@@ -55,11 +58,11 @@
         self.reports = WorkReports(self.state, self.assignment)
         self.notifier = ClientNotifier(self.state, self.access)
         self.admin = AdminCommands(self.state, self.notifier)
-        # ALL_YOURS has no handler: it states only that the worker has no other server.
+        # ALL_YOURS has no handler: it only states that the worker has no other server.
         self.handlers: dict[PacketKind, PacketHandler] = {
-            **dict.fromkeys(SUBMISSIONS, self.admission.submit),
-            **dict.fromkeys(GRABS, self.assignment.grab),
-            **dict.fromkeys(WORK_REPORTS, self.reports.report),
+            **dict.fromkeys(SUBMIT_JOB_KINDS, self.admission.submit),
+            **dict.fromkeys(GRAB_JOB_KINDS, self.assignment.grab_job),
+            **dict.fromkeys(WORK_REPORT_KINDS, self.reports.handle_report),
             PacketKind.OPTION_REQ: self.access.set_token,
             PacketKind.GET_STATUS: self.notifier.send_status,
             PacketKind.GET_STATUS_UNIQUE: self.notifier.send_status_by_unique,
@@ -98,11 +101,11 @@
         self.registry.remove(peer)
 
     def send(self, peer: Peer, data: bytes, *, close: bool = False) -> None:
-        """Send a peer bytes, in order with its other packets."""
+        """Send bytes to a peer, in order with its other packets."""
         self.state.output.send(peer, data, close=close)
 
     def on_packet(self, now_us: int, peer: Peer, packet: Packet) -> None:
-        """Handle a packet; an error is answered."""
+        """Handle a packet; reply to the peer if it raises an error."""
         handler = self.handlers.get(packet.kind)
         if handler is None:
             return
@@ -130,22 +133,22 @@
     # -- the core ---------------------------------------------------------------------------------
 
     def answer(self, now_us: int, job: Job, answer: Answer) -> None:
-        """Take the core's final answer to a job."""
+        """Handle the core's final answer to a job."""
         self.notifier.send_outcome(now_us, job, answer)
 
     def progress(self, job: Job, numerator: int, denominator: int) -> None:
-        """Take the progress of a job."""
+        """Handle the progress of a job."""
         self.notifier.send_progress(job, numerator, denominator)
 
     def start(self, now_us: int, call: Call) -> None:
-        """Queue a call for its worker."""
+        """Queue a call until its worker requests a job."""
         self.assignment.start(now_us, call)
 
     def stop(self, call: Call) -> None:
-        """Drop a call that the core gave up."""
+        """Drop a call that the core has given up."""
         self.assignment.stop(call)
 
     def run_periodic_tasks(self, now_us: int) -> None:
-        """End the queued calls and drop the retained outcomes whose time is over."""
+        """End queued calls that waited too long, and drop expired outcomes of background jobs."""
         self.assignment.expire_queued(now_us)
         self.state.jobs.expire_outcomes(now_us)
--- a/stepstream/gearman/session.py
+++ b/stepstream/gearman/session.py
@@ -1,9 +1,9 @@
-"""One Gearman connection as a state machine without I/O: bytes in, steps out.
+"""The protocol state of one Gearman connection: it turns received bytes into steps, without I/O.
 
-The session answers what concerns the connection alone (ECHO_REQ, OPTION_REQ, unknown packets and
-those that are not offered) and returns the rest. An error of the framing ends the connection, and
-nothing behind it is parsed. The connection's reader thread feeds it under the front's lock; its
-flags may be read without the lock.
+The session itself answers messages that concern only the connection: ECHO_REQ, OPTION_REQ, unknown
+packets and packets that are not offered. It returns all other messages for the service. A framing
+error ends the connection, and no bytes after it are parsed. The connection's reader thread feeds
+the session under the front's lock; its flags may be read without the lock.
 """
 
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 TOKEN_OPTION = b"token:"
 EXCEPTIONS_OPTION = b"exceptions"
-NOT_OFFERED = {
+UNSUPPORTED_FEATURES = {
     PacketKind.SUBMIT_REDUCE_JOB: "map and reduce",
     PacketKind.SUBMIT_REDUCE_JOB_BACKGROUND: "map and reduce",
     PacketKind.SUBMIT_JOB_SCHED: "jobs at a later time",
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Bytes to send at once; after those with `close`, nothing more is sent."""
+    """Bytes that the session answers with; nothing is sent after bytes with `close`."""
 
     data: bytes
     close: bool = False
@@ -41,9 +41,9 @@
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
         self.parser = Parser(limits)
-        self.closed = False  # its last reply is given
+        self.closed = False  # the last reply is given; further bytes are ignored
         self.has_sent_work = False  # the peer has sent a message for the service
-        self.exceptions = False  # OPTION_REQ has switched on WORK_EXCEPTION
+        self.exceptions_enabled = False  # OPTION_REQ has switched on WORK_EXCEPTION
         self.error_count = 0
 
     @property
@@ -52,25 +52,25 @@
         return self.parser.is_idle
 
     def feed(self, data: bytes) -> list[Step]:
-        """Take received bytes; return the steps that they complete, in order."""
+        """Parse received bytes; return the steps that they complete, in order."""
         if self.closed:
             return []
         self.parser.feed(data)
         steps: list[Step] = []
         try:
-            while not self.closed and (item := self.parser.next_message()) is not None:
-                steps.append(self._step_for(item))
+            while not self.closed and (message := self.parser.next_message()) is not None:
+                steps.append(self._step_for(message))
         except GearmanError as error:
             steps.append(self.close_with_error(error))
         return steps
 
     def close_with_error(self, error: GearmanError) -> Reply:
-        """Return the last reply; the bytes behind the error are not parsed."""
+        """Close the session and return its last reply; later bytes are not parsed."""
         self.closed = True
         return Reply(codec.encode_error(error.code, str(error)), close=True)
 
     def reply_to_error(self, error: GearmanError) -> Reply:
-        """Return the reply to an error after which the framing is intact.
+        """Return the reply to an error that leaves the framing intact.
 
         The connection ends after too many errors.
         """
@@ -79,36 +79,38 @@
             return self.close_with_error(error)
         return Reply(codec.encode_error(error.code, str(error)))
 
-    def _step_for(self, item: codec.Message) -> Step:
-        match item:
+    def _step_for(self, message: codec.Message) -> Step:
+        match message:
             case TextLine(tokens):
                 if parse_command(tokens) is None:
-                    # Guards against a request of another protocol, whose body may hold packets.
+                    # The line may be a request of another protocol, whose body may hold packets.
                     self.closed = True
                     return Reply(unknown_command_error().encode(), close=True)
-            case UnknownPacket(number):
+            case UnknownPacket(type_number):
                 return self.reply_to_error(
                     RequestError(
-                        "UNKNOWN_COMMAND", f"there is no packet of type {number} from here"
+                        "UNKNOWN_COMMAND", f"there is no packet of type {type_number} from here"
                     )
                 )
             case Packet(PacketKind.ECHO_REQ, (data,)):
                 return Reply(codec.encode_response(PacketKind.ECHO_RES, data))
             case Packet(PacketKind.OPTION_REQ, (option,)):
-                return self._step_for_option(item, option)
-            case Packet(kind) if kind in NOT_OFFERED:
+                return self._step_for_option(message, option)
+            case Packet(kind) if kind in UNSUPPORTED_FEATURES:
                 return self.reply_to_error(
-                    RequestError("NOT_OFFERED", f"{kind.name}: {NOT_OFFERED[kind]} are not offered")
+                    RequestError(
+                        "NOT_OFFERED", f"{kind.name}: {UNSUPPORTED_FEATURES[kind]} are not offered"
+                    )
                 )
         self.has_sent_work = True
-        return item
+        return message
 
     def _step_for_option(self, packet: Packet, option: bytes) -> Step:
         if option.startswith(TOKEN_OPTION):
-            return packet  # the service stores the token; it does not count as work
+            return packet  # the service stores the token; `has_sent_work` stays unchanged
         if option != EXCEPTIONS_OPTION:
             return self.reply_to_error(
                 RequestError("UNKNOWN_OPTION", "the one option is 'exceptions'")
             )
-        self.exceptions = True
+        self.exceptions_enabled = True
         return Reply(codec.encode_response(PacketKind.OPTION_RES, option))
--- a/stepstream/gearman/state.py
+++ b/stepstream/gearman/state.py
@@ -1,7 +1,7 @@
-"""What the parts of the Gearman service share: its tables, its configuration and its output.
+"""The state that the parts of the Gearman service share: tables, configuration and output.
 
-A service has one `ServiceState`. The front that owns the service guards it with its lock. Nothing
-here waits.
+A service has one `ServiceState`. The front that owns the service guards it with its lock. No
+function here blocks.
 """
 
 from collections.abc import Callable, Iterable
@@ -18,13 +18,13 @@
 from stepstream.model.settings import Settings
 from stepstream.ports.access_control import AccessControl
 
-SOURCE = "gearman"  # the name of the front for access control, and of its workers in the core
+FRONT_NAME = "gearman"  # in access control, and as the source of workers in the core
 SECOND_US = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
-    """Bytes for a peer; with `close`, nothing is sent after them."""
+class OutgoingBytes:
+    """Bytes to send to a peer; nothing is sent after bytes with `close`."""
 
     peer: Peer
     data: bytes
@@ -35,13 +35,13 @@
 class Output:
     """Bytes for peers and events for the core, each in order."""
 
-    sends: list[Send] = field(default_factory=list)
+    sends: list[OutgoingBytes] = field(default_factory=list)
     events: list[Event] = field(default_factory=list)
 
     def send(self, peer: Peer, data: bytes, *, close: bool = False) -> None:
         """Add bytes for a peer, unless it has disconnected."""
         if not peer.disconnected:
-            self.sends.append(Send(peer, data, close))
+            self.sends.append(OutgoingBytes(peer, data, close))
 
     def post(self, event: Event) -> None:
         """Add an event."""
@@ -54,10 +54,10 @@
 
 @dataclass(slots=True)
 class ServiceHost:
-    """The functions of the program that the service uses."""
+    """The functions and the access control that the program provides to the service."""
 
-    new_request_id: Callable[[], str]  # an id that no other request has and no peer can guess
-    is_overloaded: Callable[[], bool]  # the core takes no further request
+    new_request_id: Callable[[], str]  # unique, and not to be guessed by a peer
+    is_overloaded: Callable[[], bool]  # the core accepts no further request
     is_closing: Callable[[], bool]  # the last phase of a shutdown: no new jobs
     # The core's answer to a job and its progress; called on the decision thread.
     on_answer: Callable[[Job, Answer], None]
@@ -90,7 +90,7 @@
             section.queue_wait_ms * MILLISECOND_US,
             limits.gearman.partial_result_bytes,
         )
-        self.peers: dict[Peer, None] = {}  # a dict for its order
+        self.peers: dict[Peer, None] = {}  # a set in the order of connecting
         self.max_queue: dict[str, int] = {}  # by function, set by the text command `maxqueue`
         self.peer_count = 0  # since the start
         self.handle_count = 0  # since the start
--- a/stepstream/gearman/subsystem.py
+++ b/stepstream/gearman/subsystem.py
@@ -1,6 +1,6 @@
-"""How `[gearman]` plugs into the node: a front and a carrier.
+"""The subsystem of the operator file's section `[gearman]`: it adds a front and a carrier.
 
-The node's main thread creates and calls it.
+The node's main thread creates it and calls its methods.
 """
 
 import socket
@@ -10,7 +10,7 @@
 from stepstream.config.node_config import NodeConfig
 from stepstream.config.operator_file import GearmanSection, OperatorConfig, require_unchanged
 from stepstream.gearman.front import GearmanFront
-from stepstream.gearman.state import SOURCE
+from stepstream.gearman.state import FRONT_NAME
 from stepstream.ports.connections import BoundListener, ListenerSpec
 from stepstream.runtime.transport import Transport
 from stepstream.subsystem_api.context import SubsystemContext, open_listener
@@ -22,7 +22,7 @@
 
     def __init__(self, context: SubsystemContext) -> None:
         self.context = context
-        self.section = section_of(context.operator)
+        self.section = gearman_section_of(context.operator)
         self.front = GearmanFront(
             self.section,
             context.config,
@@ -31,7 +31,7 @@
             context.events.qsize,
             context.server.state.access_control,
         )
-        context.carriers[SOURCE] = self.front
+        context.carriers[FRONT_NAME] = self.front
 
     def open_listeners(self) -> Sequence[BoundListener]:
         """Open the listener of `gearman.listen`."""
@@ -53,21 +53,21 @@
     def prepare_reload(
         self, config: NodeConfig, operator: OperatorConfig | None
     ) -> Callable[[], None]:
-        """Check that the address is unchanged; return what puts the new section into force."""
-        # With this subsystem there is an operator's file, before and after the reload.
+        """Check that the address is unchanged; return the function that applies the reload."""
+        # This subsystem exists only with an operator's file, before and after a reload.
         current = cast("OperatorConfig", self.context.operator)
         reloaded = cast("OperatorConfig", operator)
         require_unchanged("gearman.listen", current, reloaded)
-        section = section_of(reloaded)
+        section = gearman_section_of(reloaded)
         return lambda: self.front.reconfigure(section, config)
 
     def run_periodic_tasks(self) -> None:
-        """End the queued calls and drop the retained outcomes whose time is over."""
+        """End queued calls that waited too long, and drop expired outcomes of background jobs."""
         self.front.run_periodic_tasks()
 
 
-def section_of(operator: OperatorConfig | None) -> GearmanSection:
-    """Return `[gearman]`, without which the node does not create this subsystem."""
+def gearman_section_of(operator: OperatorConfig | None) -> GearmanSection:
+    """Return the section `[gearman]`; the node creates this subsystem only if there is one."""
     assert operator is not None
     assert operator.gearman is not None
     return operator.gearman
--- a/stepstream/gearman/text_commands.py
+++ b/stepstream/gearman/text_commands.py
@@ -1,6 +1,6 @@
-"""The text commands of the protocol: their names, their parser and their error lines.
+"""The names of the protocol's text commands, their parser and their error lines.
 
-`admin` runs them. There is no state here; any thread may call the functions.
+`admin` runs the commands. The module holds no state; any thread may call its functions.
 """
 
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class TextCommand(Enum):
-    """A text command; the values are its words on the wire."""
+    """A text command; the value is its name on the wire."""
 
     WORKERS = "workers"
     STATUS = "status"
@@ -21,14 +21,14 @@
 
 
 class ParsedCommand(NamedTuple):
-    """A text command and the tokens behind it."""
+    """A text command and its arguments, the tokens after its name."""
 
     command: TextCommand
     arguments: tuple[str, ...]
 
 
 def parse_command(tokens: tuple[str, ...]) -> ParsedCommand | None:
-    """Return the command that a line begins with, and its arguments; None for none."""
+    """Return the command that a line begins with, and its arguments; None for any other line."""
     for command in TextCommand:
         command_tokens = tuple(command.value.split())
         if tokens[: len(command_tokens)] == command_tokens:
@@ -37,11 +37,11 @@
 
 
 def unknown_command_error() -> str:
-    """Return the answer to a line that is no command."""
+    """Return the error line for a line that is no command."""
     names = ", ".join(command.value for command in TextCommand)
     return error_line("UNKNOWN_COMMAND", f"the commands are {names}")
 
 
 def error_line(code: str, text: str) -> str:
-    """Return an error's line, its words joined by + as at the protocol's own server."""
+    """Return an error line; + replaces the spaces of the text, as in the protocol's own server."""
     return f"ERR {code} {text.replace(' ', '+')}\n"
--- a/stepstream/gearman/work_reports.py
+++ b/stepstream/gearman/work_reports.py
@@ -1,13 +1,12 @@
-"""Work reports: the packets of workers about the jobs that are assigned to them.
+"""Work reports: the WORK_* packets of workers about their assigned jobs.
 
-Data and warnings are buffered until the outcome, so that a client gets those of the attempt that
-served its job and of no other. Reader threads call this module, under the lock of the front that
-owns the service.
+Data and warnings are buffered until the job ends, so that a client gets only those of the attempt
+that served it. Reader threads call this module, under the lock of the front that owns the service.
 """
 
 from stepstream.core.events import CallEnded, JobNotification, JobStatus
 from stepstream.core.job_results import ChunkedResult, ResultChunk
-from stepstream.gearman.codec import Packet, PacketKind, parse_number
+from stepstream.gearman.codec import Packet, PacketKind, parse_number_argument
 from stepstream.gearman.errors import RequestError
 from stepstream.gearman.job_assignment import JobAssignment
 from stepstream.gearman.notifications import JobResponseSink
@@ -15,7 +14,7 @@
 from stepstream.gearman.state import ServiceState
 from stepstream.model.events import AttemptResult
 
-WORK_REPORTS = frozenset(
+WORK_REPORT_KINDS = frozenset(
     (
         PacketKind.WORK_STATUS,
         PacketKind.WORK_DATA,
@@ -28,14 +27,14 @@
 
 
 class WorkReports:
-    """Handles the WORK_* packets of workers, and reports on their calls to the core."""
+    """Handles the WORK_* packets of workers, and notifies the core about their calls."""
 
     def __init__(self, state: ServiceState, assignment: JobAssignment) -> None:
         self.state = state
         self.assignment = assignment
 
-    def report(self, _now_us: int, peer: Peer, packet: Packet) -> None:
-        """Handle a report on an assigned job; one on an ended job is ignored."""
+    def handle_report(self, _now_us: int, peer: Peer, packet: Packet) -> None:
+        """Handle a report on an assigned job; ignore one on a job that has ended."""
         worker = peer.worker
         if worker is None:
             raise RequestError(
@@ -44,7 +43,7 @@
         handle, *args = packet.args
         assigned = self.state.workers.find_assigned(worker, handle)
         if assigned is None:
-            return  # reported twice, or a WORK_FAIL after its WORK_EXCEPTION
+            return  # a repeated report, or a WORK_FAIL after WORK_EXCEPTION
         match packet.kind:
             case PacketKind.WORK_STATUS:
                 self._report_progress(assigned, *args)
@@ -60,7 +59,10 @@
     def _report_progress(
         self, assigned: AssignedCall, numerator: bytes, denominator: bytes
     ) -> None:
-        progress = parse_number("numerator", numerator), parse_number("denominator", denominator)
+        progress = (
+            parse_number_argument("numerator", numerator),
+            parse_number_argument("denominator", denominator),
+        )
         call = assigned.call
         self.state.output.post(
             JobNotification(call.request.id, call.worker_id, JobStatus.RUNNING, progress=progress)
@@ -69,9 +71,11 @@
     def _add_chunk(self, worker: Worker, assigned: AssignedCall, chunk: ResultChunk) -> None:
         if self.state.workers.add_chunk(assigned, chunk):
             return
-        self._fail(worker, assigned, b"its pieces are too large")
+        self._fail(worker, assigned, b"its result chunks are too large")
         max_bytes = self.state.limits.gearman.partial_result_bytes
-        raise RequestError("RESULT_TOO_LARGE", f"a job's pieces have at most {max_bytes} bytes")
+        raise RequestError(
+            "RESULT_TOO_LARGE", f"a job's result chunks have at most {max_bytes} bytes"
+        )
 
     def _complete(self, worker: Worker, assigned: AssignedCall, last: bytes) -> None:
         self.state.workers.end_assigned(worker, assigned)
--- a/stepstream/gearman/workers.py
+++ b/stepstream/gearman/workers.py
@@ -1,10 +1,10 @@
-"""The table of Gearman's workers, with the calls that wait for them or are assigned; free of I/O.
+"""The table of Gearman's workers, with their queued and assigned calls; free of I/O.
 
-The policy pushes, Gearman's workers pull: a call waits here for its worker's next GRAB_JOB.
-`assignment_rules` decides what waits and what is assigned.
+The policy sends calls to workers, while Gearman's workers request jobs: a call waits here for its
+worker's next GRAB_JOB. `assignment_rules` decides which calls wait and which are assigned.
 
-The service owns the table; all access is under the lock of its front. Methods that end calls return
-the events to post to the core.
+The service owns the table; all access is under the lock of the front that owns the service. Methods
+that end calls return the events to post to the core.
 """
 
 from collections import deque
@@ -24,18 +24,19 @@
 from stepstream.gearman.peers import AssignedCall, Peer, QueuedCall, Worker
 from stepstream.model.events import AttemptResult
 
-# Late reports on a worker's latest ended jobs are ignored; on older ones they are errors.
+# A late report is ignored if it concerns one of the worker's latest ended jobs; otherwise it is an
+# error.
 MAX_ENDED_HANDLES_PER_WORKER = 64
 
 
 class WorkerTable:
-    """All connected workers; a call is in one place only, queued or assigned."""
+    """All connected workers; a call is either queued or assigned, never both."""
 
     def __init__(self, queue_length: int, queue_wait_us: int, max_chunk_bytes: int) -> None:
-        """Make an empty table.
+        """Create an empty table.
 
-        `queue_length`: calls that may wait beyond a worker's slots. `queue_wait_us`: longest wait
-        of a call, in microseconds. `max_chunk_bytes`: bound of one job's chunks together.
+        `queue_length`: how many calls may wait beyond a worker's slots. `queue_wait_us`: how long a
+        call may wait, in microseconds. `max_chunk_bytes`: limit of one job's chunks together.
         """
         self.queue_length = queue_length
         self.queue_wait_us = queue_wait_us
@@ -45,22 +46,22 @@
     # -- registration -----------------------------------------------------------------------------
 
     def add(self, peer: Peer, identity: WorkerIdentity) -> Worker:
-        """Enter a connection as a worker."""
-        worker = Worker(peer, self._free_id(identity.name), identity)
+        """Add a connection as a worker."""
+        worker = Worker(peer, self._unused_id(identity.name), identity)
         self.by_id[worker.worker_id] = worker
         return worker
 
-    def _free_id(self, name: str) -> str:
-        """Return an id for a worker; two connections of one name are two workers."""
+    def _unused_id(self, name: str) -> str:
+        """Return an unused id; two connections with the same name are two workers."""
         worker_id = f"gearman:{name}"
-        number = 1
+        suffix = 1
         while worker_id in self.by_id:
-            number += 1
-            worker_id = f"gearman:{name}~{number}"
+            suffix += 1
+            worker_id = f"gearman:{name}~{suffix}"
         return worker_id
 
     def remove(self, worker: Worker) -> list[CallEnded]:
-        """Forget a worker; its queued calls have never run, its assigned ones may have."""
+        """Remove a worker and end its calls; only assigned calls may have run."""
         self.by_id.pop(worker.worker_id, None)
         ended = [CallEnded(queued.call, AttemptResult.NOT_SENT) for queued in worker.queue]
         ended.extend(
@@ -71,11 +72,11 @@
         return ended
 
     def add_function(self, worker: Worker, function: str, timeout_us: int) -> None:
-        """Register a function of a worker; `timeout_us` 0 for no timeout."""
+        """Register a function of a worker; a `timeout_us` of 0 means no timeout."""
         worker.timeouts_us[function] = timeout_us
 
     def remove_functions(self, worker: Worker, function: str | None) -> list[CallEnded]:
-        """Remove a function, or all for None; queued calls of those end, assigned ones go on."""
+        """Remove one function, or all for None; end their queued calls, not the assigned ones."""
         if function is None:
             worker.timeouts_us.clear()
         else:
@@ -104,16 +105,16 @@
         return []
 
     def take_wakeup(self, worker: Worker) -> bool:
-        """Return whether to send a worker a NOOP now; it counts as awake from then on."""
+        """Return whether to send a worker a NOOP now; if so, mark the worker as awake."""
         if not is_wakeup_due(worker):
             return False
         worker.asleep = False
         return True
 
     def assign(self, now_us: int, worker: Worker, handle: str) -> AssignedCall | None:
-        """Assign a worker its next queued call under a job handle; None if there is none.
+        """Assign a worker its next queued call under a job handle; return None if there is none.
 
-        Queued calls that may not be assigned any more are dropped.
+        Queued calls that must not be assigned any more are dropped.
         """
         worker.asleep = False
         if not has_free_slot(worker):
@@ -128,13 +129,13 @@
         return None
 
     def stop(self, call: Call) -> None:
-        """Drop a call that the core gave up from its queue; an assigned one cannot be recalled."""
+        """Drop a call that the core has given up if it is queued; an assigned one goes on."""
         worker = self.by_id.get(call.worker_id)
         if worker is not None:
             worker.queue = deque(queued for queued in worker.queue if queued.call is not call)
 
     def expire_queued(self, now_us: int) -> list[CallEnded]:
-        """End the calls that have waited too long for a GRAB_JOB; they have never run."""
+        """End the calls that have waited too long for a GRAB_JOB; none of them has run."""
         ended = []
         for worker in self.by_id.values():
             while worker.queue and has_waited_too_long(worker.queue[0], now_us, self.queue_wait_us):
@@ -148,22 +149,22 @@
 
         Raise `RequestError` for a handle that was never this connection's.
         """
-        text = handle.decode("ascii", "replace")
-        if text in worker.assigned:
-            return worker.assigned[text]
-        if text in worker.ended_handles:
+        handle_text = handle.decode("ascii", "replace")
+        if handle_text in worker.assigned:
+            return worker.assigned[handle_text]
+        if handle_text in worker.ended_handles:
             return None
         raise RequestError("JOB_NOT_FOUND", "this connection holds no job of that handle")
 
     def end_assigned(self, worker: Worker, assigned: AssignedCall) -> None:
-        """Free the slot of an assigned call; its handle is remembered for late reports."""
+        """Free the slot of an assigned call; keep its handle to recognize late reports."""
         del worker.assigned[assigned.handle]
         worker.ended_handles[assigned.handle] = None
         while len(worker.ended_handles) > MAX_ENDED_HANDLES_PER_WORKER:
             worker.ended_handles.popitem(last=False)
 
     def add_chunk(self, assigned: AssignedCall, chunk: ResultChunk) -> bool:
-        """Add a chunk of a result; return False if the job's chunks are too large together."""
+        """Add a chunk to a result; return False if the job's chunks exceed the limit together."""
         assigned.chunk_bytes += len(chunk.data)
         if assigned.chunk_bytes > self.max_chunk_bytes:
             return False
--- a/stepstream/gearman/writer.py
+++ b/stepstream/gearman/writer.py
@@ -1,7 +1,7 @@
-"""The writer thread: sends the rest to the peers that do not take their bytes at once.
+"""The writer thread: it sends bytes that peers did not accept at once.
 
-One thread waits on all such peers together, so that none delays another. It costs nothing while
-every peer takes its bytes.
+One thread waits for all such peers together, so that none delays another. It is idle while every
+peer accepts its bytes at once.
 """
 
 import contextlib
@@ -23,14 +23,15 @@
     transport: Transport
 
     def send_unsent(self) -> None:
-        """Send what the peer takes now; the writer thread calls it."""
+        """Send what the peer accepts now; the writer thread calls it."""
 
 
 class Writer:
     """The connections that have unsent bytes, and the thread that waits until they are writable.
 
     A connection holds its own lock while it calls `add` and `remove`. `lock` guards
-    `by_descriptor` and what `poll` is registered for; it is taken last, and held for no call.
+    `by_descriptor` and the registrations of `poll`. It is taken last, and no connection is called
+    while it is held.
     """
 
     def __init__(self) -> None:
@@ -42,21 +43,21 @@
         self.poll.register(self.wake_read, select.POLLIN)
 
     def add(self, connection: UnsentConnection) -> None:
-        """Send more to a connection as soon as it takes bytes; any thread may call it."""
+        """Have a connection send more once it is writable; any thread may call it."""
         with self.lock:
             descriptor = connection.transport.sock.fileno()
             if descriptor < 0 or descriptor in self.by_descriptor:
                 return
             self.by_descriptor[descriptor] = connection
             self.poll.register(descriptor, select.POLLOUT)
-        # A full pipe wakes the thread, too.
+        # If the pipe is full, its unread bytes wake the thread.
         with contextlib.suppress(BlockingIOError):
             os.write(self.wake_write, b"x")
 
     def remove(self, connection: UnsentConnection) -> None:
-        """Stop waiting for a connection; any thread, before the descriptor is closed.
+        """Stop waiting for a connection; any thread may call it, before the descriptor is closed.
 
-        The number of a closed descriptor may become another connection's.
+        After that, another connection may get the same descriptor number.
         """
         with self.lock:
             descriptor = connection.transport.sock.fileno()
@@ -65,7 +66,7 @@
                 self.poll.unregister(descriptor)
 
     def run(self) -> None:
-        """Serve until the process ends; the body of the writer thread."""
+        """Serve connections until the process ends; the body of the writer thread."""
         while True:
             run_guarded(THREAD_NAME, self._serve_writable)
 
@@ -75,7 +76,7 @@
             if descriptor == self.wake_read:
                 os.read(self.wake_read, WAKE_READ_BYTES)
                 continue
-            # Without this lock: the connection checks under its own whether there is still work.
+            # `lock` is not needed: the connection checks under its own lock what is left to send.
             connection = self.by_descriptor.get(descriptor)
             if connection is not None:
                 connection.send_unsent()
--- a/tests/gearman/service_harness.py
+++ b/tests/gearman/service_harness.py
@@ -13,7 +13,7 @@
 from stepstream.gearman.codec import PacketKind, Parser
 from stepstream.gearman.service import GearmanService
 from stepstream.gearman.session import Reply, Session
-from stepstream.gearman.state import SOURCE, ServiceHost
+from stepstream.gearman.state import FRONT_NAME, ServiceHost
 from stepstream.model.endpoints import Endpoint, EndpointList, EndpointListKind
 from stepstream.model.settings import Effect, JobClass
 from tests.config.configurations import LIMITS, POLICY_SETTINGS
@@ -173,7 +173,7 @@
         for command in self.core.handle(self.now_us, events):
             match command:
                 case StartCall(call):
-                    gearman = self.core.endpoints.owner(call.worker_id) == SOURCE
+                    gearman = self.core.endpoints.owner(call.worker_id) == FRONT_NAME
                     call.carrier = self.service if gearman else None
                     if gearman:
                         self.service.start(self.now_us, call)
