--- a/stepstream/core/request_handler.py
+++ b/stepstream/core/request_handler.py
@@ -42,7 +42,7 @@
             case ShutdownStarted(deadline_us):
                 self._shutdown_deadline_us = deadline_us
                 for request in self._state.requests.by_id.values():
-                    self._limit_to_shutdown(request)
+                    self._apply_shutdown_deadline(request)
 
     def _receive(self, now_us: int, request: Request) -> None:
         immediate_answer = answer_on_arrival(request, self._state.requests, self._state.settings)
@@ -56,7 +56,7 @@
         translate_to_settings(request, state.settings)
         state.requests.add(request)
         self._schedule_answer_deadline(request)
-        self._limit_to_shutdown(request)
+        self._apply_shutdown_deadline(request)
         state.output.policy_events.append(
             JobSubmitted(
                 job_id=request.id,
@@ -70,7 +70,7 @@
             )
         )
 
-    def _limit_to_shutdown(self, request: Request) -> None:
+    def _apply_shutdown_deadline(self, request: Request) -> None:
         deadline_us = self._shutdown_deadline_us
         if deadline_us is None or request.answered:
             return
--- a/stepstream/core/requests.py
+++ b/stepstream/core/requests.py
@@ -137,9 +137,8 @@
     sent_us: int  # when it was handed to its carrier
     deadline_us: int  # when the call times out
     open: bool = True
-    ended_by_notification: bool = (
-        False  # a notification ended it; the worker may deliver that one again
-    )
+    # A notification ended the call; the worker may deliver that notification again.
+    ended_by_notification: bool = False
     result: AttemptResult | None = None  # None while open
     write_deadline_us: int | None = None  # latest time to write its first byte; None: no limit
     carrier: CallCarrier | None = None  # the carrier that started it
--- a/stepstream/node/reload.py
+++ b/stepstream/node/reload.py
@@ -83,9 +83,8 @@
     spawn_thread("discovery", run_client_after, old_stopped, new_client)
     old_client.stop()
     if config.discovery == context.config.discovery:
-        new_client.version = (
-            old_client.version
-        )  # the watch continues without a fetch of the complete list
+        # The new client continues the watch without a fetch of the complete list.
+        new_client.version = old_client.version
     old_stopped.set()
     # The core gets the new settings before any message is read under them.
     context.events.put(SettingsChanged(config.settings))
--- a/stepstream/runtime/log_events.py
+++ b/stepstream/runtime/log_events.py
@@ -86,7 +86,7 @@
 
 
 def thread_start_failed(*, pool: str) -> None:
-    """Log that the system could not start a thread; the job waits for another one of its pool."""
+    """Log that the system could not start a thread; the task waits for another one of its pool."""
     write_event(Severity.WARNING, "thread_start_failed", pool=pool)
 
 
@@ -121,7 +121,7 @@
         Severity.WARNING,
         "endpoint_list_suspected_stale",
         reason="active workers refuse connections",
-        action="discovery called beside the watch",
+        action="polled discovery in addition to the watch",
     )
 
 
--- a/stepstream/runtime/threads.py
+++ b/stepstream/runtime/threads.py
@@ -47,7 +47,7 @@
 
 
 class ThreadPool:
-    """Threads that take jobs from one queue, started when needed, at most `max_threads`.
+    """Threads that run tasks from one queue, started when needed, at most `max_threads`.
 
     The threads never stop. Any thread may call `submit`.
     """
@@ -55,38 +55,38 @@
     def __init__(self, name: str, max_threads: int) -> None:
         self.name = name
         self.max_threads = max_threads
-        self.jobs: SimpleQueue[tuple[Callable[..., object], tuple[Any, ...]]] = SimpleQueue()
+        self.tasks: SimpleQueue[tuple[Callable[..., object], tuple[Any, ...]]] = SimpleQueue()
         self.lock = threading.Lock()  # guards the two counts
         self.thread_count = 0
-        self.idle_count = 0  # threads minus jobs that are queued or running; may be negative
+        self.idle_count = 0  # threads minus tasks that are queued or running; may be negative
 
     def submit(self, step: Callable[[*Arguments], object], *arguments: *Arguments) -> None:
-        """Queue a job, and start a thread for it if all are busy and more are allowed."""
+        """Queue a task, and start a thread for it if all are busy and more are allowed."""
         with self.lock:
             self.idle_count -= 1
             needs_thread = self.idle_count < 0 and self.thread_count < self.max_threads
             if needs_thread:
                 self.thread_count += 1
                 self.idle_count += 1
-        self.jobs.put((step, arguments))
+        self.tasks.put((step, arguments))
         if needs_thread:
             self.start_thread()
 
     def start_thread(self) -> None:
         """Start the thread that `submit` has already counted."""
         try:
-            spawn_thread(self.name, self.run_jobs)
+            spawn_thread(self.name, self.run_tasks)
         except RuntimeError:
-            # If the system can start no thread, the job waits for one of the pool's threads.
+            # If the system can start no thread, the task waits for one of the pool's threads.
             with self.lock:
                 self.thread_count -= 1
                 self.idle_count -= 1
             log_events.thread_start_failed(pool=self.name)
 
-    def run_jobs(self) -> None:
-        """Run queued jobs forever; each thread of the pool runs this method."""
+    def run_tasks(self) -> None:
+        """Run queued tasks forever; each thread of the pool runs this method."""
         while True:
-            step, arguments = self.jobs.get()
+            step, arguments = self.tasks.get()
             run_guarded(self.name, step, *arguments)
             with self.lock:
                 self.idle_count += 1
--- a/tests/runtime/test_threads.py
+++ b/tests/runtime/test_threads.py
@@ -5,7 +5,7 @@
 from tests.runtime.waiting import wait_for
 
 
-def test_a_thread_pool_continues_after_a_fault_of_a_job(capfd):
+def test_a_thread_pool_continues_after_a_fault_of_a_task(capfd):
     pool = ThreadPool("test", 1)
     seen = []
     pool.submit(lambda: 1 / 0)
--- a/tests/runtime/thread_ends.py
+++ b/tests/runtime/thread_ends.py
@@ -12,9 +12,9 @@
 
 
 def end_pool(pool):
-    """Let each thread of a pool end after the jobs that are already queued."""
+    """Let each thread of a pool end after the tasks that are already queued."""
     for _ in range(pool.thread_count):
-        pool.jobs.put((sys.exit, ()))
+        pool.tasks.put((sys.exit, ()))
 
 
 def end_server(server):
