--- a/stepstream/http/client_connection.py
+++ b/stepstream/http/client_connection.py
@@ -270,7 +270,7 @@
           `close_grace_seconds` at most;
         - for idle clients, which may send another request, until the server closes connections.
         """
-        if self._owes_answer() or self.slow_writer_active:
+        if self._has_open_or_partly_read_request() or self.slow_writer_active:
             return True
         session = self.session
         if session.phase is SessionPhase.CLOSED:
@@ -279,8 +279,8 @@
         may_send_request = session.is_client and session.phase is SessionPhase.READING
         return may_send_request and not self.server.state.closing
 
-    def _owes_answer(self) -> bool:
-        """Return whether a request is open, or a partly read message may become one."""
+    def _has_open_or_partly_read_request(self) -> bool:
+        """Return whether a request is open, or a partly read message may become a request."""
         session = self.session
         if session.has_open_request:
             return True
@@ -311,15 +311,15 @@
                 is_closed=session.phase is SessionPhase.CLOSED,
                 has_sent_work=session.has_sent_work,
                 quiet_seconds=now_seconds - quiet_since_seconds,
-                unproven_seconds=self.server.limits.timeouts.evict_silent_after_seconds,
+                evict_silent_after_seconds=self.server.limits.timeouts.evict_silent_after_seconds,
             )
             return EvictionState(rank, quiet_since_seconds)
 
     def evict(self) -> bool:
-        """End the connection at once, unless an answer is owed; return whether it was ended.
+        """End the connection at once to make room for others; return whether it was ended.
 
-        Frees its place in the connection budget, so that slow or silent peers do not keep out
-        others.
+        It stays open if a request is open, if a slow writer sends, or if an idle session has unread
+        bytes. Evictions keep slow or silent peers from using the whole connection budget.
         """
         with self.lock:
             session = self.session
@@ -374,15 +374,15 @@
 
 
 def counts_as_client(
-    accepted_at_seconds: float, shutdown_started_at: float | None, arrivals_seconds: float
+    accepted_at_seconds: float, shutdown_started_at: float | None, new_connections_seconds: float
 ) -> bool:
     """Decide whether a peer that has sent only a part of its first message counts as a client.
 
-    After SIGTERM, the front proxy opens connections for at most `arrivals_seconds`. A connection
-    that opens later does not carry a client's request. Without this rule, peers that connect and
-    never finish a message would delay the shutdown. Times are monotonic seconds. Before a shutdown
-    (`shutdown_started_at` is None) every peer counts as a client.
+    After SIGTERM, the front proxy opens connections for at most `new_connections_seconds`. A
+    connection that opens later does not carry a client's request. Without this rule, peers that
+    connect and never finish a message would delay the shutdown. Times are monotonic seconds. Before
+    a shutdown (`shutdown_started_at` is None) every peer counts as a client.
     """
     if shutdown_started_at is None:
         return True
-    return accepted_at_seconds <= shutdown_started_at + arrivals_seconds
+    return accepted_at_seconds <= shutdown_started_at + new_connections_seconds
--- a/stepstream/http/codec.py
+++ b/stepstream/http/codec.py
@@ -258,7 +258,7 @@
         elif coding is not None:
             if coding.lower() != "chunked" or length is not None:
                 raise ProtocolError(
-                    400, "unsupported Transfer-Encoding, or Content-Length beside it"
+                    400, "unsupported Transfer-Encoding, or used with Content-Length"
                 )
             self.chunks = []
             self.chunked_bytes = 0
--- a/stepstream/http/eviction.py
+++ b/stepstream/http/eviction.py
@@ -52,18 +52,19 @@
 
 
 def rank_without_open_request(
-    *, is_closed: bool, has_sent_work: bool, quiet_seconds: float, unproven_seconds: float
+    *, is_closed: bool, has_sent_work: bool, quiet_seconds: float, evict_silent_after_seconds: float
 ) -> EvictionRank:
     """Decide the rank of a connection without an open request.
 
     `is_closed` means that its last answer has been sent, `has_sent_work` that its peer has sent a
-    request or a notification. A peer that has sent neither counts as new for `unproven_seconds`,
-    and then as unused: a flood of silent connections must not keep out clients and workers.
+    request or a notification. A peer that has sent neither counts as new for
+    `evict_silent_after_seconds`, and then as unused: a flood of silent connections must not keep
+    out clients and workers.
     """
     if is_closed:
         return EvictionRank.DONE
     if has_sent_work:
         return EvictionRank.IDLE
-    if quiet_seconds >= unproven_seconds:
+    if quiet_seconds >= evict_silent_after_seconds:
         return EvictionRank.UNUSED
     return EvictionRank.NEW
--- a/stepstream/http/named_numbers.py
+++ b/stepstream/http/named_numbers.py
@@ -30,8 +30,8 @@
 def bounded_number(value: object) -> float:
     """Return a number from 0 to MAX_NUMBER that is given as a number or as text.
 
-    Raises ValueError for anything else. The bound protects sums over workers: beside a number like
-    1e300, rounding would lose all others.
+    Raises ValueError for anything else. The bound protects sums over workers: rounding would lose
+    all other numbers if one were 1e300.
     """
     number = float(value) if isinstance(value, str) else value
     if (
--- a/stepstream/http/poll_schedule.py
+++ b/stepstream/http/poll_schedule.py
@@ -68,9 +68,9 @@
     """The times of one discovery client's calls.
 
     `dispatcher_count` is the number of dispatchers that call the same discovery service.
-    `agent_pushes` is True if the client calls an agent beside the dispatcher. The thread of the
-    discovery client owns the schedule. The main thread may replace `dispatcher_count` at any time,
-    and check threads read the timeouts.
+    `agent_pushes` is True if the client calls an agent on the dispatcher's machine. The thread of
+    the discovery client owns the schedule. The main thread may replace `dispatcher_count` at any
+    time, and check threads read the timeouts.
     """
 
     dispatcher_count: int
--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -124,10 +124,12 @@
     ("accepted_at", "shutdown_started_at", "is_client"),
     [(9.0, 10.0, True), (10.5, 10.0, True), (10.6, 10.0, False), (10.6, None, True)],
 )
-def test_after_sigterm_only_peers_accepted_within_the_arrivals_time_count_as_clients(
+def test_after_sigterm_only_peers_accepted_within_new_connections_seconds_count_as_clients(
     accepted_at, shutdown_started_at, is_client
 ):
-    assert counts_as_client(accepted_at, shutdown_started_at, arrivals_seconds=0.5) == is_client
+    assert (
+        counts_as_client(accepted_at, shutdown_started_at, new_connections_seconds=0.5) == is_client
+    )
 
 
 class IdleClient:
--- a/tests/http/test_eviction.py
+++ b/tests/http/test_eviction.py
@@ -77,5 +77,5 @@
         is_closed=is_closed,
         has_sent_work=has_sent_work,
         quiet_seconds=quiet_seconds,
-        unproven_seconds=2.0,
+        evict_silent_after_seconds=2.0,
     )
