--- a/stepstream/model/actions.py
+++ b/stepstream/model/actions.py
@@ -16,7 +16,7 @@
 
 @record
 class StartAttempt:
-    """Send a job to a worker; attempts of a job are numbered 0, 1, 2 ... in this order."""
+    """Send a job to a worker; a job's attempts are numbered 0, 1, 2 ... in the order of sending."""
 
     job_id: str
     worker_id: str
--- a/stepstream/model/job_records.py
+++ b/stepstream/model/job_records.py
@@ -22,7 +22,7 @@
     open: bool = True
     started_us: int = 0  # 0: no start was reported
     start_overdue: bool = False  # it had not started when its start was due
-    presumed_lost: bool = False  # by a load report of its worker: it will never start
+    presumed_lost: bool = False  # a load report of its worker shows that it will never start
     never_ran: bool = False  # its result proves that the job did not run
 
     @property
--- a/stepstream/model/worker_records.py
+++ b/stepstream/model/worker_records.py
@@ -55,8 +55,8 @@
     slowness: float = 0.0  # mean logarithm of the ratio of its ended runs to the usual run time
     slowness_with_open_runs: float = 0.0
     ejection_time_us: int = 0  # above 0: ejected from its pool until a probation attempt succeeds
-    # When the next probation attempt may be sent. Failures eject a worker that is not ejected no
-    # sooner than this.
+    # When the next probation attempt may be sent. A worker that is not ejected can be ejected for
+    # failures only from this time on.
     next_probation_us: int = 0
     class_ejections: dict[int, ClassEjection] = field(default_factory=dict)  # by class
     id_hash: int = field(init=False)
--- a/stepstream/policy/admission.py
+++ b/stepstream/policy/admission.py
@@ -90,7 +90,7 @@
 def _finds_pools_full(state: PolicyState, job: InFlightJob) -> bool:
     """Return whether an ordinary job finds the Low Set full and the High Set taking no overflow.
 
-    Priority jobs find no pool full.
+    For a priority job no pool counts as full.
     """
     if job.priority or not _is_low_set_full(state, job):
         return False
--- a/stepstream/policy/endpoint_polling.py
+++ b/stepstream/policy/endpoint_polling.py
@@ -10,9 +10,10 @@
 from stepstream.policy.pool_capacity import has_many_dispatchers
 from stepstream.policy.timers import set_timer
 
-# The least first backoff, where the poll interval allows it; each failed call doubles the backoff.
+# Minimum of the first backoff, unless half the poll interval is shorter. Each failed call doubles
+# the backoff.
 MIN_FIRST_BACKOFF_US = 500_000
-# Where many dispatchers started or failed together, about one of them calls in this time.
+# Where many dispatchers started or failed together, they make about one call in this time.
 CALL_INTERVAL_US = 100_000
 # A call after a failure waits for at least this fraction of the backoff.
 MIN_BACKOFF_FRACTION = 0.5
@@ -46,8 +47,8 @@
     def on_failure(self) -> None:
         """Call again after the backoff, as a call has failed, and double the backoff.
 
-        A call that was given up still costs the list's source work. Without a backoff of many
-        dispatchers the source would serve none of them in time.
+        A call that was given up still costs the list's source work. If many dispatchers did not
+        back off, the source would serve none of them in time.
         """
         self.call_open = False
         self._poll_later(MIN_BACKOFF_FRACTION, self.backoff_us)
--- a/stepstream/policy/endpoint_updates.py
+++ b/stepstream/policy/endpoint_updates.py
@@ -23,7 +23,7 @@
     ]
     workers.key_orders = {}
     workers.waiting_jobs_due = True
-    slow_start.count_warm_workers(state)
+    slow_start.update_warm_worker_equivalents(state)
 
 
 def _apply_endpoint(state: PolicyState, endpoint: Endpoint) -> None:
--- a/stepstream/policy/load_balancer.py
+++ b/stepstream/policy/load_balancer.py
@@ -78,7 +78,7 @@
 
     def _on_job_submitted(self, event: JobSubmitted) -> None:
         if not self.state.workers.by_id:
-            # Without the endpoint list no job can be served, so the poll is not left to its timer.
+            # Without a list no job can be served, so the poll does not wait for its timer.
             self.endpoint_poller.poll()
         admission.on_job_submitted(self.state, event)
 
@@ -136,7 +136,7 @@
         capacity.measure_common_cap(state)
         state.workers.waiting_jobs_due = True
         state.measurements.job_mix.forget_old_jobs()
-        slow_start.count_warm_workers(state)
+        slow_start.update_warm_worker_equivalents(state)
         pools.resize(state)
         load_reports.check_silent_workers(state, timers.PERIOD_US)
         timers.set_next_period(state)
--- a/stepstream/policy/load_reports.py
+++ b/stepstream/policy/load_reports.py
@@ -15,7 +15,7 @@
 
 
 def on_load_report(state: PolicyState, worker: Worker, report: dict[str, float] | None) -> None:
-    """Learn from a worker's load report, in an answer or a health check, if it has free slots."""
+    """Learn from a worker's load report, in an answer or a health check, if it gives free slots."""
     if not report or FREE_SLOTS not in report:
         return
     reported_headroom = report[FREE_SLOTS] - report.get(QUEUED_JOBS, 0.0)
--- a/stepstream/policy/outliers.py
+++ b/stepstream/policy/outliers.py
@@ -23,13 +23,13 @@
 
 
 def available_workers(state: PolicyState, workers: list[Worker], job_class: int) -> list[Worker]:
-    """Return the workers that accept the class, or all if too few do: the panic threshold."""
+    """Return the workers that accept the class, or all workers if too few accept it."""
     available = accepting_workers(workers, job_class, state.now_us)
     return workers if _is_panic(len(available), len(workers)) else available
 
 
 def accepting_workers(workers: list[Worker], job_class: int, now_us: int) -> list[Worker]:
-    """Return the workers that accept the class; those without an ejection are not looked into."""
+    """Return the workers that accept the class; most have no ejection and are not examined."""
     return [
         worker
         for worker in workers
--- a/stepstream/policy/pool_capacity.py
+++ b/stepstream/policy/pool_capacity.py
@@ -1,8 +1,8 @@
 """Capacity of whole pools: their headroom, and the cap that each of many dispatchers applies.
 
 With many dispatchers each one seldom has a job on a given worker, so its jobs there do not show the
-worker's cap. Its jobs on a whole pool do. The cap is then a number of the dispatcher's own slots
-per worker, often below one: the mean at which starts begin to be overdue.
+worker's cap. Its jobs on a whole pool do. The cap of one worker is then the mean number of this
+dispatcher's slots per worker at which starts begin to be overdue; it is often below one.
 """
 
 from math import inf
--- a/stepstream/policy/pools.py
+++ b/stepstream/policy/pools.py
@@ -17,7 +17,7 @@
 MIN_OVERFLOW_HEADROOM_CAPS = 1.0
 MIN_OVERFLOW_HEADROOM_CAPS_WITH_REPORTS = 0.25
 MIN_SPARE_HEADROOM_CAPS = 2
-# Each resizing moves up to one worker for every so many, and up to one in a smaller fleet.
+# Each resizing may move one worker for every group of this size, and one in a smaller fleet.
 WORKERS_PER_MOVED_WORKER = 16
 
 
@@ -68,7 +68,8 @@
     workers = state.workers.eligible
     min_high_set_size = 1.0
     if _knows_few_headrooms(state):
-        # Without this minimum all dispatchers would move all workers back but the same one.
+        # Without this minimum every dispatcher would keep only one worker in its High Set, and all
+        # of them the same one.
         min_high_set_size = max(state.measurements.job_mix.priority_fraction * len(workers), 1)
         workers = state.rng.sample(workers, len(workers))
     workers = outliers.available_workers(state, workers, outliers.ANY_CLASS)
--- a/stepstream/policy/retries.py
+++ b/stepstream/policy/retries.py
@@ -53,7 +53,7 @@
 
 
 def give_up(state: PolicyState, job: InFlightJob) -> None:
-    """Answer a job that gets no further attempt: reject it if a client's retry is harmless."""
+    """Reject a job that gets no further attempt, or fail it if a client's retry may do harm."""
     if idempotency.is_client_retry_harmless(job):
         retry_after_us = _retry_after_us(state, job)
         state.actions.append(Reject(job.request.job_id, retry_after_us))
--- a/stepstream/policy/selection.py
+++ b/stepstream/policy/selection.py
@@ -67,7 +67,7 @@
 
 
 def _sample_of_capable_workers(state: PolicyState, job: InFlightJob) -> list[Worker]:
-    """Return at most MAX_CANDIDATES workers that can run the job: a sample, or the key's first."""
+    """Return a bounded number of capable workers: drawn at random, or the first in key order."""
     key = job.request.key
     job_class = job.class_settings
     tenant = state.settings.tenant_name(job.request.tenant)
--- a/stepstream/policy/slow_start.py
+++ b/stepstream/policy/slow_start.py
@@ -29,7 +29,7 @@
     return initial_fraction + (1 - initial_fraction) * progress
 
 
-def count_warm_workers(state: PolicyState) -> None:
+def update_warm_worker_equivalents(state: PolicyState) -> None:
     """Measure the capacity of all eligible workers, in warm-worker equivalents."""
     workers = state.workers
     workers.warm_worker_equivalents = sum(
--- a/stepstream/policy/timers.py
+++ b/stepstream/policy/timers.py
@@ -18,7 +18,7 @@
 
 
 def set_first_period(state: PolicyState) -> None:
-    """End the first period at random: dispatchers that start together must not act in step."""
+    """End the first period at a random time, so that dispatchers do not act at the same moments."""
     first_us = state.now_us + state.rng.randrange(PERIOD_US)
     set_timer(state, TimerToken.PERIODIC_TASKS, first_us)
 
