--- a/tests/gearman/conftest.py
+++ b/tests/gearman/conftest.py
@@ -8,12 +8,12 @@
 
 
 @pytest.fixture(autouse=True)
-def end_threads(threads_end):
-    """Check after each test that no thread is left."""
+def require_threads_to_end(threads_end):
+    """Fail a test that leaves a thread."""
 
 
 @pytest.fixture
 def program(tmp_path):
-    """A dispatcher's process with a Gearman listener."""
+    """Yield a dispatcher's process with a Gearman listener; end it after the test."""
     with contextlib.closing(GearmanProgram(tmp_path)) as program:
         yield program
--- a/tests/gearman/program.py
+++ b/tests/gearman/program.py
@@ -13,15 +13,17 @@
 from tests.runtime.ports import free_port
 from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
-SECTION = '[gearman]\nlisten = "127.0.0.1:{port}"\ntenant = "tatra-invest"\nqueue = 4\n'
+OPERATOR_FILE_TEMPLATE = (
+    '[gearman]\nlisten = "127.0.0.1:{port}"\ntenant = "tatra-invest"\nqueue = 4\n'
+)
 RECEIVE_BYTES = 65_536
 
 
 class GearmanPeer:
-    """A raw connection: packets out, packets in."""
+    """A raw connection that sends and receives packets."""
 
     def __init__(self, sock):
-        """Talk on this connected socket."""
+        """Use this connected socket."""
         self.sock = sock
         self.parser = Parser(LIMITS, responses=True)
 
@@ -31,12 +33,12 @@
         return cls(socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_SECONDS))
 
     def send(self, kind, *arguments):
-        """Send a packet."""
+        """Send a packet; return this peer."""
         self.sock.sendall(codec.encode_request(kind, *arguments))
         return self
 
     def receive(self):
-        """Return the next packet; None at the end of the connection."""
+        """Return the next packet, or None when the connection has ended."""
         while (packet := self.parser.next_message()) is None:
             data = self.sock.recv(RECEIVE_BYTES)
             if not data:
@@ -45,7 +47,7 @@
         return packet
 
     def receive_until(self, *kinds):
-        """Return the next packet of these kinds; drop what comes before it."""
+        """Return the next packet of these kinds; discard the packets before it."""
         while (packet := self.receive()) is None or packet.kind not in kinds:
             assert packet is not None, "the connection ended"
         return packet
@@ -59,7 +61,7 @@
         return self
 
     def grab_job(self):
-        """Sleep until there is a job, as workers do; return its arguments."""
+        """Request a job, and sleep until there is one; return the arguments of its packet."""
         while True:
             packet = self.send(PacketKind.GRAB_JOB_UNIQ).receive_until(
                 PacketKind.JOB_ASSIGN_UNIQ, PacketKind.NO_JOB
@@ -69,37 +71,40 @@
             self.send(PacketKind.PRE_SLEEP).receive_until(PacketKind.NOOP)
 
     def complete_jobs(self, *results):
-        """Complete each job with the last of these results, the others as data before it.
+        """Complete each job with the last of these results; send the others as data before it.
 
         Return when the connection ends.
         """
-        *parts, result = results
+        *data_parts, result = results
         with contextlib.suppress(OSError, AssertionError):
             while True:
                 handle = self.grab_job()[0]
-                for part in parts:
+                for part in data_parts:
                     self.send(PacketKind.WORK_DATA, handle, part)
                 self.send(PacketKind.WORK_COMPLETE, handle, result)
 
     def close(self):
         """Disconnect."""
         with contextlib.suppress(OSError):
-            self.sock.shutdown(socket.SHUT_RDWR)  # wakes up a thread that waits for a packet
+            self.sock.shutdown(socket.SHUT_RDWR)  # wakes a thread that waits for a packet
         self.sock.close()
 
 
 class GearmanProgram:
     """A dispatcher's process with a Gearman listener; `close` ends it."""
 
-    def __init__(self, folder, section=SECTION):
-        """Start and wait until it listens; `section`: the text of the operator's file."""
+    def __init__(self, folder, operator_text=OPERATOR_FILE_TEMPLATE):
+        """Start the process and wait until it listens.
+
+        `operator_text`: the operator's file, in which {port} stands for the Gearman port.
+        """
         self.http_port = free_port()
         self.gearman_port = free_port()
         self.config = self.configuration()
         self.config_file = folder / "config.json"
         self.config_file.write_text(json.dumps(self.config))
         self.operator_file = folder / "operator.toml"
-        self.operator_file.write_text(section.format(port=self.gearman_port))
+        self.operator_file.write_text(operator_text.format(port=self.gearman_port))
         self.peers = []
         self.threads = []
         self.process = start_serving(self.config_file, "--operator", str(self.operator_file))
@@ -123,7 +128,7 @@
         }
 
     def is_listening(self):
-        """Return whether the Gearman listener accepts connections; fail if the program ended."""
+        """Return whether the Gearman listener accepts connections; fail if the process ended."""
         assert self.process.poll() is None, f"ended: {self.process.stderr.read()}"
         with contextlib.suppress(OSError):
             GearmanPeer.connect(self.gearman_port).close()
@@ -136,9 +141,9 @@
         self.peers.append(peer)
         return peer
 
-    def run_in_thread(self, step, *arguments):
-        """Run a step that ends with the process; `close` waits for it."""
-        thread = threading.Thread(target=step, args=arguments, daemon=True)
+    def run_in_thread(self, function, *arguments):
+        """Run a function that returns when the process ends; `close` waits for it."""
+        thread = threading.Thread(target=function, args=arguments, daemon=True)
         self.threads.append(thread)
         thread.start()
 
@@ -147,13 +152,13 @@
         address = ("127.0.0.1", self.gearman_port)
         with socket.create_connection(address, timeout=WAIT_TIMEOUT_SECONDS) as sock:
             sock.sendall(line.encode() + b"\n")
-            text = b""
-            while not text.endswith(b".\n") and not text.startswith((b"OK", b"ERR")):
-                text += sock.recv(RECEIVE_BYTES)
-            return text.decode()
+            answer = b""
+            while not answer.endswith(b".\n") and not answer.startswith((b"OK", b"ERR")):
+                answer += sock.recv(RECEIVE_BYTES)
+            return answer.decode()
 
     def reload(self):
-        """Send SIGHUP; return the log line that it causes."""
+        """Send SIGHUP; return the log line of the reload."""
         self.process.send_signal(signal.SIGHUP)
         return next(
             line
@@ -171,7 +176,7 @@
 
 
 def revalue_with_progress(worker, job):
-    """Do a job as a task of the library's worker: report progress and a part of the result."""
+    """Run as a task of pygearman's worker: report progress and send a part of the result."""
     worker.send_job_status(job, 1, 2)
     worker.send_job_data(job, b"part ")
     return job.data.upper()
--- a/tests/gearman/service_harness.py
+++ b/tests/gearman/service_harness.py
@@ -1,4 +1,4 @@
-"""The core, the policy and the Gearman service on one clock without a socket, and peers for them."""
+"""The core, the policy and the Gearman service on a simulated clock, with peers; no sockets."""
 
 from dataclasses import replace
 
@@ -31,7 +31,7 @@
 
 
 class FakePeer:
-    """One peer: what it sends goes through its session, what it receives is kept as packets."""
+    """A peer whose bytes go through its session, and which keeps the packets that it receives."""
 
     def __init__(self, harness):
         self.harness = harness
@@ -43,12 +43,12 @@
         self.closed_by_service = False
 
     def send(self, kind, *args):
-        """Send a packet; return the packets that come back."""
+        """Send a packet; return the packets received in reply."""
         return self.send_bytes(codec.encode_request(kind, *args))
 
     def send_bytes(self, data):
-        """Send bytes; return the packets that come back."""
-        before = len(self.received)
+        """Send bytes; return the packets received in reply."""
+        count_before = len(self.received)
         for step in self.session.feed(data):
             if isinstance(step, Reply):
                 self.harness.service.send(self.peer, step.data, close=step.close)
@@ -59,10 +59,10 @@
                     self.harness.now_us, self.peer, step.tokens
                 )
         self.harness.deliver_output()
-        return self.received[before:]
+        return self.received[count_before:]
 
     def receive(self, data, close):
-        """Keep what the service sends: packets, or the text of a command's answer."""
+        """Keep what the service sends: packets, or the answer to a text command."""
         if data[:1] != b"\0":
             self.command_output += data
             return
@@ -80,9 +80,9 @@
         self.harness.service.disconnect(self.peer)
         self.harness.deliver_output()
 
-    def register_worker(self, name="w", *functions, extra=""):
-        """Register as a worker; `extra` is appended to the client id."""
-        self.send(PacketKind.SET_CLIENT_ID, f"{name};start=1{extra}")
+    def register_worker(self, name="w", *functions, fields=""):
+        """Register as a worker; `fields` is appended to the client id."""
+        self.send(PacketKind.SET_CLIENT_ID, f"{name};start=1{fields}")
         for function in functions or ("revalue", "nav-publish"):
             self.send(PacketKind.CAN_DO, function)
         return self
@@ -98,7 +98,7 @@
 
 
 class ServiceHarness:
-    """The service, the real core and all peers, on a clock that only the test moves."""
+    """The service, the real core and all peers, on a clock that only the test advances."""
 
     def __init__(self, settings=SETTINGS_WITH_NOT_IDEMPOTENT_CLASS, section=SECTION, limits=LIMITS):
         self.now_us = START_US
@@ -131,11 +131,11 @@
         return f"{self.request_count:016x}"
 
     def on_answer(self, job, answer):
-        """Hand a final answer to the service."""
+        """Pass a final answer to the service."""
         self.service.answer(self.now_us, job, answer)
 
     def on_progress(self, job, done, total):
-        """Hand a job's progress to the service."""
+        """Pass a job's progress to the service."""
         self.service.progress(job, done, total)
 
     def connect(self):
@@ -144,7 +144,7 @@
         return self.peers[-1]
 
     def list_http_worker(self, name="s-1"):
-        """List a worker of discovery."""
+        """Post an endpoint list of discovery with one HTTP worker."""
         self.post_events(
             EndpointsUpdated(
                 "discovery", EndpointList(EndpointListKind.COMPLETE, (Endpoint(name),))
@@ -152,12 +152,12 @@
         )
 
     def post_events(self, *events):
-        """Give the core events, and deliver what comes of them."""
+        """Pass events to the core, and deliver the resulting output."""
         self.run_core(list(events))
         self.deliver_output()
 
     def deliver_output(self):
-        """Deliver what the service sends, until nothing is left."""
+        """Deliver the service's output to peers and core until there is no more."""
         while True:
             output = self.service.take_output()
             for send in output.sends:
@@ -173,9 +173,9 @@
         for command in self.core.handle(self.now_us, events):
             match command:
                 case StartCall(call):
-                    gearman = self.core.endpoints.owner(call.worker_id) == FRONT_NAME
-                    call.carrier = self.service if gearman else None
-                    if gearman:
+                    is_gearman = self.core.endpoints.owner(call.worker_id) == FRONT_NAME
+                    call.carrier = self.service if is_gearman else None
+                    if is_gearman:
                         self.service.start(self.now_us, call)
                     else:
                         self.http_calls.append(call)
@@ -188,20 +188,22 @@
                     request.response_sink.progress(done, total)
 
     def notify_from_http_worker(self, call, status, result=None, progress=None):
-        """Notify the core of a call's status at its worker of discovery."""
+        """Notify the core of a call's status, as its HTTP worker does."""
         self.post_events(JobNotification(call.request.id, call.worker_id, status, result, progress))
 
     def complete_http_call(self, call, result="17.5"):
-        """Notify the core that a call at a worker of discovery is done."""
+        """Notify the core that an HTTP worker has completed a call."""
         self.notify_from_http_worker(call, JobStatus.DONE, result)
 
-    def advance_time(self, us, step=100_000):
-        """Let time pass; timers fire as they come due."""
-        until = self.now_us + us
-        while self.now_us < until:
-            due = self.core.next_timer_us()
+    def advance_time(self, duration_us, step_us=100_000):
+        """Advance the clock in steps of at most `step_us`; run timers when they are due."""
+        end_us = self.now_us + duration_us
+        while self.now_us < end_us:
+            timer_us = self.core.next_timer_us()
             self.now_us = min(
-                until, self.now_us + step, max(due, self.now_us + 1) if due else until
+                end_us,
+                self.now_us + step_us,
+                max(timer_us, self.now_us + 1) if timer_us else end_us,
             )
             self.run_core([])
             self.service.run_periodic_tasks(self.now_us)
@@ -209,28 +211,28 @@
         assert not self.log.events
 
 
-def make_section(**fields):
-    """Return the operator's section with other values."""
+def section_with(**fields):
+    """Return `SECTION` with other values."""
     return msgspec.structs.replace(SECTION, **fields)
 
 
 def harness_with_worker(**options):
-    """Return a harness and a worker that has registered."""
+    """Return a harness and a registered worker."""
     harness = ServiceHarness(**options)
     worker = harness.connect().register_worker()
     harness.advance_time(10_000)
     return harness, worker
 
 
-def submit_job(peer, function="revalue", unique="", data="x", kind=PacketKind.SUBMIT_JOB):
+def submit_job(peer, function="revalue", unique="", workload="x", kind=PacketKind.SUBMIT_JOB):
     """Submit a job; return its handle."""
-    packets = peer.send(kind, function, unique, data)
+    packets = peer.send(kind, function, unique, workload)
     (packet,) = [packet for packet in packets if packet.kind is PacketKind.JOB_CREATED]
     return packet.args[0]
 
 
 def error_code(packets):
-    """Return the code of the one error among these packets."""
+    """Return the code of the only ERROR among these packets."""
     (packet,) = [packet for packet in packets if packet.kind is PacketKind.ERROR]
     return packet.args[0].decode()
 
--- a/tests/gearman/test_assignment_rules.py
+++ b/tests/gearman/test_assignment_rules.py
@@ -1,4 +1,4 @@
-"""Which calls wait for a Gearman worker and which are assigned to it, decided on records."""
+"""Tests of the rules for queueing and assigning calls, on records without a service."""
 
 from dataclasses import replace
 from types import SimpleNamespace
@@ -25,10 +25,13 @@
 
 
 def worker(*assigned, asleep=False, queue=()):
-    calls = {str(index): AssignedCall(each, str(index), "f") for index, each in enumerate(assigned)}
-    made = Worker(None, "gearman:w", IDENTITY, {"f": 0}, assigned=calls, asleep=asleep)
-    made.queue.extend(queue)
-    return made
+    calls = {
+        str(index): AssignedCall(assigned_call, str(index), "f")
+        for index, assigned_call in enumerate(assigned)
+    }
+    new_worker = Worker(None, "gearman:w", IDENTITY, {"f": 0}, assigned=calls, asleep=asleep)
+    new_worker.queue.extend(queue)
+    return new_worker
 
 
 @pytest.mark.parametrize(
@@ -48,14 +51,14 @@
         "holds the request",
     ],
 )
-def test_a_call_waits_unless_its_worker_is_full_or_holds_its_request(
+def test_a_call_is_queued_unless_its_worker_is_full_or_unsuitable_or_holds_its_request(
     assigned, class_name, queue_length, reason
 ):
-    found = reason_not_to_queue(worker(*assigned), call(), class_name, "", queue_length)
-    assert found is reason
+    result = reason_not_to_queue(worker(*assigned), call(), class_name, "", queue_length)
+    assert result is reason
 
 
-def test_a_worker_is_woken_once_it_sleeps_and_has_work_and_a_slot():
+def test_a_worker_is_woken_only_if_it_sleeps_and_has_work_and_a_free_slot():
     queued = QueuedCall(call(), "f", "", 0)
     assert [has_free_slot(worker()), has_free_slot(worker(call()))] == [True, False]
     assert is_wakeup_due(worker(asleep=True, queue=[queued]))
@@ -74,16 +77,18 @@
     ],
     ids=["open", "past its deadline", "ended", "function not registered"],
 )
-def test_only_a_call_that_is_still_needed_is_assigned(queued_call, functions, now_us, function):
+def test_only_an_open_call_of_a_registered_function_is_assigned_before_its_deadline(
+    queued_call, functions, now_us, function
+):
     queued = QueuedCall(queued_call, "f", "t", 0)
     assert function_to_assign(queued, functions, now_us) == function
 
 
-def test_the_narrower_registered_name_goes_first():
+def test_a_function_name_with_a_tenant_has_priority_over_one_without():
     assert registered_name({"f", "t/f"}, "f", "t") == "t/f"
     assert registered_name({"f", "t/f"}, "f", "u") == "f"
 
 
-def test_another_start_alone_is_no_other_worker():
+def test_another_start_time_alone_leaves_the_identity_unchanged():
     assert is_same_identity(IDENTITY, replace(IDENTITY, started_us=2_000))
     assert not is_same_identity(IDENTITY, replace(IDENTITY, slots=2))
--- a/tests/gearman/test_gearman_clients.py
+++ b/tests/gearman/test_gearman_clients.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect, coalesce their jobs or submit them in the background."""
+"""Tests of clients that disconnect, share one job or submit background jobs."""
 
 from stepstream.gearman.codec import PacketKind
 from tests.gearman.service_harness import (
@@ -7,12 +7,12 @@
     ServiceHarness,
     harness_with_worker,
     job_status,
-    make_section,
+    section_with,
     submit_job,
 )
 
 
-def test_a_job_whose_client_disconnects_is_given_up_and_cancelled_at_the_http_node():
+def test_a_job_whose_client_disconnects_is_cancelled_at_its_http_worker():
     harness = ServiceHarness()
     harness.list_http_worker()
     client = harness.connect()
@@ -31,10 +31,12 @@
     assert worker.grab_job() is None
 
 
-def test_a_coalesced_job_is_given_up_when_its_last_client_disconnects():
+def test_a_coalesced_job_is_cancelled_when_its_last_client_disconnects():
     harness, worker = harness_with_worker()
     clients = [harness.connect() for _ in range(3)]
-    handles = {submit_job(client, unique="same", data=f"{k}") for k, client in enumerate(clients)}
+    handles = {
+        submit_job(client, unique="same", workload=f"{k}") for k, client in enumerate(clients)
+    }
     assert len(handles) == 1
     assert len(harness.core.requests) == 1
     assigned = worker.grab_job()
@@ -45,13 +47,13 @@
     assert harness.core.open_count == 1
     worker.send(PacketKind.WORK_COMPLETE, assigned[0], "r")
     assert [p.args[1] for p in clients[2].packets_of(*OUTCOME_KINDS)] == [b"r"]
-    # Ended: the same unique is a new job.
+    # The job has ended, so the same unique id opens a new job.
     assert submit_job(clients[2], unique="same") not in handles
     clients[2].disconnect()
     assert harness.core.open_count == 0
 
 
-def test_a_client_that_submits_one_unique_twice_gets_two_outcomes():
+def test_a_client_that_submits_one_unique_id_twice_gets_two_outcomes():
     harness, worker = harness_with_worker()
     client = harness.connect()
     assert submit_job(client, unique="u") == submit_job(client, unique="u")
@@ -59,7 +61,7 @@
     assert len(client.packets_of(PacketKind.WORK_COMPLETE)) == 2
 
 
-def test_the_same_unique_of_another_tenant_or_class_is_another_job():
+def test_the_same_unique_id_of_another_tenant_or_class_is_another_job():
     harness, _ = harness_with_worker()
     client = harness.connect()
     functions = (
@@ -70,12 +72,12 @@
     )
     assert (
         len({submit_job(client, function, "u") for function in functions}) == 3
-    )  # a bare one is tatra-invest's
+    )  # a name without tenant means tatra-invest
     assert submit_job(client, "revalue", "-", "w") == submit_job(client, "revalue", "-", "w")
     assert submit_job(client, "revalue", "-", "v") != submit_job(client, "revalue", "-", "w")
 
 
-def test_a_background_job_goes_on_without_its_client_and_its_status_can_be_read():
+def test_a_background_job_goes_on_after_its_client_disconnects_and_has_a_status():
     harness, worker = harness_with_worker()
     submitter = harness.connect()
     client = harness.connect()
@@ -88,7 +90,7 @@
     assert job_status(client, handle) == (1, 0, 9, 9)
     (packet,) = client.send(PacketKind.GET_STATUS_UNIQUE, "bg")
     assert packet.args == (b"bg", b"1", b"0", b"9", b"9", b"0")
-    harness.advance_time((SECTION.outcome_retention_seconds + 1) * 1_000_000, step=10_000_000)
+    harness.advance_time((SECTION.outcome_retention_seconds + 1) * 1_000_000, step_us=10_000_000)
     assert job_status(client, handle) == (0, 0, 0, 0)
     assert not harness.state.jobs.latest_by_unique
 
@@ -99,8 +101,8 @@
     handle = submit_job(client, kind=PacketKind.SUBMIT_JOB_BG)
     assert job_status(client, handle) == (1, 0, 0, 0)
     harness.advance_time(1_000_000)
-    known, running, retry_after_ms, of = job_status(client, handle)
-    assert (known, running, of) == (1, 0, 0)
+    known, running, retry_after_ms, denominator = job_status(client, handle)
+    assert (known, running, denominator) == (1, 0, 0)
     assert retry_after_ms >= 1
     harness, worker = harness_with_worker()
     worker.send(PacketKind.CAN_DO, "once")
@@ -110,7 +112,7 @@
     assert job_status(client, handle) == (1, 0, 0, 1)
 
 
-def test_a_foreground_client_that_joins_a_background_job_may_disconnect_again():
+def test_a_background_job_goes_on_when_a_foreground_client_of_it_disconnects():
     harness, worker = harness_with_worker()
     background_handle = submit_job(harness.connect(), unique="u", kind=PacketKind.SUBMIT_JOB_BG)
     foreground = harness.connect()
@@ -120,8 +122,8 @@
     assert harness.core.open_count == 1
 
 
-def test_retained_outcomes_are_bounded_and_the_oldest_go_first():
-    harness, worker = harness_with_worker(section=make_section(max_retained_outcomes=2))
+def test_retained_outcomes_are_limited_and_the_oldest_are_dropped_first():
+    harness, worker = harness_with_worker(section=section_with(max_retained_outcomes=2))
     client = harness.connect()
     handles = []
     for _ in range(3):
--- a/tests/gearman/test_gearman_codec.py
+++ b/tests/gearman/test_gearman_codec.py
@@ -1,4 +1,4 @@
-"""Gearman's packets: parsing in pieces, faults of the framing, and a session's own replies."""
+"""Tests of the codec and the session: split packets, framing errors and a session's replies."""
 
 import pytest
 from hypothesis import given, settings
@@ -19,37 +19,37 @@
 from stepstream.gearman.session import Reply, Session
 from tests.config.configurations import LIMITS
 
-WORD = st.binary(max_size=20).map(lambda data: data.replace(b"\0", b"x"))
+ARGUMENT_BYTES = st.binary(max_size=20).map(lambda data: data.replace(b"\0", b"x"))
 
 
 @st.composite
-def packets(draw, forms):
-    kind = draw(st.sampled_from(sorted(forms)))
-    args = [draw(WORD) for _ in forms[kind][:-1]]
-    return Packet(kind, (*args, draw(st.binary(max_size=60))) if forms[kind] else ())
+def packets(draw, argument_names):
+    kind = draw(st.sampled_from(sorted(argument_names)))
+    args = [draw(ARGUMENT_BYTES) for _ in argument_names[kind][:-1]]
+    return Packet(kind, (*args, draw(st.binary(max_size=60))) if argument_names[kind] else ())
 
 
-def feed_split(parser, data, cuts):
-    found = []
-    for start, end in zip([0, *cuts], [*cuts, len(data)], strict=True):
+def feed_in_pieces(parser, data, cut_positions):
+    messages = []
+    for start, end in zip([0, *cut_positions], [*cut_positions, len(data)], strict=True):
         parser.feed(data[start:end])
-        while (item := parser.next_message()) is not None:
-            found.append(item)
-    return found
+        while (message := parser.next_message()) is not None:
+            messages.append(message)
+    return messages
 
 
 @pytest.mark.parametrize(
-    ("forms", "magic"), [(REQUEST_ARGUMENTS, codec.REQ), (RESPONSE_ARGUMENTS, codec.RES)]
+    ("argument_names", "magic"), [(REQUEST_ARGUMENTS, codec.REQ), (RESPONSE_ARGUMENTS, codec.RES)]
 )
-def test_written_packets_parse_back_however_they_are_split(forms, magic):
+def test_encoded_packets_are_parsed_unchanged_however_they_are_split(argument_names, magic):
     @settings(derandomize=True, deadline=None, max_examples=200, database=None)
     @given(st.data())
     def check(data):
-        sent = data.draw(st.lists(packets(forms), max_size=6))
+        sent = data.draw(st.lists(packets(argument_names), max_size=6))
         raw = b"".join(codec.encode_packet(magic, packet.kind, *packet.args) for packet in sent)
-        cuts = sorted(data.draw(st.lists(st.integers(0, len(raw)), max_size=8)))
+        cut_positions = sorted(data.draw(st.lists(st.integers(0, len(raw)), max_size=8)))
         parser = Parser(LIMITS, responses=magic is codec.RES)
-        assert feed_split(parser, raw, cuts) == sent
+        assert feed_in_pieces(parser, raw, cut_positions) == sent
         assert parser.is_idle
 
     check()
@@ -57,17 +57,19 @@
 
 @settings(derandomize=True, deadline=None, max_examples=300, database=None)
 @given(st.binary(max_size=200), st.lists(st.integers(0, 200), max_size=4))
-def test_any_bytes_parse_or_raise_a_framing_error_behind_which_nothing_is_parsed(data, cuts):
+def test_any_bytes_are_parsed_or_raise_a_framing_error_after_which_nothing_is_parsed(
+    data, cut_positions
+):
     parser = Parser(LIMITS)
     try:
-        feed_split(parser, data, sorted(min(cut, len(data)) for cut in cuts))
+        feed_in_pieces(parser, data, sorted(min(cut, len(data)) for cut in cut_positions))
     except FramingError:
         parser.feed(codec.encode_request(PacketKind.GRAB_JOB))
         with pytest.raises(FramingError):
             parser.next_message()
 
 
-def test_every_type_of_packet_has_its_argument_names():
+def test_every_packet_kind_has_argument_names():
     assert {kind for kind in PacketKind} == set(REQUEST_ARGUMENTS) | set(RESPONSE_ARGUMENTS)
     assert set(REQUEST_ARGUMENTS) & set(RESPONSE_ARGUMENTS) == {
         kind for kind in PacketKind if kind.name.startswith("WORK_")
@@ -105,13 +107,13 @@
 
 
 def test_another_protocols_request_ends_the_connection_before_its_body_is_parsed():
-    hidden = codec.encode_request(PacketKind.SUBMIT_JOB, "revalue", "", "x")
-    (reply,) = Session(LIMITS).feed(b"POST /revalue HTTP/1.1\r\n\r\n" + hidden)
+    packet_in_body = codec.encode_request(PacketKind.SUBMIT_JOB, "revalue", "", "x")
+    (reply,) = Session(LIMITS).feed(b"POST /revalue HTTP/1.1\r\n\r\n" + packet_in_body)
     assert reply.close
     assert reply.data.startswith(b"ERR UNKNOWN_COMMAND")
 
 
-def test_too_large_a_packet_is_rejected_before_its_body_comes():
+def test_a_too_large_packet_is_rejected_before_its_body_arrives():
     parser = Parser(LIMITS)
     parser.feed(codec.HEADER.pack(codec.REQ, PacketKind.ECHO_REQ, LIMITS.gearman.packet_bytes + 1))
     with pytest.raises(FramingError):
@@ -119,7 +121,7 @@
     assert parser.state is ParserState.BROKEN
 
 
-def test_text_and_packets_mix_on_one_connection():
+def test_one_connection_carries_text_commands_and_packets():
     parser = Parser(LIMITS)
     parser.feed(
         b"status\r\n"
@@ -136,7 +138,7 @@
     assert parser.next_message() == TextLine(("version",))
 
 
-def test_unknown_types_keep_the_framing_and_are_limited_in_number():
+def test_unknown_packets_keep_the_framing_and_too_many_end_the_connection():
     parser = Parser(LIMITS)
     parser.feed(
         codec.HEADER.pack(codec.REQ, 99, 2) + b"ab" + codec.encode_request(PacketKind.PRE_SLEEP)
@@ -169,7 +171,7 @@
     assert b"NOT_OFFERED\0SUBMIT_" in reply.data
 
 
-def test_arguments_that_could_not_be_split_are_not_written():
+def test_arguments_that_the_receiver_could_not_split_are_not_encoded():
     with pytest.raises(ValueError, match="NUL"):
         codec.encode_request(PacketKind.SUBMIT_JOB, "a\0b", "", "")
     with pytest.raises(ValueError, match="arguments"):
--- a/tests/gearman/test_gearman_connection.py
+++ b/tests/gearman/test_gearman_connection.py
@@ -1,4 +1,4 @@
-"""A Gearman connection on a loopback socket: its closes against messages that have arrived."""
+"""Tests of closing a Gearman connection on which messages have arrived, over loopback."""
 
 import socket
 import threading
@@ -19,7 +19,7 @@
 from tests.gearman.service_harness import SECTION
 from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
-CLOSES = {
+CLOSE_METHODS = {
     "shutdown": lambda connection: connection.close_if_idle(),
     "evicted": lambda connection: connection.evict(),
     "timeout": lambda connection: connection.enforce_timeouts(float("inf")),
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def connection_and_peer():
-    """A connection whose reader thread runs, and its peer, which has sent work before."""
+    """Yield a connection with a running reader thread, and its peer, which has sent a message."""
     events = []
     server = InboundServer(
         LIMITS, Clock(), ClientApi(POLICY_SETTINGS), events.append, lambda host: False
@@ -49,23 +49,24 @@
     reader.join(WAIT_TIMEOUT_SECONDS)
 
 
-@pytest.mark.parametrize("close", CLOSES)
-def test_a_submission_that_was_received_is_answered_though_its_connection_seems_idle(
+@pytest.mark.parametrize("close", CLOSE_METHODS)
+def test_a_submission_received_before_the_connection_is_closed_is_answered(
     connection_and_peer, monkeypatch, close
 ):
-    # Guards against a submission that is read and whose connection closes without a reply.
+    # Guards against closing a connection whose submission was read but not handled yet: the
+    # client would get no reply.
     connection, peer = connection_and_peer
-    received, go = threading.Event(), threading.Event()
+    received, may_continue = threading.Event(), threading.Event()
 
     def pause_before_handling(step):
         received.set()
-        assert go.wait(WAIT_TIMEOUT_SECONDS)
+        assert may_continue.wait(WAIT_TIMEOUT_SECONDS)
 
     monkeypatch.setattr(connection, "_throttle", pause_before_handling)
     peer.send(PacketKind.SUBMIT_JOB, "tatra-invest/revalue", "", "x")
     assert received.wait(WAIT_TIMEOUT_SECONDS)
-    CLOSES[close](connection)
-    go.set()
+    CLOSE_METHODS[close](connection)
+    may_continue.set()
     assert peer.receive().kind is PacketKind.JOB_CREATED
 
 
@@ -75,7 +76,7 @@
 ):
     connection, _ = connection_and_peer
     monkeypatch.setattr(connection.transport, "has_unread", lambda: True)
-    assert not CLOSES[close](connection)
+    assert not CLOSE_METHODS[close](connection)
 
 
 def test_an_idle_connection_is_closed(connection_and_peer):
--- a/tests/gearman/test_gearman_jobs.py
+++ b/tests/gearman/test_gearman_jobs.py
@@ -1,4 +1,4 @@
-"""Submitted jobs and their outcomes, on the real core and policy without a socket."""
+"""Tests of submitted jobs and their outcomes, with the real core and policy, without sockets."""
 
 import re
 from dataclasses import replace
@@ -13,12 +13,12 @@
     ServiceHarness,
     error_code,
     harness_with_worker,
-    make_section,
+    section_with,
     submit_job,
 )
 
 
-def test_a_job_goes_to_a_worker_and_its_result_comes_back_in_the_order_sent():
+def test_a_job_runs_at_a_worker_whose_reports_reach_the_client_in_order():
     harness, worker = harness_with_worker()
     client = harness.connect()
     handle = submit_job(client, "tatra-invest/revalue+2", "u1", "body")
@@ -42,7 +42,7 @@
     assert harness.state.jobs.open_workload_bytes == 0
 
 
-def test_a_job_that_failed_after_data_serves_only_what_the_second_worker_made():
+def test_a_repeated_job_returns_only_the_data_of_the_worker_that_completed_it():
     harness, first = harness_with_worker()
     second = harness.connect().register_worker("v")
     client = harness.connect()
@@ -57,7 +57,7 @@
     ] == [b"whole of the second"]
 
 
-def test_a_gearman_job_runs_on_an_http_node_with_its_key_and_progress():
+def test_a_gearman_job_runs_at_an_http_worker_with_its_key_and_progress():
     harness = ServiceHarness()
     harness.list_http_worker()
     client = harness.connect()
@@ -71,7 +71,7 @@
 
 
 def test_rejected_and_failed_jobs_differ_and_a_rejected_one_has_a_retry_after():
-    harness = ServiceHarness()  # no worker at all: refused once its patience ends
+    harness = ServiceHarness()  # without a worker the job is rejected after a while
     client = harness.connect()
     with_exceptions = harness.connect()
     with_exceptions.send(PacketKind.OPTION_REQ, "exceptions")
@@ -116,19 +116,22 @@
 
 
 @pytest.mark.parametrize("unique", [b"two words", b"\x01\xff" * 8, b"\xfe" * 128])
-def test_a_unique_id_of_opaque_bytes_is_a_key_and_coalesces_by_its_bytes(unique):
-    # Guards against BAD_UNIQUE for the raw bytes that a client library sends on a keyed class.
+def test_a_unique_id_of_arbitrary_bytes_becomes_a_key_and_identifies_the_job(unique):
+    # Guards against BAD_UNIQUE for the raw bytes that a client library sends as the unique id of
+    # a class with idempotency keys.
     harness = ServiceHarness()
     harness.list_http_worker()
     client = harness.connect()
-    handles = [submit_job(client, "nav-publish", one, "body") for one in (unique, unique)]
+    handles = [
+        submit_job(client, "nav-publish", same_unique, "body") for same_unique in (unique, unique)
+    ]
     assert handles[0] == handles[1]
     (call,) = harness.http_calls
     assert call.request.payload.idempotency_key == idempotency_key(unique)
     assert submit_job(client, "nav-publish", unique[:-1] + b"\x02", "body") != handles[0]
 
 
-def test_each_unique_id_has_a_key_of_its_own_and_of_the_allowed_form():
+def test_different_unique_ids_have_different_valid_keys():
     hashed = idempotency_key(b"\x00raw")
     uniques = [b"plain", b"%41", b"A", b"a b", b"\x00raw", hashed.encode(), b"\xff" * 128]
     keys = [idempotency_key(unique) for unique in uniques]
@@ -139,14 +142,14 @@
 
 @pytest.mark.parametrize("kind", [PacketKind.GET_STATUS, PacketKind.GET_STATUS_UNIQUE])
 def test_a_nul_in_a_status_request_is_an_error_and_the_connection_goes_on(kind):
-    # Guards against a fault that ends the connection: the answer could not repeat the NUL.
+    # Guards against an exception that ends the connection: the response cannot repeat the NUL.
     client = ServiceHarness().connect()
     assert error_code(client.send(kind, b"H:a\0b")) == "BAD_ARGUMENTS"
     assert not client.closed_by_service
     assert client.send(PacketKind.ECHO_REQ, "on")[0].kind is PacketKind.ECHO_RES
 
 
-def test_slots_beyond_the_bound_are_refused_whatever_zeros_lead_them():
+def test_too_many_slots_are_rejected_despite_leading_zeros():
     client = ServiceHarness().connect()
     client.send(PacketKind.SUBMIT_JOB, "revalue+0000010249999999", "", "x")
     assert [(packet.kind, packet.args[0]) for packet in client.received] == [
@@ -155,28 +158,30 @@
 
 
 def test_submissions_beyond_a_limit_are_rejected_with_a_retry_after():
-    small = replace(
+    small_limits = replace(
         LIMITS,
         gearman=replace(LIMITS.gearman, in_flight_workload_bytes=100),
         sizes=replace(LIMITS.sizes, body_bytes=90),
     )
-    harness = ServiceHarness(limits=small, section=make_section(jobs_a_connection=2))
+    harness = ServiceHarness(limits=small_limits, section=section_with(jobs_a_connection=2))
     client = harness.connect()
     assert (
         error_code(client.send(PacketKind.SUBMIT_JOB, "revalue", "", "x" * 91))
         == "WORKLOAD_TOO_LARGE"
     )
-    submit_job(client, data="x" * 80)
-    fault = client.send(PacketKind.SUBMIT_JOB, "revalue", "", "x" * 30)
-    assert error_code(fault) == "JOB_QUEUE_FULL"
-    assert b"retry-after=2.000" in fault[0].args[1]
+    submit_job(client, workload="x" * 80)
+    errors = client.send(PacketKind.SUBMIT_JOB, "revalue", "", "x" * 30)
+    assert error_code(errors) == "JOB_QUEUE_FULL"
+    assert b"retry-after=2.000" in errors[0].args[1]
     submit_job(client)
     assert error_code(client.send(PacketKind.SUBMIT_JOB, "revalue", "", "")) == "JOB_QUEUE_FULL"
-    few = ServiceHarness(limits=replace(LIMITS, gearman=replace(LIMITS.gearman, open_jobs=2)))
+    harness_of_two_jobs = ServiceHarness(
+        limits=replace(LIMITS, gearman=replace(LIMITS.gearman, open_jobs=2))
+    )
     for _ in range(2):
-        submit_job(few.connect(), kind=PacketKind.SUBMIT_JOB_BG)
+        submit_job(harness_of_two_jobs.connect(), kind=PacketKind.SUBMIT_JOB_BG)
     assert (
-        error_code(few.connect().send(PacketKind.SUBMIT_JOB_BG, "revalue", "", ""))
+        error_code(harness_of_two_jobs.connect().send(PacketKind.SUBMIT_JOB_BG, "revalue", "", ""))
         == "JOB_QUEUE_FULL"
     )
     harness.overloaded = True
--- a/tests/gearman/test_gearman_model.py
+++ b/tests/gearman/test_gearman_model.py
@@ -1,4 +1,4 @@
-"""The Gearman service against a model, over random sequences of steps."""
+"""A model-based test of the Gearman service over random sequences of steps."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -11,66 +11,66 @@
 )
 
 FUNCTIONS = ("revalue", "nav-publish", "once")
-PLACES_OF_CLIENTS = st.integers(0, 2)
-PLACES_OF_WORKERS = st.integers(0, 1)
-PAST_EVERY_DEADLINE_US = 12_000_000
+CLIENT_INDEXES = st.integers(0, 2)
+WORKER_INDEXES = st.integers(0, 1)
+LONGER_THAN_EVERY_DEADLINE_US = 12_000_000
 
 
 class ServiceMachine(RuleBasedStateMachine):
-    """The model: the answers due to each client, and how often each workload was assigned."""
+    """The model: how many outcomes each client must get, and how often a workload was assigned."""
 
     def __init__(self):
         super().__init__()
         self.harness = ServiceHarness()
         self.clients = [self.harness.connect() for _ in range(3)]
-        self.workers = [self.connect_worker(place) for place in range(2)]
+        self.workers = [self.connect_worker(index) for index in range(2)]
         self.assigned = {worker: [] for worker in self.workers}
-        self.due_answers = {client: 0 for client in self.clients}
-        self.assignments = {}  # their number by workload
-        self.submitted = 0
+        self.expected_outcomes = {client: 0 for client in self.clients}
+        self.assignment_counts = {}  # how often each workload was assigned
+        self.submitted_count = 0
 
-    def connect_worker(self, place):
-        return self.harness.connect().register_worker(f"w{place}", *FUNCTIONS)
+    def connect_worker(self, index):
+        return self.harness.connect().register_worker(f"w{index}", *FUNCTIONS)
 
     # -- rules ----------------------------------------------------------------------------------
 
     @rule(
-        place=PLACES_OF_CLIENTS,
+        index=CLIENT_INDEXES,
         function=st.sampled_from(FUNCTIONS),
         unique=st.sampled_from(("", "same")),
         background=st.booleans(),
     )
-    def submit(self, place, function, unique, background):
-        client = self.clients[place]
-        if client not in self.due_answers:
+    def submit(self, index, function, unique, background):
+        client = self.clients[index]
+        if client not in self.expected_outcomes:
             return
-        self.submitted += 1
+        self.submitted_count += 1
         kind = PacketKind.SUBMIT_JOB_HIGH_BG if background else PacketKind.SUBMIT_JOB
         if not unique and function == "nav-publish":
-            unique = f"own{self.submitted}"
-        assert submit_job(client, function, unique, f"{function} {self.submitted}", kind)
+            unique = f"own{self.submitted_count}"
+        assert submit_job(client, function, unique, f"{function} {self.submitted_count}", kind)
         if not background:
-            self.due_answers[client] += 1
+            self.expected_outcomes[client] += 1
 
-    @rule(place=PLACES_OF_WORKERS)
-    def grab(self, place):
-        worker = self.workers[place]
+    @rule(index=WORKER_INDEXES)
+    def grab(self, index):
+        worker = self.workers[index]
         if worker.peer.disconnected:
             return
         job = worker.grab_job()
         if job is not None:
             workload = job[3]
             self.assigned[worker].append(job)
-            self.assignments[workload] = self.assignments.get(workload, 0) + 1
+            self.assignment_counts[workload] = self.assignment_counts.get(workload, 0) + 1
 
     @rule(
-        place=PLACES_OF_WORKERS,
+        index=WORKER_INDEXES,
         kind=st.sampled_from(
             (PacketKind.WORK_COMPLETE, PacketKind.WORK_FAIL, PacketKind.WORK_STATUS)
         ),
     )
-    def report(self, place, kind):
-        worker = self.workers[place]
+    def report(self, index, kind):
+        worker = self.workers[index]
         if not self.assigned[worker]:
             return
         handle, _, _, workload = self.assigned[worker][0]
@@ -79,34 +79,34 @@
             return
         self.assigned[worker].pop(0)
         if kind is PacketKind.WORK_COMPLETE:
-            worker.send(kind, handle, b"made of " + workload)
+            worker.send(kind, handle, b"result of " + workload)
         else:
             worker.send(kind, handle)
 
-    @rule(place=PLACES_OF_CLIENTS)
-    def disconnect_client(self, place):
-        client = self.clients[place]
-        if client in self.due_answers:
+    @rule(index=CLIENT_INDEXES)
+    def disconnect_client(self, index):
+        client = self.clients[index]
+        if client in self.expected_outcomes:
             client.disconnect()
-            del self.due_answers[client]
+            del self.expected_outcomes[client]
 
-    @rule(place=PLACES_OF_WORKERS)
-    def reconnect_worker(self, place):
-        worker = self.workers[place]
+    @rule(index=WORKER_INDEXES)
+    def reconnect_worker(self, index):
+        worker = self.workers[index]
         worker.disconnect()
         del self.assigned[worker]
-        self.workers[place] = self.connect_worker(place)
-        self.assigned[self.workers[place]] = []
+        self.workers[index] = self.connect_worker(index)
+        self.assigned[self.workers[index]] = []
 
-    @rule(place=PLACES_OF_WORKERS)
-    def drain(self, place):
-        self.workers[place].send(PacketKind.RESET_ABILITIES)
-        assert not self.workers[place].peer.worker.queue
+    @rule(index=WORKER_INDEXES)
+    def drain(self, index):
+        self.workers[index].send(PacketKind.RESET_ABILITIES)
+        assert not self.workers[index].peer.worker.queue
 
-    @rule(place=PLACES_OF_WORKERS)
-    def end_drain(self, place):
+    @rule(index=WORKER_INDEXES)
+    def end_drain(self, index):
         for function in FUNCTIONS:
-            self.workers[place].send(PacketKind.CAN_DO, function)
+            self.workers[index].send(PacketKind.CAN_DO, function)
 
     @rule(duration_ms=st.integers(1, 800))
     def wait(self, duration_ms):
@@ -117,18 +117,19 @@
     @invariant()
     def agrees_with_the_model(self):
         assert not self.harness.log.events
-        self.check_answers()
+        self.check_outcomes()
         self.check_open_jobs()
         self.check_queues()
 
-    def check_answers(self):
+    def check_outcomes(self):
         jobs = self.harness.state.jobs
-        for client, due in self.due_answers.items():
+        for client, expected in self.expected_outcomes.items():
             assert (
-                len(client.packets_of(*OUTCOME_KINDS)) + jobs.submission_count(client.peer) == due
+                len(client.packets_of(*OUTCOME_KINDS)) + jobs.submission_count(client.peer)
+                == expected
             )
             for packet in client.packets_of(PacketKind.WORK_COMPLETE):
-                assert packet.args[1].startswith(b"made of ")
+                assert packet.args[1].startswith(b"result of ")
 
     def check_open_jobs(self):
         jobs = self.harness.state.jobs
@@ -139,21 +140,21 @@
 
     def check_queues(self):
         workers = self.harness.state.workers.by_id.values()
-        waiting = [waiter.call for worker in workers for waiter in worker.queue]
-        assert all(call.open for call in waiting)
-        assert len(set(map(id, waiting))) == len(waiting)
-        for workload, count in self.assignments.items():
+        queued_calls = [queued.call for worker in workers for queued in worker.queue]
+        assert all(call.open for call in queued_calls)
+        assert len(set(map(id, queued_calls))) == len(queued_calls)
+        for workload, count in self.assignment_counts.items():
             assert count == 1 or not workload.startswith(b"once")
 
     def teardown(self):
-        """Check that every client has its answers past every deadline."""
-        self.harness.advance_time(PAST_EVERY_DEADLINE_US, step=500_000)
-        for client, due in self.due_answers.items():
-            assert len(client.packets_of(*OUTCOME_KINDS)) == due
+        """Check that every client has its outcomes after every deadline has passed."""
+        self.harness.advance_time(LONGER_THAN_EVERY_DEADLINE_US, step_us=500_000)
+        for client, expected in self.expected_outcomes.items():
+            assert len(client.packets_of(*OUTCOME_KINDS)) == expected
         assert self.harness.core.open_count == 0
         assert not self.harness.state.jobs.submissions
         assert set(self.harness.state.jobs.by_handle) == set(self.harness.state.jobs.retained)
 
 
-def test_clients_and_workers_against_their_model(run_state_machine):
+def test_the_service_agrees_with_the_model_over_random_steps(run_state_machine):
     run_state_machine(ServiceMachine)
--- a/tests/gearman/test_gearman_node.py
+++ b/tests/gearman/test_gearman_node.py
@@ -1,4 +1,4 @@
-"""The whole program with Gearman on loopback: a library's client and worker, and peers at fault."""
+"""Tests of the whole program on loopback, with Gearman client libraries and faulty peers."""
 
 import contextlib
 import json
@@ -15,7 +15,7 @@
 from stepstream.gearman import codec
 from stepstream.gearman.codec import PacketKind
 from tests.config.configurations import CONFIGURATION
-from tests.gearman.program import SECTION, revalue_with_progress
+from tests.gearman.program import OPERATOR_FILE_TEMPLATE, revalue_with_progress
 from tests.http.messages import job_request
 from tests.http.scripted_server import exchange
 from tests.node.dispatcher_process import ROOT
@@ -23,8 +23,8 @@
 from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 
-def library_worker(program, name, functions):
-    """pygearman's worker, as it is; it ends with the program."""
+def start_pygearman_worker(program, name, functions):
+    """Run an unmodified worker of pygearman in a thread; it ends with the program."""
 
     def run():
         worker = gearman.GearmanWorker([f"127.0.0.1:{program.gearman_port}"])
@@ -38,21 +38,21 @@
     wait_for(lambda: name.decode().partition(";")[0] in program.command("workers"))
 
 
-RAW_UNIQUE = bytes(range(1, 9)) + b"\xff" * 8  # of the length that client libraries draw
+RAW_UNIQUE = bytes(range(1, 9)) + b"\xff" * 8  # 16 raw bytes, as client libraries generate
 
 
-def test_a_raw_unique_id_of_a_client_library_is_a_key(program):
-    # Guards against BAD_UNIQUE for opaque bytes on a class with idempotency keys.
-    library_worker(program, b"lib;start=1", {b"nav-publish": lambda worker, job: b"done"})
+def test_a_raw_unique_id_of_pygearman_becomes_a_key(program):
+    # Guards against BAD_UNIQUE for raw bytes as the unique id of a class with idempotency keys.
+    start_pygearman_worker(program, b"lib;start=1", {b"nav-publish": lambda worker, job: b"done"})
     client = gearman.GearmanClient([f"127.0.0.1:{program.gearman_port}"])
-    done = client.submit_job(
+    completed = client.submit_job(
         "nav-publish", b"x", unique=RAW_UNIQUE, poll_timeout=WAIT_TIMEOUT_SECONDS
     )
-    assert (done.state, done.result) == ("COMPLETE", b"done")
+    assert (completed.state, completed.result) == ("COMPLETE", b"done")
 
 
-def test_another_client_library_sends_a_raw_unique_id_and_reads_an_error_code_of_letters(program):
-    library_worker(program, b"lib;start=1", {b"nav-publish": lambda worker, job: b"done"})
+def test_the_gear_library_sends_a_raw_unique_id_and_parses_an_error_code(program):
+    start_pygearman_worker(program, b"lib;start=1", {b"nav-publish": lambda worker, job: b"done"})
     client = gear.Client()
     client.addServer("127.0.0.1", program.gearman_port)
     client.waitForServer()
@@ -67,20 +67,24 @@
         client.shutdown()
 
 
-def broken(worker, job):
+def failing_task(worker, job):
     raise ValueError("no market data")
 
 
 def test_pygearman_works_unchanged_as_client_worker_and_admin_client(program):
-    library_worker(
+    start_pygearman_worker(
         program,
         b"lib;zone=ruzinov;start=1",
-        {b"revalue": revalue_with_progress, b"nav-publish": broken},
+        {b"revalue": revalue_with_progress, b"nav-publish": failing_task},
     )
     client = gearman.GearmanClient([f"127.0.0.1:{program.gearman_port}"])
-    done = client.submit_job("revalue", b"abc", poll_timeout=WAIT_TIMEOUT_SECONDS)
-    assert (done.state, done.result, list(done.data_updates)) == ("COMPLETE", b"ABC", [b"part "])
-    assert (done.status["numerator"], done.status["denominator"]) == (1, 2)
+    completed = client.submit_job("revalue", b"abc", poll_timeout=WAIT_TIMEOUT_SECONDS)
+    assert (completed.state, completed.result, list(completed.data_updates)) == (
+        "COMPLETE",
+        b"ABC",
+        [b"part "],
+    )
+    assert (completed.status["numerator"], completed.status["denominator"]) == (1, 2)
     many = [{"task": "tatra-invest/revalue", "data": b"%d" % k} for k in range(20)]
     results = client.submit_multiple_jobs(many, poll_timeout=WAIT_TIMEOUT_SECONDS)
     assert [r.result for r in results] == [b"%d" % k for k in range(20)]
@@ -99,12 +103,12 @@
         "tatra-invest/nav-publish",
     }
     assert any(row["client_id"] == "lib" for row in admin.get_workers())
-    # The same worker serves the portal.
+    # The same worker also completes jobs that arrive over HTTP.
     answer = exchange(program.http_port, job_request(body=b"over http"))
     assert (answer.status, answer.body) == (200, b"part OVER HTTP")
 
 
-def test_a_disconnected_client_disturbs_no_other(program):
+def test_a_client_that_disconnects_does_not_affect_another_client(program):
     worker = program.connect().register_worker()
     client = program.connect().send(PacketKind.SUBMIT_JOB, "revalue", "", "one")
     client.receive_until(PacketKind.JOB_CREATED)
@@ -117,7 +121,7 @@
     assert client.receive_until(PacketKind.WORK_COMPLETE).args[1] == b"received"
 
 
-def test_the_job_of_a_worker_that_disconnects_is_done_by_another(program):
+def test_the_job_of_a_worker_that_disconnects_is_completed_by_another_worker(program):
     first = program.connect().register_worker("first")
     client = program.connect().send(PacketKind.SUBMIT_JOB, "revalue", "", "x")
     assigned = first.grab_job()[0]
@@ -156,36 +160,36 @@
         "silent",
     ],
 )
-def test_bad_input_ends_the_connection_in_time_and_disturbs_no_other(program, data):
+def test_bad_input_ends_the_connection_in_time_and_does_not_affect_others(program, data):
     bad = program.connect()
     bad.sock.sendall(data)
     while bad.sock.recv(65536):
-        pass  # an error, or nothing; then the end
+        pass  # an ERROR or nothing, then the end of the connection
     worker = program.connect().register_worker()
     client = program.connect().send(PacketKind.SUBMIT_JOB, "revalue", "", "x")
     worker.send(PacketKind.WORK_COMPLETE, worker.grab_job()[0], "r")
     assert client.receive_until(PacketKind.WORK_COMPLETE).args[1] == b"r"
 
 
-def test_a_client_that_reads_too_little_is_dropped_and_delays_no_other(program):
+def test_a_client_that_reads_too_little_is_dropped_and_does_not_delay_others(program):
     worker = program.connect().register_worker()
     slow = program.connect()
     quick = program.connect()
     slow.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    rounds = 0
+    attempt_count = 0
     slow.send(PacketKind.ECHO_REQ, "x").receive_until(PacketKind.ECHO_RES)
-    part = b"d" * 60_000
-    program.run_in_thread(worker.complete_jobs, part, part, part, "end")
+    data_chunk = b"d" * 60_000
+    program.run_in_thread(worker.complete_jobs, data_chunk, data_chunk, data_chunk, "end")
 
     def dropped():
-        nonlocal rounds
-        rounds += 1
+        nonlocal attempt_count
+        attempt_count += 1
         with contextlib.suppress(OSError):
             slow.send(PacketKind.SUBMIT_JOB, "revalue", "", "x")
         quick.send(PacketKind.SUBMIT_JOB, "revalue", "", "x")
-        # It may be refused while the one worker is busy; it is never left without an outcome.
+        # The job may be rejected while the only worker is busy, but it always gets an outcome.
         quick.receive_until(PacketKind.WORK_COMPLETE, PacketKind.WORK_FAIL)
-        # The worker, the quick client and the connection of this command are left.
+        # Only the worker, the quick client and the connection of this command remain.
         return program.command("workers").count("127.0.0.1") <= 3
 
     wait_for(dropped)
@@ -209,13 +213,13 @@
     assert log.endswith("stepstream: info shutdown_finished\n")
 
 
-def test_a_reload_applies_the_operators_file_completely_or_not_at_all(program):
+def test_a_reload_applies_a_valid_operators_file_and_rejects_a_faulty_one_as_a_whole(program):
     worker = program.connect().register_worker()
-    good = SECTION.format(port=program.gearman_port)
+    good = OPERATOR_FILE_TEMPLATE.format(port=program.gearman_port)
     for bad, key in (
         (good + "quue = 1\n", "quue"),
         (good.replace("tatra-invest", "nobody"), "gearman.tenant=nobody"),
-        (SECTION.format(port=1), "gearman.listen"),
+        (OPERATOR_FILE_TEMPLATE.format(port=1), "gearman.listen"),
         ("", "gearman is switched on or off only with a restart"),
     ):
         program.operator_file.write_text(bad)
--- a/tests/gearman/test_gearman_operators.py
+++ b/tests/gearman/test_gearman_operators.py
@@ -1,4 +1,4 @@
-"""Text commands of operators, and access control, on the service without a socket."""
+"""Tests of operators' text commands and of access control, on the service without sockets."""
 
 from stepstream.gearman.codec import PacketKind
 from stepstream.ports.access_control import Rejection, RejectionKind
@@ -7,7 +7,7 @@
     ServiceHarness,
     error_code,
     harness_with_worker,
-    make_section,
+    section_with,
     submit_job,
 )
 
@@ -18,7 +18,7 @@
     return peer.command_output.decode()
 
 
-def test_text_commands_report_workers_functions_and_jobs():
+def test_text_commands_list_workers_functions_and_jobs_and_cancel_a_job():
     harness, worker = harness_with_worker()
     client = harness.connect()
     handle = submit_job(client, unique="u").decode()
@@ -34,7 +34,7 @@
     assert worker.grab_job() is None
 
 
-def test_maxqueue_bounds_a_function_and_is_lifted_again():
+def test_maxqueue_limits_the_open_jobs_of_a_function_until_it_is_removed():
     harness = ServiceHarness()
     client = harness.connect()
     assert run_command(harness, "maxqueue tatra-invest/revalue 1") == "OK\n"
@@ -46,17 +46,17 @@
     assert run_command(harness, "maxqueue tatra-invest/revalue -1").startswith("ERR BAD_NUMBER")
 
 
-def test_shutdown_is_refused_unless_the_file_allows_it():
+def test_shutdown_is_rejected_unless_the_operators_file_allows_it():
     harness = ServiceHarness()
     assert run_command(harness, "shutdown").startswith("ERR NOT_ALLOWED")
     assert not harness.shutdown_requested
-    harness = ServiceHarness(section=make_section(allow_shutdown=True))
+    harness = ServiceHarness(section=section_with(allow_shutdown=True))
     assert run_command(harness, "shutdown") == "OK\n"
     assert harness.shutdown_requested
 
 
 class FakeAccessControl:
-    """Admits workers with the token `good`, until it admits none; rejects all clients."""
+    """Admits workers with the token `good` while `admits_workers` is set; rejects all clients."""
 
     def __init__(self):
         self.admits_workers = True
@@ -67,11 +67,11 @@
 
     def authorize_worker(self, front, credential, name):
         self.worker_checks += 1
-        good = self.admits_workers and credential.token == b"good"
-        return None if good else Rejection(RejectionKind.FORBIDDEN, "somebody_else")
+        is_allowed = self.admits_workers and credential.token == b"good"
+        return None if is_allowed else Rejection(RejectionKind.FORBIDDEN, "somebody_else")
 
 
-def test_a_worker_whose_credential_expired_is_assigned_nothing_more_and_may_end_its_jobs():
+def test_a_worker_whose_credential_expired_gets_no_job_but_may_end_those_it_holds():
     harness = ServiceHarness()
     harness.host.access_control = access_control = FakeAccessControl()
     worker, client = harness.connect(), harness.connect()
@@ -86,7 +86,7 @@
     assigned = worker.grab_job()[0]
     check_count = access_control.worker_checks
     worker.send(PacketKind.GRAB_JOB)
-    assert access_control.worker_checks == check_count  # found good a moment ago
+    assert access_control.worker_checks == check_count  # the credential was verified a moment ago
     access_control.admits_workers = False
     worker.send(PacketKind.WORK_COMPLETE, assigned, "r")
     assert len(client.packets_of(PacketKind.WORK_COMPLETE)) == 1
--- a/tests/gearman/test_gearman_text_commands.py
+++ b/tests/gearman/test_gearman_text_commands.py
@@ -1,4 +1,4 @@
-"""Text commands: how a line's tokens are told apart, and how errors read."""
+"""Tests of the parser of text commands and of error lines."""
 
 import pytest
 
@@ -18,7 +18,7 @@
     ],
     ids=case_id,
 )
-def test_a_line_is_a_command_and_its_arguments(line, command, arguments):
+def test_a_line_is_parsed_as_a_command_and_its_arguments(line, command, arguments):
     assert parse_command(tuple(line.split())) == (command, arguments)
 
 
@@ -27,5 +27,5 @@
     assert parse_command(tuple(line.split())) is None
 
 
-def test_an_error_is_one_line_whose_text_has_no_blanks():
+def test_an_error_line_has_plus_signs_in_place_of_spaces():
     assert error_line("NOT_ALLOWED", "it is off") == "ERR NOT_ALLOWED it+is+off\n"
--- a/tests/gearman/test_gearman_workers.py
+++ b/tests/gearman/test_gearman_workers.py
@@ -1,4 +1,4 @@
-"""Workers: what they are assigned, their drains and disconnects, and repeats of their jobs."""
+"""Tests of workers: assignment, drains, disconnects and the repetition of their jobs."""
 
 from dataclasses import replace
 
@@ -16,27 +16,27 @@
     error_code,
     harness_with_worker,
     job_status,
-    make_section,
+    section_with,
     submit_job,
 )
 
 
-def test_a_worker_without_a_start_time_counts_as_started_now():
+def test_a_worker_without_a_start_time_counts_as_started_when_it_registers():
     harness = ServiceHarness()
     harness.connect().send(PacketKind.CAN_DO, "revalue")
     harness.connect().register_worker(
-        "w", extra=";zone=petrzalka;kind=old-blade;cell=3;slots=4;weight=0.5"
+        "w", fields=";zone=petrzalka;kind=old-blade;cell=3;slots=4;weight=0.5"
     )
-    new, described = [w.endpoint for w in harness.core.load_balancer.state.workers.by_id.values()]
-    assert new.worker_id == "gearman:c1"
-    assert new.started_us == harness.now_us
-    assert new.supported_jobs == {"revalue"}
+    first, second = [w.endpoint for w in harness.core.load_balancer.state.workers.by_id.values()]
+    assert first.worker_id == "gearman:c1"
+    assert first.started_us == harness.now_us
+    assert first.supported_jobs == {"revalue"}
     assert (
-        described.zone,
-        described.worker_kind,
-        described.cell,
-        described.weight,
-        described.started_us,
+        second.zone,
+        second.worker_kind,
+        second.cell,
+        second.weight,
+        second.started_us,
     ) == (
         1,
         1,
@@ -46,7 +46,7 @@
     )
 
 
-def test_two_connections_of_one_id_are_two_workers():
+def test_two_connections_with_one_client_id_are_two_workers():
     harness = ServiceHarness()
     first, second = harness.connect().register_worker("w"), harness.connect().register_worker("w")
     assert sorted(harness.core.load_balancer.state.workers.by_id) == ["gearman:w", "gearman:w~2"]
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize(
-    "said",
+    "client_id",
     [
         "",
         "a b",
@@ -69,9 +69,9 @@
         "w;cell=1;cell=2",
     ],
 )
-def test_a_client_id_that_cannot_be_read_is_an_error_and_changes_nothing(said):
+def test_an_invalid_client_id_is_an_error_and_is_not_stored(client_id):
     peer = ServiceHarness().connect()
-    assert error_code(peer.send(PacketKind.SET_CLIENT_ID, said)) == "BAD_CLIENT_ID"
+    assert error_code(peer.send(PacketKind.SET_CLIENT_ID, client_id)) == "BAD_CLIENT_ID"
     assert peer.peer.client_id == b""
 
 
@@ -85,7 +85,7 @@
     assert worker.grab_job()[1] == b"hron-asset/revalue"
 
 
-def test_only_the_worker_that_has_work_is_woken_and_once():
+def test_only_the_worker_that_has_work_is_woken_and_only_once():
     harness = ServiceHarness(limits=replace(LIMITS, gearman=replace(LIMITS.gearman, workers=1000)))
     workers = [harness.connect().register_worker(f"w{k}") for k in range(1000)]
     for worker in workers:
@@ -97,25 +97,25 @@
     assert woken[0].grab_job() is not None
 
 
-def test_work_that_came_before_the_worker_slept_wakes_it_at_once():
+def test_a_worker_that_goes_to_sleep_with_a_queued_call_is_woken_at_once():
     harness, worker = harness_with_worker()
     submit_job(harness.connect())
     assert [p.kind for p in worker.send(PacketKind.PRE_SLEEP)] == [PacketKind.NOOP]
 
 
-def test_a_worker_with_a_full_queue_rejects_calls_and_the_policy_tries_elsewhere():
-    harness, worker = harness_with_worker(section=make_section(queue=1))
+def test_calls_beyond_a_workers_queue_are_sent_to_another_worker():
+    harness, worker = harness_with_worker(section=section_with(queue=1))
     harness.list_http_worker()
     client = harness.connect()
     for _ in range(6):
         submit_job(client)
-    member = worker.peer.worker
-    assert len(member.queue) == 2
+    registered_worker = worker.peer.worker
+    assert len(registered_worker.queue) == 2
     assert harness.http_calls
 
 
-@pytest.mark.parametrize("how", ["cant", "reset", "close"])
-def test_calls_queued_at_a_draining_worker_have_never_run_and_go_elsewhere(how):
+@pytest.mark.parametrize("departure", ["cant", "reset", "close"])
+def test_calls_queued_at_a_leaving_worker_are_sent_to_another_worker(departure):
     harness, worker = harness_with_worker()
     submit_job(harness.connect(), "once")
     assert not harness.http_calls
@@ -123,22 +123,26 @@
     harness.advance_time(1_000)
     assert len(worker.peer.worker.queue) == 1
     harness.list_http_worker()
-    if how == "close":
+    if departure == "close":
         worker.disconnect()
     else:
         worker.send(
-            *((PacketKind.CANT_DO, "once") if how == "cant" else (PacketKind.RESET_ABILITIES,))
+            *(
+                (PacketKind.CANT_DO, "once")
+                if departure == "cant"
+                else (PacketKind.RESET_ABILITIES,)
+            )
         )
-        assert worker.grab_job() is None  # at once, not only after 500 ms
-    # Even what must never run twice may be sent again: it was never handed over.
+        assert worker.grab_job() is None  # at once, not only after the queue wait of 1,000 ms
+    # Even a job that must not run twice may be sent again, because it was never assigned.
     assert [call.request.job_class for call in harness.http_calls] == [2]
 
 
 @pytest.mark.parametrize(
-    ("function", "again"), [("revalue", True), ("nav-publish", True), ("once", False)]
+    ("function", "is_repeated"), [("revalue", True), ("nav-publish", True), ("once", False)]
 )
-def test_a_worker_that_disconnects_after_progress_is_repeated_only_as_the_class_allows(
-    function, again
+def test_a_job_is_repeated_after_its_worker_disconnects_only_if_its_class_allows_it(
+    function, is_repeated
 ):
     harness, worker = harness_with_worker()
     worker.send(PacketKind.CAN_DO, "once")
@@ -148,15 +152,15 @@
     worker.send(PacketKind.WORK_STATUS, assigned, "1", "2")
     harness.list_http_worker()
     worker.disconnect()
-    assert len(harness.http_calls) == again
-    if not again:
+    assert len(harness.http_calls) == is_repeated
+    if not is_repeated:
         assert [p.kind for p in client.packets_of(*OUTCOME_KINDS)] == [PacketKind.WORK_FAIL]
 
 
-def test_a_keyed_job_stays_in_the_cell_of_the_worker_that_may_have_run_it_and_in_its_window():
+def test_a_keyed_job_is_repeated_only_in_the_cell_of_the_worker_that_may_have_run_it():
     harness = ServiceHarness()
     workers = [
-        harness.connect().register_worker(f"w{k}", extra=f";cell={cell}")
+        harness.connect().register_worker(f"w{k}", fields=f";cell={cell}")
         for k, cell in enumerate((1, 1, 2, 2))
     ]
     client = harness.connect()
@@ -171,15 +175,15 @@
     assert second is not first
     second.grab_job()
     second.disconnect()
-    # Nobody of the cell is left: the others never see it.
+    # No worker of the cell is left; the workers of the other cell never get the job.
     harness.advance_time(5_000_000)
     assert not any(w.peer.worker.queue for w in workers if w.peer.worker)
     assert [p.kind for p in client.packets_of(*OUTCOME_KINDS)] == [PacketKind.WORK_FAIL]
 
 
-@pytest.mark.parametrize(("after_us", "again"), [(300_000, 1), (700_000, 0)])
-def test_a_keyed_job_is_repeated_inside_its_window_only(after_us, again):
-    keyed = replace(
+@pytest.mark.parametrize(("after_us", "is_repeated"), [(300_000, 1), (700_000, 0)])
+def test_a_keyed_job_is_repeated_only_within_its_idempotency_window(after_us, is_repeated):
+    keyed_class = replace(
         SETTINGS_WITH_NOT_IDEMPOTENT_CLASS.classes[1],
         latency_objective_us=4_000_000,
         idempotency_window_us=500_000,
@@ -188,7 +192,7 @@
         SETTINGS_WITH_NOT_IDEMPOTENT_CLASS,
         classes=(
             SETTINGS_WITH_NOT_IDEMPOTENT_CLASS.classes[0],
-            keyed,
+            keyed_class,
             SETTINGS_WITH_NOT_IDEMPOTENT_CLASS.classes[2],
         ),
     )
@@ -199,11 +203,11 @@
     second = harness.connect().register_worker("second")
     harness.advance_time(after_us)
     first.disconnect()
-    assert len(second.peer.worker.queue) == again
-    assert len(client.packets_of(PacketKind.WORK_FAIL)) == 1 - again
+    assert len(second.peer.worker.queue) == is_repeated
+    assert len(client.packets_of(PacketKind.WORK_FAIL)) == 1 - is_repeated
 
 
-def test_a_worker_that_grabs_and_goes_silent_ends_with_the_deadline_and_what_waits_behind_goes_on():
+def test_a_silent_workers_job_ends_at_its_deadline_and_its_queued_call_goes_elsewhere():
     harness, worker = harness_with_worker()
     client = harness.connect()
     submit_job(client)
@@ -219,7 +223,7 @@
     assert len(client.packets_of(*OUTCOME_KINDS)) == 2
 
 
-def test_reports_on_jobs_that_are_not_assigned_to_the_worker_change_nothing():
+def test_reports_on_jobs_that_the_sender_does_not_hold_change_nothing():
     harness, worker = harness_with_worker()
     thief, client = harness.connect().register_worker("thief"), harness.connect()
     harness.advance_time(10_000)
@@ -232,7 +236,7 @@
     owner.send(PacketKind.WORK_COMPLETE, assigned, "own")
     assert (
         owner.send(PacketKind.WORK_COMPLETE, assigned, "twice") == []
-    )  # its own, ended: passed over
+    )  # the report on its own ended job is ignored
     assert [p.args[1] for p in client.packets_of(*OUTCOME_KINDS)] == [b"own"]
 
 
@@ -242,18 +246,22 @@
     submit_job(client)
     assigned = worker.grab_job()[0]
     worker.disconnect()
-    again = harness.connect().register_worker("w")
-    assert error_code(again.send(PacketKind.WORK_COMPLETE, assigned, "late")) == "JOB_NOT_FOUND"
-    again.send(PacketKind.WORK_COMPLETE, again.grab_job()[0], "new")
+    reconnected = harness.connect().register_worker("w")
+    assert (
+        error_code(reconnected.send(PacketKind.WORK_COMPLETE, assigned, "late")) == "JOB_NOT_FOUND"
+    )
+    reconnected.send(PacketKind.WORK_COMPLETE, reconnected.grab_job()[0], "new")
     assert [p.args[1] for p in client.packets_of(*OUTCOME_KINDS)] == [b"new"]
 
 
-def test_a_result_after_can_do_timeout_still_serves_while_there_is_no_other():
-    patient = replace(SETTINGS_WITH_NOT_IDEMPOTENT_CLASS.classes[0], latency_objective_us=4_000_000)
+def test_a_result_after_the_can_do_timeout_is_used_if_it_is_the_first():
+    slow_class = replace(
+        SETTINGS_WITH_NOT_IDEMPOTENT_CLASS.classes[0], latency_objective_us=4_000_000
+    )
     harness, worker = harness_with_worker(
         settings=replace(
             SETTINGS_WITH_NOT_IDEMPOTENT_CLASS,
-            classes=(patient, *SETTINGS_WITH_NOT_IDEMPOTENT_CLASS.classes[1:]),
+            classes=(slow_class, *SETTINGS_WITH_NOT_IDEMPOTENT_CLASS.classes[1:]),
         )
     )
     worker.send(PacketKind.CAN_DO_TIMEOUT, "revalue", "1")
@@ -292,7 +300,7 @@
     assert error_code(worker.send(PacketKind.SET_CLIENT_ID, "third")) == "BAD_CLIENT_ID"
 
 
-def test_workers_and_their_functions_are_bounded():
+def test_workers_and_their_functions_are_limited_in_number():
     harness = ServiceHarness(
         limits=replace(LIMITS, gearman=replace(LIMITS.gearman, workers=1, functions_per_worker=2))
     )
@@ -315,7 +323,7 @@
     assert harness.core.open_count == 0
 
 
-def test_jobs_and_workers_outlive_a_reload():
+def test_open_jobs_and_workers_survive_a_reload():
     harness, worker = harness_with_worker()
     client = harness.connect()
     submit_job(client)
--- a/tests/gearman/test_gearman_writer.py
+++ b/tests/gearman/test_gearman_writer.py
@@ -1,4 +1,4 @@
-"""The writer thread's work on socket pairs: whom it serves, and whom no more."""
+"""Tests of the writer thread on socket pairs: which connections it serves."""
 
 import contextlib
 import socket
@@ -8,67 +8,67 @@
 from stepstream.gearman.writer import Writer
 from stepstream.runtime.transport import Transport
 
-MORE_THAN_A_SOCKET_TAKES = 8 * 1024 * 1024
+MORE_BYTES_THAN_SOCKET_BUFFERS = 8 * 1024 * 1024
 
 
 class FakeConnection:
-    """Counts its turns, and sends on as the writer lets it."""
+    """A connection that counts the calls of the writer, and sends more at each call."""
 
     def __init__(self, sock):
         self.transport = Transport(sock)
-        self.turns = 0
+        self.call_count = 0
 
     def send_unsent(self):
-        self.turns += 1
+        self.call_count += 1
         self.transport.flush_available()
 
 
 @pytest.fixture
-def pair():
-    ours, theirs = socket.socketpair()
-    yield FakeConnection(ours), theirs
-    ours.close()
-    theirs.close()
+def connection_and_remote_socket():
+    local_socket, remote_socket = socket.socketpair()
+    yield FakeConnection(local_socket), remote_socket
+    local_socket.close()
+    remote_socket.close()
 
 
-def test_a_connection_is_served_once_it_is_writable(pair):
-    connection, _ = pair
+def test_a_writable_connection_is_served(connection_and_remote_socket):
+    connection, _ = connection_and_remote_socket
     writer = Writer()
     connection.transport.enqueue(b"unsent")
     writer.add(connection)
     writer._serve_writable()
-    assert connection.turns == 1
+    assert connection.call_count == 1
     assert not connection.transport.unsent
 
 
-def test_a_connection_is_served_only_after_its_peer_has_read(pair):
-    connection, theirs = pair
+def test_a_connection_is_served_only_after_its_peer_has_read(connection_and_remote_socket):
+    connection, remote_socket = connection_and_remote_socket
     writer = Writer()
-    assert not connection.transport.send_available(b"x" * MORE_THAN_A_SOCKET_TAKES)
+    assert not connection.transport.send_available(b"x" * MORE_BYTES_THAN_SOCKET_BUFFERS)
     writer.add(connection)
-    writer._serve_writable()  # the wake-up alone
-    assert connection.turns == 0
-    before_bytes = len(connection.transport.unsent)
-    theirs.setblocking(False)
+    writer._serve_writable()  # handles only the wake-up
+    assert connection.call_count == 0
+    unsent_bytes_before = len(connection.transport.unsent)
+    remote_socket.setblocking(False)
     with contextlib.suppress(BlockingIOError):
-        while theirs.recv(MORE_THAN_A_SOCKET_TAKES):
+        while remote_socket.recv(MORE_BYTES_THAN_SOCKET_BUFFERS):
             pass
     writer._serve_writable()
-    assert connection.turns == 1
-    assert len(connection.transport.unsent) < before_bytes
+    assert connection.call_count == 1
+    assert len(connection.transport.unsent) < unsent_bytes_before
 
 
-def test_a_removed_connection_is_not_served(pair):
-    connection, _ = pair
+def test_a_removed_connection_is_not_served(connection_and_remote_socket):
+    connection, _ = connection_and_remote_socket
     writer = Writer()
     writer.add(connection)
     writer.remove(connection)
-    writer._serve_writable()  # the wake-up alone
-    assert connection.turns == 0
+    writer._serve_writable()  # handles only the wake-up
+    assert connection.call_count == 0
 
 
-def test_removing_one_connection_twice_changes_nothing(pair):
-    connection, _ = pair
+def test_a_connection_may_be_removed_twice(connection_and_remote_socket):
+    connection, _ = connection_and_remote_socket
     writer = Writer()
     writer.add(connection)
     writer.remove(connection)
