--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -40,7 +40,7 @@
 
 
 def other_worker(call):
-    return next(w.worker_id for w in WORKERS if w.worker_id != call.worker_id)
+    return next(worker.worker_id for worker in WORKERS if worker.worker_id != call.worker_id)
 
 
 # -- notifications ------------------------------------------------------------------------------
--- a/tests/core/test_endpoint_set.py
+++ b/tests/core/test_endpoint_set.py
@@ -105,9 +105,9 @@
     endpoints = EndpointSet(RecordingLog())
     endpoints.apply(update("gearman", EndpointListKind.CHANGES, Endpoint("g")))
     merged = endpoints.apply(update("discovery", EndpointListKind.COMPLETE, Endpoint("s")))
-    assert {e.worker_id for e in merged.endpoints} == {"g", "s"}
+    assert {endpoint.worker_id for endpoint in merged.endpoints} == {"g", "s"}
     merged = endpoints.apply(update("discovery", EndpointListKind.COMPLETE))
-    assert {e.worker_id for e in merged.endpoints} == {"g"}
+    assert {endpoint.worker_id for endpoint in merged.endpoints} == {"g"}
 
 
 def test_a_claim_to_an_owned_id_is_logged_once():
--- a/tests/core/test_maintenance.py
+++ b/tests/core/test_maintenance.py
@@ -29,7 +29,7 @@
         EndpointsUpdated("discovery", EndpointList(EndpointListKind.COMPLETE, entries))
     )
     in_maintenance = endpoint_set.apply_maintenance(MaintenanceState(1, frozenset({"s-1"})))
-    assert [(e.worker_id, e.state) for e in in_maintenance.endpoints] == [
+    assert [(endpoint.worker_id, endpoint.state) for endpoint in in_maintenance.endpoints] == [
         ("s-1", EndpointState.DRAINING)
     ]
     relisted = endpoint_set.apply(
@@ -39,7 +39,7 @@
     after_release = endpoint_set.apply_maintenance(
         MaintenanceState(2, frozenset(), (("s-1", 9_000),))
     )
-    assert [(e.state, e.started_us) for e in after_release.endpoints] == [
+    assert [(endpoint.state, endpoint.started_us) for endpoint in after_release.endpoints] == [
         (EndpointState.ACTIVE, 9_000)
     ]
     relisted_later = endpoint_set.apply(
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -99,7 +99,8 @@
         wait_for(dispatcher.job_calls)
     wait_for(
         lambda: (
-            [m.target for m in dispatcher.worker.requests if m.method == "DELETE"] == ["/jobs/0b"]
+            [message.target for message in dispatcher.worker.requests if message.method == "DELETE"]
+            == ["/jobs/0b"]
         )
     )
 
@@ -136,7 +137,7 @@
         assert dispatcher.notify(name, "done", "1") == 200
     first.join(WAIT_TIMEOUT_SECONDS)
     second.join(WAIT_TIMEOUT_SECONDS)
-    assert [a.status for a in answers] == [200] * 2
+    assert [answer.status for answer in answers] == [200] * 2
     assert dispatcher.process.wait(WAIT_TIMEOUT_SECONDS) == 0
     log = dispatcher.process.stderr.read()
     assert "served_requests=2 rejected_requests=0 failed_requests=0" in log
@@ -197,14 +198,21 @@
         assert new_address in dispatcher.reload(
             {**dispatcher.config, "discovery": new_address, "settings": settings}
         )
-        wait_for(lambda: [m for m in new_discovery.requests if "wait=" in m.target])
+        wait_for(
+            lambda: [message for message in new_discovery.requests if "wait=" in message.target]
+        )
         old_discovery_count = len(dispatcher.discovery.requests)
         # The job from before the reload is answered on its connection, and so is a new one.
         assert dispatcher.notify("0e", "done", "1") == 200
         assert exchange(0, b"", peer).body == b"1"
         dispatcher.hold_jobs.clear()
         assert exchange(0, job_request("0f"), peer).status == 200
-        wait_for(lambda: len([m for m in new_discovery.requests if "wait=" in m.target]) > 2)
+        wait_for(
+            lambda: (
+                len([message for message in new_discovery.requests if "wait=" in message.target])
+                > 2
+            )
+        )
     assert new_discovery.requests[0].target == "/api/targets"
     assert len(dispatcher.discovery.requests) == old_discovery_count
 
@@ -411,4 +419,4 @@
     )
     before = len(dispatcher.discovery.requests)
     wait_for(lambda: len(dispatcher.discovery.requests) >= before + 2)
-    assert all("index=3" in m.target for m in dispatcher.discovery.requests)
+    assert all("index=3" in message.target for message in dispatcher.discovery.requests)
--- a/tests/runtime/test_log_events.py
+++ b/tests/runtime/test_log_events.py
@@ -12,9 +12,9 @@
 
 ROOT = Path(__file__).parents[2]
 PACKAGE = ROOT / "stepstream"
-PAGE = (ROOT / "docs" / "oncall.md").read_text()
+ONCALL_PAGE = (ROOT / "docs" / "oncall.md").read_text()
 EVENTS_MODULE = PACKAGE / "runtime" / "log_events.py"
-STRUCTURED = "structured"
+STRUCTURED_SEVERITY = "structured"
 
 
 def defined_events():
@@ -32,7 +32,7 @@
         structured = called_method(call) == "info"
         name = call.args[0 if structured else 1].value
         assert name == function.name
-        severity = STRUCTURED if structured else call.args[0].attr.lower()
+        severity = STRUCTURED_SEVERITY if structured else call.args[0].attr.lower()
         parameters = [argument.arg for argument in function.args.kwonlyargs]
         fields = [keyword.arg for keyword in call.keywords if keyword.arg]
         events[name] = (severity, fields + [name for name in parameters if name == "left_out"])
@@ -44,7 +44,7 @@
 
 
 def section(heading):
-    return PAGE.split(f"{heading}\n", 1)[1].split("\n## ", 1)[0]
+    return ONCALL_PAGE.split(f"{heading}\n", 1)[1].split("\n## ", 1)[0]
 
 
 def explained_events():
