--- a/stepstream/lab/simulation/membership_cluster.py
+++ b/stepstream/lab/simulation/membership_cluster.py
@@ -199,7 +199,7 @@
     def counted_members(self, name: str) -> int:
         """Return how many members this one counts; 0 if it does not count."""
         member_count = self.processes[name].member_count
-        return len(member_count.names) if member_count is not None else 0
+        return len(member_count.counted_names) if member_count is not None else 0
 
     # -- queries ----------------------------------------------------------------------------------
 
--- a/stepstream/lab/simulation/membership_invariants.py
+++ b/stepstream/lab/simulation/membership_invariants.py
@@ -13,7 +13,7 @@
 from stepstream.lab.simulation.errors import InvariantError
 from stepstream.lab.simulation.membership_process import MembershipProcess
 from stepstream.membership import record_precedence
-from stepstream.membership.messages import PRESENT, MemberRecord, MemberState
+from stepstream.membership.messages import PRESENT_STATES, MemberRecord, MemberState
 from stepstream.membership.protocol import MembershipProtocol
 from stepstream.membership.protocol_settings import ProtocolSettings
 
@@ -54,7 +54,7 @@
         key = (observer, record.name)
         version = version_of(record)
         ended = self._ended.get(key)
-        if record.state in PRESENT:
+        if record.state in PRESENT_STATES:
             if ended is not None and version <= ended:
                 raise InvariantError(
                     f"{now:.3f} s: {observer} has {record.name} back on an ended record"
--- a/stepstream/membership/failure_detector.py
+++ b/stepstream/membership/failure_detector.py
@@ -17,7 +17,7 @@
 from stepstream.membership.local_health import failed_probe_penalty, stall_penalty
 from stepstream.membership.member_list import MemberList
 from stepstream.membership.messages import (
-    PRESENT,
+    PRESENT_STATES,
     Ack,
     MemberRecord,
     MemberState,
@@ -245,7 +245,7 @@
         helpers = None if probe.helpers is None else len(probe.helpers)
         self.context.worsen_local_health(failed_probe_penalty(helpers, len(probe.nacked)))
         member = self.members.by_name.get(probe.target)
-        if member is not None and member.record.state in PRESENT:
+        if member is not None and member.record.state in PRESENT_STATES:
             local_name = self.members.local_name
             suspect = msgspec.structs.replace(
                 member.record, state=MemberState.SUSPECT, reported_by=local_name
--- a/stepstream/membership/member_count.py
+++ b/stepstream/membership/member_count.py
@@ -112,23 +112,23 @@
     def __init__(self, local_name: str, confirmation_delay_seconds: float) -> None:
         self.local_name = local_name
         self.confirmation_delay_seconds = confirmation_delay_seconds
-        self.names = {local_name}
+        self.counted_names = {local_name}
         # By name, the fingerprint of the death claim for which it was removed.
         self._removed: dict[str, int] = {}
 
     def confirmed_deaths(self, observed: Iterable[ObservedMember]) -> list[int]:
         """Return the fingerprints of the deaths that this member confirms."""
-        return deaths_to_confirm(observed, self.names, self.confirmation_delay_seconds)
+        return deaths_to_confirm(observed, self.counted_names, self.confirmation_delay_seconds)
 
     def update(self, observed: Iterable[ObservedMember], confirmations: Confirmations) -> int:
         """Add and remove names, and return how many count by now."""
         by_name = {member.name: member for member in sorted(observed, key=lambda item: item.name)}
         self._add_and_drop_left(by_name.values())
         for member in by_name.values():
-            if member.state is MemberState.DEAD and member.name in self.names:
+            if member.state is MemberState.DEAD and member.name in self.counted_names:
                 self._remove_if_confirmed(member, confirmations)
         self._forget_unknown(by_name)
-        return len(self.names)
+        return len(self.counted_names)
 
     def _add_and_drop_left(self, observed: Collection[ObservedMember]) -> None:
         """Count all but those that left, or whose death claim of their removal still holds."""
@@ -138,14 +138,16 @@
             for member in observed
             if self._removed.get(member.name) != member.fingerprint
         }
-        self.names = (self.names | counted | {self.local_name}) - left
+        self.counted_names = (self.counted_names | counted | {self.local_name}) - left
 
     def _remove_if_confirmed(self, member: ObservedMember, confirmations: Confirmations) -> None:
-        confirming = confirming_members(member.fingerprint, self.names, confirmations)
-        if is_majority(confirming, self.names):
-            self.names.discard(member.name)
+        confirming = confirming_members(member.fingerprint, self.counted_names, confirmations)
+        if is_majority(confirming, self.counted_names):
+            self.counted_names.discard(member.name)
             self._removed[member.name] = member.fingerprint
 
     def _forget_unknown(self, by_name: Mapping[str, ObservedMember]) -> None:
-        self.names = {name for name in self.names if name in by_name or name == self.local_name}
+        self.counted_names = {
+            name for name in self.counted_names if name in by_name or name == self.local_name
+        }
         self._removed = {name: claim for name, claim in self._removed.items() if name in by_name}
--- a/stepstream/membership/member_list.py
+++ b/stepstream/membership/member_list.py
@@ -11,7 +11,7 @@
 from stepstream.membership.context import ProtocolContext
 from stepstream.membership.event_history import EventHistory
 from stepstream.membership.member import Member
-from stepstream.membership.messages import PRESENT, MemberRecord, MemberState
+from stepstream.membership.messages import PRESENT_STATES, MemberRecord, MemberState
 from stepstream.membership.record_precedence import restarts_state_time
 from stepstream.membership.suspicion import Suspicion
 from stepstream.membership.tombstones import oldest_expired_tombstone
@@ -52,7 +52,7 @@
     def is_present(self, name: str) -> bool:
         """Return whether a name is known as alive or suspect."""
         member = self.by_name.get(name)
-        return member is not None and member.record.state in PRESENT
+        return member is not None and member.record.state in PRESENT_STATES
 
     def add(self, record: MemberRecord, reported_by: str) -> Member:
         """Add the first record of a name."""
@@ -94,7 +94,7 @@
 
     def update_presence(self, member: Member) -> None:
         """Count a member as present or not, by its record's state."""
-        if member.record.state in PRESENT:
+        if member.record.state in PRESENT_STATES:
             self.present.add(member.record.name)
         else:
             self.present.discard(member.record.name)
--- a/stepstream/membership/messages.py
+++ b/stepstream/membership/messages.py
@@ -52,7 +52,7 @@
 
 
 # States of members that take part: they are probed, counted and sent updates.
-PRESENT = (MemberState.ALIVE, MemberState.SUSPECT)
+PRESENT_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 class Phase(IntEnum):
--- a/stepstream/membership/record_merge.py
+++ b/stepstream/membership/record_merge.py
@@ -11,7 +11,7 @@
 from stepstream.membership.member import Member
 from stepstream.membership.member_list import MemberList
 from stepstream.membership.member_status import MemberStatuses
-from stepstream.membership.messages import PRESENT, MemberRecord, MemberState, Ping
+from stepstream.membership.messages import PRESENT_STATES, MemberRecord, MemberState, Ping
 from stepstream.membership.outbox import MAX_BURST_DATAGRAMS, Outbox
 from stepstream.membership.probe_order import ProbeOrder
 from stepstream.membership.record_precedence import (
@@ -81,7 +81,7 @@
         if not self._ensure_capacity(record.name):
             return False
         member = self.members.add(record, reported_by)
-        if record.state in PRESENT:
+        if record.state in PRESENT_STATES:
             self.probe_order.insert(record.name)
         self._apply(member)
         self._record_event(member, "", "heard of for the first time")
@@ -90,7 +90,7 @@
     def _override(self, member: Member, record: MemberRecord, reported_by: str) -> None:
         old = member.record
         self.members.replace(member, record, reported_by)
-        has_returned = record.state in PRESENT and old.state not in PRESENT
+        has_returned = record.state in PRESENT_STATES and old.state not in PRESENT_STATES
         is_event = old.state != record.state or is_new_start(old, record)
         is_reported = reported_by != self.members.local_name
         if has_returned:
--- a/stepstream/membership/record_precedence.py
+++ b/stepstream/membership/record_precedence.py
@@ -8,7 +8,7 @@
 from enum import Enum, auto
 
 from stepstream.membership.messages import (
-    PRESENT,
+    PRESENT_STATES,
     MaintenanceRecord,
     MemberRecord,
     MemberState,
@@ -110,6 +110,6 @@
     The successor runs and started before now. A start before the clock was set back has a
     generation that lies in the future of the local clock.
     """
-    if newest_generation is None or claim.state not in PRESENT:
+    if newest_generation is None or claim.state not in PRESENT_STATES:
         return False
     return claim.generation <= newest_generation
--- a/stepstream/membership/tombstones.py
+++ b/stepstream/membership/tombstones.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 from stepstream.membership.member import Member
-from stepstream.membership.messages import PRESENT
+from stepstream.membership.messages import PRESENT_STATES
 
 
 def oldest_expired_tombstone(
@@ -18,6 +18,6 @@
     expired = [
         member
         for member in members
-        if member.record.state not in PRESENT and now - member.state_since >= timeout_seconds
+        if member.record.state not in PRESENT_STATES and now - member.state_since >= timeout_seconds
     ]
     return min(expired, key=lambda member: member.state_since, default=None)
