--- a/stepstream/gearman/access.py
+++ b/stepstream/gearman/access.py
@@ -45,7 +45,7 @@
         return decision
 
     def check_job_access(self, peer: Peer, job: Job | None) -> None:
-        """Check that the peer submitted a job; reject an unknown job like another caller's."""
+        """Check that the peer submitted the job; reject an unknown job like another caller's."""
         access_control = self.state.host.access_control
         if access_control is not None:
             callers = job.callers if job else set()
--- a/stepstream/gearman/connection.py
+++ b/stepstream/gearman/connection.py
@@ -268,7 +268,7 @@
     # -- `ports.Connection`, called by the server -------------------------------------------------
 
     def has_open_request(self) -> bool:
-        """Return whether the peer is owed the outcome of a job."""
+        """Return whether the peer waits for the outcome of a job."""
         return self.peer in self.front.service.state.jobs.submissions
 
     def is_worker(self) -> bool:
--- a/tests/gearman/service_harness.py
+++ b/tests/gearman/service_harness.py
@@ -90,9 +90,9 @@
     def grab_job(self):
         """Return the assigned job (handle, function, unique, workload), or None."""
         (packet,) = [
-            p
-            for p in self.send(PacketKind.GRAB_JOB_UNIQ)
-            if p.kind in (PacketKind.NO_JOB, PacketKind.JOB_ASSIGN_UNIQ)
+            packet
+            for packet in self.send(PacketKind.GRAB_JOB_UNIQ)
+            if packet.kind in (PacketKind.NO_JOB, PacketKind.JOB_ASSIGN_UNIQ)
         ]
         return packet.args or None
 
--- a/tests/gearman/test_gearman_clients.py
+++ b/tests/gearman/test_gearman_clients.py
@@ -35,7 +35,8 @@
     harness, worker = harness_with_worker()
     clients = [harness.connect() for _ in range(3)]
     handles = {
-        submit_job(client, unique="same", workload=f"{k}") for k, client in enumerate(clients)
+        submit_job(client, unique="same", workload=f"{index}")
+        for index, client in enumerate(clients)
     }
     assert len(handles) == 1
     assert len(harness.core.requests) == 1
@@ -46,7 +47,7 @@
     clients[1].disconnect()
     assert harness.core.open_count == 1
     worker.send(PacketKind.WORK_COMPLETE, assigned[0], "r")
-    assert [p.args[1] for p in clients[2].packets_of(*OUTCOME_KINDS)] == [b"r"]
+    assert [packet.args[1] for packet in clients[2].packets_of(*OUTCOME_KINDS)] == [b"r"]
     # The job has ended, so the same unique id opens a new job.
     assert submit_job(clients[2], unique="same") not in handles
     clients[2].disconnect()
@@ -70,9 +71,8 @@
         "tatra-invest/nav-publish",
         "revalue",
     )
-    assert (
-        len({submit_job(client, function, "u") for function in functions}) == 3
-    )  # a name without tenant means tatra-invest
+    # A function name without a tenant means tatra-invest, so two of the names are the same job.
+    assert len({submit_job(client, function, "u") for function in functions}) == 3
     assert submit_job(client, "revalue", "-", "w") == submit_job(client, "revalue", "-", "w")
     assert submit_job(client, "revalue", "-", "v") != submit_job(client, "revalue", "-", "w")
 
--- a/tests/gearman/test_gearman_codec.py
+++ b/tests/gearman/test_gearman_codec.py
@@ -151,9 +151,9 @@
     replies = session.feed(
         codec.HEADER.pack(codec.REQ, 99, 0) * (LIMITS.gearman.errors_per_connection + 5)
     )
-    assert [r.close for r in replies] == [False] * (LIMITS.gearman.errors_per_connection - 1) + [
-        True
-    ]
+    assert [reply.close for reply in replies] == [False] * (
+        LIMITS.gearman.errors_per_connection - 1
+    ) + [True]
 
 
 @pytest.mark.parametrize(
--- a/tests/gearman/test_gearman_jobs.py
+++ b/tests/gearman/test_gearman_jobs.py
@@ -29,7 +29,7 @@
     worker.send(PacketKind.WORK_DATA, assigned, "part")
     worker.send(PacketKind.WORK_WARNING, assigned, "hm")
     worker.send(PacketKind.WORK_COMPLETE, assigned, "end")
-    kinds = [(p.kind, p.args[1:]) for p in client.received]
+    kinds = [(packet.kind, packet.args[1:]) for packet in client.received]
     assert kinds == [
         (PacketKind.JOB_CREATED, ()),
         (PacketKind.WORK_STATUS, (b"1", b"4")),
@@ -53,7 +53,8 @@
     worker.disconnect()
     other.send(PacketKind.WORK_COMPLETE, other.grab_job()[0], "whole of the second")
     assert [
-        p.args[1] for p in client.packets_of(PacketKind.WORK_DATA, PacketKind.WORK_COMPLETE)
+        packet.args[1]
+        for packet in client.packets_of(PacketKind.WORK_DATA, PacketKind.WORK_COMPLETE)
     ] == [b"whole of the second"]
 
 
@@ -67,7 +68,7 @@
     assert call.request.payload.idempotency_key == "key-1"
     harness.notify_from_http_worker(call, JobStatus.RUNNING, progress=(400, 1000))
     harness.complete_http_call(call)
-    assert [p.args[1:] for p in client.received[1:]] == [(b"400", b"1000"), (b"17.5",)]
+    assert [packet.args[1:] for packet in client.received[1:]] == [(b"400", b"1000"), (b"17.5",)]
 
 
 def test_rejected_and_failed_jobs_differ_and_a_rejected_one_has_a_retry_after():
@@ -78,9 +79,12 @@
     submit_job(client)
     submit_job(with_exceptions)
     harness.advance_time(1_000_000)
-    assert [p.kind for p in client.received[1:]] == [PacketKind.WORK_WARNING, PacketKind.WORK_FAIL]
+    assert [packet.kind for packet in client.received[1:]] == [
+        PacketKind.WORK_WARNING,
+        PacketKind.WORK_FAIL,
+    ]
     assert client.received[1].args[1].startswith(b"refused retry-after=")
-    assert [p.kind for p in with_exceptions.received[2:]] == [
+    assert [packet.kind for packet in with_exceptions.received[2:]] == [
         PacketKind.WORK_EXCEPTION,
         PacketKind.WORK_FAIL,
     ]
--- a/tests/gearman/test_gearman_node.py
+++ b/tests/gearman/test_gearman_node.py
@@ -85,9 +85,9 @@
         [b"part "],
     )
     assert (completed.status["numerator"], completed.status["denominator"]) == (1, 2)
-    many = [{"task": "tatra-invest/revalue", "data": b"%d" % k} for k in range(20)]
+    many = [{"task": "tatra-invest/revalue", "data": b"%d" % index} for index in range(20)]
     results = client.submit_multiple_jobs(many, poll_timeout=WAIT_TIMEOUT_SECONDS)
-    assert [r.result for r in results] == [b"%d" % k for k in range(20)]
+    assert [result.result for result in results] == [b"%d" % index for index in range(20)]
     failed = client.submit_job("nav-publish", b"x", unique="key", poll_timeout=WAIT_TIMEOUT_SECONDS)
     assert failed.state == "FAILED"
     later = client.submit_job("revalue", b"x", background=True, poll_timeout=WAIT_TIMEOUT_SECONDS)
--- a/tests/gearman/test_gearman_operators.py
+++ b/tests/gearman/test_gearman_operators.py
@@ -30,7 +30,7 @@
     assert run_command(harness, "show unique jobs") == "u\n.\n"
     assert run_command(harness, "cancel job H:none").startswith("ERR JOB_NOT_FOUND")
     assert run_command(harness, f"cancel job {handle}") == "OK\n"
-    assert [p.kind for p in client.packets_of(*OUTCOME_KINDS)] == [PacketKind.WORK_FAIL]
+    assert [packet.kind for packet in client.packets_of(*OUTCOME_KINDS)] == [PacketKind.WORK_FAIL]
     assert worker.grab_job() is None
 
 
--- a/tests/gearman/test_gearman_workers.py
+++ b/tests/gearman/test_gearman_workers.py
@@ -27,7 +27,9 @@
     harness.connect().register_worker(
         "w", fields=";zone=petrzalka;kind=old-blade;cell=3;slots=4;weight=0.5"
     )
-    first, second = [w.endpoint for w in harness.core.load_balancer.state.workers.by_id.values()]
+    first, second = [
+        worker.endpoint for worker in harness.core.load_balancer.state.workers.by_id.values()
+    ]
     assert first.worker_id == "gearman:c1"
     assert first.started_us == harness.now_us
     assert first.supported_jobs == {"revalue"}
@@ -87,11 +89,11 @@
 
 def test_only_the_worker_that_has_work_is_woken_and_only_once():
     harness = ServiceHarness(limits=replace(LIMITS, gearman=replace(LIMITS.gearman, workers=1000)))
-    workers = [harness.connect().register_worker(f"w{k}") for k in range(1000)]
+    workers = [harness.connect().register_worker(f"w{index}") for index in range(1000)]
     for worker in workers:
         worker.send(PacketKind.PRE_SLEEP)
     submit_job(harness.connect())
-    woken = [w for w in workers if w.packets_of(PacketKind.NOOP)]
+    woken = [worker for worker in workers if worker.packets_of(PacketKind.NOOP)]
     assert len(woken) == 1
     assert len(woken[0].packets_of(PacketKind.NOOP)) == 1
     assert woken[0].grab_job() is not None
@@ -100,7 +102,7 @@
 def test_a_worker_that_goes_to_sleep_with_a_queued_call_is_woken_at_once():
     harness, worker = harness_with_worker()
     submit_job(harness.connect())
-    assert [p.kind for p in worker.send(PacketKind.PRE_SLEEP)] == [PacketKind.NOOP]
+    assert [packet.kind for packet in worker.send(PacketKind.PRE_SLEEP)] == [PacketKind.NOOP]
 
 
 def test_calls_beyond_a_workers_queue_are_sent_to_another_worker():
@@ -154,31 +156,33 @@
     worker.disconnect()
     assert len(harness.http_calls) == is_repeated
     if not is_repeated:
-        assert [p.kind for p in client.packets_of(*OUTCOME_KINDS)] == [PacketKind.WORK_FAIL]
+        assert [packet.kind for packet in client.packets_of(*OUTCOME_KINDS)] == [
+            PacketKind.WORK_FAIL
+        ]
 
 
 def test_a_keyed_job_is_repeated_only_in_the_cell_of_the_worker_that_may_have_run_it():
     harness = ServiceHarness()
     workers = [
-        harness.connect().register_worker(f"w{k}", fields=f";cell={cell}")
-        for k, cell in enumerate((1, 1, 2, 2))
+        harness.connect().register_worker(f"w{index}", fields=f";cell={cell}")
+        for index, cell in enumerate((1, 1, 2, 2))
     ]
     client = harness.connect()
     submit_job(client, "nav-publish", "key")
-    (first,) = [w for w in workers if w.peer.worker.queue]
+    (first,) = [worker for worker in workers if worker.peer.worker.queue]
     cell = first.peer.worker.identity.cell
     first.grab_job()
     first.disconnect()
     harness.advance_time(1_000)
-    (second,) = [w for w in workers if w.peer.worker and w.peer.worker.queue]
+    (second,) = [worker for worker in workers if worker.peer.worker and worker.peer.worker.queue]
     assert second.peer.worker.identity.cell == cell
     assert second is not first
     second.grab_job()
     second.disconnect()
     # No worker of the cell is left; the workers of the other cell never get the job.
     harness.advance_time(5_000_000)
-    assert not any(w.peer.worker.queue for w in workers if w.peer.worker)
-    assert [p.kind for p in client.packets_of(*OUTCOME_KINDS)] == [PacketKind.WORK_FAIL]
+    assert not any(worker.peer.worker.queue for worker in workers if worker.peer.worker)
+    assert [packet.kind for packet in client.packets_of(*OUTCOME_KINDS)] == [PacketKind.WORK_FAIL]
 
 
 @pytest.mark.parametrize(("after_us", "is_repeated"), [(300_000, 1), (700_000, 0)])
@@ -225,19 +229,26 @@
 
 def test_reports_on_jobs_that_the_sender_does_not_hold_change_nothing():
     harness, worker = harness_with_worker()
-    thief, client = harness.connect().register_worker("thief"), harness.connect()
+    other_worker, client = harness.connect().register_worker("other"), harness.connect()
     harness.advance_time(10_000)
     handle = submit_job(client)
-    owner, other = (worker, thief) if (taken := worker.grab_job()) else (thief, worker)
+    owner, other = (
+        (worker, other_worker) if (taken := worker.grab_job()) else (other_worker, worker)
+    )
     assigned = (taken or owner.grab_job())[0]
     for name in (assigned, handle, b"H:n0:999"):
-        assert error_code(other.send(PacketKind.WORK_COMPLETE, name, "stolen")) == "JOB_NOT_FOUND"
-    assert error_code(client.send(PacketKind.WORK_COMPLETE, assigned, "stolen")) == "JOB_NOT_FOUND"
-    owner.send(PacketKind.WORK_COMPLETE, assigned, "own")
+        assert (
+            error_code(other.send(PacketKind.WORK_COMPLETE, name, "of the wrong worker"))
+            == "JOB_NOT_FOUND"
+        )
     assert (
-        owner.send(PacketKind.WORK_COMPLETE, assigned, "twice") == []
-    )  # the report on its own ended job is ignored
-    assert [p.args[1] for p in client.packets_of(*OUTCOME_KINDS)] == [b"own"]
+        error_code(client.send(PacketKind.WORK_COMPLETE, assigned, "of the wrong worker"))
+        == "JOB_NOT_FOUND"
+    )
+    owner.send(PacketKind.WORK_COMPLETE, assigned, "own")
+    # A second report of the owner, on the job that it has ended, is ignored.
+    assert owner.send(PacketKind.WORK_COMPLETE, assigned, "twice") == []
+    assert [packet.args[1] for packet in client.packets_of(*OUTCOME_KINDS)] == [b"own"]
 
 
 def test_a_worker_that_reconnects_cannot_complete_its_earlier_jobs():
@@ -251,7 +262,7 @@
         error_code(reconnected.send(PacketKind.WORK_COMPLETE, assigned, "late")) == "JOB_NOT_FOUND"
     )
     reconnected.send(PacketKind.WORK_COMPLETE, reconnected.grab_job()[0], "new")
-    assert [p.args[1] for p in client.packets_of(*OUTCOME_KINDS)] == [b"new"]
+    assert [packet.args[1] for packet in client.packets_of(*OUTCOME_KINDS)] == [b"new"]
 
 
 def test_a_result_after_the_can_do_timeout_is_used_if_it_is_the_first():
@@ -274,7 +285,7 @@
     harness.advance_time(200_000)
     assert [call.worker_id for call in harness.http_calls] == ["s-1"]
     worker.send(PacketKind.WORK_COMPLETE, assigned, "late but its own")
-    assert [p.args[1] for p in client.packets_of(*OUTCOME_KINDS)] == [b"late but its own"]
+    assert [packet.args[1] for packet in client.packets_of(*OUTCOME_KINDS)] == [b"late but its own"]
     assert harness.stopped_calls[-1].worker_id == "s-1"
 
 
@@ -288,7 +299,7 @@
     assigned = worker.grab_job()[0]
     worker.send(PacketKind.WORK_DATA, assigned, "123456")
     assert error_code(worker.send(PacketKind.WORK_DATA, assigned, "123456")) == "RESULT_TOO_LARGE"
-    assert [p.kind for p in client.packets_of(*OUTCOME_KINDS)] == [PacketKind.WORK_FAIL]
+    assert [packet.kind for packet in client.packets_of(*OUTCOME_KINDS)] == [PacketKind.WORK_FAIL]
 
 
 def test_a_client_id_changes_only_while_no_job_is_assigned():
