--- a/stepstream/cli/identity_explain.py
+++ b/stepstream/cli/identity_explain.py
@@ -15,6 +15,6 @@
         from stepstream.identity import commands  # not loaded if the configuration is faulty
 
     with as_command_error(ConfigurationError):
-        return commands.explain(
+        return commands.explain_decision(
             operator.identity, arguments["--token"], arguments["--class"], arguments["--tenant"]
         )
--- a/stepstream/cli/keys_and_token.py
+++ b/stepstream/cli/keys_and_token.py
@@ -13,4 +13,8 @@
         from stepstream.identity import commands
         from stepstream.identity.errors import IdentityCommandError
     with as_command_error(IdentityCommandError, OSError):
-        return commands.keys(arguments) if arguments["keys"] else commands.token(arguments)
+        return (
+            commands.run_keys_command(arguments)
+            if arguments["keys"]
+            else commands.run_token_command(arguments)
+        )
--- a/stepstream/identity/commands.py
+++ b/stepstream/identity/commands.py
@@ -30,7 +30,7 @@
 TIME_FORMAT = "%Y-%m-%dT%H:%M:%SZ"
 
 
-def keys(arguments: dict[str, Any]) -> int:
+def run_keys_command(arguments: dict[str, Any]) -> int:
     """Create, rotate, revoke or list the signing keys of `--dir`.
 
     Raise `IdentityCommandError` or OSError.
@@ -61,10 +61,10 @@
     return f"{row['kid']} {row['alg']} {state_of(row).value} since {start}{end}"
 
 
-def token(arguments: dict[str, Any]) -> int:
+def run_token_command(arguments: dict[str, Any]) -> int:
     """Issue a token or print the content of one; raise `IdentityCommandError` or OSError."""
     if arguments["inspect"]:
-        return inspect(arguments["TOKEN"])
+        return inspect_token(arguments["TOKEN"])
     now = int(time.time())
     claims = {
         "iss": arguments["--issuer"],
@@ -80,13 +80,13 @@
     return 0
 
 
-def inspect(text: str) -> int:
+def inspect_token(token: str) -> int:
     """Print the header and claims of a token, which are not verified.
 
     Raise `IdentityCommandError` if it is no token.
     """
     try:
-        parts = text.encode().split(b".")
+        parts = token.encode().split(b".")
         header, claims = (parse_json_object(decode_base64url(part)) for part in parts[:2])
     except TokenError as error:
         raise IdentityCommandError(f"TOKEN is not a token: {error.reason}") from error
@@ -100,7 +100,7 @@
     return 0
 
 
-def explain(
+def explain_decision(
     section: IdentitySection | None, token: str, class_name: str, tenant: str | None
 ) -> int:
     """Print the access control's decision on a request and the rule behind it.
