--- a/stepstream/membership/admin_api.py
+++ b/stepstream/membership/admin_api.py
@@ -1,8 +1,8 @@
-"""The admin listener's calls on the membership: `GET /fleet` and its sub-paths.
+"""The membership's routes on the admin listener: `/fleet` and its sub-paths.
 
-Paths, query parameters and error texts are read by operators' tools and by `stepstream fleet`;
-their spelling is fixed. `report` has the answers' fields. Owns no state. The admin listener's
-thread calls it; the driver's lock guards what it reads.
+Operators' tools and `stepstream fleet` depend on the paths, query parameters and error texts, so
+their spelling is fixed. The module `report` builds the answers. This module owns no state. The
+admin listener's thread calls it; the driver's lock guards what it reads.
 """
 
 import signal
@@ -33,7 +33,10 @@
 
 
 class MembershipAdminApi:
-    """Answers the calls; `dispatcher_count` returns the number that share the capacity."""
+    """Answers the calls.
+
+    `dispatcher_count` returns how many dispatchers share the cluster's capacity.
+    """
 
     def __init__(
         self, host: SubsystemContext, driver: Driver, dispatcher_count: Callable[[], int]
@@ -80,6 +83,6 @@
         return json_or_not_found(answer, "no such member")
 
     def on_leave(self, _request: AdminRequest) -> AdminResponse:
-        """Answer `PUT /fleet/leave`: begin the graceful shutdown, as SIGTERM does."""
+        """Answer `PUT /fleet/leave`: begin the graceful shutdown that SIGTERM begins, too."""
         self.host.signals.put(signal.SIGTERM)
         return json_response(HTTP_OK, {"leaving": self.driver.protocol.members.local_name})
--- a/stepstream/membership/commands.py
+++ b/stepstream/membership/commands.py
@@ -10,15 +10,15 @@
 Commands:
   members       Print the members with their states and status.
   watch         Print changes as they happen, until interrupted.
-  explain       Print why a member is in its state, the source and the time of that.
-  leave         Shut the dispatcher down gracefully; it answers all requests, then leaves.
+  explain       Print why and since when a member is in its state, and who reported it.
+  leave         Shut the dispatcher down gracefully: it answers all requests, then leaves.
 
 Options:
   --at ADDRESS  HOST:PORT of the dispatcher's admin listener (`operator` in its configuration).
   --json        Print JSON.
 
-Exit codes: 0; 1 the members do not agree yet (members) or no such member (explain); 2 the request
-failed.
+Exit codes: 0 success; 1 the members do not agree yet (members) or no such member (explain); 2 the
+request failed.
 """
 
 import sys
@@ -53,27 +53,27 @@
     "superseded": "magenta",
 }
 
-Answer = dict[str, Any]  # a JSON object of the admin listener; its keys are in `report`
+Answer = dict[str, Any]  # a JSON object from the admin listener; `report` defines its keys
 
 
 class CommandError(MembershipError):
-    """The dispatcher rejected a call or did not answer; `exit_code` is the command's."""
+    """The dispatcher rejected a call or did not answer; the command exits with `exit_code`."""
 
-    def __init__(self, text: str, exit_code: int) -> None:
-        super().__init__(text)
+    def __init__(self, message: str, exit_code: int) -> None:
+        super().__init__(message)
         self.exit_code = exit_code
 
 
-def call(at: str, path: str, method: str = "GET") -> Answer:
+def call(admin_address: str, path: str, method: str = "GET") -> Answer:
     """Call the admin listener; raise `CommandError` unless the answer is a success."""
     try:
-        return cast(Answer, request_json(at, path, method))
+        return cast(Answer, request_json(admin_address, path, method))
     except AdminCallError as error:
-        is_unknown = error.status == HTTPStatus.NOT_FOUND
-        if is_unknown and path == "/fleet":
-            text = f"{at}: this dispatcher has no [fleet]"
-            raise CommandError(text, EXIT_REQUEST_FAILED) from error
-        exit_code = EXIT_NEGATIVE if is_unknown else EXIT_REQUEST_FAILED
+        is_not_found = error.status == HTTPStatus.NOT_FOUND
+        if is_not_found and path == "/fleet":
+            message = f"{admin_address}: this dispatcher has no [fleet]"
+            raise CommandError(message, EXIT_REQUEST_FAILED) from error
+        exit_code = EXIT_NEGATIVE if is_not_found else EXIT_REQUEST_FAILED
         raise CommandError(str(error), exit_code) from error
 
 
@@ -89,20 +89,20 @@
 
 
 def run_command(arguments: dict[str, Any], console: Console) -> int:
-    """Run the command that docopt has found; return its exit code."""
-    at = arguments["--at"]
+    """Run the command that docopt has parsed; return its exit code."""
+    admin_address = arguments["--at"]
     if arguments["members"]:
-        return show_members(at, console, as_json=arguments["--json"])
+        return show_members(admin_address, console, as_json=arguments["--json"])
     if arguments["watch"]:
-        return watch(at, console, lambda: True)
+        return watch(admin_address, console, lambda: True)
     if arguments["explain"]:
-        return explain(at, arguments["NAME"], console, as_json=arguments["--json"])
-    return leave(at, console)
+        return explain(admin_address, arguments["NAME"], console, as_json=arguments["--json"])
+    return leave(admin_address, console)
 
 
-def show_members(at: str, console: Console, *, as_json: bool) -> int:
-    """Print the members; EXIT_NEGATIVE while they are unsettled."""
-    answer = call(at, "/fleet")
+def show_members(admin_address: str, console: Console, *, as_json: bool) -> int:
+    """Print the members; return EXIT_NEGATIVE while they do not agree, EXIT_OK otherwise."""
+    answer = call(admin_address, "/fleet")
     if as_json:
         print_json(answer)
     else:
@@ -139,28 +139,31 @@
 
 
 def watch(
-    at: str,
+    admin_address: str,
     console: Console,
     is_watching: Callable[[], bool],
     interval_seconds: float = WATCH_INTERVAL_SECONDS,
 ) -> int:
-    """Print events as they come, until stopped or until the dispatcher no longer answers."""
-    number = call(at, "/fleet")["number"]
+    """Print events as they happen, while `is_watching` returns true.
+
+    Raise `CommandError` if the dispatcher no longer answers.
+    """
+    last_number = call(admin_address, "/fleet")["number"]
     while is_watching():
-        answer = call(at, f"/fleet/changes?after={number}")
-        if answer["number"] < number:
+        answer = call(admin_address, f"/fleet/changes?after={last_number}")
+        if answer["number"] < last_number:
             console.print("[dim]the dispatcher has restarted[/]")
         if answer["lost"]:
             console.print(f"[dim]{answer['lost']} changes are no longer kept[/]")
         print_events(answer["changes"], console)
-        number = answer["number"]
+        last_number = answer["number"]
         time.sleep(interval_seconds)
     return EXIT_OK
 
 
-def explain(at: str, name: str, console: Console, *, as_json: bool) -> int:
+def explain(admin_address: str, name: str, console: Console, *, as_json: bool) -> int:
     """Print why a member is in its state."""
-    answer = call(at, f"/fleet/members/{quote(name, safe='')}")
+    answer = call(admin_address, f"/fleet/members/{quote(name, safe='')}")
     if as_json:
         print_json(answer)
         return EXIT_OK
@@ -177,9 +180,9 @@
     return EXIT_OK
 
 
-def leave(at: str, console: Console) -> int:
-    """Have the dispatcher stop gracefully."""
-    name = call(at, "/fleet/leave", "PUT")["leaving"]
+def leave(admin_address: str, console: Console) -> int:
+    """Have the dispatcher shut down gracefully."""
+    name = call(admin_address, "/fleet/leave", "PUT")["leaving"]
     console.print(f"{name} shuts down: it answers all requests, then announces its leave")
     return EXIT_OK
 
@@ -196,7 +199,7 @@
 
 
 def event_line(event: Answer) -> str:
-    """Return one event as console markup."""
+    """Return the line for one event, as console markup."""
     before = f"{event['before']} -> " if event["before"] else ""
     return (
         f"{event['ago_s']:6.1f} s ago  {event['name']:<16} {before}{styled_state(event['after'])}"
@@ -205,5 +208,5 @@
 
 
 def styled_state(state: str) -> str:
-    """Return a state as console markup."""
+    """Return a state in its colour, as console markup."""
     return f"[{STATE_STYLES.get(state, 'white')}]{state}[/]"
--- a/stepstream/membership/dissemination.py
+++ b/stepstream/membership/dissemination.py
@@ -1,7 +1,7 @@
-"""Updates that wait to be piggybacked, and the rules of which go out; free of I/O.
+"""The queue of updates to piggyback, and the rules by which they are sent; free of I/O.
 
-SWIM, section 4.1: the least often sent go first, and each goes out at most lambda log(n) times. The
-queue is owned by the outbox.
+SWIM, section 4.1: the updates sent least often go first, and each is sent at most lambda log(n)
+times. The outbox owns the queue.
 """
 
 from collections.abc import Iterable, Iterator
@@ -17,17 +17,17 @@
     MemberState,
     MemberStatus,
     Update,
-    encoded_bytes,
+    encoded_size_bytes,
 )
 
 MAX_QUEUED_UPDATES = 4_096
-MAX_PIGGYBACKED_STATUSES = 4  # statuses inform people and must not crowd out member records
-DATAGRAM_FRAME_BYTES = 64
+MAX_PIGGYBACKED_STATUSES = 4  # statuses only inform operators; member records need the space
+DATAGRAM_FRAME_BYTES = 64  # for the version, the cluster's name and array headers
 PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - DATAGRAM_FRAME_BYTES
 
 # Member records go first: they decide who is present.
 SEND_RANKS: dict[type, int] = {MemberRecord: 0, MaintenanceRecord: 1, MemberStatus: 2}
-MAX_PIGGYBACKED: dict[type, int] = {
+MAX_PIGGYBACKED_BY_KIND: dict[type, int] = {
     MemberRecord: MAX_UPDATES_OF_A_KIND,
     MaintenanceRecord: MAX_UPDATES_OF_A_KIND,
     MemberStatus: MAX_PIGGYBACKED_STATUSES,
@@ -46,15 +46,15 @@
 
 
 class UpdateFields(TypedDict):
-    """Updates by the datagram's fields."""
+    """Updates grouped by the fields of `Datagram` that carry them."""
 
     member_records: tuple[MemberRecord, ...]
     member_statuses: tuple[MemberStatus, ...]
     maintenance_records: tuple[MaintenanceRecord, ...]
 
 
-def key_of(update: Update) -> UpdateKey:
-    """Return what an update is about: a newer one with the same key replaces it."""
+def update_key(update: Update) -> UpdateKey:
+    """Return the key of an update: a newer update with the same key replaces it."""
     match update:
         case MemberRecord():
             return MemberRecord, update.name
@@ -64,25 +64,27 @@
             return MaintenanceRecord, update.worker
 
 
-def retransmit_limit(multiplier: float, members: int) -> int:
-    """Return how often each update is sent at most (SWIM, section 4.1: lambda log n).
+def retransmit_limit(multiplier: float, member_count: int) -> int:
+    """Return the maximum number of times an update is sent (SWIM, section 4.1: lambda log n).
 
-    `members` counts all known names. Fewer transmissions leave more members to anti-entropy.
+    `member_count` counts all known names. With fewer transmissions, more members miss the update
+    until anti-entropy brings it.
     """
-    return ceil(multiplier * log10(members + 1))
+    return ceil(multiplier * log10(member_count + 1))
 
 
 def select_updates(queued: Iterable[QueuedUpdate], payload_bytes: int) -> list[QueuedUpdate]:
-    """Return the updates to piggyback on one datagram, in the order in which they go.
+    """Return the updates to piggyback on one datagram, in sending order.
 
-    Member records go first, then the least often sent of each kind (SWIM, section 4.1). One that
-    does not fit into the rest of `payload_bytes`, or is beyond its kind's limit, waits.
+    Member records go first, then maintenance records, then statuses; within a kind, the updates
+    sent least often go first (SWIM, section 4.1). An update stays queued if it does not fit into
+    the rest of `payload_bytes` or if its kind's limit is reached.
     """
     selected: list[QueuedUpdate] = []
     counts = dict.fromkeys(SEND_RANKS, 0)
     for candidate in sorted(queued, key=send_order):
         kind = type(candidate.update)
-        if candidate.size_bytes > payload_bytes or counts[kind] >= MAX_PIGGYBACKED[kind]:
+        if candidate.size_bytes > payload_bytes or counts[kind] >= MAX_PIGGYBACKED_BY_KIND[kind]:
             continue
         payload_bytes -= candidate.size_bytes
         counts[kind] += 1
@@ -91,53 +93,55 @@
 
 
 def send_order(queued: QueuedUpdate) -> tuple[int, int]:
-    """Return the sort key by which queued updates go out."""
+    """Return the sort key that orders queued updates for sending."""
     return SEND_RANKS[type(queued.update)], queued.transmissions
 
 
 def notifies_recipient(recipient: MemberRecord | None) -> bool:
-    """Return whether a datagram carries the record of its recipient, if that is known.
+    """Return whether a datagram carries its recipient's own record; None if none is known.
 
-    A suspect or dead member gets its own record and can refute it (Lifeguard, Buddy System).
+    A suspect or dead member receives its own record, so that it can refute it (Lifeguard, Buddy
+    System).
     """
     return recipient is not None and recipient.state in (MemberState.SUSPECT, MemberState.DEAD)
 
 
 def may_piggyback(recipient: MemberRecord | None) -> bool:
-    """Return whether queued updates ride on a datagram to this recipient, if that is known.
+    """Return whether queued updates are piggybacked on a datagram to this recipient.
 
-    Each update is sent a limited number of times, and must not be spent on a dead member.
+    `recipient` is None if no record of it is known. Each update is sent a limited number of times,
+    and a transmission to a dead member would be wasted.
     """
     return recipient is None or recipient.state is not MemberState.DEAD
 
 
 class BroadcastQueue:
-    """Queued updates, the latest of each key."""
+    """Updates to piggyback: the latest for each key."""
 
     def __init__(self) -> None:
         self.queued: dict[UpdateKey, QueuedUpdate] = {}
 
     def put(self, update: Update) -> None:
         """Queue an update in place of an older one with the same key."""
-        key = key_of(update)
+        key = update_key(update)
         if len(self.queued) >= MAX_QUEUED_UPDATES and key not in self.queued:
             self._drop_most_transmitted()
-        self.queued[key] = QueuedUpdate(update, encoded_bytes(update))
+        self.queued[key] = QueuedUpdate(update, encoded_size_bytes(update))
 
     def has_member_records(self) -> bool:
-        """Return whether a member record has yet to be sent often enough."""
+        """Return whether a member record still has transmissions left."""
         return any(kind is MemberRecord for kind, _ in self.queued)
 
     def take(self, limit: int, payload_bytes: int) -> list[Update]:
-        """Return what fits into `payload_bytes`, counted as sent once more.
+        """Return the updates for one datagram and count a transmission of each.
 
-        An update that was sent `limit` times is dropped from the queue.
+        They fit into `payload_bytes`. An update that was sent `limit` times leaves the queue.
         """
         selected = select_updates(self.queued.values(), payload_bytes)
         for queued in selected:
             queued.transmissions += 1
             if queued.transmissions >= limit:
-                del self.queued[key_of(queued.update)]
+                del self.queued[update_key(queued.update)]
         return [queued.update for queued in selected]
 
     def _drop_most_transmitted(self) -> None:
@@ -150,7 +154,7 @@
     page: list[Update] = []
     free_bytes = payload_bytes
     for update in updates:
-        size_bytes = encoded_bytes(update)
+        size_bytes = encoded_size_bytes(update)
         if page and (size_bytes > free_bytes or len(page) >= MAX_UPDATES_OF_A_KIND):
             yield page
             page = []
@@ -162,11 +166,11 @@
 
 
 def datagram_fields(updates: list[Update]) -> UpdateFields:
-    """Return updates by the datagram's fields, each in the given order."""
+    """Return updates grouped by the datagram's fields, in the given order within each."""
     return {
-        "member_records": tuple(part for part in updates if isinstance(part, MemberRecord)),
-        "member_statuses": tuple(part for part in updates if isinstance(part, MemberStatus)),
+        "member_records": tuple(update for update in updates if isinstance(update, MemberRecord)),
+        "member_statuses": tuple(update for update in updates if isinstance(update, MemberStatus)),
         "maintenance_records": tuple(
-            part for part in updates if isinstance(part, MaintenanceRecord)
+            update for update in updates if isinstance(update, MaintenanceRecord)
         ),
     }
--- a/stepstream/membership/driver.py
+++ b/stepstream/membership/driver.py
@@ -1,8 +1,8 @@
 """The membership thread and its UDP socket.
 
-The driver owns the socket, the thread's loop and the lock that guards the protocol: the thread, the
-admin listener's thread and senders of application messages take it for each call. Waits are on
-monotonic time.
+The driver owns the socket, the thread's loop and the lock that guards the protocol. The membership
+thread, the admin listener's thread and the senders of application messages take the lock for each
+call. Timeouts are in monotonic time.
 """
 
 import random
@@ -33,35 +33,36 @@
 
 MAX_READS_PER_CYCLE = 64  # a flood of datagrams must not delay the timers
 PERIODIC_TASK_INTERVAL_SECONDS = 0.2
-LEAVE_TRANSMISSIONS = 3  # some may be lost
+LEAVE_TRANSMISSIONS = 3  # a datagram may be lost
 LEAVE_PAUSE_SECONDS = 0.02
 
-# A generation is the start's Unix time in milliseconds, times this, plus a random number below it.
+# A generation is the start's Unix time in milliseconds times this number, plus a random number
+# below it.
 GENERATIONS_PER_MILLISECOND = 1_024
-NANOSECONDS_A_MILLISECOND = 1_000_000
-MILLISECONDS_A_SECOND = 1_000
+NANOSECONDS_PER_MILLISECOND = 1_000_000
+MILLISECONDS_PER_SECOND = 1_000
 
 MessageHandler = Callable[[str, bytes], None]  # takes the sender's name and the data
 
 
 def new_generation(rng: random.Random) -> int:
-    """Return a generation for this start, greater than those of earlier milliseconds."""
+    """Return a generation for a start now, greater than any of an earlier millisecond."""
     return first_generation_of_now() + rng.randrange(GENERATIONS_PER_MILLISECOND)
 
 
 def newest_generation() -> int:
-    """Return the greatest generation that a start up to now can have."""
+    """Return the greatest generation that a process started by now can have."""
     return first_generation_of_now() + GENERATIONS_PER_MILLISECOND - 1
 
 
 def first_generation_of_now() -> int:
-    """Return the least generation of a start in this millisecond."""
-    now_ms = time.time_ns() // NANOSECONDS_A_MILLISECOND
+    """Return the smallest generation of a start in the current millisecond."""
+    now_ms = time.time_ns() // NANOSECONDS_PER_MILLISECOND
     return now_ms * GENERATIONS_PER_MILLISECOND
 
 
 def log_fields(event: MembershipEvent) -> dict[str, object]:
-    """Return the fields of an event's log line; operators' pages and tools look for these words."""
+    """Return the fields of an event's log line; operators' tools depend on these names."""
     return {
         "member": event.name,
         "before": event.before,
@@ -74,9 +75,9 @@
 class Driver:
     """Runs a protocol on a UDP socket.
 
-    `run_periodic_task` is called by the thread, a few times a second, with the lock held; it must
-    not wait. OSError if the address cannot be bound; SO_REUSEPORT lets both processes of a hot
-    restart listen.
+    The thread calls `run_periodic_task` a few times a second with the lock held; it must not block.
+    The constructor raises OSError if the address cannot be bound. SO_REUSEPORT lets both processes
+    of a hot restart bind it.
     """
 
     def __init__(
@@ -90,10 +91,10 @@
         self.protocol = protocol
         self.logger = logger
         self.run_periodic_task = run_periodic_task
-        self.lock = threading.Lock()  # guards the protocol and what the periodic task derives
+        self.lock = threading.Lock()  # guards the protocol and the results of the periodic task
         self.dropped_datagrams = RateLimitedLogger(log_events.membership_datagram_dropped, limits)
         self.unsent_datagrams = 0
-        self.cpu_seconds = 0.0  # that the thread has used
+        self.cpu_seconds = 0.0  # CPU time of the membership thread
         self.is_closed = False
         self.message_handlers: dict[str, MessageHandler] = {}  # by kind of application message
         self._last_logged_event = 0
@@ -108,10 +109,10 @@
             raise
 
     def run(self) -> None:
-        """Run until closed: the membership thread's loop."""
+        """Run the membership thread's loop until the driver is closed."""
         poll = select.poll()
         poll.register(self.socket, select.POLLIN)
-        # One datagram must not end the membership.
+        # An exception while one datagram is handled must not end the thread.
         run_until_closed(
             "fleet",
             lambda: self.run_cycle(poll),
@@ -121,14 +122,15 @@
         self.socket.close()
 
     def run_cycle(self, poll: "select.poll") -> None:
-        """Wait for a datagram or a timer, let the protocol handle it, and send its answers."""
+        """Wait for a datagram or a timer, let the protocol handle it, and send the answers."""
         with self.lock:
             deadline = self.protocol.next_tick_at()
         until_deadline = max(deadline - time.monotonic(), 0.0)
         wait_seconds = min(until_deadline, PERIODIC_TASK_INTERVAL_SECONDS)
-        poll.poll(wait_seconds * MILLISECONDS_A_SECOND)
+        poll.poll(wait_seconds * MILLISECONDS_PER_SECOND)
         with self.lock:
-            # The protocol must see a stall of this process before the datagrams that waited.
+            # `tick` notices a stall of this process; it must run before datagrams that queued up
+            # during the stall are handled.
             outgoing = self.protocol.tick(time.monotonic())
             outgoing += self.receive()
             self._run_periodic_task_if_due()
@@ -136,17 +138,17 @@
             messages = self.protocol.application.take_received()
             self.is_closed = self.is_closed or self.protocol.members.superseded_by is not None
         self.transmit(outgoing)
-        fields = [log_fields(event) for event in events]
+        event_fields = [log_fields(event) for event in events]
         log_changes(
             self.logger,
             log_events.member_state_changed,
             log_events.member_state_changes_omitted,
-            fields,
+            event_fields,
         )
         self._deliver(messages)
 
     def send_application_message(self, recipient: str, kind: str, data: bytes) -> None:
-        """Send another subsystem's message; for any thread that does not hold the lock."""
+        """Send another subsystem's message; the calling thread must not hold the lock."""
         with self.lock:
             outgoing = self.protocol.send_application_message(
                 time.monotonic(), recipient, kind, data
@@ -154,13 +156,13 @@
         self.transmit(outgoing)
 
     def receive(self) -> list[OutgoingDatagram]:
-        """Let the protocol handle waiting datagrams, with the lock held; return its answers."""
+        """Let the protocol handle queued datagrams, with the lock held; return its answers."""
         outgoing: list[OutgoingDatagram] = []
         for _ in range(MAX_READS_PER_CYCLE):
             try:
                 data, source = self.socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:
-                break  # none left, or an error of a datagram sent earlier
+                break  # no datagram is left, or an earlier send failed
             try:
                 datagram = decode(data, self.protocol.cluster)
             except InvalidDatagramError as error:
@@ -170,7 +172,7 @@
         return outgoing
 
     def transmit(self, outgoing: list[OutgoingDatagram]) -> None:
-        """Send datagrams; one that cannot be sent is counted, and counts as lost."""
+        """Send datagrams; count each that cannot be sent and treat it as lost."""
         for item in outgoing:
             try:
                 self.socket.sendto(encode(item.datagram), split_address(item.address))
@@ -178,7 +180,7 @@
                 self.unsent_datagrams += 1
 
     def leave(self) -> None:
-        """Announce the leave, some times in case of loss, and end the thread."""
+        """Announce the leave LEAVE_TRANSMISSIONS times, in case of loss, and end the thread."""
         with self.lock:
             outgoing = self.protocol.leave(time.monotonic())
         if outgoing:
--- a/stepstream/membership/errors.py
+++ b/stepstream/membership/errors.py
@@ -1,4 +1,4 @@
-"""The base class of this package's errors; each is defined where it is raised."""
+"""The base class of this package's errors; each subclass is defined where it is raised."""
 
 
 class MembershipError(Exception):
--- a/stepstream/membership/event_history.py
+++ b/stepstream/membership/event_history.py
@@ -1,4 +1,4 @@
-"""Numbered state changes of members, for the log and for operators who watch; free of I/O.
+"""Numbered state changes of members, for the log and for `GET /fleet/changes`; free of I/O.
 
 Owned by the member list; touched only under the driver's lock.
 """
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipEvent:
-    """A member's change of state, or of its process."""
+    """A change of a member's state, or a new process under its name."""
 
     number: int
     at: float  # monotonic seconds
     name: str
-    before: str  # "" for a name that was not known
-    after: str
+    before: str  # the earlier state; "" for a name that was not known
+    after: str  # the new state, or "superseded" or "turned away"
     reported_by: str
     reason: str
 
@@ -29,7 +29,7 @@
         self.recent: deque[MembershipEvent] = deque(maxlen=MAX_EVENTS)
         self.last_number = 0
 
-    def record(  # noqa: PLR0913  one argument a field of the event
+    def record(  # noqa: PLR0913  one argument per field of the event
         self, at: float, name: str, before: str, after: str, reported_by: str, reason: str
     ) -> MembershipEvent:
         """Append an event under the next number."""
@@ -39,5 +39,5 @@
         return event
 
     def after(self, number: int) -> list[MembershipEvent]:
-        """Return the events with a greater number, as far as they are kept."""
+        """Return the kept events with a greater number."""
         return [event for event in self.recent if event.number > number]
--- a/stepstream/membership/failure_detector.py
+++ b/stepstream/membership/failure_detector.py
@@ -1,11 +1,12 @@
 """SWIM's failure detector with Lifeguard's local health; free of I/O.
 
-SWIM, section 3.1: each probe interval one member is pinged; without its ack in time, helpers ping
-it on this member's behalf (ping-req); without any ack it is suspected (section 4.2), and a
-suspicion that nobody refutes in time becomes a death. Lifeguard (LHA-Probe): a helper says by a
-nack that its own probe is unanswered, and a prober that misses nacks, too, doubts itself.
+SWIM, section 3.1: in each probe interval a member pings one other member. If the target sends no
+ack in time, helpers ping it on the prober's behalf (ping-req). If still no ack arrives, the target
+is suspected (section 4.2). A suspect that does not refute in time is declared dead. Lifeguard
+(LHA-Probe): a helper whose own ping is unanswered sends the prober a nack. A prober that misses
+nacks, too, worsens its own local health.
 
-Owns the probe under way and those on behalf of others; touched only under the driver's lock.
+Owns the current probe and the probes on behalf of others; touched only under the driver's lock.
 """
 
 from dataclasses import dataclass, field
@@ -39,8 +40,8 @@
 class Probe:
     """The probe of the current interval.
 
-    `indirect_at` is when indirect probes are requested, `helpers` the members that got such a
-    request, None before that, and `nacked` those of them that sent a nack, once or more.
+    `indirect_at` is when indirect probes are requested. `helpers` are the members that got such a
+    request, None before any was sent; `nacked` are the helpers that sent a nack.
     """
 
     sequence: int
@@ -51,13 +52,13 @@
     nacked: set[str] = field(default_factory=set)
 
     def awaits_indirect_probes(self) -> bool:
-        """Return whether indirect probes are requested unless an ack arrives before."""
+        """Return whether indirect probes will be requested unless an ack arrives first."""
         return not self.is_acked and self.helpers is None
 
 
 @dataclass(slots=True)
 class RelayedProbe:
-    """A probe on behalf of the member at `address`, under that member's sequence number."""
+    """A probe on behalf of the member at `address`; `sequence` is that member's number for it."""
 
     sequence: int
     address: str
@@ -68,14 +69,14 @@
 def nack_due_at(now: float, probe_timeout_seconds: float) -> float:
     """Return when a helper sends a nack for a probe relayed at `now`, in monotonic seconds.
 
-    A nack must reach the prober before its own timeout (Lifeguard, LHA-Probe): a late one counts as
-    missing and makes a healthy prober doubt itself.
+    A nack must reach the prober before the prober's timeout (Lifeguard, LHA-Probe): a late nack
+    counts as missing and worsens the local health of a healthy prober.
     """
     return now + NACK_FRACTION_OF_PROBE_TIMEOUT * probe_timeout_seconds
 
 
 class FailureDetector:
-    """Probes the others in turn, helps with their probes, and lets suspicions run out."""
+    """Probes the other members in turn, helps with their probes, and ends expired suspicions."""
 
     def __init__(
         self,
@@ -93,12 +94,12 @@
         self.probe: Probe | None = None
         self._relayed: dict[int, RelayedProbe] = {}  # by this member's sequence number
         self._last_sequence = context.rng.randrange(FIRST_SEQUENCE_RANGE)
-        # Members that start together must not probe in step.
+        # The first probe is at a random time: members that start together must not probe together.
         interval_seconds = context.settings.probe_interval_seconds
         self.next_probe_at = context.now + context.rng.uniform(0, interval_seconds)
 
     def next_deadline(self) -> float:
-        """Return when one of the timers is due."""
+        """Return when the next of the timers is due."""
         deadline = self.next_probe_at
         if self.probe is not None and self.probe.awaits_indirect_probes():
             deadline = min(deadline, self.probe.indirect_at)
@@ -142,7 +143,7 @@
         probe = self.probe
         if probe is None or probe.sequence != nack.sequence or probe.helpers is None:
             return
-        # A datagram may arrive twice, and from a member that was not asked.
+        # A nack may arrive twice, or from a member that is no helper of this probe.
         if sender.name in probe.helpers:
             probe.nacked.add(sender.name)
 
@@ -163,7 +164,7 @@
     # -- timers -----------------------------------------------------------------------------------
 
     def tick_relayed_probes(self) -> None:
-        """Send the nacks that are due and drop what is over."""
+        """Send the nacks that are due and drop the relayed probes that have ended."""
         now = self.context.now
         for sequence, relayed in list(self._relayed.items()):
             if now >= relayed.nack_at:
@@ -173,7 +174,7 @@
                 del self._relayed[sequence]
 
     def tick_probe(self) -> bool:
-        """Request indirect probes, or end the probe and start the next one, as is due.
+        """Request indirect probes if due; if the probe interval is over, start the next probe.
 
         Return whether a new probe interval has begun.
         """
@@ -203,7 +204,11 @@
                 self.merger.merge(dead, local_name)
 
     def recover_from_stall(self, seconds: float) -> None:
-        """Drop or postpone all that ran out while this process itself stood still."""
+        """Drop the probes and postpone the suspicions that were under way during a local stall.
+
+        Answers may have arrived that this process has not read yet, so the missed deadlines say
+        nothing about other members.
+        """
         self.context.metrics.stalls += 1
         interval_seconds = self.context.settings.probe_interval_seconds
         self.context.worsen_local_health(stall_penalty(seconds, interval_seconds))
@@ -229,8 +234,8 @@
     def _request_indirect_probes(self, probe: Probe) -> None:
         """Send ping-reqs to k random helpers (SWIM, section 3.1)."""
         candidates = [name for name in self.members.others() if name != probe.target]
-        count = min(self.context.settings.indirect_probes, len(candidates))
-        helpers = self.context.rng.sample(candidates, count)
+        helper_count = min(self.context.settings.indirect_probes, len(candidates))
+        helpers = self.context.rng.sample(candidates, helper_count)
         probe.helpers = frozenset(helpers)
         target = self.members.by_name.get(probe.target)
         if target is None:
@@ -242,8 +247,8 @@
     def _fail_probe(self, probe: Probe) -> None:
         """Worsen local health and suspect the target (SWIM, section 4.2)."""
         self.context.metrics.failed_probes += 1
-        helpers = None if probe.helpers is None else len(probe.helpers)
-        self.context.worsen_local_health(failed_probe_penalty(helpers, len(probe.nacked)))
+        helper_count = None if probe.helpers is None else len(probe.helpers)
+        self.context.worsen_local_health(failed_probe_penalty(helper_count, len(probe.nacked)))
         member = self.members.by_name.get(probe.target)
         if member is not None and member.record.state in PRESENT_STATES:
             local_name = self.members.local_name
--- a/stepstream/membership/maintenance_records.py
+++ b/stepstream/membership/maintenance_records.py
@@ -1,6 +1,6 @@
-"""Operators' calls on workers, replicated to all members; free of I/O.
+"""Workers' maintenance states as set by operators, replicated to all members; free of I/O.
 
-A last-writer-wins register a worker, in the order of `record_precedence.maintenance_precedence`.
+Each worker has a last-writer-wins register, ordered by `record_precedence.maintenance_precedence`.
 Owned by the protocol and touched only under the driver's lock.
 """
 
@@ -12,7 +12,7 @@
 
 
 class MaintenanceRecords:
-    """The latest record of each worker that an operator has called on."""
+    """The latest record of each worker for which an operator began or ended maintenance."""
 
     def __init__(self, context: ProtocolContext, members: MemberList, outbox: Outbox) -> None:
         self.context = context
@@ -24,21 +24,22 @@
     def record(
         self, worker: str, *, in_maintenance: bool, recorded_at_us: int
     ) -> MaintenanceRecord | None:
-        """Record an operator's call at this dispatcher; None if no further worker is admitted.
+        """Record an operator's call at this dispatcher and return the record.
 
-        `recorded_at_us` is Unix time in microseconds.
+        Return None if there is no room for another worker. `recorded_at_us` is Unix time in
+        microseconds.
         """
         if self._is_beyond_bound(worker):
             return None
-        latest = max((record.lamport_time for record in self.by_worker.values()), default=0)
+        latest_time = max((record.lamport_time for record in self.by_worker.values()), default=0)
         record = MaintenanceRecord(
-            worker, latest + 1, in_maintenance, self.members.local_name, recorded_at_us
+            worker, latest_time + 1, in_maintenance, self.members.local_name, recorded_at_us
         )
         self.merge(record)
         return record
 
     def merge(self, record: MaintenanceRecord) -> None:
-        """Take a record if it is later than the one held."""
+        """Store a record if it takes precedence over the stored one."""
         if self._is_beyond_bound(record.worker):
             self.context.metrics.rejected_names += 1
             return
--- a/stepstream/membership/member.py
+++ b/stepstream/membership/member.py
@@ -1,4 +1,4 @@
-"""One member as this one holds it; a record without rules, owned by the member list."""
+"""What the local member knows of one member: data without rules, owned by the member list."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """A member as this one holds it. `state_since` is in monotonic seconds."""
+    """What the local member knows of a member; `state_since` is in monotonic seconds."""
 
     record: MemberRecord
     state_since: float
--- a/stepstream/membership/member_count.py
+++ b/stepstream/membership/member_count.py
@@ -1,11 +1,12 @@
 """How many dispatchers share the cluster's capacity; free of I/O.
 
-The count divides what the dispatchers share: a cold worker's first load, calls to discovery. A
-membership list is no quorum: a member that is held dead may be alive behind a partition and
-sending. So a name counts from its first record on. It stops to count if the member left, or if the
-majority of all that count confirm its death. docs/membership.md has the proof: while a partition
-lasts at most one side can shrink its count, members of a minority go on to take what they took, and
-both sides together take at most one and a half of the whole share.
+Each dispatcher divides what all of them share by this count: a cold worker's first load, calls to
+discovery. A membership list is no quorum: a member that is considered dead may be alive and sending
+on the other side of a partition. So a member's name is counted from its first record on. It is no
+longer counted if the member left, or if the majority of all counted members confirm its death.
+docs/membership.md has the proof: during a partition at most one side can reduce its count, members
+of a minority keep the share that they had, and all sides together take at most one and a half of
+the whole.
 
 Owned by the subsystem and touched only under the driver's lock.
 """
@@ -16,15 +17,15 @@
 from stepstream.membership.member_list import MemberList
 from stepstream.membership.messages import MemberState
 
-# By member, the local one included: the fingerprints of the death claims that it confirms.
+# The fingerprints of the death claims that each member confirms, by member name, local included.
 Confirmations = Mapping[str, frozenset[int]]
 
 
 @dataclass(frozen=True, slots=True)
 class ObservedMember:
-    """A member as this one holds it.
+    """What the local member knows of a member when it counts.
 
-    `state_seconds` is the time for which it is in its state, `fingerprint` its record's.
+    `state_seconds` is how long it has been in its state, `fingerprint` that of its record.
     """
 
     name: str
@@ -34,7 +35,7 @@
 
 
 def observe(members: MemberList, now: float) -> list[ObservedMember]:
-    """Return all members as the list holds them."""
+    """Return what the list knows of each member; `now` is in monotonic seconds."""
     return [
         ObservedMember(
             name, member.record.state, now - member.state_since, member.record.fingerprint
@@ -53,9 +54,10 @@
 ) -> list[int]:
     """Return the fingerprints of the death claims that this member confirms.
 
-    A death is confirmed once it was held for `confirmation_delay_seconds`: a process that stops for
-    some seconds must not move every member's share twice. Members that still count go first, then
-    the latest deaths, since a status carries a limited number.
+    A death is confirmed once the member has been considered dead for `confirmation_delay_seconds`:
+    a process that stalls for some seconds must not change every member's share twice. Deaths of
+    counted members go first, then later deaths before earlier ones: a status carries a limited
+    number.
     """
     dead = [
         member
@@ -71,7 +73,8 @@
 ) -> set[str]:
     """Return the counted members that confirm the death claim with this fingerprint.
 
-    The fingerprint is of one claim, so that no confirmation from before a return counts.
+    A fingerprint identifies one claim: if the member returned and died again, confirmations of the
+    earlier death do not count.
     """
     return {name for name in counted if fingerprint in confirmations.get(name, ())}
 
@@ -79,8 +82,8 @@
 def is_majority(confirming: Collection[str], counted: Collection[str]) -> bool:
     """Return whether the confirming members may remove a name from the count.
 
-    They must be more than half of all that count or, of two halves, the one with the least name.
-    So at most one side of a partition can remove names.
+    They must be more than half of the counted members, or exactly half with the least name of all
+    among them. So at most one side of a partition can remove names.
     """
     is_half_with_least_name = 2 * len(confirming) == len(counted) and min(counted) in confirming
     return 2 * len(confirming) > len(counted) or is_half_with_least_name
@@ -91,37 +94,37 @@
 ) -> int:
     """Return the number of dispatchers by which shares are divided.
 
-    A member that has just started may not know all others yet. The configured count is the least
-    then: a new member must not take more than its share.
+    A member that has just started may not know all others yet. Until it does, it uses at least the
+    configured count, so that it does not take more than its share.
     """
     if is_starting or not has_joined:
         return max(count, configured_count)
     return count
 
 
-# -- the record -----------------------------------------------------------------------------------
+# -- the count ------------------------------------------------------------------------------------
 
 
 class MemberCount:
-    """The names that count.
+    """The names of the counted members.
 
-    `confirmation_delay_seconds` is the time for which a member is held dead before this one
-    confirms its death.
+    `confirmation_delay_seconds` is how long a member must be considered dead before the local
+    member confirms its death.
     """
 
     def __init__(self, local_name: str, confirmation_delay_seconds: float) -> None:
         self.local_name = local_name
         self.confirmation_delay_seconds = confirmation_delay_seconds
         self.counted_names = {local_name}
-        # By name, the fingerprint of the death claim for which it was removed.
+        # The fingerprint of the death claim for which a name was removed, by name.
         self._removed: dict[str, int] = {}
 
     def confirmed_deaths(self, observed: Iterable[ObservedMember]) -> list[int]:
-        """Return the fingerprints of the deaths that this member confirms."""
+        """Return the fingerprints of the death claims that the local member confirms."""
         return deaths_to_confirm(observed, self.counted_names, self.confirmation_delay_seconds)
 
     def update(self, observed: Iterable[ObservedMember], confirmations: Confirmations) -> int:
-        """Add and remove names, and return how many count by now."""
+        """Add and remove names, and return how many are counted now."""
         by_name = {member.name: member for member in sorted(observed, key=lambda item: item.name)}
         self._add_and_drop_left(by_name.values())
         for member in by_name.values():
@@ -131,7 +134,7 @@
         return len(self.counted_names)
 
     def _add_and_drop_left(self, observed: Collection[ObservedMember]) -> None:
-        """Count all but those that left, or whose death claim of their removal still holds."""
+        """Count all members except those that left and those removed whose record is unchanged."""
         left = {member.name for member in observed if member.state is MemberState.LEFT}
         counted = {
             member.name
--- a/stepstream/membership/member_list.py
+++ b/stepstream/membership/member_list.py
@@ -1,7 +1,7 @@
-"""The membership list: one record a name, with indexes and an order-independent digest; no I/O.
+"""The membership list: one record per name, with indexes and an order-independent digest; no I/O.
 
 Owned by the protocol and touched only under the driver's lock. `record_precedence` decides which of
-two records holds; this module keeps what was decided consistent.
+two records is kept; this module keeps the indexes and the digest consistent with the records.
 """
 
 from collections.abc import Iterator
@@ -28,11 +28,11 @@
         self.suspects: dict[str, Member] = {}
         self.digest = local.fingerprint  # XOR of all records' fingerprints
         self.events = EventHistory()
-        # Monotonic seconds of the first datagram from another member; None before it.
+        # When the first datagram of another member arrived, in monotonic seconds; None before that.
         self.joined_at: float | None = None
-        # The address of a later start under the local name; this process is passive from then on.
+        # The address of a later start under the local name; once set, this one is passive.
         self.superseded_by: str | None = None
-        self._rejected_names: set[str] = set()  # with an event already
+        self._rejected_names: set[str] = set()  # those with a recorded event
 
     @property
     def local(self) -> MemberRecord:
@@ -40,11 +40,11 @@
         return self.by_name[self.local_name].record
 
     def others(self) -> list[str]:
-        """Return the names of the other present members, in an order that a seed repeats."""
+        """Return the names of the other present members, sorted so that seeded runs repeat."""
         return sorted(self.present - {self.local_name})
 
     def suspicions(self) -> Iterator[Suspicion]:
-        """Yield the suspicions under way."""
+        """Yield the current suspicions."""
         return (
             member.suspicion for member in self.suspects.values() if member.suspicion is not None
         )
@@ -84,7 +84,7 @@
         return left
 
     def set_suspicion(self, member: Member, suspicion: Suspicion | None) -> None:
-        """Begin a suspicion of a member, or end the one under way."""
+        """Begin a suspicion of a member, or end the current one if `suspicion` is None."""
         name = member.record.name
         if suspicion is not None:
             self.suspects[name] = member
@@ -93,23 +93,23 @@
         member.suspicion = suspicion
 
     def update_presence(self, member: Member) -> None:
-        """Count a member as present or not, by its record's state."""
+        """Add a member to the present names or remove it, by its record's state."""
         if member.record.state in PRESENT_STATES:
             self.present.add(member.record.name)
         else:
             self.present.discard(member.record.name)
 
-    def record_event(  # noqa: PLR0913  one argument a field of the event
+    def record_event(  # noqa: PLR0913  one argument per field of the event
         self, name: str, before: str, after: str, reported_by: str, reason: str
     ) -> None:
         """Record an event of a known member."""
         event = self.events.record(self.context.now, name, before, after, reported_by, reason)
         self.by_name[name].history.append(event)
 
-    # -- the bound on names ---------------------------------------------------------------------
+    # -- the maximum number of names --------------------------------------------------------------
 
     def is_full(self) -> bool:
-        """Return whether another name needs one to be forgotten first."""
+        """Return whether a known name must be dropped before another can be added."""
         return len(self.by_name) >= self.context.settings.max_members
 
     def forget_oldest_tombstone(self) -> str | None:
@@ -126,12 +126,12 @@
         return oldest.record.name
 
     def reject_name(self, name: str) -> None:
-        """Count a name beyond the bound, and record one event for each such name."""
+        """Count the rejection of a name for lack of room; record one event for each such name."""
         max_members = self.context.settings.max_members
         self.context.metrics.rejected_names += 1
         if name in self._rejected_names or len(self._rejected_names) >= max_members:
             return
         self._rejected_names.add(name)
-        # Operators' pages and tools look for these texts.
+        # Operators' documentation and tools refer to these texts: keep their wording.
         reason = f"no room: {max_members} names are known (fleet.most)"
         self.events.record(self.context.now, name, "", "turned away", self.local_name, reason)
--- a/stepstream/membership/member_status.py
+++ b/stepstream/membership/member_status.py
@@ -1,4 +1,4 @@
-"""What members report of themselves, by member; free of I/O.
+"""The statuses that members report of themselves; free of I/O.
 
 Owned by the protocol and touched only under the driver's lock.
 """
@@ -13,7 +13,7 @@
 
 
 def reported_phase(phase: Phase, *, is_draining: bool) -> Phase:
-    """Return the phase that a member reports: a drain shows only while it serves."""
+    """Return the phase that a member reports: a drain is reported only in the serving phase."""
     if is_draining and phase is Phase.SERVING:
         return Phase.DRAINING
     return phase
@@ -22,8 +22,8 @@
 def confirmed_deaths_fingerprint(status: MemberStatus | None) -> int:
     """Return the 48-bit digest of the deaths that a member confirms, 0 for none.
 
-    Only these are part of the anti-entropy digest: they decide who counts. The rest of a status
-    changes all the time and may be late.
+    Of a status only these are part of the anti-entropy digest, because they decide which members
+    are counted. The other fields change all the time and may be out of date.
     """
     if status is None or not status.confirmed_deaths:
         return 0
@@ -42,9 +42,9 @@
         self.digest = 0  # XOR of all confirmed deaths' fingerprints
 
     def publish(self, status: MemberStatus) -> None:
-        """Take the local member's own status and disseminate it if it has changed.
+        """Store and disseminate the local member's own status if it has changed.
 
-        Owner, generation and revision are filled in here.
+        This method fills in the owner, the generation and the revision.
         """
         local = self.members.local
         old = self.by_owner.get(local.name)
@@ -56,15 +56,15 @@
             self._store(new)
 
     def merge(self, status: MemberStatus) -> None:
-        """Take another member's status if it is newer than the one held."""
+        """Store another member's status if it is newer than the stored one."""
         if status.owner == self.members.local_name or status.owner not in self.members.by_name:
-            return  # statuses are bounded by the member list
+            return  # only known members have a status, which bounds their number
         old = self.by_owner.get(status.owner)
         if old is None or status_precedence(status) > status_precedence(old):
             self._store(status)
 
     def renew_local_generation(self) -> None:
-        """Publish the local status again after the local record took a later generation."""
+        """Disseminate the local status again if the local record now has another generation."""
         local = self.members.local
         status = self.by_owner.get(local.name)
         if status is not None and status.generation != local.generation:
--- a/stepstream/membership/messages.py
+++ b/stepstream/membership/messages.py
@@ -1,9 +1,9 @@
 """Datagrams between members, as MessagePack, and their codec; free of I/O and of state.
 
 Each datagram holds the format's version, the cluster's name and its sender's member record. All
-structures are encoded as arrays, by position: field and class names do not travel, so they may be
-renamed, but never reordered. Types bound every size and number, so that nothing out of bounds
-reaches the protocol.
+structures are encoded as arrays, by position: the names of fields and classes are not sent. They
+may be renamed, but fields must never be reordered. The types limit every size and number, so the
+protocol receives no value outside its limits.
 """
 
 from enum import IntEnum
@@ -15,11 +15,11 @@
 from stepstream.membership.errors import MembershipError
 
 PROTOCOL_VERSION = 1
-# Fits an Ethernet frame with space for tunnels, so that no datagram is fragmented.
+# Fits an Ethernet frame and leaves space for tunnel headers, so that no datagram is fragmented.
 MAX_DATAGRAM_BYTES = 1_400
 MAX_APPLICATION_BYTES = 1_080  # leaves space for the sender's record in one datagram
 MAX_UPDATES_OF_A_KIND = 64
-MAX_CONFIRMED_DEATHS = 40  # more than these are confirmed one after another
+MAX_CONFIRMED_DEATHS = 40  # per status; further ones follow as dead members leave the count
 FINGERPRINT_BYTES = 6
 MAX_ERROR_CHARACTERS = 160
 
@@ -33,12 +33,12 @@
 
 
 def fingerprint(text: str) -> int:
-    """Return a 48-bit digest of a text."""
+    """Return the 48-bit digest of a text."""
     return int.from_bytes(blake2b(text.encode(), digest_size=FINGERPRINT_BYTES).digest())
 
 
 class MemberState(IntEnum):
-    """Within one incarnation the greater state overrides (SWIM, section 4.2)."""
+    """State of a member; within one incarnation the greater one overrides (SWIM, section 4.2)."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -46,17 +46,17 @@
     LEFT = 3
 
     @property
-    def label(self) -> str:
-        """The state's name in answers and logs."""
+    def display_name(self) -> str:
+        """The state's name in the admin listener's answers and in logs."""
         return self.name.lower()
 
 
-# States of members that take part: they are probed, counted and sent updates.
+# The states of members that are probed, counted as present and sent updates.
 PRESENT_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 class Phase(IntEnum):
-    """Phase of a dispatcher's process."""
+    """The phase of a dispatcher's process."""
 
     STARTING = 0
     SERVING = 1
@@ -67,9 +67,9 @@
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """A claim about one member.
 
-    `generation` identifies the process start, `incarnation` counts its refutations since (SWIM,
-    section 4.2). `reported_by` names the member that claims it, "" for the member itself; it has
-    no part in the order of claims.
+    `generation` identifies the process start; `incarnation` grows with each refutation since (SWIM,
+    section 4.2). `reported_by` names the member that makes the claim, "" for the member itself; it
+    does not influence the precedence of claims.
     """
 
     name: MemberName
@@ -81,14 +81,14 @@
 
     @property
     def fingerprint(self) -> int:
-        """Identifies exactly this claim, in 48 bits."""
+        """A 48-bit digest of this claim, without `reported_by`."""
         return fingerprint(
             f"{self.name} {self.address} {self.generation} {self.incarnation} {int(self.state)}"
         )
 
 
 class MemberStatus(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """What a member reports of itself; `revision` grows with each change in one generation.
+    """What a member reports of itself; `revision` grows with each change of the status.
 
     `confirmed_deaths` holds the fingerprints of the death claims that this member confirms
     (`member_count.deaths_to_confirm`).
@@ -109,37 +109,40 @@
 
 
 class MaintenanceRecord(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """An operator's call on a worker, as a last-writer-wins register."""
+    """An operator's call that begins or ends a worker's maintenance; the last writer wins."""
 
     worker: WorkerId
-    lamport_time: Unsigned  # over the whole cluster
+    lamport_time: Unsigned  # a logical clock of the whole cluster
     in_maintenance: bool
     recorded_by: MemberName  # the dispatcher that took the operator's call
     recorded_at_us: Unsigned  # Unix time
 
     @property
     def fingerprint(self) -> int:
-        """Identifies exactly this record, in 48 bits."""
-        # Members compare digests of this text, so its form is fixed.
+        """A 48-bit digest of this record, without the time of the call."""
+        # All members must compute the same digest, so the form of this text must not change.
         call = (self.lamport_time, self.in_maintenance, self.recorded_by)
         return fingerprint(f"{call!r}{self.worker}")
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Direct probe (SWIM, section 3.1); `target` guards against an address with a new owner."""
+    """Direct probe (SWIM, section 3.1).
+
+    `target` is the name of the probed member: its address may belong to another member by now.
+    """
 
     sequence: Unsigned
     target: MemberName
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Answer of a probed member, or its relay by a helper."""
+    """Answer of a probed member, sent by itself or relayed by a helper."""
 
     sequence: Unsigned
 
 
 class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Request that a helper probes `target` and relays its answer: ping-req (SWIM, section 3.1)."""
+    """Request that a helper probe `target` and relay its answer: ping-req (SWIM, section 3.1)."""
 
     sequence: Unsigned
     target: MemberName
@@ -147,32 +150,38 @@
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """A helper's target has not answered: the prober's link to the helper works (Lifeguard)."""
+    """Report of a helper that its target has not answered yet (Lifeguard).
+
+    It also shows the prober that its link to the helper works.
+    """
 
     sequence: Unsigned
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """Anti-entropy digest of all that the sender holds; a recipient that differs sends pages."""
+    """Anti-entropy digest of the sender's whole state; a recipient that differs sends pages."""
 
     digest: Unsigned
 
 
 class Page(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Part of the sender's whole state, safe to lose; `wants_reply` requests the recipient's."""
+    """Part of the sender's whole state; `wants_reply` requests the recipient's state in return.
+
+    A lost page does no harm: it is sent again after the next digest that differs.
+    """
 
     wants_reply: bool
 
 
 class ApplicationMessage(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Another subsystem's message, carried to a member unread."""
+    """Another subsystem's message; the membership does not interpret its data."""
 
     kind: Annotated[str, msgspec.Meta(min_length=1, max_length=16)]
     data: Annotated[bytes, msgspec.Meta(max_length=MAX_APPLICATION_BYTES)]
 
 
 Body = Ping | Ack | PingRequest | Nack | Digest | Page | ApplicationMessage
-# What is piggybacked on a body, or fills a page.
+# Updates are piggybacked on a body, or are the content of a page.
 Update = MemberRecord | MemberStatus | MaintenanceRecord
 
 MemberRecords = Annotated[tuple[MemberRecord, ...], msgspec.Meta(max_length=MAX_UPDATES_OF_A_KIND)]
@@ -187,7 +196,7 @@
 
     version: Annotated[int, msgspec.Meta(ge=0, le=255)]
     cluster: Annotated[str, msgspec.Meta(max_length=64)]
-    sender: MemberRecord  # its own, alive or left
+    sender: MemberRecord  # the sender's own record, alive or left
     body: Body
     member_records: MemberRecords = ()
     member_statuses: MemberStatuses = ()
@@ -195,7 +204,7 @@
 
 
 class InvalidDatagramError(MembershipError):
-    """A datagram that is dropped and counted; the text says why."""
+    """An invalid datagram, which is dropped and counted; the message gives the reason."""
 
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -207,15 +216,15 @@
     return _ENCODER.encode(datagram)
 
 
-def encoded_bytes(part: msgspec.Struct) -> int:
-    """Return the size in bytes that a part takes in a datagram."""
-    return len(_ENCODER.encode(part))
+def encoded_size_bytes(structure: msgspec.Struct) -> int:
+    """Return the size of a body or an update in a datagram."""
+    return len(_ENCODER.encode(structure))
 
 
 def decode(data: bytes, cluster: str) -> Datagram:
     """Return the datagram in these bytes.
 
-    Raises InvalidDatagramError if it is too long, unreadable, of another version or of another
+    Raise InvalidDatagramError if it is too long, unreadable, of another version or of another
     cluster than `cluster`.
     """
     if len(data) > MAX_DATAGRAM_BYTES:
@@ -223,8 +232,8 @@
     try:
         datagram = _DECODER.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        text = f"unreadable: {error}"[:MAX_ERROR_CHARACTERS]
-        raise InvalidDatagramError(text) from error
+        message = f"unreadable: {error}"[:MAX_ERROR_CHARACTERS]
+        raise InvalidDatagramError(message) from error
     if datagram.version != PROTOCOL_VERSION:
         raise InvalidDatagramError(f"version {datagram.version}, not {PROTOCOL_VERSION}")
     if datagram.cluster != cluster:
--- a/stepstream/membership/outbox.py
+++ b/stepstream/membership/outbox.py
@@ -1,6 +1,7 @@
 """Datagrams that wait to be sent, with the updates piggybacked on them; free of I/O.
 
-Owned by the protocol and touched only under the driver's lock; the driver sends what it takes.
+Owned by the protocol and touched only under the driver's lock. The driver takes the datagrams and
+sends them.
 """
 
 from dataclasses import dataclass
@@ -21,16 +22,16 @@
     Datagram,
     MemberRecord,
     Update,
-    encoded_bytes,
+    encoded_size_bytes,
 )
 
-# Bounds the datagrams that one event, such as a healed partition, sends at once.
+# The maximum of datagrams that one event, such as a healed partition, may cause at once.
 MAX_BURST_DATAGRAMS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingDatagram:
-    """A datagram and the HOST:PORT that it goes to."""
+    """A datagram and the HOST:PORT to which it is sent."""
 
     address: str
     datagram: Datagram
@@ -47,7 +48,7 @@
         self.waiting: list[OutgoingDatagram] = []
 
     def broadcast(self, update: Update) -> None:
-        """Queue an update to be piggybacked on the datagrams to come."""
+        """Queue an update to be piggybacked on later datagrams."""
         self.broadcasts.put(update)
 
     def send(
@@ -55,24 +56,24 @@
     ) -> None:
         """Queue a datagram.
 
-        `recipient` names the member it is for, "" if unknown. Without `piggyback` no queued updates
-        ride along: nobody is known to be at the address, and each is sent a limited number of
-        times.
+        `recipient` names the member it is for, "" if unknown. Without `piggyback` it carries no
+        queued updates. That is for an address at which no member is known: each update is sent a
+        limited number of times, and a transmission would be wasted.
         """
-        payload_bytes = self.payload_bytes - encoded_bytes(body)
+        payload_bytes = self.payload_bytes - encoded_size_bytes(body)
         updates: list[Update] = []
         record = self._record_of(recipient)
         if record is not None and notifies_recipient(record):
             updates.append(record)
-            payload_bytes -= encoded_bytes(record)
+            payload_bytes -= encoded_size_bytes(record)
         if piggyback and may_piggyback(record):
             limit = retransmit_limit(
                 self.context.settings.retransmit_multiplier, len(self.members.by_name)
             )
             updates += self.broadcasts.take(limit, payload_bytes)
-        self.send_with(address, body, updates)
+        self.send_with_updates(address, body, updates)
 
-    def send_with(self, address: str, body: Body, updates: list[Update]) -> None:
+    def send_with_updates(self, address: str, body: Body, updates: list[Update]) -> None:
         """Queue a datagram with exactly these updates."""
         datagram = Datagram(
             PROTOCOL_VERSION,
@@ -85,11 +86,11 @@
 
     @property
     def payload_bytes(self) -> int:
-        """Bytes of a datagram for its body and updates."""
-        return PAYLOAD_BYTES - encoded_bytes(self.members.local)
+        """The space in a datagram for its body and updates."""
+        return PAYLOAD_BYTES - encoded_size_bytes(self.members.local)
 
     def take(self) -> list[OutgoingDatagram]:
-        """Return what waits, and forget it."""
+        """Return the waiting datagrams and clear them."""
         taken = self.waiting
         self.waiting = []
         return taken
--- a/stepstream/membership/probe_order.py
+++ b/stepstream/membership/probe_order.py
@@ -1,7 +1,7 @@
 """The order in which other members are probed; free of I/O.
 
 SWIM, section 4.3: round-robin over a list that is shuffled after each traversal, with new members
-inserted at random places, so that nobody waits longer than two rounds. Owned by the failure
+inserted at random places, so that no member waits longer than two rounds. Owned by the failure
 detector and the record merger of one protocol; touched only under the driver's lock.
 """
 
@@ -10,13 +10,13 @@
 
 
 class ProbeOrder:
-    """The rest of the current round, and a suspect that goes before it."""
+    """The rest of the current round, and a suspect to probe before it."""
 
     def __init__(self, context: ProtocolContext, members: MemberList) -> None:
         self.context = context
         self.members = members
-        self._round: list[str] = []  # the last one is next
-        self._priority_target = ""  # the latest suspect only, so that rounds go on
+        self._round: list[str] = []  # taken from the end
+        self._priority_target = ""  # one suspect at most, so that suspects do not delay the round
 
     def insert(self, name: str) -> None:
         """Add a member that has become present at a random place of the current round."""
--- a/stepstream/membership/protocol.py
+++ b/stepstream/membership/protocol.py
@@ -1,13 +1,13 @@
 """One member's protocol: routes datagrams and ticks to its parts; free of I/O.
 
 SWIM (Das, Gupta, Motivala 2002): direct and indirect probes, suspicion, incarnations, refutation,
-updates piggybacked on probes. Lifeguard (Dadgar, Phillips, Currey 2017): local health, suspicion
-that shrinks with confirmations, notified suspects. Anti-entropy repairs what these miss.
-docs/membership.md has what is guaranteed.
+updates piggybacked on probes. Lifeguard (Dadgar, Phillips, Currey 2017): local health, suspicions
+that confirmations shorten, notification of suspects. Anti-entropy sends what these have missed.
+docs/membership.md describes the guarantees.
 
-The protocol owns all its parts. With a driver any thread may call it that holds the driver's lock;
-in simulations only the caller's thread does. Times are the caller's monotonic seconds and never go
-back.
+The protocol owns all its parts. Where there is a driver, a thread must hold the driver's lock to
+call the protocol; simulations call it from one thread. Times are the caller's monotonic seconds and
+never go back.
 """
 
 import random
@@ -39,7 +39,7 @@
 class MembershipProtocol:
     """The state machine of one member; each call returns the datagrams to send."""
 
-    def __init__(  # noqa: PLR0913  the member's identity, its settings, and chance and time
+    def __init__(  # noqa: PLR0913  takes identity, settings, random numbers and time
         self,
         local: MemberRecord,
         cluster: str,
@@ -50,7 +50,7 @@
         *,
         newest_generation: GenerationClock | None = None,
     ) -> None:
-        """`local` is alive at incarnation 0; `seeds` are addresses, its own may be among them."""
+        """`local` is alive at incarnation 0; `seeds` are addresses and may include its own."""
         self.cluster = cluster
         self.started_at = now
         self.ticked_at = now
@@ -76,17 +76,20 @@
 
     @property
     def digest(self) -> int:
-        """Digest of all that is held; equal where members hold the same."""
+        """Digest of the whole state; equal for members with equal state."""
         return self.anti_entropy.digest
 
     @property
     def is_passive(self) -> bool:
-        """Whether the name was yielded or the member has left: it answers nothing any more."""
+        """Whether this member has left or yielded its name: from then on it answers nothing."""
         return self.members.superseded_by is not None or self.has_left
 
     @property
     def is_settled(self) -> bool:
-        """Whether this member has joined and knows of no suspicion or record under way."""
+        """Whether this member has joined, suspects nobody and has no member record left to send.
+
+        A member without seeds other than itself need not join.
+        """
         local_address = self.members.local.address
         is_alone = all(seed == local_address for seed in self.anti_entropy.seeds)
         is_quiet = not self.members.suspects and not self.outbox.broadcasts.has_member_records()
@@ -95,7 +98,7 @@
         return is_joined_or_alone and is_quiet and not is_superseded
 
     def reconfigure(self, settings: ProtocolSettings, seeds: Iterable[str]) -> None:
-        """Apply new settings and seeds; timers under way keep their deadlines."""
+        """Apply new settings and seeds; running timers keep their deadlines."""
         self.context.settings = settings
         self.anti_entropy.seeds = tuple(seeds)
 
@@ -106,7 +109,7 @@
         return min(self.detector.next_deadline(), self.anti_entropy.next_deadline())
 
     def tick(self, now: float) -> list[OutgoingDatagram]:
-        """Do what is due by now."""
+        """Run the timers that are due."""
         late_seconds = now - max(self.next_tick_at(), self.ticked_at)
         self.context.now = now
         self.ticked_at = now
@@ -122,16 +125,16 @@
         return self.outbox.take()
 
     def handle(self, now: float, datagram: Datagram) -> list[OutgoingDatagram]:
-        """Take in a datagram."""
+        """Handle a received datagram."""
         self.context.now = now
         if not self.is_passive:
-            self._take_in(datagram)
+            self._process_datagram(datagram)
         return self.outbox.take()
 
-    def _take_in(self, datagram: Datagram) -> None:
+    def _process_datagram(self, datagram: Datagram) -> None:
         sender = datagram.sender
         is_admitted = self.merger.merge(sender, sender.name)
-        # From another start under this name, or from this member's own address among the seeds.
+        # The sender is another start under this name, or this member itself through its seeds.
         has_local_name = sender.name == self.members.local_name
         if has_local_name or not is_admitted:
             return
@@ -161,7 +164,7 @@
     def send_application_message(
         self, now: float, recipient: str, kind: str, data: bytes
     ) -> list[OutgoingDatagram]:
-        """Send another subsystem's message to a member, once, as easily lost as any datagram."""
+        """Send another subsystem's message to a member, once; like any datagram it may be lost."""
         self.context.now = now
         if self.is_passive:
             return []
@@ -169,15 +172,15 @@
         return self.outbox.take()
 
     def leave(self, now: float) -> list[OutgoingDatagram]:
-        """Announce a graceful leave to some members; this one answers nothing from here on."""
+        """Announce a graceful leave to some members; after that, answer nothing."""
         self.context.now = now
         if self.is_passive:
             return []
         others = self.members.others()
         left = self.members.leave()
-        count = min(MAX_BURST_DATAGRAMS, len(others))
-        for name in self.context.rng.sample(others, count):
+        recipient_count = min(MAX_BURST_DATAGRAMS, len(others))
+        for name in self.context.rng.sample(others, recipient_count):
             address = self.members.by_name[name].record.address
-            self.outbox.send_with(address, Digest(self.digest), [left])
+            self.outbox.send_with_updates(address, Digest(self.digest), [left])
         self.has_left = True
         return self.outbox.take()
--- a/stepstream/membership/record_merge.py
+++ b/stepstream/membership/record_merge.py
@@ -1,7 +1,7 @@
-"""Merging of received member records, and what follows from it; free of I/O.
+"""Merging of member records into the member list, and its effects; free of I/O.
 
-`record_precedence` decides which claim holds, `suspicion` how long a suspect has to refute. Touched
-only under the driver's lock.
+`record_precedence` decides which of two claims is kept, `suspicion` how long a suspect has to
+refute. Touched only under the driver's lock.
 """
 
 import msgspec
@@ -18,15 +18,15 @@
     LocalClaim,
     classify_local_claim,
     is_new_start,
+    is_same_claim,
     overrides,
-    repeats,
 )
 from stepstream.membership.suspicion import start_suspicion, suspect_contact_probability
 
-# No probe has this number: nothing waits for the ack of a ping that only carries a record.
+# No probe has this sequence number: nobody waits for the ack of a ping that only carries a record.
 NOTIFICATION_SEQUENCE = 2**53
 
-# Operators' pages explain these texts: they stand in logs and answers.
+# These texts are written to logs and answers, and the operators' documentation explains them.
 _STATE_REASONS = {
     MemberState.SUSPECT: "answered neither this prober nor its helpers",
     MemberState.DEAD: "did not refute the suspicion in time",
@@ -36,7 +36,7 @@
 
 
 def override_reason(old: MemberRecord, new: MemberRecord) -> str:
-    """Return why the later record overrides the earlier one."""
+    """Return why `new` overrides `old`, for the event."""
     if new.generation != old.generation:
         return f"a later start (generation {new.generation} after {old.generation})"
     if new.address != old.address:
@@ -47,7 +47,7 @@
 
 
 class RecordMerger:
-    """Applies records to the member list, and queues what others must learn of it."""
+    """Applies records to the member list, and queues the updates for other members."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         self.outbox = outbox
 
     def merge(self, record: MemberRecord, reported_by: str) -> bool:
-        """Merge a record; return False if its name is beyond the bound on members."""
+        """Merge a record; return False if its name is new and the member list is full."""
         if record.name == self.members.local_name:
             self.merge_local(record, reported_by)
             return True
@@ -73,7 +73,7 @@
             return self._add(record, reported_by)
         if overrides(record, member.record):
             self._override(member, record, reported_by)
-        elif repeats(record, member.record):
+        elif is_same_claim(record, member.record):
             self._confirm_suspicion(member, record, reported_by)
         return True
 
@@ -97,12 +97,12 @@
             self.probe_order.insert(record.name)
         self._apply(member)
         if is_event:
-            self._record_event(member, old.state.label, override_reason(old, record))
+            self._record_event(member, old.state.display_name, override_reason(old, record))
         if record.state is MemberState.DEAD and is_reported:
             self.notify_dead(member)
 
     def _confirm_suspicion(self, member: Member, record: MemberRecord, accuser: str) -> None:
-        """Count an accuser; one that counts shortens the others' suspicions as well."""
+        """Count an accuser; broadcast one that counts, to shorten others' suspicions as well."""
         if member.suspicion is not None and member.suspicion.confirm(accuser):
             self.outbox.broadcast(record)
 
@@ -116,32 +116,34 @@
         self.outbox.broadcast(member.record)
 
     def _start_suspicion(self, member: Member) -> None:
-        present = len(self.members.present)
-        suspicion = start_suspicion(self.context.now, present, self.context.settings)
+        present_count = len(self.members.present)
+        suspicion = start_suspicion(self.context.now, present_count, self.context.settings)
         self.members.set_suspicion(member, suspicion)
         suspicion.confirm(member.reported_by)
-        self._consider_probing_suspect(member, present)
+        self._consider_probing_suspect(member, present_count)
 
-    def _consider_probing_suspect(self, member: Member, present: int) -> None:
-        """Let some members probe a suspect next: they confirm the suspicion, or let it be refuted.
+    def _consider_probing_suspect(self, member: Member, present_count: int) -> None:
+        """Probe the suspect next, with the probability by which some members do so.
 
-        The member that raised the suspicion has probed it already.
+        Their probes confirm the suspicion or let the suspect refute it. The member that raised the
+        suspicion has already probed the suspect.
         """
         is_reported = member.reported_by != self.members.local_name
-        if is_reported and self.context.rng.random() < suspect_contact_probability(present):
+        if is_reported and self.context.rng.random() < suspect_contact_probability(present_count):
             self.probe_order.prioritize(member.record.name)
 
     def _record_event(self, member: Member, before: str, reason: str) -> None:
         record = member.record
         self.members.record_event(
-            record.name, before, record.state.label, member.reported_by, reason
+            record.name, before, record.state.display_name, member.reported_by, reason
         )
 
     def notify_dead(self, member: Member) -> None:
-        """Send a member that others declared dead its record, so that it can refute it at once.
+        """Send a member that others declared dead its own record, so that it can refute at once.
 
-        The record rides on a ping, the refutation on the ack. A digest in place of the ping would
-        cost far more after a healed partition: each one that differs brings a whole list.
+        The record is piggybacked on a ping, the refutation on the ack. A digest in place of the
+        ping would cost far more after a healed partition: each differing digest is answered with
+        the whole state.
         """
         if len(self.outbox.waiting) < MAX_BURST_DATAGRAMS:
             record = member.record
@@ -158,10 +160,10 @@
         self.statuses.forget(forgotten)
         return True
 
-    # -- records of the local name --------------------------------------------------------------
+    # -- records of the local name ----------------------------------------------------------------
 
     def merge_local(self, record: MemberRecord, reported_by: str) -> None:
-        """Answer a claim about the local name by its kind; an outdated one needs no answer."""
+        """React to a claim about the local name by its kind; an outdated one needs no reaction."""
         joined_at = self.members.joined_at
         seconds_since_joining = None if joined_at is None else self.context.now - joined_at
         clock = self.context.newest_generation
@@ -183,7 +185,11 @@
         self._replace_local(msgspec.structs.replace(local, incarnation=record.incarnation + 1))
         reason = f"refuted what {reported_by} said"
         self.members.record_event(
-            local.name, record.state.label, MemberState.ALIVE.label, reported_by, reason
+            local.name,
+            record.state.display_name,
+            MemberState.ALIVE.display_name,
+            reported_by,
+            reason,
         )
 
     def _take_over_name(self, record: MemberRecord, reported_by: str) -> None:
@@ -191,7 +197,7 @@
         self._replace_local(
             msgspec.structs.replace(local, generation=record.generation + 1, incarnation=0)
         )
-        alive = MemberState.ALIVE.label
+        alive = MemberState.ALIVE.display_name
         reason = "took the name over from an earlier start whose clock was ahead"
         self.members.record_event(local.name, alive, alive, reported_by, reason)
 
@@ -201,7 +207,7 @@
             f"{record.address} started later under this name: stop one, or give each its own name"
         )
         self.members.record_event(
-            record.name, MemberState.ALIVE.label, "superseded", reported_by, reason
+            record.name, MemberState.ALIVE.display_name, "superseded", reported_by, reason
         )
 
     def _replace_local(self, record: MemberRecord) -> None:
--- a/stepstream/membership/report.py
+++ b/stepstream/membership/report.py
@@ -1,7 +1,7 @@
 """The answers of the admin listener about the membership, as plain objects; free of I/O and state.
 
-The keys of these objects are read by operators and their tools, so they keep their spelling: this
-module is the one place that translates the program's names into them.
+Operators and their tools read the keys of these objects, so their spelling is fixed. Only this
+module translates the program's names into them.
 """
 
 from stepstream.membership.context import DriverMetrics, ProtocolMetrics
@@ -16,7 +16,7 @@
 
 
 def status_answer(protocol: MembershipProtocol, name: str, now: float) -> Answer:
-    """Return what a member reports of itself; empty before its first report."""
+    """Return what a member reports of itself; empty before its first status arrives."""
     statuses = protocol.statuses
     status = statuses.by_owner.get(name)
     if status is None:
@@ -41,7 +41,7 @@
     return {
         "name": record.name,
         "address": record.address,
-        "state": "superseded" if is_superseded else record.state.label,
+        "state": "superseded" if is_superseded else record.state.display_name,
         "generation": record.generation,
         "incarnation": record.incarnation,
         "since_s": round(now - member.state_since, SECONDS_DIGITS),
@@ -50,7 +50,7 @@
 
 
 def maintenance_answer(record: MaintenanceRecord) -> Answer:
-    """Return an operator's call on a worker."""
+    """Return a worker's maintenance record."""
     return {
         "worker": record.worker,
         "out": record.in_maintenance,
@@ -90,7 +90,7 @@
 ) -> Answer:
     """Return the answer of `GET /fleet`.
 
-    `dispatcher_count` is the number that share the cluster's capacity, by `member_count`.
+    `dispatcher_count` is how many dispatchers share the cluster's capacity (see `member_count`).
     """
     members = protocol.members
     return {
@@ -117,7 +117,7 @@
 
 
 def event_answer(event: MembershipEvent, now: float) -> Answer:
-    """Return one event."""
+    """Return one membership event."""
     return {
         "ago_s": round(now - event.at, SECONDS_DIGITS),
         "number": event.number,
@@ -130,7 +130,10 @@
 
 
 def events_answer(protocol: MembershipProtocol, after: int, now: float) -> Answer:
-    """Return the answer of `GET /fleet/changes`: events after a number, and how many are lost."""
+    """Return the answer of `GET /fleet/changes`: the events after a number.
+
+    `lost` counts those of them that are no longer kept.
+    """
     events = protocol.members.events
     recent = events.after(after)
     return {
--- a/stepstream/membership/section.py
+++ b/stepstream/membership/section.py
@@ -1,7 +1,7 @@
-"""The `[fleet]` section of the operator's file: its checks, and its translation; holds no state.
+"""The `[fleet]` section of the operator's file: validation and translation; holds no state.
 
-The section's keys keep their spelling for operators; this module is the one place that translates
-them into the protocol's settings.
+The spelling of the section's keys is fixed, because operators' files use them. Only this module
+translates them into the protocol's settings.
 """
 
 import msgspec
@@ -12,7 +12,7 @@
 from stepstream.membership.messages import MemberName
 from stepstream.membership.protocol_settings import ProtocolSettings
 
-MILLISECONDS_A_SECOND = 1_000
+MILLISECONDS_PER_SECOND = 1_000
 KEYS_FIXED_UNTIL_RESTART = (
     "fleet.listen",
     "fleet.advertise",
@@ -23,7 +23,7 @@
 
 
 def section_of(operator: OperatorConfig | None) -> MembershipSection:
-    """Return the `[fleet]` section; raise `ConfigurationError` without one."""
+    """Return the `[fleet]` section; raise `ConfigurationError` if there is none."""
     if operator is None or operator.fleet is None:
         raise ConfigurationError("fleet: the operator's file has no [fleet]")
     return operator.fleet
@@ -32,15 +32,15 @@
 def protocol_settings(section: MembershipSection) -> ProtocolSettings:
     """Translate the section's keys into the protocol's settings."""
     return ProtocolSettings(
-        probe_interval_seconds=section.period_ms / MILLISECONDS_A_SECOND,
-        probe_timeout_seconds=section.timeout_ms / MILLISECONDS_A_SECOND,
+        probe_interval_seconds=section.period_ms / MILLISECONDS_PER_SECOND,
+        probe_timeout_seconds=section.timeout_ms / MILLISECONDS_PER_SECOND,
         indirect_probes=section.helpers,
         suspicion_multiplier=section.suspicion,
         suspicion_max_multiplier=section.slack,
         suspicion_confirmations=section.confirmations,
         retransmit_multiplier=section.gossip,
-        anti_entropy_interval_seconds=section.sync_ms / MILLISECONDS_A_SECOND,
-        reconnect_interval_seconds=section.reach_ms / MILLISECONDS_A_SECOND,
+        anti_entropy_interval_seconds=section.sync_ms / MILLISECONDS_PER_SECOND,
+        reconnect_interval_seconds=section.reach_ms / MILLISECONDS_PER_SECOND,
         startup_hold_seconds=section.young_s,
         max_local_health_score=section.health,
         tombstone_timeout_seconds=section.forget_s,
@@ -49,7 +49,10 @@
 
 
 def validate_section(section: MembershipSection, config: NodeConfig) -> None:
-    """Check what the section's types cannot; raise `ConfigurationError`, which names the key."""
+    """Check what the section's types cannot check.
+
+    Raise `ConfigurationError`, which names the invalid key.
+    """
     try:
         msgspec.convert(config.name, MemberName)
     except msgspec.ValidationError as error:
--- a/stepstream/membership/settings_digest.py
+++ b/stepstream/membership/settings_digest.py
@@ -1,8 +1,8 @@
-"""The digest of the settings in force that members compare.
+"""The digest by which members compare the settings in force.
 
 The digest covers the text that `repr` gave for the settings when the membership protocol was first
-deployed. Members of different versions compare digests, so the names in that text stay as they
-were: the tables below translate today's field names to the names in the digest.
+deployed. Members of different versions compare digests, so the names in that text must not change:
+the tables below translate the current field names into those names.
 """
 
 from dataclasses import fields, is_dataclass, replace
@@ -50,13 +50,13 @@
 
 
 def settings_digest(settings: Settings) -> str:
-    """Return the digest of the settings, without what differs from one dispatcher to the next."""
-    common = replace(settings, dispatcher_count=1, zone=0)
-    return blake2b(digest_text(common).encode(), digest_size=DIGEST_BYTES).hexdigest()
+    """Return the digest of the settings without those that differ between dispatchers."""
+    shared_settings = replace(settings, dispatcher_count=1, zone=0)
+    return blake2b(digest_text(shared_settings).encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
 def digest_text(value: object) -> str:
-    """Return the text of a settings value that the digest covers."""
+    """Return the text that the digest covers for a settings value."""
     if isinstance(value, Effect):
         return f"<Effect.{EFFECT_NAMES[value]}: {value.value!r}>"
     if isinstance(value, Enum):
@@ -68,6 +68,6 @@
         )
         return f"{type(value).__name__}({parts})"
     if isinstance(value, tuple):
-        parts = ", ".join(digest_text(part) for part in value)
+        parts = ", ".join(digest_text(item) for item in value)
         return f"({parts},)" if len(value) == 1 else f"({parts})"
     return repr(value)
--- a/stepstream/membership/subsystem.py
+++ b/stepstream/membership/subsystem.py
@@ -1,4 +1,4 @@
-"""How `[fleet]` plugs into the node: the protocol and its effects on the node.
+"""The membership subsystem: connects the protocol, configured by `[fleet]`, to the node.
 
 The subsystem owns the protocol, the driver and the count of dispatchers. The node's main thread
 calls its lifecycle methods. The membership thread calls `run_periodic_task` under the driver's
@@ -20,7 +20,7 @@
 )
 from stepstream.membership.admin_api import MembershipAdminApi
 from stepstream.membership.driver import (
-    NANOSECONDS_A_MILLISECOND,
+    NANOSECONDS_PER_MILLISECOND,
     Driver,
     MessageHandler,
     new_generation,
@@ -61,14 +61,14 @@
 from stepstream.subsystem_api.subsystem import Subsystem
 
 STATUS_INTERVAL_SECONDS = 0.5
-MAX_LIST_VERSION = 2**53  # the bound of numbers on the wire
+MAX_LIST_VERSION = 2**53  # the greatest number in a datagram (`messages.Unsigned`)
 
 
 class MembershipSubsystem(Subsystem):
     """The dispatchers' membership; a MessageTransport (ports.messaging) for other subsystems.
 
-    Raise `ConfigurationError`, which names a key of the section or the configuration that does not
-    fit.
+    The constructor raises `ConfigurationError`, which names an invalid key of the section or the
+    configuration.
     """
 
     def __init__(self, host: SubsystemContext) -> None:
@@ -76,7 +76,7 @@
         section = self.section
         config = host.config
         validate_section(section, config)
-        rng = random.Random()  # seeded by the machine: members must not draw alike
+        rng = random.Random()  # seeded by the machine: each member must draw other numbers
         address = section.advertise or section.listen
         local = MemberRecord(config.name, address, new_generation(rng), 0, MemberState.ALIVE)
         self.protocol = MembershipProtocol(
@@ -89,13 +89,13 @@
             newest_generation=newest_generation,
         )
         self.member_count = MemberCount(config.name, section.hold_s)
-        self.started_at_ms = time.time_ns() // NANOSECONDS_A_MILLISECOND
+        self.started_at_ms = time.time_ns() // NANOSECONDS_PER_MILLISECOND
         self.phase = Phase.STARTING
         self.dispatcher_count = config.settings.dispatcher_count
         self.process_name = f"{config.name}@{local.generation:x}"
-        self._driver: Driver | None = None  # before the start
+        self._driver: Driver | None = None  # None before the start
         self._message_handlers: dict[str, MessageHandler] = {}
-        # By worker, the records that worker maintenance here has applied.
+        # The records that this dispatcher's worker maintenance has applied, by worker.
         self._applied_maintenance: dict[str, MaintenanceRecord] = {}
         self._status_published_at = 0.0
 
@@ -106,12 +106,12 @@
 
     @property
     def maintenance(self) -> WorkerMaintenance | None:
-        """The admin subsystem's worker maintenance, if the admin listener is on."""
+        """The admin subsystem's worker maintenance; None without an admin listener."""
         return worker_maintenance(self.host)
 
     @property
     def driver(self) -> Driver:
-        """The driver, from the start on."""
+        """The driver; available once the subsystem has started."""
         if self._driver is None:
             raise MembershipError("the membership subsystem is used before its start")
         return self._driver
@@ -119,7 +119,7 @@
     # -- MessageTransport, for other subsystems ---------------------------------------------------
 
     def subscribe(self, kind: str, on_message: MessageHandler) -> None:
-        """Hand messages of a kind to `on_message`; to be called before the start."""
+        """Pass messages of a kind to `on_message`; call this before the start."""
         self._message_handlers[kind] = on_message
 
     def send(self, member: str, kind: str, data: bytes) -> None:
@@ -133,7 +133,7 @@
             return self.protocol.members.others()
 
     def superseded(self) -> bool:
-        """Return whether a later process has this one's name."""
+        """Return whether a later process has taken over this one's name."""
         return self.protocol.members.superseded_by is not None
 
     # -- the node's main thread -------------------------------------------------------------------
@@ -153,7 +153,7 @@
             raise ConfigurationError(f"fleet.listen={section.listen}: {error}") from error
         self._driver.message_handlers = self._message_handlers
         if section.share_maintenance and self.maintenance is not None:
-            # Set before the admin listener takes its first call, which would not be shared.
+            # Set before the admin listener takes its first call: it would not be shared otherwise.
             self.maintenance.on_change = self.record_maintenance
         # The thread ends once the driver is closed.
         spawn_thread("fleet", self._driver.run)
@@ -169,7 +169,7 @@
     def prepare_reload(
         self, config: NodeConfig, operator: OperatorConfig | None
     ) -> Callable[[], None]:
-        """Check a reloaded section; return what applies it."""
+        """Check a reloaded section; return a function that applies it."""
         require_all_unchanged(KEYS_FIXED_UNTIL_RESTART, self.host.operator, operator)
         section = section_of(operator)
         validate_section(section, config)
@@ -183,16 +183,16 @@
         with self.driver.lock:
             self.protocol.reconfigure(protocol_settings(section), section.seeds)
             self.member_count.confirmation_delay_seconds = section.hold_s
-            # The periodic task must set the dispatcher count of the node's new settings.
+            # Makes the periodic task set the dispatcher count in the node's new settings.
             self.dispatcher_count = 0
 
     def begin_shutdown(self) -> bool:
-        """Report the leaving phase; return False: no sibling process is known here."""
+        """Report the leaving phase; return False: this subsystem knows of no sibling process."""
         self.phase = Phase.LEAVING
         return False
 
     def stop(self) -> None:
-        """Leave the cluster; in a hot restart the sibling process goes on under this name."""
+        """Leave the cluster; in a hot restart the sibling process continues under this name."""
         if self.host.hot_restarting:
             self.driver.is_closed = True
         else:
@@ -210,7 +210,7 @@
     # -- the membership thread, with the driver's lock held ---------------------------------------
 
     def run_periodic_task(self, now: float) -> None:
-        """Publish the local status, and apply to the node what follows from the membership."""
+        """Publish the local status; apply the dispatcher count and maintenance to the node."""
         observed = observe(self.protocol.members, now)
         if now - self._status_published_at >= STATUS_INTERVAL_SECONDS:
             self._status_published_at = now
@@ -255,7 +255,7 @@
         is_draining = self.maintenance is not None and self.maintenance.draining()
         return MemberStatus(
             owner=self.protocol.members.local_name,
-            generation=0,  # this and the revision are filled in when it is published
+            generation=0,  # `MemberStatuses.publish` fills in this and the revision
             revision=0,
             phase=reported_phase(self.phase, is_draining=is_draining),
             endpoint_list_version=min(max(host.destinations.version or 0, 0), MAX_LIST_VERSION),
--- a/stepstream/membership/tombstones.py
+++ b/stepstream/membership/tombstones.py
@@ -9,11 +9,11 @@
 def oldest_expired_tombstone(
     members: Iterable[Member], now: float, timeout_seconds: float
 ) -> Member | None:
-    """Return the dead or left member to forget when a new name needs its place; None if none may.
+    """Return the dead or left member to drop when a new name needs room; None if none may be.
 
     `now` is in the monotonic seconds of `Member.state_since`; `timeout_seconds` is the least time
-    for which a tombstone is kept. A tombstone that goes too early lets an old claim bring a dead
-    member back to life.
+    for which a tombstone is kept. If a tombstone is dropped too early, an old claim can make a dead
+    member appear alive again.
     """
     expired = [
         member
--- a/tests/membership/test_dissemination.py
+++ b/tests/membership/test_dissemination.py
@@ -14,7 +14,7 @@
     MemberState,
     MemberStatus,
     Phase,
-    encoded_bytes,
+    encoded_size_bytes,
 )
 from tests.membership.membership_builders import record
 
@@ -62,7 +62,7 @@
 
 def test_an_update_that_does_not_fit_waits():
     queue = queue_of(record("a"), record("b"))
-    size_bytes = encoded_bytes(record("a"))
+    size_bytes = encoded_size_bytes(record("a"))
     assert queue.take(1, size_bytes) == [record("a")]
     assert queue.take(1, size_bytes) == [record("b")]
 
@@ -79,5 +79,5 @@
     updates = [record(f"n{number}") for number in range(300)]
     pages = list(paginate(updates, 1_000))
     assert [update for page in pages for update in page] == updates
-    assert all(sum(map(encoded_bytes, page)) <= 1_000 for page in pages)
+    assert all(sum(map(encoded_size_bytes, page)) <= 1_000 for page in pages)
     assert max(map(len, paginate(updates, ENOUGH_BYTES))) == MAX_UPDATES_OF_A_KIND
