--- a/stepstream/leases/health_check_leader.py
+++ b/stepstream/leases/health_check_leader.py
@@ -21,10 +21,10 @@
     OPERATION_SECONDS,
     TTL_SECONDS,
     HealthReport,
-    HealthReportLearner,
+    HealthReportReceiver,
     ReportPageError,
+    check_period_seconds,
     encode_pages,
-    probe_period_seconds,
 )
 from stepstream.model.events import HealthChecked
 from stepstream.ports.messaging import MessageTransport
@@ -67,10 +67,10 @@
         self.transport = transport
         self.malformed_logger = malformed_logger
         self.port = port
-        self.learner = HealthReportLearner()
+        self.receiver = HealthReportReceiver()
         self.lock = threading.Lock()  # guards unsent_reports
         self.unsent_reports: list[AnsweredCheck] = []
-        self.probe_count = 0
+        self.check_count = 0
         self.stopped = False
         transport.subscribe(MESSAGE_KIND, self.on_page)
 
@@ -80,7 +80,7 @@
         """Post the fresh reports of the leader's page to the core."""
         columns = self.port.load_report_columns()
         try:
-            reports = self.learner.learn(data, columns, time.monotonic())
+            reports = self.receiver.receive(data, columns, time.monotonic())
         except ReportPageError as error:
             self.malformed_logger.add(f"health reports from {member}: {error}")
             return
@@ -95,7 +95,7 @@
 
     def is_delegated(self, worker_id: str) -> bool:
         """Return whether this dispatcher leaves out its own check of a worker."""
-        return self.learner.is_delegated(worker_id, time.monotonic())
+        return self.receiver.is_delegated(worker_id, time.monotonic())
 
     # -- the leader: the `sweep` thread -----------------------------------------------------------
 
@@ -119,7 +119,7 @@
         try:
             self.wait_for(lease)
             while lease.may_begin_operation() and not self.stopped:
-                self.probe_all(lease)
+                self.check_all_workers(lease)
         finally:
             lease.release()
 
@@ -130,10 +130,10 @@
             if is_granted or lease.is_over or self.stopped:
                 return
 
-    def probe_all(self, lease: Lease) -> None:
+    def check_all_workers(self, lease: Lease) -> None:
         """Check all workers once, evenly over the period, each only while the lease covers it."""
         workers = list(self.port.list_workers())
-        period_seconds = probe_period_seconds(len(self.transport.present_members()) + 1)
+        period_seconds = check_period_seconds(len(self.transport.present_members()) + 1)
         begun_at = time.monotonic()
         published_at = begun_at
         for place, worker_id in enumerate(workers):
@@ -141,7 +141,7 @@
             published_at = self.publish_until(due_at, published_at, lease)
             if self.stopped or not lease.may_begin_operation():
                 return
-            self.probe_count += 1
+            self.check_count += 1
             self.port.check_health(worker_id, self.on_health_checked)
         if workers:
             time.sleep(max(begun_at + period_seconds - time.monotonic(), 0.0))
@@ -166,7 +166,7 @@
         self.port.post(checked)
         if checked.healthy and checked.load_report:
             answered_at = time.monotonic()
-            self.learner.record(checked.worker_id, answered_at)
+            self.receiver.record_report(checked.worker_id, answered_at)
             with self.lock:
                 self.unsent_reports.append(AnsweredCheck(answered_at, checked))
 
--- a/stepstream/leases/health_reports.py
+++ b/stepstream/leases/health_reports.py
@@ -5,7 +5,7 @@
 check of its own. Without reports that count, each dispatcher checks for itself.
 
 Wire format: one MessagePack array a page, by position, in a datagram of the membership layer. Free
-of I/O. A learner is owned by its dispatcher's health-check leader; all times are seconds of its
+of I/O. A receiver is owned by its dispatcher's health-check leader; all times are seconds of its
 caller's monotonic clock.
 """
 
@@ -34,7 +34,7 @@
 MAX_REPORTS_PER_PAGE = 64
 
 
-def probe_period_seconds(dispatchers: int) -> float:
+def check_period_seconds(dispatchers: int) -> float:
     """Return the time between the leader's two checks of one worker.
 
     It shrinks with the root of the number of dispatchers. All learn a report in one instant, and
@@ -110,7 +110,7 @@
     return page
 
 
-class HealthReportLearner:
+class HealthReportReceiver:
     """What one dispatcher has learned of the leader's health checks; the counts are of reports.
 
     A leader that stalled and was overtaken is fenced off by its token.
@@ -118,7 +118,7 @@
 
     def __init__(self) -> None:
         self.guard = FencingGuard()
-        self.learned_count = 0
+        self.received_count = 0
         self.outdated_count = 0
         self.fenced_count = 0
         self.reported_at: dict[str, float] = {}  # by worker
@@ -127,14 +127,14 @@
         """Return whether the leader's reports stand in for a check from here."""
         return is_check_delegated(now, self.reported_at.get(worker_id))
 
-    def record(self, worker_id: str, now: float) -> None:
+    def record_report(self, worker_id: str, now: float) -> None:
         """Note that a worker was reported."""
         is_new = worker_id not in self.reported_at
         if is_new and len(self.reported_at) >= MAX_TRACKED_WORKERS:
             self.reported_at.pop(next(iter(self.reported_at)))
         self.reported_at[worker_id] = now
 
-    def learn(self, data: bytes, columns: Collection[str], now: float) -> list[HealthReport]:
+    def receive(self, data: bytes, columns: Collection[str], now: float) -> list[HealthReport]:
         """Return a page's fresh reports, with only the fields that are load report columns.
 
         Raise `ReportPageError` if the data is no page of this version.
@@ -145,17 +145,17 @@
         except FencedError:
             self.fenced_count += len(page.reports)
             return []
-        learned = []
+        received = []
         for report in page.reports:
             if is_outdated(report.age_ms):
                 self.outdated_count += 1
                 continue
             known_part = with_columns(report, columns)
             if known_part.load_report:
-                self.record(report.worker_id, now)
-                learned.append(known_part)
-        self.learned_count += len(learned)
-        return learned
+                self.record_report(report.worker_id, now)
+                received.append(known_part)
+        self.received_count += len(received)
+        return received
 
 
 def with_columns(report: HealthReport, columns: Collection[str]) -> HealthReport:
--- a/stepstream/leases/subsystem.py
+++ b/stepstream/leases/subsystem.py
@@ -144,11 +144,11 @@
             counts = {"leases_held": held, "leases_wanted": len(proposers) - held}
         if self.health_check_leader is None:
             return counts
-        learner = self.health_check_leader.learner
+        receiver = self.health_check_leader.receiver
         return counts | {
-            "health_checks_sent": self.health_check_leader.probe_count,
-            "health_reports_received": learner.learned_count,
-            "health_reports_rejected": learner.outdated_count + learner.fenced_count,
+            "health_checks_sent": self.health_check_leader.check_count,
+            "health_reports_received": receiver.received_count,
+            "health_reports_rejected": receiver.outdated_count + receiver.fenced_count,
         }
 
     def admin_routes(self) -> Sequence[AdminRoute]:
--- a/tests/golden/state/health_report_form.py
+++ b/tests/golden/state/health_report_form.py
@@ -29,9 +29,9 @@
 
 def read_page(data: bytes) -> tuple[int, tuple]:
     """Return the token and the reports of a page, as a member learns them."""
-    learner = health_reports.HealthReportLearner()
-    reports = learner.learn(data, REPORT_NAMES, NOW_SECONDS)
-    return learner.guard.highest_token, tuple(reports)
+    receiver = health_reports.HealthReportReceiver()
+    reports = receiver.receive(data, REPORT_NAMES, NOW_SECONDS)
+    return receiver.guard.highest_token, tuple(reports)
 
 
 def malformed() -> dict[str, bytes]:
--- a/tests/leases/test_health_reports.py
+++ b/tests/leases/test_health_reports.py
@@ -5,7 +5,7 @@
 from stepstream.leases.health_reports import (
     ENCODER,
     HealthReport,
-    HealthReportLearner,
+    HealthReportReceiver,
     ReportPage,
     ReportPageError,
     encode_pages,
@@ -19,42 +19,42 @@
     return HealthReport(worker_id, age_ms, 700, load_report or LOAD_REPORT)
 
 
-def learner_with_a_page():
-    """A learner that has read a page at 10.0 s, and what it learned."""
-    learner = HealthReportLearner()
+def receiver_after_one_page():
+    """A receiver that has read a page at 10.0 s, and what it received."""
+    receiver = HealthReportReceiver()
     reports = [report(), report("s-2", age_ms=900), report("s-3", colour=1.0)]
     reports.append(report("s-4", queue=3.0, x=1.0))
     (page,) = encode_pages(7, reports)
-    return learner, learner.learn(page, COLUMNS, 10.0)
+    return receiver, receiver.receive(page, COLUMNS, 10.0)
 
 
 def test_a_member_learns_fresh_reports_with_known_columns_only():
-    _, learned = learner_with_a_page()
-    assert [(one.worker_id, one.load_report) for one in learned] == [
+    _, received = receiver_after_one_page()
+    assert [(one.worker_id, one.load_report) for one in received] == [
         ("s-1", LOAD_REPORT),
         ("s-4", {"queue": 3.0}),
     ]
 
 
 def test_a_reported_worker_is_left_to_the_leader_until_nothing_more_comes():
-    learner, _ = learner_with_a_page()
+    receiver, _ = receiver_after_one_page()
     workers = ("s-1", "s-2", "s-3", "s-4")
-    delegated = [learner.is_delegated(worker_id, 11.5) for worker_id in workers]
+    delegated = [receiver.is_delegated(worker_id, 11.5) for worker_id in workers]
     assert delegated == [True, False, False, True]
-    assert not learner.is_delegated("s-1", 11.7)
+    assert not receiver.is_delegated("s-1", 11.7)
 
 
 def test_a_page_of_an_overtaken_leader_is_fenced_off():
-    learner, _ = learner_with_a_page()
-    assert learner.learn(encode_pages(6, [report("s-5")])[0], COLUMNS, 11.0) == []
-    assert learner.fenced_count == 1
+    receiver, _ = receiver_after_one_page()
+    assert receiver.receive(encode_pages(6, [report("s-5")])[0], COLUMNS, 11.0) == []
+    assert receiver.fenced_count == 1
 
 
 @pytest.mark.parametrize("data", [b"\xc1", ENCODER.encode(ReportPage(9, 1, ()))])
 def test_data_that_is_no_page_is_refused(data):
-    learner, _ = learner_with_a_page()
+    receiver, _ = receiver_after_one_page()
     with pytest.raises(ReportPageError):
-        learner.learn(data, COLUMNS, 11.0)
+        receiver.receive(data, COLUMNS, 11.0)
 
 
 def test_reports_of_many_workers_go_in_pages_that_fit():
@@ -62,5 +62,5 @@
     pages = encode_pages(1, many)
     assert all(len(page) <= 1_080 for page in pages)
     assert len(pages) < 40
-    learner = HealthReportLearner()
-    assert sum(len(learner.learn(page, ("queue",), 0.0)) for page in pages) == 200
+    receiver = HealthReportReceiver()
+    assert sum(len(receiver.receive(page, ("queue",), 0.0)) for page in pages) == 200
--- a/tests/leases/test_lease_rules.py
+++ b/tests/leases/test_lease_rules.py
@@ -22,7 +22,7 @@
     is_term_due,
     term_margin_seconds,
 )
-from stepstream.leases.health_reports import probe_period_seconds
+from stepstream.leases.health_reports import check_period_seconds
 from stepstream.leases.lease_record import Grant, LeaseRecord
 from stepstream.leases.messages import Ballot, Prepare
 from stepstream.leases.proposer import Proposer
@@ -191,4 +191,4 @@
 
 
 def test_the_leader_checks_more_often_in_a_larger_cluster():
-    assert [probe_period_seconds(dispatchers) for dispatchers in (0, 1, 16)] == [1.0, 1.0, 0.25]
+    assert [check_period_seconds(dispatchers) for dispatchers in (0, 1, 16)] == [1.0, 1.0, 0.25]
