--- a/tests/membership/planted_membership_faults.py
+++ b/tests/membership/planted_membership_faults.py
@@ -1,6 +1,6 @@
-"""Faults of the program, planted on purpose: a check that catches none of them proves nothing.
+"""Deliberate faults of the membership code, by which tests show that the checks detect faults.
 
-Each function plants one fault for the rest of a test.
+Each function replaces one part of the program with a faulty one for the rest of a test.
 """
 
 from stepstream.membership import record_precedence
@@ -9,13 +9,13 @@
 from stepstream.membership.record_merge import RecordMerger
 
 
-def old_records_win(monkeypatch):
+def precedence_ignores_process_starts(monkeypatch):
     monkeypatch.setattr(
         record_precedence, "member_precedence", lambda record: (record.incarnation, record.state)
     )
 
 
-def nobody_refutes(monkeypatch):
+def false_claims_are_not_refuted(monkeypatch):
     monkeypatch.setattr(RecordMerger, "merge_local", lambda *_: None)
 
 
@@ -27,11 +27,11 @@
 def dead_members_are_forgotten(monkeypatch):
     merge = RecordMerger.merge
 
-    def forgetful_merge(self, record, reported_by):
+    def merge_and_forget_dead(self, record, reported_by):
         is_admitted = merge(self, record, reported_by)
         member = self.members.by_name.get(record.name)
         if member is not None and member.record.state is MemberState.DEAD:
             del self.members.by_name[record.name]
         return is_admitted
 
-    monkeypatch.setattr(RecordMerger, "merge", forgetful_merge)
+    monkeypatch.setattr(RecordMerger, "merge", merge_and_forget_dead)
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -12,62 +12,62 @@
     Ping,
     PingRequest,
 )
-from tests.membership.membership_builders import SETTINGS, protocol, record
+from tests.membership.membership_builders import SETTINGS, member_record, new_protocol
 
 INTERVAL = SETTINGS.probe_interval_seconds
 TIMEOUT = SETTINGS.probe_timeout_seconds
 
 
 def receive(member, now, sender, body):
-    """The bodies that a member answers with, each with its address."""
+    """Deliver a datagram; return the bodies of the answers, each after its address."""
     datagram = Datagram(PROTOCOL_VERSION, member.cluster, sender, body)
-    return bodies(member.handle(now, datagram))
+    return addressed_bodies(member.handle(now, datagram))
 
 
-def bodies(outgoing):
+def addressed_bodies(outgoing):
     return [(item.address, item.datagram.body) for item in outgoing]
 
 
 def run_until(member, until, kind):
-    """Tick at each deadline up to a time; what was sent of a kind, with addresses."""
+    """Tick at each deadline up to a time; return the sent bodies of a kind, with addresses."""
     sent = []
     while member.next_tick_at() <= until:
-        sent += bodies(member.tick(member.next_tick_at()))
+        sent += addressed_bodies(member.tick(member.next_tick_at()))
     return [(address, body) for address, body in sent if isinstance(body, kind)]
 
 
-def member_with(*others):
-    member = protocol()
+def member_that_knows(*others):
+    member = new_protocol()
     for port, name in enumerate(others, start=2):
-        member.merger.merge(record(name, port=port), name)
+        member.merger.merge(member_record(name, port=port), name)
     return member
 
 
 def start_probe(member):
-    """The ping of the first probe and its time."""
+    """Run until the first probe; return its ping and its time."""
     [(_, ping)] = run_until(member, member.detector.next_probe_at, Ping)
     return ping, member.context.now
 
 
-def test_a_ping_is_acked_and_one_for_another_name_is_counted():
-    member = protocol()
-    answers = receive(member, 0.0, record("a"), Ping(7, "me"))
+def test_a_ping_is_acked_and_one_for_another_name_is_only_counted():
+    member = new_protocol()
+    answers = receive(member, 0.0, member_record("a"), Ping(7, "me"))
     assert ("127.0.0.1:2", Ack(7)) in answers
-    answers = receive(member, 0.0, record("a"), Ping(8, "former"))
+    answers = receive(member, 0.0, member_record("a"), Ping(8, "former"))
     assert not [body for _, body in answers if isinstance(body, Ack)]
     assert member.context.metrics.misdirected_pings == 1
 
 
-def test_an_acked_probe_asks_no_helpers_and_suspects_nobody():
-    member = member_with("a", "b")
+def test_an_acked_probe_requests_no_indirect_probes_and_suspects_nobody():
+    member = member_that_knows("a", "b")
     ping, started_at = start_probe(member)
-    receive(member, started_at + 0.01, record(ping.target), Ack(ping.sequence))
+    receive(member, started_at + 0.01, member_record(ping.target), Ack(ping.sequence))
     assert run_until(member, started_at + INTERVAL, PingRequest) == []
     assert member.members.suspects == {}
 
 
-def test_helpers_are_asked_after_the_timeout_and_the_target_is_suspected_after_the_interval():
-    member = member_with("a", "b", "c", "d", "e")
+def test_indirect_probes_start_after_the_timeout_and_suspicion_after_the_interval():
+    member = member_that_knows("a", "b", "c", "d", "e")
     ping, started_at = start_probe(member)
     assert run_until(member, started_at + TIMEOUT - 0.01, PingRequest) == []
     requests = run_until(member, started_at + TIMEOUT + 0.01, PingRequest)
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize(("nacks", "score"), [(0, 3), (1, 2), (3, 0)])
 def test_each_missing_nack_of_a_failed_probe_worsens_local_health(nacks, score):
-    member = member_with("a", "b", "c", "d", "e")
+    member = member_that_knows("a", "b", "c", "d", "e")
     ping, started_at = start_probe(member)
     requests = run_until(member, started_at + TIMEOUT + 0.01, PingRequest)
     for helper in helpers_of(member, requests)[:nacks]:
@@ -96,15 +96,16 @@
 
 
 def helpers_of(member, requests):
-    """The records of the members that were asked to probe."""
+    """Return the records of the members that got these ping-reqs."""
     addresses = {address for address, _ in requests}
-    known = [other.record for other in member.members.by_name.values()]
-    return [one for one in known if one.address in addresses]
+    known_records = [other.record for other in member.members.by_name.values()]
+    return [record for record in known_records if record.address in addresses]
 
 
-def test_a_helpers_nack_counts_once_and_only_a_helpers():
-    # Guards against a score below 0: the next probe had no timeout and its target was suspected.
-    member = member_with("a", "b", "c", "d", "e")
+def test_nacks_count_once_per_helper_and_not_from_other_members():
+    # Guards against a local health score below 0, which comes about when every nack is counted: the
+    # next probe has a timeout of 0, so its target is suspected at once.
+    member = member_that_knows("a", "b", "c", "d", "e")
     ping, started_at = start_probe(member)
     requests = run_until(member, started_at + TIMEOUT + 0.01, PingRequest)
     helper = helpers_of(member, requests)[0]
@@ -116,34 +117,37 @@
 
 
 def test_a_helper_relays_the_ack_under_the_probers_sequence_number():
-    helper = member_with("prober", "target")
-    prober = record("prober")
+    helper = member_that_knows("prober", "target")
+    prober = member_record("prober")
     request = PingRequest(7, "target", "127.0.0.1:3")
     [(address, ping)] = receive_pings(helper, 0.0, prober, request)
     assert (address, ping.target) == ("127.0.0.1:3", "target")
-    answers = receive(helper, 0.01, record("target", port=3), Ack(ping.sequence))
+    answers = receive(helper, 0.01, member_record("target", port=3), Ack(ping.sequence))
     assert (prober.address, Ack(7)) in answers
     assert run_until(helper, INTERVAL, Nack) == []
 
 
 def test_a_helper_sends_one_nack_before_the_probers_timeout():
-    helper = member_with("prober", "target")
-    receive_pings(helper, 0.0, record("prober"), PingRequest(7, "target", "127.0.0.1:3"))
+    helper = member_that_knows("prober", "target")
+    receive_pings(helper, 0.0, member_record("prober"), PingRequest(7, "target", "127.0.0.1:3"))
     assert run_until(helper, TIMEOUT, Nack) == [("127.0.0.1:2", Nack(7))]
     assert run_until(helper, 2 * INTERVAL, Nack) == []
 
 
 def receive_pings(member, now, sender, body):
+    """Deliver a datagram; return the pings among the answers, each after its address."""
     return [item for item in receive(member, now, sender, body) if isinstance(item[1], Ping)]
 
 
 def test_a_stall_drops_the_probe_and_postpones_suspicions():
-    member = member_with("a", "b")
-    member.merger.merge(record("a", MemberState.SUSPECT), "b")
+    member = member_that_knows("a", "b")
+    member.merger.merge(member_record("a", MemberState.SUSPECT), "b")
     deadline = member.members.suspects["a"].suspicion.deadline
-    late_by = 60.0
-    member.tick(member.next_tick_at() + late_by)
-    assert member.members.suspects["a"].suspicion.deadline == pytest.approx(deadline + late_by)
+    stall_seconds = 60.0
+    member.tick(member.next_tick_at() + stall_seconds)
+    assert member.members.suspects["a"].suspicion.deadline == pytest.approx(
+        deadline + stall_seconds
+    )
     assert member.context.metrics.stalls == 1
     assert member.context.local_health.score == 2
 
--- a/tests/membership/test_membership_messages.py
+++ b/tests/membership/test_membership_messages.py
@@ -1,4 +1,4 @@
-"""Datagrams: whatever arrives is decoded within bounds, or dropped with a reason."""
+"""Received datagrams: valid ones are decoded, all others are dropped with a reason."""
 
 import pytest
 from hypothesis import given, settings
@@ -17,34 +17,35 @@
     decode,
     encode,
 )
-from tests.membership.membership_builders import protocol
+from tests.membership.membership_builders import new_protocol
 
-LOCAL = protocol().members.local
+LOCAL_RECORD = new_protocol().members.local
 
 
 @settings(derandomize=True, max_examples=400, deadline=None)
 @given(st.data())
-def test_any_bytes_are_a_bounded_datagram_or_dropped(data):
+def test_any_bytes_decode_to_a_bounded_datagram_or_are_dropped(data):
     encoded = encode(
         Datagram(
             PROTOCOL_VERSION,
             CLUSTER_NAME,
-            LOCAL,
+            LOCAL_RECORD,
             PingRequest(3, "n1", "127.0.0.1:5"),
-            member_records=(LOCAL,) * 3,
+            member_records=(LOCAL_RECORD,) * 3,
         )
     )
-    part = bytearray(encoded[: data.draw(st.integers(0, len(encoded)))])
+    damaged = bytearray(encoded[: data.draw(st.integers(0, len(encoded)))])
     for _ in range(data.draw(st.integers(0, 3))):
-        if part:
-            part[data.draw(st.integers(0, len(part) - 1))] = data.draw(st.integers(0, 255))
-    target = protocol(name="n1")
+        if damaged:
+            damaged[data.draw(st.integers(0, len(damaged) - 1))] = data.draw(st.integers(0, 255))
+    receiver = new_protocol(name="n1")
     try:
-        datagram = decode(bytes(part), CLUSTER_NAME)
+        datagram = decode(bytes(damaged), CLUSTER_NAME)
     except InvalidDatagramError:
         return
-    target.handle(1.0, datagram)
-    assert len(target.members.by_name) <= 1 + 4
+    receiver.handle(1.0, datagram)
+    # Itself, the sender and the three piggybacked records.
+    assert len(receiver.members.by_name) <= 1 + 4
     assert datagram.cluster == CLUSTER_NAME
 
 
@@ -53,8 +54,8 @@
     [
         (b"\xc1" * 10, "unreadable"),
         (b"x" * (MAX_DATAGRAM_BYTES + 1), "over"),
-        (encode(Datagram(2, CLUSTER_NAME, LOCAL, Ack(1))), "version 2"),
-        (encode(Datagram(1, "other", LOCAL, Ack(1))), "cluster 'other'"),
+        (encode(Datagram(2, CLUSTER_NAME, LOCAL_RECORD, Ack(1))), "version 2"),
+        (encode(Datagram(1, "other", LOCAL_RECORD, Ack(1))), "cluster 'other'"),
         (
             encode(
                 Datagram(
--- a/tests/membership/test_membership_simulation.py
+++ b/tests/membership/test_membership_simulation.py
@@ -50,8 +50,8 @@
 @pytest.mark.parametrize(
     "plant",
     [
-        planted.old_records_win,
-        planted.nobody_refutes,
+        planted.precedence_ignores_process_starts,
+        planted.false_claims_are_not_refuted,
         planted.dead_members_are_not_contacted,
         planted.dead_members_are_forgotten,
     ],
@@ -82,7 +82,7 @@
 
 
 def test_the_search_catches_a_planted_fault(monkeypatch):
-    planted.old_records_win(monkeypatch)
+    planted.precedence_ignores_process_starts(monkeypatch)
     with pytest.raises(InvariantError):
         MembershipSearch(max_depth=4, convergence_interval=10).run()
 
--- a/tests/membership/test_record_merge.py
+++ b/tests/membership/test_record_merge.py
@@ -1,4 +1,4 @@
-"""Merging records, maintenance records and statuses into one member's state."""
+"""Merging of member records, maintenance records and statuses into one member's state."""
 
 import msgspec
 from hypothesis import given, settings
@@ -13,7 +13,7 @@
 )
 from stepstream.membership.protocol_settings import ProtocolSettings
 from stepstream.membership.record_precedence import member_precedence
-from tests.membership.membership_builders import protocol, record
+from tests.membership.membership_builders import member_record, new_protocol
 
 RECORDS = st.builds(
     MemberRecord,
@@ -31,8 +31,6 @@
     recorded_by=st.sampled_from(["a", "b"]),
     recorded_at_us=st.just(7),
 )
-
-
 STATUSES = st.builds(
     lambda owner, generation, revision: MemberStatus(
         owner,
@@ -52,17 +50,17 @@
 )
 
 
-def merged(records, maintenance, statuses):
-    """All that a member holds after it has merged these, in their order."""
-    made = protocol()
-    for one in records:
-        made.merger.merge(one, "x")
-    for one in maintenance:
-        made.maintenance.merge(one)
-    for one in statuses:
-        made.statuses.merge(one)
-    by_name = {name: member.record for name, member in made.members.by_name.items()}
-    return made.digest, by_name, made.maintenance.by_worker, made.statuses.by_owner
+def state_after_merging(records, maintenance, statuses):
+    """Return the whole state of a member that has merged these, in their order."""
+    member = new_protocol()
+    for record in records:
+        member.merger.merge(record, "x")
+    for record in maintenance:
+        member.maintenance.merge(record)
+    for status in statuses:
+        member.statuses.merge(status)
+    by_name = {name: known.record for name, known in member.members.by_name.items()}
+    return member.digest, by_name, member.maintenance.by_worker, member.statuses.by_owner
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
@@ -73,41 +71,43 @@
     st.randoms(use_true_random=False),
 )
 def test_the_merge_is_commutative_associative_and_idempotent(records, maintenance, statuses, rng):
-    once = merged(records, maintenance, statuses)
+    merged_once = state_after_merging(records, maintenance, statuses)
     records_again = records + rng.sample(records, len(records) // 2)
     maintenance_again = maintenance + maintenance[:2]
     statuses_again = statuses + statuses[:2]
     for shuffled in (records_again, maintenance_again, statuses_again):
         rng.shuffle(shuffled)
-    assert merged(records_again, maintenance_again, statuses_again) == once
-    for name, merged_record in once[1].items():
+    assert state_after_merging(records_again, maintenance_again, statuses_again) == merged_once
+    for name, merged_record in merged_once[1].items():
         if name != "me":
-            ranks = [member_precedence(one) for one in records if one.name == name]
+            ranks = [member_precedence(record) for record in records if record.name == name]
             assert member_precedence(merged_record) == max(ranks)
 
 
-def test_names_beyond_the_bound_are_rejected_until_an_expired_tombstone_makes_room():
-    made = protocol(ProtocolSettings(max_members=3, tombstone_timeout_seconds=100.0))
+def test_names_beyond_the_maximum_are_rejected_until_an_expired_tombstone_can_be_dropped():
+    member = new_protocol(ProtocolSettings(max_members=3, tombstone_timeout_seconds=100.0))
     for port, name in enumerate("abcd", start=2):
-        made.merger.merge(record(name, port=port), name)
-    assert set(made.members.by_name) == {"me", "a", "b"}
-    assert made.context.metrics.rejected_names == 2
-    assert [event.name for event in made.members.events.recent if event.after == "turned away"] == [
+        member.merger.merge(member_record(name, port=port), name)
+    assert set(member.members.by_name) == {"me", "a", "b"}
+    assert member.context.metrics.rejected_names == 2
+    assert [
+        event.name for event in member.members.events.recent if event.after == "turned away"
+    ] == [
         "c",
         "d",
     ]
-    made.merger.merge(record("a", MemberState.DEAD), "b")
-    made.context.now = 99.0
-    assert not made.merger.merge(record("c", port=4), "c")
-    made.context.now = 100.0
-    assert made.merger.merge(record("c", port=4), "c")
-    assert "a" not in made.members.by_name
+    member.merger.merge(member_record("a", MemberState.DEAD), "b")
+    member.context.now = 99.0
+    assert not member.merger.merge(member_record("c", port=4), "c")
+    member.context.now = 100.0
+    assert member.merger.merge(member_record("c", port=4), "c")
+    assert "a" not in member.members.by_name
 
 
-def test_a_renewed_death_claim_restarts_the_time_in_its_state():
-    made = protocol()
-    dead = record("a", MemberState.DEAD)
-    made.merger.merge(dead, "b")
-    made.context.now = 50.0
-    made.merger.merge(msgspec.structs.replace(dead, incarnation=1), "b")
-    assert made.members.by_name["a"].state_since == 50.0
+def test_a_renewed_death_claim_restarts_the_time_in_the_dead_state():
+    member = new_protocol()
+    dead = member_record("a", MemberState.DEAD)
+    member.merger.merge(dead, "b")
+    member.context.now = 50.0
+    member.merger.merge(msgspec.structs.replace(dead, incarnation=1), "b")
+    assert member.members.by_name["a"].state_since == 50.0
