--- a/stepstream/gearman/admission_rules.py
+++ b/stepstream/gearman/admission_rules.py
@@ -83,7 +83,7 @@
     if is_closing:
         raise RequestError(
             "SHUTTING_DOWN",
-            "this server is shutting down and accepts no new jobs; submit to another server",
+            "no new jobs are taken; another server may",
         )
 
 
@@ -104,4 +104,4 @@
     open_bytes = usage.workload_bytes + workload_bytes
     has_too_many_bytes = open_bytes > limits.in_flight_workload_bytes
     if usage.core_is_full or has_too_many_jobs or has_too_many_bytes:
-        raise JobQueueFullError("too many jobs are open on this server", retry_after_seconds)
+        raise JobQueueFullError("too many jobs are open here", retry_after_seconds)
--- a/stepstream/gearman/codec.py
+++ b/stepstream/gearman/codec.py
@@ -271,9 +271,7 @@
         return TextLine(tuple(line.decode("ascii").split())), False
 
     def _step_broken(self) -> NoReturn:
-        raise FramingError(
-            "BROKEN_CONNECTION", "an earlier message on this connection broke the protocol"
-        )
+        raise FramingError("BROKEN_CONNECTION", "the connection broke the protocol before")
 
     STEPS: ClassVar[dict[ParserState, Callable[["Parser"], tuple[Message | None, bool]]]] = {
         ParserState.IDLE: _step_idle,
--- a/stepstream/gearman/connection.py
+++ b/stepstream/gearman/connection.py
@@ -335,7 +335,7 @@
         )
 
     def _end_slow_message(self) -> None:
-        error = FramingError("TOO_SLOW", "the rest of the message did not arrive in time")
+        error = FramingError("TOO_SLOW", "half a message, and then nothing")
         reply = self.session.close_with_error(error)
         self.send(reply.data, close=reply.close)
 
--- a/stepstream/gearman/errors.py
+++ b/stepstream/gearman/errors.py
@@ -1,6 +1,6 @@
 """The errors that are reported to Gearman's peers, under one base class.
 
-Each becomes one ERROR packet that holds its code and its text. Peers see both.
+Each becomes one ERROR packet that holds its code and its text. The texts are part of the wire.
 """
 
 
--- a/stepstream/gearman/names.py
+++ b/stepstream/gearman/names.py
@@ -70,7 +70,7 @@
     Raise `RequestError` for an unknown tenant.
     """
     if settings.tenants and tenant not in settings.tenants:
-        reason = f"no such tenant {tenant}" if tenant else "a function name must be TENANT/CLASS"
+        reason = f"no such tenant {tenant}" if tenant else "a function here is TENANT/CLASS"
         raise RequestError("UNKNOWN_FUNCTION", f"{function.class_name}: {reason}")
     tenant_index = settings.tenants.index(tenant) if settings.tenants else 0
     job_class = settings.class_names.index(function.class_name)
--- a/stepstream/gearman/work_reports.py
+++ b/stepstream/gearman/work_reports.py
@@ -71,11 +71,9 @@
     def _add_chunk(self, worker: Worker, assigned: AssignedCall, chunk: ResultChunk) -> None:
         if self.state.workers.add_chunk(assigned, chunk):
             return
-        self._fail(worker, assigned, b"its result chunks are too large")
+        self._fail(worker, assigned, b"its pieces are too large")
         max_bytes = self.state.limits.gearman.partial_result_bytes
-        raise RequestError(
-            "RESULT_TOO_LARGE", f"a job's result chunks have at most {max_bytes} bytes"
-        )
+        raise RequestError("RESULT_TOO_LARGE", f"a job's pieces have at most {max_bytes} bytes")
 
     def _complete(self, worker: Worker, assigned: AssignedCall, last: bytes) -> None:
         self.state.workers.end_assigned(worker, assigned)
--- a/stepstream/gearman/worker_registry.py
+++ b/stepstream/gearman/worker_registry.py
@@ -40,9 +40,7 @@
         if is_same_identity(worker.identity, identity):
             return
         if worker.assigned:
-            raise RequestError(
-                "BAD_CLIENT_ID", "the client id cannot change while the worker holds jobs"
-            )
+            raise RequestError("BAD_CLIENT_ID", "a worker that holds jobs keeps its id")
         timeouts_us = worker.timeouts_us
         self.remove(peer)
         new_worker = self._get_or_register(now_us, peer)
@@ -61,9 +59,7 @@
         worker = self._get_or_register(now_us, peer)
         max_functions = self.state.limits.gearman.functions_per_worker
         if function not in worker.timeouts_us and len(worker.timeouts_us) >= max_functions:
-            raise RequestError(
-                "TOO_MANY_FUNCTIONS", f"the functions of a worker are limited to {max_functions}"
-            )
+            raise RequestError("TOO_MANY_FUNCTIONS", f"a worker names at most {max_functions}")
         self.state.workers.add_function(worker, function, timeout_seconds * SECOND_US)
         self._post_endpoint(worker)
 
@@ -98,9 +94,7 @@
             return peer.worker
         max_workers = self.state.limits.gearman.workers
         if len(self.state.workers.by_id) >= max_workers:
-            raise RequestError(
-                "TOO_MANY_WORKERS", f"this server accepts at most {max_workers} workers"
-            )
+            raise RequestError("TOO_MANY_WORKERS", f"at most {max_workers} workers may join here")
         client_id = peer.client_id or f"c{peer.connection_number}".encode()
         identity = parse_client_id(
             client_id, self.state.settings, self.state.section.worker, now_us
