--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -227,7 +227,7 @@
         member = cluster.members[holder]
 
         def held_count() -> int:
-            status, body = member.call("/leases")
+            status, body = member.call_admin("/leases")
             if status != HTTPStatus.OK:
                 return 0
             return sum(row["holder"].startswith(f"{holder}@") for row in body)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -269,7 +269,7 @@
         self.cluster.cut(half, self.everyone - half)
         time.sleep(20.0)  # long enough for each half to believe the other dead
         begun_seconds = time.monotonic()
-        self.cluster.members["n3"].call("/workers/s-1/maint", "PUT")
+        self.cluster.members["n3"].call_admin("/workers/s-1/maint", "PUT")
         self.wait_for_maintenance(half, "the ban on its side")
         self.figures["ban_on_its_side_s"] = time.monotonic() - begun_seconds
         healed_seconds = time.monotonic()
@@ -293,7 +293,7 @@
     def measure_maintenance_end(self) -> None:
         """End the maintenance at one member."""
         ended_seconds = time.monotonic()
-        self.cluster.members["n3"].call("/workers/s-1/ready", "PUT")
+        self.cluster.members["n3"].call_admin("/workers/s-1/ready", "PUT")
         self.cluster.wait_for(
             lambda: not any(map(self.has_maintenance, self.everyone)),
             SETTLE_SECONDS,
@@ -311,7 +311,7 @@
         self.figures["settled_after_60s_stop_s"] = self.wait_for_agreement(
             "the return of one that stood still"
         )
-        _, body = member.call(f"/fleet/changes?after={last_change}")
+        _, body = member.call_admin(f"/fleet/changes?after={last_change}")
         changes = body["changes"]
         self.figures["held_dead_by_it"] = sum(
             change["after"] == "dead" and change["name"] != "n5" for change in changes
--- a/benchmarks/protocol_mix.py
+++ b/benchmarks/protocol_mix.py
@@ -26,7 +26,7 @@
 from benchmarks.harness import markdown_table, mean_with_range, print_and_keep
 from stepstream.lab.load.scenario import generate_scenario
 from stepstream.lab.load.site import read_site
-from stepstream.lab.processes.load_test import LoadTest, Result
+from stepstream.lab.processes.load_test import LoadTest, LoadTestResult
 
 MIXES = ("http", "gearman", "mixed")
 US_PER_SECOND = 1e6
@@ -39,7 +39,7 @@
     load: float
     seed: int
     job_count: int
-    results: dict[str, Result]
+    results: dict[str, LoadTestResult]
 
     def score(self, mix: str) -> float:
         """Return the score of the run with this mix, 0 to 1."""
@@ -50,7 +50,9 @@
         return self.score("mixed") - self.score("http")
 
 
-async def run_load_test(seed: int, seconds: int, load: float, mix: str) -> tuple[int, Result]:
+async def run_load_test(
+    seed: int, seconds: int, load: float, mix: str
+) -> tuple[int, LoadTestResult]:
     """Run one load test; return the number of its jobs, and its result."""
     site = msgspec.structs.replace(read_site(), load=load)
     scenario = generate_scenario(site, seed, seconds, mix)
@@ -58,7 +60,7 @@
         return len(scenario.requests), await load_test.play()
 
 
-def run_in_own_loop(seed: int, seconds: int, load: float, mix: str) -> tuple[int, Result]:
+def run_in_own_loop(seed: int, seconds: int, load: float, mix: str) -> tuple[int, LoadTestResult]:
     """Run one load test on an event loop of this process."""
     return asyncio.run(run_load_test(seed, seconds, load, mix))
 
--- a/stepstream/lab/faults/stop_plan.py
+++ b/stepstream/lab/faults/stop_plan.py
@@ -12,7 +12,7 @@
 MAX_INTERVAL_SECONDS = 2.5
 MAX_RELOADS = 30
 RELOAD_INTERVAL_SECONDS = 0.002
-CROWD_PROBABILITY = 0.3
+EXTRA_CONNECTIONS_PROBABILITY = 0.3
 MAINTENANCE_PROBABILITY = 0.5
 MAX_PAUSE_SECONDS = 0.3  # between two signals of a series
 
@@ -34,7 +34,7 @@
     """One stop; `with_maintenance` takes a worker out of service at the same moment."""
 
     at_seconds: float
-    dispatcher: int
+    dispatcher_index: int
     kind: StopKind
     reloads: int
     with_maintenance: bool
@@ -43,13 +43,17 @@
 
 @dataclass(frozen=True, slots=True)
 class StopPlan:
-    """All stops of one run; with `has_crowd` idle and unfinished clients fill connections."""
+    """All stops of one run.
+
+    With `has_extra_connections`, clients also hold connections that stay idle or never finish
+    their first request.
+    """
 
     stops: tuple[PlannedStop, ...]
-    has_crowd: bool
+    has_extra_connections: bool
 
 
-def generate_plan(seed: int, dispatchers: int, seconds: float) -> StopPlan:
+def generate_stop_plan(seed: int, dispatchers: int, seconds: float) -> StopPlan:
     """Draw the plan of a seed; a dispatcher may be stopped while another one still stops."""
     rng = random.Random(seed)
     stops: list[PlannedStop] = []
@@ -57,7 +61,7 @@
     while at_seconds < seconds - MAX_INTERVAL_SECONDS:
         stop = PlannedStop(
             at_seconds,
-            dispatcher=len(stops) % dispatchers,
+            dispatcher_index=len(stops) % dispatchers,
             kind=rng.choice(tuple(StopKind)),
             reloads=rng.randint(1, MAX_RELOADS),
             with_maintenance=rng.random() < MAINTENANCE_PROBABILITY,
@@ -65,4 +69,4 @@
         )
         stops.append(stop)
         at_seconds += rng.uniform(MIN_INTERVAL_SECONDS, MAX_INTERVAL_SECONDS)
-    return StopPlan(tuple(stops), rng.random() < CROWD_PROBABILITY)
+    return StopPlan(tuple(stops), rng.random() < EXTRA_CONNECTIONS_PROBABILITY)
--- a/stepstream/lab/processes/cluster_member.py
+++ b/stepstream/lab/processes/cluster_member.py
@@ -95,7 +95,7 @@
 
     # -- admin listener ---------------------------------------------------------------------------
 
-    def call(self, path: str, method: str = "GET") -> tuple[int, Any]:
+    def call_admin(self, path: str, method: str = "GET") -> tuple[int, Any]:
         """Return the status and the body of an answer, decoded if it is JSON.
 
         Raise ConnectionError if there is no answer.
@@ -119,7 +119,7 @@
     def membership_list(self) -> MembershipList | None:
         """Return the member's own membership list; None if it does not answer with one."""
         try:
-            status, body = self.call("/fleet")
+            status, body = self.call_admin("/fleet")
         except ConnectionError:
             return None
         if status != HTTPStatus.OK:
--- a/stepstream/lab/processes/dispatcher_cluster.py
+++ b/stepstream/lab/processes/dispatcher_cluster.py
@@ -163,10 +163,12 @@
 
     # -- links ------------------------------------------------------------------------------------
 
-    def cut(self, senders: Iterable[str], receivers: Iterable[str], *, both: bool = True) -> None:
-        """Cut the links from each sender to each receiver, and back if `both`."""
+    def cut(
+        self, senders: Iterable[str], receivers: Iterable[str], *, both_ways: bool = True
+    ) -> None:
+        """Cut the links from each sender to each receiver, and back if `both_ways`."""
         with self.relay.lock:
-            self.relay.links.cut(senders, receivers, both_ways=both)
+            self.relay.links.cut(senders, receivers, both_ways=both_ways)
 
     def heal(self) -> None:
         """Restore all links that were cut."""
--- a/stepstream/lab/processes/lease_cluster.py
+++ b/stepstream/lab/processes/lease_cluster.py
@@ -158,14 +158,14 @@
     def drain(self, name: str) -> None:
         """Drain a member through its admin listener."""
         self.drained.add(name)
-        self.members[name].call("/healthcheck/fail", "PUT")
+        self.members[name].call_admin("/healthcheck/fail", "PUT")
 
     def end_all_faults(self) -> None:
         """Restore links, end drains, resume the suspended and start the members that ended."""
         self.heal()
         for name in self.drained:
             with contextlib.suppress(ConnectionError):  # a restart ends a drain as well
-                self.members[name].call("/healthcheck/ok", "PUT")
+                self.members[name].call_admin("/healthcheck/ok", "PUT")
         self.drained.clear()
         self.set_links(loss_probability=0.0, reorder_probability=0.0, duplicate_probability=0.0)
         for member in self.members.values():
--- a/stepstream/lab/processes/lease_faults.py
+++ b/stepstream/lab/processes/lease_faults.py
@@ -78,12 +78,12 @@
 
 def drop_sent_messages(cluster: LeaseDispatcherCluster, holder: str) -> None:
     """Cut the links from the holder to all other members, but not back."""
-    cluster.cut([holder], cluster.other_members(holder), both=False)
+    cluster.cut([holder], cluster.other_members(holder), both_ways=False)
 
 
 def drop_received_messages(cluster: LeaseDispatcherCluster, holder: str) -> None:
     """Cut the links from all other members to the holder, but not back."""
-    cluster.cut(cluster.other_members(holder), [holder], both=False)
+    cluster.cut(cluster.other_members(holder), [holder], both_ways=False)
 
 
 def isolate_with_one_acceptor(cluster: LeaseDispatcherCluster, holder: str) -> None:
--- a/stepstream/lab/processes/load_test.py
+++ b/stepstream/lab/processes/load_test.py
@@ -30,7 +30,7 @@
     DispatcherProcess,
     DispatcherProcessError,
 )
-from stepstream.lab.processes.process_cost import Cost, read_cost
+from stepstream.lab.processes.process_cost import ProcessCost, read_cost
 from stepstream.lab.processes.worker_faults import EmulatedWorker, WorkerFaultInjector
 from stepstream.lab.verification.score import Figures
 from stepstream.lab.verification.verifier import Verifier
@@ -51,11 +51,11 @@
 
 
 @dataclass(slots=True)
-class Result:
+class LoadTestResult:
     """Outcome of a run."""
 
     figures: Figures
-    cost: Cost
+    cost: ProcessCost
     late_ms: float  # the longest delay by which the lab itself sent a request late
 
 
@@ -249,7 +249,7 @@
 
     # -- run --------------------------------------------------------------------------------------
 
-    async def play(self, on_progress: Callable[[Clients], None] | None = None) -> Result:
+    async def play(self, on_progress: Callable[[Clients], None] | None = None) -> LoadTestResult:
         """Play the request schedule with its faults and return the outcome.
 
         `on_progress` is called twice a second. An end of the dispatcher before that of the
@@ -281,8 +281,8 @@
             text = f"the dispatcher ended: {self.dispatcher().log_tail()}"
             self.verifier.breach(self.clock.now_us(), text)
         after = self.cost()
-        cost = Cost(after.cpu_s - before.cpu_s, after.rss_mb)
-        return Result(self.verifier.figures(), cost, clients.max_start_delay_us / US_PER_MS)
+        cost = ProcessCost(after.cpu_s - before.cpu_s, after.rss_mb)
+        return LoadTestResult(self.verifier.figures(), cost, clients.max_start_delay_us / US_PER_MS)
 
     async def report_progress(
         self, clients: Clients, on_progress: Callable[[Clients], None]
@@ -292,7 +292,7 @@
             on_progress(clients)
             await asyncio.sleep(PROGRESS_INTERVAL_SECONDS)
 
-    def cost(self) -> Cost:
+    def cost(self) -> ProcessCost:
         """Return what the dispatcher's process used so far; zeros if it has gone."""
         return read_cost(self.dispatcher().started_process().pid)
 
--- a/stepstream/lab/processes/persistent_clients.py
+++ b/stepstream/lab/processes/persistent_clients.py
@@ -35,7 +35,8 @@
         default_factory=lambda: defaultdict(list)
     )
     stopping_since: dict[int, float] = field(default_factory=dict)
-    crossed_closes: int = 0  # requests that a close crossed unread, and that were sent elsewhere
+    # Requests sent again because the dispatcher closed the connection before it read them.
+    unread_request_count: int = 0
 
     async def attempt(
         self, planned: PlannedRequest, attempt: int, remaining_us: int
@@ -51,7 +52,7 @@
             response = await self.exchange(key, data, remaining_us)
             if response is not None:
                 return response
-            self.crossed_closes += 1
+            self.unread_request_count += 1
         return ReceivedResponse(FinalOutcome.FAILED)
 
     async def exchange(
--- a/stepstream/lab/processes/process_cost.py
+++ b/stepstream/lab/processes/process_cost.py
@@ -12,20 +12,20 @@
 
 
 @dataclass(slots=True)
-class Cost:
+class ProcessCost:
     """What a process used: CPU in seconds, resident memory in megabytes."""
 
     cpu_s: float = 0.0
     rss_mb: float = 0.0
 
 
-def read_cost(process_id: int) -> Cost:
+def read_cost(process_id: int) -> ProcessCost:
     """Return what a process used since its start; zeros if it has gone."""
     try:
         stat = Path(f"/proc/{process_id}/stat").read_text()
     except OSError:
-        return Cost()
+        return ProcessCost()
     values = stat.rpartition(")")[2].split()  # the name before it may hold spaces
     ticks = int(values[STAT_USER_TICKS]) + int(values[STAT_SYSTEM_TICKS])
     resident_bytes = int(values[STAT_RESIDENT_PAGES]) * os.sysconf("SC_PAGE_SIZE")
-    return Cost(ticks / os.sysconf("SC_CLK_TCK"), resident_bytes / BYTES_PER_MB)
+    return ProcessCost(ticks / os.sysconf("SC_CLK_TCK"), resident_bytes / BYTES_PER_MB)
--- a/stepstream/lab/processes/stop_soak.py
+++ b/stepstream/lab/processes/stop_soak.py
@@ -44,9 +44,10 @@
 class StopSoak(ClusterLoadTest):
     """Dispatchers without membership, each with an admin listener and a folder for its state."""
 
-    plan: StopPlan = field(default_factory=lambda: StopPlan((), has_crowd=False))
+    plan: StopPlan = field(default_factory=lambda: StopPlan((), has_extra_connections=False))
     killed_count: int = 0  # stops that the platform's kill had to end
-    crossed_closes: int = 0  # requests that a close crossed unread
+    # Requests sent again because a dispatcher closed the connection before it read them.
+    unread_request_count: int = 0
 
     def __post_init__(self) -> None:
         self.shares_membership = False
@@ -119,13 +120,13 @@
         """Play the load and the plan; return the figures, with each breach."""
         clients = self.create_clients(PersistentClients)
         self.fault_injector.schedule()
-        if self.plan.has_crowd:
+        if self.plan.has_extra_connections:
             await self.open_crowd()
         stops = [asyncio.ensure_future(self.play_stop(stop, clients)) for stop in self.plan.stops]
         await clients.run()
         await asyncio.gather(*stops)
         self.fault_injector.cancel()
-        self.crossed_closes = clients.crossed_closes
+        self.unread_request_count = clients.unread_request_count
         self.check_logs()
         for writer in self.crowd:
             writer.close()
@@ -153,10 +154,10 @@
         maintenance = None
         if stop.with_maintenance:
             maintenance = asyncio.ensure_future(self.play_maintenance())
-        async with self.stop_locks[stop.dispatcher]:
+        async with self.stop_locks[stop.dispatcher_index]:
             match stop.kind:
                 case StopKind.DRAIN:
-                    await self.play_drain(stop.dispatcher, clients)
+                    await self.play_drain(stop.dispatcher_index, clients)
                 case StopKind.HOT_RESTART:
                     await self.hot_restart(stop)
                 case StopKind.HOT_RESTARTS:
@@ -190,7 +191,7 @@
 
     async def restart(self, stop: PlannedStop, clients: PersistentClients) -> None:
         """End a dispatcher by its series of signals, and start it again."""
-        index = stop.dispatcher
+        index = stop.dispatcher_index
         dispatcher = self.dispatchers[index]
         if stop.kind is StopKind.RELOADS_THEN_SIGTERM:
             await self.send_reloads(dispatcher, stop.reloads)
@@ -228,7 +229,7 @@
 
     async def hot_restart(self, stop: PlannedStop) -> None:
         """Start a successor beside a dispatcher, then end the dispatcher."""
-        index = stop.dispatcher
+        index = stop.dispatcher_index
         old = DispatcherProcess(self.dispatcher_name(index), self.folder)
         old.process = self.dispatchers[index].started_process()
         host, _ = self.admin_addresses[index]
--- a/stepstream/lab/reports/demo.py
+++ b/stepstream/lab/reports/demo.py
@@ -22,7 +22,7 @@
 from stepstream.lab.load.clients import Clients
 from stepstream.lab.load.scenario import Scenario, generate_scenario
 from stepstream.lab.load.site import read_site
-from stepstream.lab.processes.load_test import LoadTest, Result
+from stepstream.lab.processes.load_test import LoadTest, LoadTestResult
 from stepstream.lab.verification.score import Figures
 
 WIDTH = 120  # columns of the table, at least
@@ -60,7 +60,7 @@
     return 1 if result.figures.breaches else 0
 
 
-def as_json(scenario: Scenario, mix: str, seed: int, result: Result) -> dict[str, Any]:
+def as_json(scenario: Scenario, mix: str, seed: int, result: LoadTestResult) -> dict[str, Any]:
     """Return the content of the file of `--json`."""
     head = {
         "mix": mix,
@@ -93,7 +93,7 @@
     return 0
 
 
-async def play_schedule(scenario: Scenario, seed: int) -> Result:
+async def play_schedule(scenario: Scenario, seed: int) -> LoadTestResult:
     """Play the request schedule, reporting progress on standard error, and return the outcome."""
     console = Console(stderr=True)
     with contextlib.ExitStack() as stack:
@@ -139,7 +139,7 @@
             print(f"{clients.finished_count} of {self.total} jobs", file=sys.stderr, flush=True)
 
 
-def show(console: Console, scenario: Scenario, mix: str, seed: int, result: Result) -> None:
+def show(console: Console, scenario: Scenario, mix: str, seed: int, result: LoadTestResult) -> None:
     """Print the table of job classes, the score, the dispatcher's cost and all violations."""
     figures = result.figures
     console.print(class_table(scenario, mix, seed, figures))
--- a/stepstream/lab/reports/stop_soak.py
+++ b/stepstream/lab/reports/stop_soak.py
@@ -22,7 +22,7 @@
 import msgspec
 from docopt import docopt
 
-from stepstream.lab.faults.stop_plan import StopPlan, generate_plan
+from stepstream.lab.faults.stop_plan import StopPlan, generate_stop_plan
 from stepstream.lab.load.scenario import generate_scenario
 from stepstream.lab.load.site import read_site
 from stepstream.lab.processes.stop_soak import StopSoak
@@ -57,7 +57,7 @@
         msgspec.structs.replace(table, deadline_ms=DEADLINE_MS) for table in site.job_classes
     )
     site = msgspec.structs.replace(site, job_classes=classes, load=LOAD)
-    plan = generate_plan(seed, DISPATCHERS, seconds)
+    plan = generate_stop_plan(seed, DISPATCHERS, seconds)
     soak = StopSoak(
         generate_scenario(site, seed, seconds, "http"),
         seed,
@@ -74,7 +74,7 @@
         plan,
         len(soak.verifier.records),
         soak.killed_count,
-        soak.crossed_closes,
+        soak.unread_request_count,
         tuple(soak.verifier.breaches),
         kept,
     )
@@ -89,7 +89,7 @@
 
 def print_result(result: SoakResult, seconds: int) -> None:
     """Print a line on a seed, and for a broken one what broke and how to repeat it."""
-    crowd = ", with a crowd" if result.plan.has_crowd else ""
+    crowd = ", with a crowd" if result.plan.has_extra_connections else ""
     print(
         f"seed {result.seed}: {len(result.plan.stops)} stops{crowd}, {result.requests} jobs,"
         f" {result.crossed} crossed a close, {result.killed} stops killed,"
@@ -101,7 +101,7 @@
     for breach in result.breaches:
         print(f"  {breach}")
     for stop in result.plan.stops:
-        print(f"  {stop.at_seconds:.2f} s n{stop.dispatcher}: {stop.kind.value}")
+        print(f"  {stop.at_seconds:.2f} s n{stop.dispatcher_index}: {stop.kind.value}")
     print(f"  logs: {result.kept}")
     command = "python -m stepstream.lab.reports.stop_soak"
     print(f"  repeat: {command} --seed {result.seed} --seconds {seconds}")
--- a/tests/golden/state/lab_transcripts.py
+++ b/tests/golden/state/lab_transcripts.py
@@ -12,8 +12,8 @@
 from stepstream.lab.emulator.workload import Workload
 from stepstream.lab.faults.random_schedule import generate_schedule
 from stepstream.lab.load.scenario import Scenario
-from stepstream.lab.processes.load_test import Result
-from stepstream.lab.processes.process_cost import Cost
+from stepstream.lab.processes.load_test import LoadTestResult
+from stepstream.lab.processes.process_cost import ProcessCost
 from stepstream.lab.reports import demo, fault_run
 from stepstream.lab.verification.ledger_record import Ledger
 from stepstream.lab.verification.observations import FinalOutcome, RequestKey
@@ -41,8 +41,8 @@
 def demo_file() -> str:
     """The file of `stepstream demo --json`."""
 
-    async def play_schedule(scenario: Scenario, _seed: int) -> Result:
-        return Result(figures_of_a_scenario(scenario), Cost(1.25, 40.5), 12.5)
+    async def play_schedule(scenario: Scenario, _seed: int) -> LoadTestResult:
+        return LoadTestResult(figures_of_a_scenario(scenario), ProcessCost(1.25, 40.5), 12.5)
 
     with (
         tempfile.TemporaryDirectory() as folder,
--- a/tests/lab/processes/test_stop_soak.py
+++ b/tests/lab/processes/test_stop_soak.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from stepstream.lab.faults.stop_plan import PlannedStop, StopKind, StopPlan, generate_plan
+from stepstream.lab.faults.stop_plan import PlannedStop, StopKind, StopPlan, generate_stop_plan
 from stepstream.lab.load.scenario import generate_scenario
 from stepstream.lab.load.site import read_site
 from stepstream.lab.processes.stop_soak import StopSoak
@@ -13,15 +13,15 @@
 SECONDS = 8
 EARLY_KILL = StopPlan(
     tuple(PlannedStop(1.0 + index, index, StopKind.SIGTERM, 0, False, 0.0) for index in range(2)),
-    has_crowd=False,
+    has_extra_connections=False,
 )
 
 
 def test_a_seed_draws_one_plan():
-    assert generate_plan(5, 3, 10.0) == generate_plan(5, 3, 10.0)
-    plans = [generate_plan(seed, 3, 10.0) for seed in range(20)]
+    assert generate_stop_plan(5, 3, 10.0) == generate_stop_plan(5, 3, 10.0)
+    plans = [generate_stop_plan(seed, 3, 10.0) for seed in range(20)]
     assert {stop.kind for plan in plans for stop in plan.stops} == set(StopKind)
-    assert {plan.has_crowd for plan in plans} == {True, False}
+    assert {plan.has_extra_connections for plan in plans} == {True, False}
 
 
 @pytest.mark.parametrize("seed", [1, 2])
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -196,7 +196,7 @@
     path = "/leases/none/want?session=abcdefgh&ttl_ms=1200&act_ms=300"
 
     def is_rejected():
-        status, answer = fleet.members["n4"].call(path, "PUT")
+        status, answer = fleet.members["n4"].call_admin(path, "PUT")
         return status == 503 and answer["error"] == "no quorum: 1 of 3 voters answered, not n0, n1"
 
     fleet.wait_for(is_rejected, TIMEOUT_SECONDS, "the 503")
@@ -204,7 +204,7 @@
     assert "of 3 voters answered" in job.stderr.read()
     # Time is the subject: without heartbeats the session is withdrawn after its time to live.
     time.sleep(TTL_SECONDS)
-    assert fleet.members["n4"].call("/leases/none/release?session=abcdefgh", "PUT")[0] == 404
+    assert fleet.members["n4"].call_admin("/leases/none/release?session=abcdefgh", "PUT")[0] == 404
 
 
 @pytest.mark.parametrize(
@@ -239,7 +239,7 @@
     ],
 )
 def test_a_bad_call_is_answered_4xx_with_what_is_wrong(fleet, method, path, status, error):
-    answered_status, answer = fleet.members["n1"].call(path, method)
+    answered_status, answer = fleet.members["n1"].call_admin(path, method)
     assert answered_status == status
     assert error in json.dumps(answer)
 
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -106,7 +106,7 @@
 
 def test_a_one_way_partition_is_bridged_by_indirect_probes(fleet):
     before = {name: fleet.members[name].membership_list()["number"] for name in ALL}
-    fleet.cut(["n1"], ["n2"], both=False)
+    fleet.cut(["n1"], ["n2"], both_ways=False)
     sent = fleet.members["n2"].membership_list()["counts"]["probes"]
     fleet.wait_for(
         lambda: fleet.members["n2"].membership_list()["counts"]["probes"] >= sent + 15,
@@ -114,7 +114,7 @@
         "three rounds of probes",
     )
     for name in ALL:
-        answer = fleet.members[name].call(f"/fleet/changes?after={before[name]}")[1]
+        answer = fleet.members[name].call_admin(f"/fleet/changes?after={before[name]}")[1]
         assert not [change for change in answer["changes"] if change["after"] == "dead"]
 
 
@@ -148,7 +148,7 @@
         fleet.heal()
         time.sleep(0.1)
     fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "one view")
-    answer = fleet.members["n0"].call(f"/fleet/changes?after={number}")[1]["changes"]
+    answer = fleet.members["n0"].call_admin(f"/fleet/changes?after={number}")[1]["changes"]
     assert not [change for change in answer if change["after"] == "dead"]
 
 
@@ -160,7 +160,7 @@
     )
     fleet.resume("n2")
     fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "the return")
-    answer = fleet.members["n2"].call(f"/fleet/changes?after={number}")[1]["changes"]
+    answer = fleet.members["n2"].call_admin(f"/fleet/changes?after={number}")[1]["changes"]
     assert not [change for change in answer if change["after"] == "dead" and change["name"] != "n2"]
     assert fleet.members["n2"].membership_list()["counts"]["stalls"] >= 1
 
@@ -190,7 +190,7 @@
         )
         fleet.start([name])
         fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "the return")
-    answer = fleet.members["n4"].call(f"/fleet/changes?after={numbers['n4']}")[1]["changes"]
+    answer = fleet.members["n4"].call_admin(f"/fleet/changes?after={numbers['n4']}")[1]["changes"]
     # On a machine too busy to answer in 90 ms somebody may be suspected; who left is never held dead.
     assert not [c for c in answer if c["name"] in ("n0", "n1") and c["after"] == "dead"]
 
@@ -249,7 +249,7 @@
     fleet.start(["n0"])
     fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "the return")
     fleet.cut(["n4"], ALL - {"n4"})
-    assert fleet.members["n0"].call("/workers/s-1/maint", "PUT")[0] == 200
+    assert fleet.members["n0"].call_admin("/workers/s-1/maint", "PUT")[0] == 200
     fleet.wait_for(
         lambda: all(v for n, v in out_at(fleet, "s-1").items() if n != "n4"),
         WAIT_TIMEOUT_SECONDS,
@@ -268,7 +268,7 @@
         "its line",
     )
     # n4 never heard of the worker from discovery, yet it is out there, and can be let back from there.
-    assert fleet.members["n4"].call("/workers/s-1/ready", "PUT")[0] == 200
+    assert fleet.members["n4"].call_admin("/workers/s-1/ready", "PUT")[0] == 200
     fleet.start(["n0"])
     fleet.wait_for(
         lambda: not any(out_at(fleet, "s-1").values()), WAIT_TIMEOUT_SECONDS, "the return"
@@ -291,7 +291,10 @@
         assert read_log().count("after=superseded") == 1
         fleet.wait_for(
             lambda: (
-                {fleet.members[n].call("/fleet/members/n3")[1]["address"] for n in ALL - {"n3"}}
+                {
+                    fleet.members[n].call_admin("/fleet/members/n3")[1]["address"]
+                    for n in ALL - {"n3"}
+                }
                 == {advertised_address}
             ),
             WAIT_TIMEOUT_SECONDS,
@@ -408,7 +411,7 @@
     assert new.poll() is None
     fleet.heal()
     fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "one view")
-    answer = fleet.members["n0"].call(f"/fleet/changes?after={number}")[1]["changes"]
+    answer = fleet.members["n0"].call_admin(f"/fleet/changes?after={number}")[1]["changes"]
     assert not [c for c in answer if c["name"] == "n1" and c["after"] in ("dead", "left")]
 
 
@@ -448,7 +451,7 @@
         ("/fleet/members/", 404),
         ("/fleet/leave", 405),
     ):
-        assert fleet.members["n0"].call(path)[0] == status
+        assert fleet.members["n0"].call_admin(path)[0] == status
     fleet.kill("n4")
     assert run(["fleet", "members", "--at", at]) in (0, 1)
     fleet.wait_for(
