--- a/stepstream/identity/active_rules.py
+++ b/stepstream/identity/active_rules.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class ActiveRules:
-    """What is in force; a decision that has begun ends with the rules it began with."""
+    """The rules in force; each decision uses the rules that were in force when it began."""
 
     section: IdentitySection
     token_verifier: CachingTokenVerifier
@@ -37,7 +37,7 @@
 
 
 def rules_at_start(loaded: LoadedIdentity) -> ActiveRules:
-    """Return the rules of a section, with an empty token cache and nothing used of any limit."""
+    """Return the rules of a section, with an empty token cache and unused limits."""
     section = loaded.section
     return ActiveRules(
         section=section,
@@ -51,12 +51,12 @@
 def rules_after_reload(previous: ActiveRules, loaded: LoadedIdentity) -> ActiveRules:
     """Return the rules of a reloaded section.
 
-    Cached tokens are verified anew. The caller takes over the used limits.
+    The token cache is empty. The limits are unused until `Permissions.adopt_usage` is called.
     """
     section = loaded.section
     return ActiveRules(
         section=section,
-        token_verifier=previous.token_verifier.replaced(
+        token_verifier=previous.token_verifier.with_key_set(
             loaded.key_set, token_rules_of(section), section.cache
         ),
         permissions=permissions_of(section),
@@ -66,9 +66,9 @@
 
 
 def rules_with_new_keys(previous: ActiveRules, loaded: LoadedIdentity) -> ActiveRules:
-    """Return the rules after a change of the key file alone; cached tokens are verified anew."""
+    """Return the rules after a change of the key file alone, with an empty token cache."""
     section = previous.section
-    token_verifier = previous.token_verifier.replaced(
+    token_verifier = previous.token_verifier.with_key_set(
         loaded.key_set, token_rules_of(section), section.cache
     )
     return replace(previous, token_verifier=token_verifier, tls=loaded.tls)
--- a/stepstream/identity/commands.py
+++ b/stepstream/identity/commands.py
@@ -49,16 +49,16 @@
         key_store.revoke(key_id)
         print(f"{key_id} is revoked: its tokens are invalid once verifiers have reloaded the keys")
     else:
-        for row in key_store.load_rows():
-            print(key_line(row))
+        for jwk in key_store.load_jwks():
+            print(key_line(jwk))
     return 0
 
 
-def key_line(row: dict[str, Any]) -> str:
-    """Return the line of `keys list` for a row of the key file."""
-    end = f" until {format_time(row['not_after'])}" if row.get("not_after") else ""
-    start = format_time(row.get("not_before", 0))
-    return f"{row['kid']} {row['alg']} {state_of(row).value} since {start}{end}"
+def key_line(jwk: dict[str, Any]) -> str:
+    """Return the line that `keys list` prints for a JWK of the key file."""
+    end = f" until {format_time(jwk['not_after'])}" if jwk.get("not_after") else ""
+    start = format_time(jwk.get("not_before", 0))
+    return f"{jwk['kid']} {jwk['alg']} {state_of(jwk).value} since {start}{end}"
 
 
 def run_token_command(arguments: dict[str, Any]) -> int:
@@ -81,9 +81,9 @@
 
 
 def inspect_token(token: str) -> int:
-    """Print the header and claims of a token, which are not verified.
+    """Print the header and claims of a token without verifying it.
 
-    Raise `IdentityCommandError` if it is no token.
+    Raise `IdentityCommandError` if the token cannot be decoded.
     """
     try:
         parts = token.encode().split(b".")
@@ -111,14 +111,14 @@
         raise ConfigurationError("the operator's file has no [identity]")
     credential = Credential(token=token.encode())
     rules = rules_at_start(load_identity(section))
-    presented = authenticate(rules, credential, time.time())
-    decision = presented.failure or rules.permissions.decide(
-        presented.principal, class_name, tenant
+    authentication = authenticate(rules, credential, time.time())
+    decision = authentication.failure or rules.permissions.decide(
+        authentication.principal, class_name, tenant
     )
     print(f"{decision.verdict.value}: {decision.reason}")
     print(f"rule: {decision.rule}")
     print(
-        f"subject: {presented.subject or '-'}, key: {presented.key_id or '-'},"
+        f"subject: {authentication.subject or '-'}, key: {authentication.key_id or '-'},"
         f" caller: {decision.caller or '-'}"
     )
     if decision.tenant:
@@ -136,5 +136,5 @@
 
 
 def format_time(unix_seconds: float) -> str:
-    """Return a time in UTC; "ever" for 0, which stands for no bound."""
+    """Return a time in UTC; "ever" for 0, which means that there is no bound."""
     return time.strftime(TIME_FORMAT, time.gmtime(unix_seconds)) if unix_seconds else "ever"
--- a/stepstream/identity/token_cache.py
+++ b/stepstream/identity/token_cache.py
@@ -1,8 +1,7 @@
-"""A bounded cache of verified tokens, by the hash of their text; free of I/O.
+"""A bounded cache of verified tokens, keyed by the hash of the token; free of I/O.
 
-Owns the cached claims and the latest time that was seen. Any thread may verify: the lock guards the
-order and the size of the table. A lookup and the removal of one token need none: each is one atomic
-operation of a dictionary.
+Any thread may verify. The lock guards the order and the size of the cache. A lookup and the removal
+of one token need no lock: each is one atomic operation of a dictionary.
 """
 
 import hashlib
@@ -15,10 +14,11 @@
 
 
 class CachingTokenVerifier:
-    """Verifies tokens, and the signature of each only once while it is cached.
+    """Verifies tokens; the signature of a cached token is not verified again.
 
-    Everything else is checked at each use: a cached token is good only while its key is in the
-    present key set, unrevoked, and its own times hold. A new key set starts with an empty cache.
+    Everything else is checked at each use: a cached token is valid only while its key is in the
+    current key set and usable, and while its own times are valid. A new key set starts with an
+    empty cache.
     """
 
     def __init__(self, key_set: KeySet, rules: TokenRules, max_tokens: int) -> None:
@@ -31,10 +31,10 @@
         self.latest_time = 0.0  # latest time seen, in Unix seconds
         self.lock = threading.Lock()  # guards the order and size of `cached_claims`
 
-    def replaced(
+    def with_key_set(
         self, key_set: KeySet, rules: TokenRules, max_tokens: int
     ) -> "CachingTokenVerifier":
-        """Return a verifier with an empty cache for a new key set; it keeps the latest time."""
+        """Return a verifier for a new key set, with an empty cache and the same latest time."""
         verifier = CachingTokenVerifier(key_set, rules, max_tokens)
         verifier.latest_time = self.latest_time
         return verifier
@@ -42,7 +42,7 @@
     def advance_clock(self, now: float) -> float:
         """Return `now`, or the latest time seen if the clock stepped back.
 
-        Guards what has expired from being good again.
+        Guards against an expired token or certificate that becomes valid again.
         """
         self.latest_time = now = max(now, self.latest_time)
         return now
--- a/stepstream/identity/tokens.py
+++ b/stepstream/identity/tokens.py
@@ -1,8 +1,8 @@
 """Verification of bearer tokens: JWT (RFC 7519) in JWS compact form (RFC 7515); free of I/O.
 
 A token is verified against a key set at a given time. The library verifies the signature only.
-Times are checked here against the caller's clock, so that a cached token is checked by the same
-functions as a new one. There is no state here; any thread may call the functions.
+Times are checked here against the time passed in, so that a cached token is checked by the same
+functions as a new one. The module has no state; any thread may call the functions.
 """
 
 import base64
@@ -23,7 +23,7 @@
     VerificationKey,
 )
 
-# Three base64url parts without padding; an empty signature, `alg` none, does not match.
+# Three base64url parts without padding. The empty signature of `alg` none does not match.
 COMPACT_FORM = re.compile(rb"[A-Za-z0-9_-]+\.[A-Za-z0-9_-]+\.[A-Za-z0-9_-]+")
 SUBJECT_PATTERN = re.compile(r"[!-~]{1,128}")
 ACCEPTED_TYPES = ("JWT", "at+jwt")  # RFC 7519, 5.1; RFC 9068, 2.1
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenRules:
-    """The demands on a token beside its signature."""
+    """What a token must satisfy besides the check of its signature."""
 
     issuer: str
     audience: str
@@ -55,11 +55,11 @@
 
 
 def verify_token(token: bytes, key_set: KeySet, rules: TokenRules, now: float) -> Claims:
-    """Return the claims of a token; raise `TokenError` with the first reason against it."""
+    """Return the claims of a token; raise `TokenError` for the first check that it fails."""
     key = select_key(token, key_set, rules)
     key.check_usable(now)
     signing_input, _, signature = token.rpartition(b".")
-    # The algorithm is the key's; the header's `alg` has been compared with it and is not read again
+    # The key determines the algorithm. `select_key` has compared the header's `alg` with it
     # (RFC 8725, 3.1).
     verifier = SIGNATURE_VERIFIERS[key.algorithm]
     if not verifier.verify(signing_input, key.public_key, decode_base64url(signature)):
@@ -71,15 +71,15 @@
 
 
 def check_size(token: bytes, rules: TokenRules) -> None:
-    """Raise `TokenError` for a token over the rules' size; nothing of it is parsed."""
+    """Raise `TokenError` for a token over the size limit, before any part of it is parsed."""
     if len(token) > rules.max_bytes:
-        raise TokenError("too_long", f"over {rules.max_bytes} bytes")
+        raise TokenError("too_long", f"longer than {rules.max_bytes} bytes")
 
 
 def select_key(token: bytes, key_set: KeySet, rules: TokenRules) -> VerificationKey:
     """Return the key that the header's `kid` names; raise `TokenError`.
 
-    Nothing is parsed before the size is bounded. See RFC 7515, 4.1 for the header's members.
+    The size is checked before anything is parsed. See RFC 7515, 4.1 for the header's members.
     """
     check_size(token, rules)
     if not COMPACT_FORM.fullmatch(token):
@@ -97,7 +97,7 @@
         raise TokenError("wrong_typ", f"typ is none of {', '.join(ACCEPTED_TYPES)}", key_id)
     if "crit" in header or header.get("b64") is False:
         # Unknown extensions must not be ignored (RFC 7515, 4.1.11; RFC 7797).
-        raise TokenError("crit", "the header demands extensions", key_id)
+        raise TokenError("crit", "the header requires extensions that are not supported", key_id)
     return key
 
 
@@ -106,14 +106,15 @@
     try:
         return base64.urlsafe_b64decode(part + b"=" * (-len(part) % 4))
     except (binascii.Error, ValueError):
-        # No cause is chained here and below: its text may quote the credential.
+        # No cause is chained here and in `parse_json_object`: the cause may quote the credential.
         raise TokenError("not_a_token", "a part is not base64url") from None
 
 
 def parse_json_object(data: bytes) -> dict[str, Any]:
     """Decode a JSON object; raise `TokenError`.
 
-    Names must be unique (RFC 7515, 4; RFC 7519, 4): two readers could see different values.
+    Names must be unique (RFC 7515, 4; RFC 7519, 4): otherwise two readers could see different
+    values.
     """
     try:
         value = json.loads(
@@ -127,10 +128,10 @@
 
 
 def reject_duplicate_names(members: list[tuple[str, Any]]) -> dict[str, Any]:
-    """Make an object of its members; raise `TokenError` if a name comes twice."""
+    """Return a JSON object from its members; raise `TokenError` if a name occurs twice."""
     value = dict(members)
     if len(value) != len(members):
-        raise TokenError("duplicate_claim", "an object has a name twice")
+        raise TokenError("duplicate_claim", "a JSON object has two members of one name")
     return value
 
 
@@ -140,7 +141,7 @@
 
 
 def parse_claims(payload: bytes, key_id: str, rules: TokenRules) -> Claims:
-    """Read the claims of a token whose signature is good (RFC 7519, 4.1); raise `TokenError`."""
+    """Read the claims of a token whose signature is valid (RFC 7519, 4.1); raise `TokenError`."""
     claims = parse_json_object(payload)
     check_issuer_and_audience(claims, key_id, rules)
     subject = claims.get("sub")
@@ -178,7 +179,10 @@
 
 
 def numeric_date(claims: dict[str, Any], name: str, key_id: str) -> float | None:
-    """Return a NumericDate (RFC 7519, 2) in Unix seconds, None without one; raise `TokenError`."""
+    """Return a claim that is a NumericDate (RFC 7519, 2), in Unix seconds; None if it is missing.
+
+    Raise `TokenError` if the claim is not Unix seconds.
+    """
     value = claims.get(name)
     if value is None:
         return None
@@ -189,10 +193,10 @@
 
 
 def check_times(claims: Claims, rules: TokenRules, now: float) -> None:
-    """Raise `TokenError` if a token is not good at the Unix time `now` (RFC 7519, 4.1.4 to 6).
+    """Raise `TokenError` if a token is not valid at the Unix time `now` (RFC 7519, 4.1.4 to 6).
 
     Each time is compared with the leeway, because clocks differ. The lifetime is bounded, so that a
-    stolen token does not stay good for ever.
+    stolen token does not stay valid for ever.
     """
     if claims.expires_at - claims.issued_at > rules.max_lifetime_seconds:
         explanation = f"exp is more than {rules.max_lifetime_seconds} s after iat"
--- a/tests/identity/test_identity_commands.py
+++ b/tests/identity/test_identity_commands.py
@@ -91,12 +91,12 @@
     store = SigningKeyStore(tmp_path)
     store.create_key("EdDSA", "first", KeyState.ACTIVE, 0)
     store.create_key("EdDSA", "second", KeyState.NEXT, 0)
-    rows = store.load_rows()
-    del rows[position][member]
-    store.key_file.write_text(json.dumps({"keys": rows}))
+    jwks = store.load_jwks()
+    del jwks[position][member]
+    store.key_file.write_text(json.dumps({"keys": jwks}))
     rotated = stepstream("keys", "rotate", "--dir", str(tmp_path))
     assert (rotated.returncode, rotated.stderr) == (0, "")
-    assert [row["state"] for row in store.load_rows()] == ["retiring", "active", "next"]
+    assert [jwk["state"] for jwk in store.load_jwks()] == ["retiring", "active", "next"]
 
 
 def test_explain_prints_the_decision_and_its_rule(program):
--- a/tests/identity/test_identity_node.py
+++ b/tests/identity/test_identity_node.py
@@ -147,7 +147,7 @@
     program.key_store.rotate(overlap_seconds=5, now=int(time.time()))
     count_at_rotation = len(statuses)
     wait_for(lambda: len(statuses) > count_at_rotation + 40)
-    assert program.key_store.load_rows()[0]["state"] == "retiring"
+    assert program.key_store.load_jwks()[0]["state"] == "retiring"
     wait_for(lambda: program.post(old).status == 401)
     assert "key_past" in challenge(program.post(old))[1]
     stop.set()
--- a/tests/identity/test_identity_tokens.py
+++ b/tests/identity/test_identity_tokens.py
@@ -42,11 +42,11 @@
     "past": {"state": "retiring", "not_after": NOW - 10},
     "gone": {"state": "revoked"},
 }
-ROWS = [
+JWKS = [
     {**public_jwk(alg, private), "kid": kid, **STATES.get(kid, {})}
     for kid, (alg, private) in KEYS.items()
 ]
-KEY_SET = parse_key_set({"keys": ROWS})
+KEY_SET = parse_key_set({"keys": JWKS})
 GOOD = {
     "iss": RULES.issuer,
     "aud": RULES.audience,
@@ -278,10 +278,10 @@
 def test_a_revocation_ends_cached_tokens_at_once():
     verifier, token = CachingTokenVerifier(KEY_SET, RULES, 10), sign()
     assert reason_of(verifier, token, NOW) is None
-    rows = [{**row, "state": "revoked"} if row["kid"] == "ed" else row for row in ROWS]
-    verifier = verifier.replaced(parse_key_set({"keys": rows}), RULES, 10)
+    jwks = [{**jwk, "state": "revoked"} if jwk["kid"] == "ed" else jwk for jwk in JWKS]
+    verifier = verifier.with_key_set(parse_key_set({"keys": jwks}), RULES, 10)
     assert reason_of(verifier, token, NOW) == "key_revoked"
-    verifier = verifier.replaced(parse_key_set({"keys": rows[1:]}), RULES, 10)
+    verifier = verifier.with_key_set(parse_key_set({"keys": jwks[1:]}), RULES, 10)
     assert reason_of(verifier, token, NOW) == "unknown_kid"
 
 
@@ -318,7 +318,7 @@
     verifier, held = CachingTokenVerifier(parse_key_set({"keys": ring(0)}), RULES, 100), []
     for second in range(300):
         if second in (100, 160):
-            verifier = verifier.replaced(parse_key_set({"keys": ring(second)}), RULES, 100)
+            verifier = verifier.with_key_set(parse_key_set({"keys": ring(second)}), RULES, 100)
         now = begun + second
         signer = "a" if second < 100 else "b"
         held.append((signer, now, sign(signer, iat=now, exp=now + 30, jti=str(second))))
@@ -330,8 +330,8 @@
 # -- key sets ---------------------------------------------------------------------------------------------
 
 
-def row(**changes):
-    return {**ROWS[0], **changes}
+def jwk(**changes):
+    return {**JWKS[0], **changes}
 
 
 @pytest.mark.parametrize(
@@ -339,20 +339,20 @@
     [
         ([], "keys: not a list"),
         ({"keys": [1]}, "keys[0]: not an object"),
-        ({"keys": [row(kid="a/b")]}, "keys[0].kid"),
-        ({"keys": [row(alg="HS256")]}, "keys[0].alg"),
-        ({"keys": [row(alg="none")]}, "keys[0].alg"),
-        ({"keys": [row(alg="ES256")]}, "keys[0].kty"),
-        ({"keys": [row(kty="oct", k="c2VjcmV0")]}, "keys[0].kty"),
-        ({"keys": [row(d="AA")]}, "keys[0]: holds private members"),
-        ({"keys": [row(x="AA")]}, "keys[0]: "),
-        ({"keys": [row(state="fresh")]}, "keys[0].state"),
-        ({"keys": [row(state="retiring")]}, "keys[0].not_after"),
-        ({"keys": [row(not_before="x")]}, "keys[0]: not_before"),
-        ({"keys": [row(use="enc")]}, "keys[0].use"),
-        ({"keys": [row(), row()]}, "keys[1].kid: ed comes twice"),
-        ({"keys": [row(alg=["EdDSA"])]}, "keys[0].alg"),
-        ({"keys": [row(kid=f"k{n}") for n in range(65)]}, "more than 64"),
+        ({"keys": [jwk(kid="a/b")]}, "keys[0].kid"),
+        ({"keys": [jwk(alg="HS256")]}, "keys[0].alg"),
+        ({"keys": [jwk(alg="none")]}, "keys[0].alg"),
+        ({"keys": [jwk(alg="ES256")]}, "keys[0].kty"),
+        ({"keys": [jwk(kty="oct", k="c2VjcmV0")]}, "keys[0].kty"),
+        ({"keys": [jwk(d="AA")]}, "keys[0]: holds private members"),
+        ({"keys": [jwk(x="AA")]}, "keys[0]: "),
+        ({"keys": [jwk(state="fresh")]}, "keys[0].state"),
+        ({"keys": [jwk(state="retiring")]}, "keys[0].not_after"),
+        ({"keys": [jwk(not_before="x")]}, "keys[0]: not_before"),
+        ({"keys": [jwk(use="enc")]}, "keys[0].use"),
+        ({"keys": [jwk(), jwk()]}, "keys[1].kid: ed comes twice"),
+        ({"keys": [jwk(alg=["EdDSA"])]}, "keys[0].alg"),
+        ({"keys": [jwk(kid=f"k{n}") for n in range(65)]}, "more than 64"),
     ],
     ids=[
         "no object",
--- a/tests/identity/test_rotation_rules.py
+++ b/tests/identity/test_rotation_rules.py
@@ -7,7 +7,7 @@
     has_propagated,
     is_expired,
     retire_active,
-    signing_row,
+    signing_jwk,
 )
 
 OLD = {"kid": "old", "state": "retiring", "not_after": 500}
@@ -16,8 +16,8 @@
 
 
 def test_a_next_key_signs_once_every_verifier_has_read_it():
-    row = {"kid": "next", "state": "next", "not_before": 1000}
-    assert [has_propagated(row, now) for now in (1059, 1060)] == [False, True]
+    jwk = {"kid": "next", "state": "next", "not_before": 1000}
+    assert [has_propagated(jwk, now) for now in (1059, 1060)] == [False, True]
 
 
 def test_a_key_is_removed_once_its_last_token_has_expired():
@@ -26,16 +26,16 @@
 
 
 def test_a_retired_keys_tokens_are_good_for_the_overlap():
-    row = dict(FIRST)
-    assert retire_active([row], 3600, 1000) == [
+    jwk = dict(FIRST)
+    assert retire_active([jwk], 3600, 1000) == [
         "first is retiring: its tokens stay valid for 3600 s"
     ]
-    assert row == {"kid": "first", "state": "retiring", "not_after": 4600}
+    assert jwk == {"kid": "first", "state": "retiring", "not_after": 4600}
 
 
 def test_the_newest_active_key_signs_unless_one_is_named():
-    rows = [OLD, FIRST, SECOND]
-    assert signing_row(rows, None) is SECOND
-    assert signing_row(rows, "first") is FIRST
+    jwks = [OLD, FIRST, SECOND]
+    assert signing_jwk(jwks, None) is SECOND
+    assert signing_jwk(jwks, "first") is FIRST
     with pytest.raises(IdentityCommandError, match="there is no active key"):
-        signing_row([OLD], None)
+        signing_jwk([OLD], None)
