--- a/stepstream/identity/access_control.py
+++ b/stepstream/identity/access_control.py
@@ -1,8 +1,8 @@
 """The access control of the running program, for every front: authentication, then authorization.
 
-Owns the active rules. The main thread replaces them as a whole, at a reload of the operator's file
-or when the key file changes. The fronts' threads call it. Its lock guards the rate limiters and the
-audit log.
+`IdentityAccessControl` owns the active rules. The main thread replaces them as a whole, at a reload
+of the operator's file or when the key file changes. The fronts' threads call the `authorize_`
+methods. One lock guards the rate limiters and the audit log.
 """
 
 import socket
@@ -18,7 +18,7 @@
     rules_at_start,
     rules_with_new_keys,
 )
-from stepstream.identity.authentication import PresentedCredential, authenticate
+from stepstream.identity.authentication import AuthenticationResult, authenticate
 from stepstream.identity.configuration import LoadedIdentity, key_file_version, load_identity
 from stepstream.identity.permissions import Decision, Verdict
 from stepstream.identity.tls import TlsTransport
@@ -26,9 +26,9 @@
 from stepstream.runtime import log_events
 
 REJECTION_KINDS = {
-    Verdict.UNKNOWN: RejectionKind.UNAUTHENTICATED,
+    Verdict.UNAUTHENTICATED: RejectionKind.UNAUTHENTICATED,
     Verdict.DENIED: RejectionKind.FORBIDDEN,
-    Verdict.LATER: RejectionKind.RATE_LIMITED,
+    Verdict.RATE_LIMITED: RejectionKind.RATE_LIMITED,
 }
 
 
@@ -38,11 +38,11 @@
 
     caller: str
     tenant: str
-    # Where the request is counted; None after its end, and for a caller without limits.
+    # Counts the request; None after its end, and for a caller without limits.
     counted_by: "IdentityAccessControl | None" = None
 
     def release(self) -> None:
-        """End the request for the caller's limits; further calls have no effect."""
+        """Stop counting the request against the caller's limits; later calls have no effect."""
         access_control = self.counted_by
         self.counted_by = None
         if access_control is not None:
@@ -53,7 +53,7 @@
     """Authenticates and authorizes peers; implements `ports.access_control.AccessControl`.
 
     Any thread may call it; no method waits longer than the check of a signature takes. Only
-    requests of callers with limits are counted, under the lock; the others read immutable rules.
+    requests of callers with limits are counted, under the lock; all others read immutable rules.
     `now` returns Unix seconds.
     """
 
@@ -64,7 +64,7 @@
         self.rules = rules_at_start(loaded)
 
     def create_tls_transport(self, sock: socket.socket) -> TlsTransport:
-        """Create a transport with the present certificates; called only where there is TLS."""
+        """Create a transport with the current certificates; called only if TLS is configured."""
         tls = self.rules.tls
         assert tls is not None
         return TlsTransport(sock, tls.context)
@@ -72,9 +72,9 @@
     # -- reload, by the main thread ---------------------------------------------------------------
 
     def apply(self, loaded: LoadedIdentity) -> None:
-        """Put a reloaded section into force.
+        """Put a reloaded `[identity]` section into force.
 
-        Callers keep what they have used of their limits; cached tokens are verified anew.
+        The used limits of the callers are kept. Cached tokens are verified again.
         """
         previous = self.rules
         rules = rules_after_reload(previous, loaded)
@@ -92,7 +92,7 @@
         try:
             version = key_file_version(rules.section)
         except OSError:
-            return  # it is being replaced or is missing: the present keys stay in force
+            return  # the file is being replaced or is missing: the current keys stay in force
         if version == self.key_file_version:
             return
         self.key_file_version = version  # a faulty file is logged once
@@ -112,21 +112,21 @@
     ) -> RequestAuthorization | Rejection:
         """Authorize a client's request of a job class.
 
-        Without a `tenant`, the request is of the one tenant that the caller belongs to.
+        If `tenant` is None, the caller's only tenant is used.
         """
         rules = self.rules
         now = self.now()
-        presented = authenticate(rules, credential, now)
-        principal = presented.principal
+        authentication = authenticate(rules, credential, now)
+        principal = authentication.principal
         permissions = rules.permissions
-        decision = presented.failure or permissions.decide(principal, class_name, tenant)
-        is_counted = permissions.is_counted(presented.subject, decision)
+        decision = authentication.failure or permissions.decide(principal, class_name, tenant)
+        is_counted = permissions.is_counted(authentication.subject, decision)
         if is_counted:
             with self.lock:
-                # By the present rules: a reload may have moved the rate limiters to them.
+                # Not `rules`: a reload may have moved the rate limiters to newer rules.
                 decision = self.rules.permissions.admit(principal, class_name, tenant, now)
         operation = f"{tenant or decision.tenant or '-'}/{class_name}"
-        self._audit(rules, front, operation, decision, presented)
+        self._audit(rules, front, operation, decision, authentication)
         if decision.verdict is not Verdict.ALLOWED:
             return rejection_of(decision)
         counted_by = self if is_counted else None
@@ -140,13 +140,13 @@
     def authorize_job_access(
         self, front: str, credential: Credential, callers: set[str]
     ) -> Rejection | None:
-        """Authorize access to a job that belongs to `callers`; return None if the peer is one."""
+        """Authorize access to a job of `callers`; return None if the peer is one of them."""
         rules = self.rules
-        presented = authenticate(rules, credential, self.now())
-        caller = rules.permissions.callers_by_subject.get(presented.subject)
-        if presented.failure is None and caller is not None and caller.name in callers:
+        authentication = authenticate(rules, credential, self.now())
+        caller = rules.permissions.callers_by_subject.get(authentication.subject)
+        if authentication.failure is None and caller is not None and caller.name in callers:
             return None
-        return self._deny(rules, front, "status", presented, "anothers_job")
+        return self._deny(rules, front, "status", authentication, "anothers_job")
 
     def authorize_worker(
         self, front: str, credential: Credential, worker_id: str
@@ -165,24 +165,27 @@
     def _authorize_subject(
         self, front: str, credential: Credential, operation: str, subjects: Sequence[str]
     ) -> Rejection | None:
-        """Authorize what only these subjects may do."""
+        """Authorize an operation that only these subjects may do; return None if allowed."""
         rules = self.rules
-        presented = authenticate(rules, credential, self.now())
-        if presented.failure is None and presented.subject in subjects:
+        authentication = authenticate(rules, credential, self.now())
+        if authentication.failure is None and authentication.subject in subjects:
             return None
-        return self._deny(rules, front, operation, presented, "somebody_else")
+        return self._deny(rules, front, operation, authentication, "somebody_else")
 
     def _deny(
         self,
         rules: ActiveRules,
         front: str,
         operation: str,
-        presented: PresentedCredential,
+        authentication: AuthenticationResult,
         reason: str,
     ) -> Rejection:
-        """Reject for the credential's failure, or for `reason` without one, and audit that."""
-        decision = presented.failure or Decision(Verdict.DENIED, reason, "identity")
-        self._audit(rules, front, operation, decision, presented)
+        """Return a rejection and write it to the audit log.
+
+        The authentication's failure, if any, takes precedence over `reason`.
+        """
+        decision = authentication.failure or Decision(Verdict.DENIED, reason, "identity")
+        self._audit(rules, front, operation, decision, authentication)
         return rejection_of(decision)
 
     def _audit(
@@ -191,16 +194,16 @@
         front: str,
         operation: str,
         decision: Decision,
-        presented: PresentedCredential,
+        authentication: AuthenticationResult,
     ) -> None:
-        if rules.audit_log.wants(decision):
+        if rules.audit_log.should_record(decision):
             with self.lock:
                 rules.audit_log.record(
-                    front, operation, decision, presented.subject, presented.key_id
+                    front, operation, decision, authentication.subject, authentication.key_id
                 )
 
 
 def rejection_of(decision: Decision) -> Rejection:
-    """Return the fronts' form of a decision that does not allow the request."""
+    """Convert a decision that does not allow a request to the `Rejection` that fronts expect."""
     kind = REJECTION_KINDS[decision.verdict]
     return Rejection(kind, decision.reason, decision.retry_after_seconds)
--- a/stepstream/identity/audit.py
+++ b/stepstream/identity/audit.py
@@ -1,8 +1,9 @@
-"""The audit log: who requested what, the decision and its reason; never a token, a key or a body.
+"""The audit log: who requested what, the decision and its reason.
 
-Lines of denials are rate-limited: a flood of forged tokens must not fill the log. Suppressed lines
-are counted, and the next line states their number. An `AuditLog` owns that count and the bucket;
-the access control's lock lets one thread at a time write.
+Tokens, key material and request bodies are never written. Lines of denials are rate-limited: a
+flood of forged tokens must not fill the log. Suppressed lines are counted, and the next line states
+their number. An `AuditLog` owns that count and the token bucket. Writers hold the access control's
+lock.
 """
 
 import sys
@@ -15,14 +16,14 @@
 from stepstream.runtime import log_events
 from stepstream.runtime.structured_log import LogFormat, structured_logger
 
-MAX_TEXT_LENGTH = 128  # characters of a field that a peer may have invented
+MAX_FIELD_LENGTH = 128  # in characters; a peer may have chosen the field's content
 
 
 class AuditLog:
     """Writes decisions as structured log lines.
 
-    `include_allowed`: whether admissions are written too. At most `max_denials_per_second` lines of
-    other decisions are written. `now` gives monotonic seconds.
+    `include_allowed`: whether admissions are written too. At most `max_denials_per_second` other
+    decisions are written per second. `now` returns monotonic seconds.
     """
 
     def __init__(
@@ -39,17 +40,17 @@
         self.max_denials_per_second = max_denials_per_second
         self.now = now
         self.bucket = TokenBucket(float(max_denials_per_second), now())
-        self.suppressed_count = 0  # since the last line of a denial
+        self.suppressed_count = 0  # denials not written since the last written one
 
-    def wants(self, decision: Decision) -> bool:
-        """Decide whether a decision is written, unless the rate limit suppresses it."""
+    def should_record(self, decision: Decision) -> bool:
+        """Return whether a decision is to be written; the rate limit may still suppress it."""
         return self.include_allowed or decision.verdict is not Verdict.ALLOWED
 
     def record(
         self, front: str, operation: str, decision: Decision, subject: str = "", key_id: str = ""
     ) -> None:
-        """Write a decision if it is wanted and within the rate limit."""
-        if not self.wants(decision):
+        """Write a decision if it is to be recorded and within the rate limit."""
+        if not self.should_record(decision):
             return
         if decision.verdict is Verdict.ALLOWED:
             self._write(front, operation, decision, subject, key_id)
@@ -74,12 +75,12 @@
         log_events.audit(
             self.logger,
             front=front,
-            what=operation[:MAX_TEXT_LENGTH],
+            what=operation[:MAX_FIELD_LENGTH],
             decision=decision.verdict.value,
             reason=decision.reason,
             rule=decision.rule,
             caller=decision.caller,
-            subject=subject[:MAX_TEXT_LENGTH],
-            key=key_id[:MAX_TEXT_LENGTH],
+            subject=subject[:MAX_FIELD_LENGTH],
+            key=key_id[:MAX_FIELD_LENGTH],
             left_out=suppressed_count,
         )
--- a/stepstream/identity/authentication.py
+++ b/stepstream/identity/authentication.py
@@ -1,4 +1,4 @@
-"""Authentication: whom a peer's credential identifies, decided by the active rules; free of I/O."""
+"""Authentication: identify a peer from its credential by the active rules; free of I/O."""
 
 from dataclasses import dataclass
 
@@ -10,12 +10,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PresentedCredential:
-    """The principal that a peer's credential identifies, or why it identifies none."""
+class AuthenticationResult:
+    """The principal that a peer's credential identifies, or why it identifies none.
+
+    Both are set if the peer has presented the credentials of two callers.
+    """
 
     principal: Principal | None = None
     failure: Decision | None = None
-    key_id: str = ""  # kid or serial number, if the check came that far
+    key_id: str = ""  # kid or serial number; empty if the check failed earlier
 
     @property
     def subject(self) -> str:
@@ -23,11 +26,12 @@
         return "" if self.principal is None else self.principal.subject
 
 
-def authenticate(rules: ActiveRules, credential: Credential, now: float) -> PresentedCredential:
-    """Identify who presents a credential at the Unix time `now`.
+def authenticate(rules: ActiveRules, credential: Credential, now: float) -> AuthenticationResult:
+    """Identify the peer that presents a credential at the Unix time `now`.
 
-    A certificate takes precedence over a token, because its key is proven for the connection. A
-    token beside it must be the same caller's: otherwise a stolen token would add its rights.
+    A certificate takes precedence over a token: in the TLS handshake the peer has proven that it
+    holds the certificate's private key. A token beside a certificate must belong to the same
+    caller: otherwise a stolen token would add its permissions.
     """
     by_certificate = None
     by_token = None
@@ -43,26 +47,28 @@
         return unauthenticated(error, "identity.tls")
     principal = by_certificate or by_token
     if principal is None:
-        return PresentedCredential(failure=Decision(Verdict.UNKNOWN, "no_credential", "identity"))
+        return AuthenticationResult(
+            failure=Decision(Verdict.UNAUTHENTICATED, "no_credential", "identity")
+        )
     failure = None
     if names_two_callers(rules, by_certificate, by_token):
         failure = Decision(Verdict.DENIED, "two_callers", "identity")
-    return PresentedCredential(principal, failure, principal.key_id)
+    return AuthenticationResult(principal, failure, principal.key_id)
 
 
 def names_two_callers(
     rules: ActiveRules, by_certificate: Principal | None, by_token: Principal | None
 ) -> bool:
-    """Decide whether a certificate and a token that were presented together contradict."""
+    """Return whether a certificate and a token presented together identify different callers."""
     if by_certificate is None or by_token is None:
         return False
     return not rules.permissions.is_same_caller(by_certificate, by_token)
 
 
-def unauthenticated(error: CredentialError, rule: str) -> PresentedCredential:
-    """Return a credential that identifies nobody; `rule` names the check that failed."""
-    decision = Decision(Verdict.UNKNOWN, error.reason, rule)
-    return PresentedCredential(failure=decision, key_id=error.key_id)
+def unauthenticated(error: CredentialError, rule: str) -> AuthenticationResult:
+    """Return the result for a credential that identifies nobody; `rule` names the check."""
+    decision = Decision(Verdict.UNAUTHENTICATED, error.reason, rule)
+    return AuthenticationResult(failure=decision, key_id=error.key_id)
 
 
 def authenticate_token(rules: ActiveRules, token: bytes, now: float) -> Principal:
@@ -76,7 +82,7 @@
 ) -> Principal:
     """Return the principal of a client certificate; raise `CertificateError`.
 
-    Checked for every request: it may expire or be revoked while its connection is open.
+    It is checked for every request: it may expire or be revoked while its connection is open.
     """
     check_validity(certificate, rules.revocation_list, rules.token_verifier.advance_clock(now))
     return Principal(
--- a/stepstream/identity/certificates.py
+++ b/stepstream/identity/certificates.py
@@ -15,8 +15,8 @@
 NAME_KINDS = ("uri", "dns", "cn")  # the values of `identity.tls.names`
 SPIFFE_SCHEME = "spiffe://"
 CRL_HEADER = b"-----BEGIN X509 CRL-----"
-# What the library raises for a certificate that the TLS handshake may have accepted.
-UNREADABLE = (
+# The library's errors for a certificate that the TLS handshake may have accepted.
+PARSE_ERRORS = (
     ValueError,
     x509.InvalidVersion,
     x509.DuplicateExtension,
@@ -43,14 +43,15 @@
         return f"{self.serial_number:x}"
 
     def subject(self, name_kinds: Sequence[str]) -> str:
-        """Return the first name of the first kind that it has; raise `CertificateError`.
+        """Return the name that identifies the peer; raise `CertificateError` without one.
 
-        A URI is returned as it is, the others as `dns:NAME` or `cn:NAME`.
+        `name_kinds` has the kinds by preference: the first name of the first kind present counts.
+        A URI is returned unchanged, other names as `dns:NAME` or `cn:NAME`.
         """
         for kind in name_kinds:
             names = self.names.get(kind, ())
             if kind == "uri" and sum(name.startswith(SPIFFE_SCHEME) for name in names) > 1:
-                # SPIFFE X.509-SVID, 2: exactly one.
+                # A certificate has exactly one SPIFFE ID (SPIFFE X.509-SVID, 2).
                 raise CertificateError("two_spiffe_ids", "it has several SPIFFE IDs", self.key_id)
             if names:
                 return names[0] if kind == "uri" else f"{kind}:{names[0]}"
@@ -79,7 +80,7 @@
             certificate.not_valid_after_utc.timestamp(),
             names_of(certificate),
         )
-    except UNREADABLE as error:
+    except PARSE_ERRORS as error:
         explanation = f"it cannot be read: {type(error).__name__}"
         raise CertificateError("unreadable", explanation) from error
 
@@ -108,7 +109,7 @@
         try:
             crl = x509.load_pem_x509_crl(CRL_HEADER + body)
             revoked |= revoked_by(crl, issuers)
-        except ValueError as error:  # the library's; its text names what it could not read
+        except ValueError as error:  # raised by the library; its text names what it could not read
             raise RevocationListError(str(error)) from error
     return RevocationList(frozenset(revoked))
 
@@ -116,17 +117,20 @@
 def revoked_by(
     crl: x509.CertificateRevocationList, issuers: Sequence[x509.Certificate]
 ) -> set[tuple[bytes, int]]:
-    """Return what a list revokes; raise `RevocationListError` if no issuer has signed it."""
+    """Return the certificates that a CRL revokes, by the issuer's DER and serial number.
+
+    Raise `RevocationListError` if no issuer has signed the CRL.
+    """
     signers = [issuer for issuer in issuers if issuer.subject == crl.issuer]
     if not any(is_signed_by(crl, signer) for signer in signers):
-        raise RevocationListError("a list is signed by none of the CA bundle")
+        raise RevocationListError("a CRL is not signed by a certificate of the CA bundle")
     issuer_name = crl.issuer.public_bytes()
     return {(issuer_name, entry.serial_number) for entry in crl}
 
 
 def is_signed_by(crl: x509.CertificateRevocationList, signer: x509.Certificate) -> bool:
-    """Return whether this CA certificate's key has signed the list."""
-    # The library raises TypeError for kinds of keys that sign no list.
+    """Return whether this CA certificate's key has signed the CRL."""
+    # The library raises TypeError for key types that cannot sign a CRL.
     return crl.is_signature_valid(signer.public_key())  # type: ignore[arg-type]
 
 
--- a/stepstream/identity/configuration.py
+++ b/stepstream/identity/configuration.py
@@ -1,6 +1,6 @@
-"""`[identity]` and the files that it names, as the access control uses them.
+"""Load `[identity]` of the operator's file and the files that it names.
 
-Translates the operator's keys, whose spelling is fixed. Reads files; owns no state.
+Converts the operator's settings to this package's types. Owns no state.
 """
 
 import os
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedIdentity:
-    """A section and its files, read and checked: putting them into force cannot fail."""
+    """An `[identity]` section and its files, read and checked: applying them cannot fail."""
 
     section: IdentitySection
     key_set: KeySet
@@ -35,7 +35,7 @@
 def load_identity(section: IdentitySection) -> LoadedIdentity:
     """Read the files of a section.
 
-    Raise `ConfigurationError`, which names the operator's key and the key file's member.
+    Raise `ConfigurationError`, which names the setting and, for a faulty key file, the member.
     """
     setting = f"identity.keys={section.keys}"
     try:
@@ -55,7 +55,7 @@
 
 
 def key_file_version(section: IdentitySection) -> FileVersion:
-    """Return the present version of the key file; raise OSError if there is none."""
+    """Return the version of the key file; raise OSError if there is no file."""
     return version_of(os.stat(section.keys))
 
 
@@ -65,7 +65,7 @@
 
 
 def token_rules_of(section: IdentitySection) -> TokenRules:
-    """Return the demands of a section on tokens."""
+    """Return what a section requires of tokens."""
     return TokenRules(
         issuer=section.issuer,
         audience=section.audience,
@@ -76,7 +76,7 @@
 
 
 def permissions_of(section: IdentitySection) -> Permissions:
-    """Return the callers and methods of a section; no limit is used yet."""
+    """Return the callers and required methods of a section; the limits are unused."""
     callers = tuple(
         Caller(
             name=table.name,
--- a/stepstream/identity/errors.py
+++ b/stepstream/identity/errors.py
@@ -9,15 +9,15 @@
     """A credential identifies nobody.
 
     `reason` is one word for clients, audit lines and the command line. They do not get the text,
-    which would help forgers. `key_id` names the token's key or the certificate's serial number, if
-    the check came that far.
+    which would help forgers. `key_id` is the id of the token's key or the certificate's serial
+    number; it is empty if the check failed before it was read.
     """
 
     credential = "credential"
 
     def __init__(self, reason: str, explanation: str, key_id: str = "") -> None:
-        subject = f"{self.credential} of {key_id}" if key_id else self.credential
-        super().__init__(f"{subject}: {explanation}")
+        prefix = f"{self.credential} of {key_id}" if key_id else self.credential
+        super().__init__(f"{prefix}: {explanation}")
         self.reason = reason
         self.key_id = key_id
 
--- a/stepstream/identity/permissions.py
+++ b/stepstream/identity/permissions.py
@@ -1,11 +1,11 @@
 """Authorization of an authenticated principal: one decision with its reason; free of I/O.
 
-A denied request is not to be repeated: nobody is identified (401), or the caller may not send it
-(403). A request over a limit is rejected for now, with the time until a retry (503).
+A client should not repeat a denied request: its credential identifies nobody (401), or the caller
+may not send it (403). A request over a limit may be repeated after the returned time (503).
 
-Owns the callers' rate limiters. `decide` reads immutable tables, and any thread may call it.
-`admit`, `release` and `adopt_usage` change the rate limiters; the caller holds the access control's
-lock.
+`Permissions` owns the callers' rate limiters. `decide` reads immutable tables, and any thread may
+call it. `admit`, `release` and `adopt_usage` change the rate limiters: they are called under the
+access control's lock.
 """
 
 from collections.abc import Mapping
@@ -14,8 +14,8 @@
 
 from stepstream.identity.rate_limiter import Limit, LimitExceeded, RateLimiter, TokenBucket
 
-ALL = "*"  # every tenant or class of a caller
-KEY_OF_LIMIT = {Limit.OPEN_REQUESTS: "most_open", Limit.RATE: "rate_per_s"}
+WILDCARD = "*"  # in a caller's tenants or classes: all of them
+SETTING_BY_LIMIT = {Limit.OPEN_REQUESTS: "most_open", Limit.RATE: "rate_per_s"}
 
 
 class AuthenticationMethod(Enum):
@@ -26,12 +26,12 @@
 
 
 class Verdict(Enum):
-    """The outcome of a decision. The values are the audit lines'."""
+    """The outcome of a decision. The values are those of the audit log."""
 
     ALLOWED = "allowed"
-    UNKNOWN = "unknown"  # 401
-    DENIED = "denied"  # 403
-    LATER = "later"  # 503 with Retry-After
+    UNAUTHENTICATED = "unknown"  # HTTP status 401
+    DENIED = "denied"  # HTTP status 403
+    RATE_LIMITED = "later"  # HTTP status 503 with Retry-After
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """A caller of the operator's file with its permissions and limits; limits of 0 are none.
+    """A caller of the operator's file with its permissions; a limit of 0 means no limit.
 
     `tenants` and `classes`: empty for none, "*" for all.
     """
@@ -70,8 +70,8 @@
 class Decision:
     """An authorization decision.
 
-    `reason` is one word for the peer and the audit line; `rule` names the line of the operator's
-    file, or the check, that decided.
+    `reason` is one word for the peer and the audit line. `rule` names the setting of the operator's
+    file, or the check, that led to the decision.
     """
 
     verdict: Verdict
@@ -79,7 +79,7 @@
     rule: str
     caller: str = ""
     tenant: str = ""
-    retry_after_seconds: float = 0.0  # for LATER
+    retry_after_seconds: float = 0.0  # for RATE_LIMITED
 
 
 @dataclass
@@ -118,11 +118,10 @@
     def decide(self, principal: Principal | None, class_name: str, tenant: str | None) -> Decision:
         """Decide whether a principal may send a job of this class for this tenant.
 
-        Without a `tenant`, the request is of the one tenant that the caller belongs to. Nothing is
-        counted.
+        If `tenant` is None, the caller's only tenant is used. The request is not counted.
         """
         if principal is None:
-            return Decision(Verdict.UNKNOWN, "no_credential", "identity")
+            return Decision(Verdict.UNAUTHENTICATED, "no_credential", "identity")
         caller = self.callers_by_subject.get(principal.subject)
         if caller is None:
             return Decision(Verdict.DENIED, "unknown_caller", "identity.caller")
@@ -133,7 +132,7 @@
             tenant = sole_tenant(caller)
             if tenant is None:
                 return denied(caller, "tenant_missing", "tenants")
-        elif not caller.tenants & {tenant, ALL}:
+        elif not caller.tenants & {tenant, WILDCARD}:
             return denied(caller, "tenant_contradicts", "tenants")
         return Decision(Verdict.ALLOWED, "allowed", rule_of(caller), caller.name, tenant)
 
@@ -143,7 +142,7 @@
         """Return why the caller may not send jobs of this class for any tenant; None if it may."""
         if caller.suspended:
             return denied(caller, "suspended", "state")
-        if not caller.classes & {class_name, ALL}:
+        if not caller.classes & {class_name, WILDCARD}:
             return denied(caller, "class_not_allowed", "classes")
         required = self.required_methods.get(class_name)
         if required is not None and principal.method not in required:
@@ -154,7 +153,7 @@
     def is_counted(self, subject: str, decision: Decision) -> bool:
         """Return whether `admit` counts a request on which `decide` has decided.
 
-        Only allowed requests of callers with limits are counted: the others need no lock.
+        Only allowed requests of callers with limits are counted: all others need no lock.
         """
         if decision.verdict is not Verdict.ALLOWED:
             return False
@@ -178,10 +177,10 @@
         exceeded = limiter.try_open(
             now, caller.rate_per_second, caller.burst, caller.max_open_requests
         )
-        return decision if exceeded is None else rejected_for_now(caller, exceeded)
+        return decision if exceeded is None else rate_limited(caller, exceeded)
 
     def release(self, caller_name: str) -> None:
-        """End a request that `admit` counted."""
+        """Stop counting a request that `admit` has counted."""
         limiter = self.rate_limiters.get(caller_name)
         if limiter is not None:
             limiter.close_request()
@@ -189,7 +188,7 @@
 
 def sole_tenant(caller: Caller) -> str | None:
     """Return the tenant of a caller that belongs to exactly one; None for any other caller."""
-    if len(caller.tenants) != 1 or ALL in caller.tenants:
+    if len(caller.tenants) != 1 or WILDCARD in caller.tenants:
         return None
     (tenant,) = caller.tenants
     return tenant
@@ -200,17 +199,17 @@
     return f"identity.caller {caller.name}"
 
 
-def denied(caller: Caller, reason: str, key: str) -> Decision:
-    """Return a denial by a key of the caller's table."""
-    return Decision(Verdict.DENIED, reason, f"{rule_of(caller)}: {key}", caller.name)
+def denied(caller: Caller, reason: str, setting: str) -> Decision:
+    """Return a denial that a setting of the caller's table causes."""
+    return Decision(Verdict.DENIED, reason, f"{rule_of(caller)}: {setting}", caller.name)
 
 
-def rejected_for_now(caller: Caller, exceeded: LimitExceeded) -> Decision:
-    """Return a rejection by a limit of the caller's table."""
+def rate_limited(caller: Caller, exceeded: LimitExceeded) -> Decision:
+    """Return a rejection that a limit of the caller's table causes."""
     return Decision(
-        Verdict.LATER,
+        Verdict.RATE_LIMITED,
         exceeded.limit.value,
-        f"{rule_of(caller)}: {KEY_OF_LIMIT[exceeded.limit]}",
+        f"{rule_of(caller)}: {SETTING_BY_LIMIT[exceeded.limit]}",
         caller.name,
         retry_after_seconds=exceeded.retry_after_seconds,
     )
--- a/stepstream/identity/rate_limiter.py
+++ b/stepstream/identity/rate_limiter.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# Nothing tells when a caller without a rate limit ends one of its open requests.
+# For a caller without a rate limit: it is unknown when one of its open requests ends.
 OPEN_REQUESTS_RETRY_SECONDS = 1.0
 
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitExceeded:
-    """Why a request is rejected for now, and in how many seconds a retry may succeed."""
+    """The limit that rejects a request, and in how many seconds a retry may succeed."""
 
     limit: Limit
     retry_after_seconds: float
@@ -29,7 +29,7 @@
 class TokenBucket:
     """A token bucket; times in seconds of the owner's clock.
 
-    Rate and burst are passed with each call: a reload may change them while the level stays.
+    Rate and burst are arguments of each call: a reload may change them and keeps the level.
     """
 
     level: float  # tokens
@@ -38,11 +38,11 @@
     def try_take(self, now: float, rate_per_second: float, burst: float) -> bool:
         """Take one token; return False if there is none.
 
-        The bucket earns `rate_per_second` tokens up to `burst`, so that a flood is bounded while a
-        short burst passes. A clock that steps back earns nothing.
+        The bucket is refilled at `rate_per_second` up to `burst` tokens: a flood is bounded, and a
+        short burst passes. A clock that steps back adds no tokens.
         """
-        earned = max(now - self.refilled_at, 0.0) * rate_per_second
-        self.level = min(self.level + earned, burst)
+        added = max(now - self.refilled_at, 0.0) * rate_per_second
+        self.level = min(self.level + added, burst)
         self.refilled_at = max(now, self.refilled_at)
         if self.level < 1.0:
             return False
@@ -50,7 +50,7 @@
         return True
 
     def seconds_until_token(self, rate_per_second: float) -> float:
-        """Return how many seconds after the last `try_take` there is a token."""
+        """Return how many seconds after the last `try_take` a token is available."""
         return (1.0 - self.level) / rate_per_second
 
 
@@ -66,8 +66,9 @@
     ) -> LimitExceeded | None:
         """Count one more open request, or return the limit that rejects it.
 
-        A rate or a bound of 0 is none. Open requests come first: a request that they reject takes
-        no token. Without these limits one caller could take all open requests of the dispatcher.
+        A rate or a maximum of 0 means no limit. The open requests are checked first: a request over
+        their maximum takes no token. Without these limits one caller could use up all open requests
+        that the dispatcher allows.
         """
         if max_open_requests and self.open_requests >= max_open_requests:
             has_rate = rate_per_second > 0
@@ -79,5 +80,5 @@
         return None
 
     def close_request(self) -> None:
-        """Count one open request less."""
+        """Count one open request fewer."""
         self.open_requests = max(self.open_requests - 1, 0)
--- a/stepstream/identity/subsystem.py
+++ b/stepstream/identity/subsystem.py
@@ -1,7 +1,7 @@
-"""How `[identity]` plugs into the node.
+"""The subsystem that the node creates for `[identity]`.
 
-Creates and owns the access control, sets it for every front, and opens TLS listeners beside the
-plain ones. The node's main thread calls it.
+It creates and owns the access control, sets it for every front, and opens TLS listeners in addition
+to the plain ones. The node's main thread calls it.
 """
 
 import socket
@@ -21,7 +21,7 @@
 
 
 class TransportFront(Protocol):
-    """A front that accepts connections over another kind of transport as well."""
+    """A front that can also accept connections over another kind of transport."""
 
     def listen_with_transport(
         self, address: tuple[str, int], create_transport: Callable[[socket.socket], Transport], /
@@ -30,9 +30,9 @@
 
 
 class IdentitySubsystem(Subsystem):
-    """The identification of one dispatcher's callers.
+    """Access control and TLS listeners of one dispatcher.
 
-    Raise `ConfigurationError` if a file that the section names cannot be used.
+    The constructor raises `ConfigurationError` if a file that the section names cannot be used.
     """
 
     def __init__(self, context: SubsystemContext) -> None:
@@ -49,7 +49,8 @@
             self._open_tls_listener("identity.tls.listen", tls.listen, self.context.server, "https")
         ]
         if tls.gearman_listen:
-            # The node creates `[gearman]`, which this key needs, before it opens listeners.
+            # This setting requires `[gearman]`. The node creates all subsystems before it opens
+            # listeners.
             gearman = cast("TransportFront", self.context.subsystems["gearman"])
             key = "identity.tls.gearman_listen"
             protocol = "gearman+tls"
@@ -59,7 +60,7 @@
     def _open_tls_listener(
         self, key: str, address: str, front: TransportFront, protocol: str
     ) -> BoundListener:
-        """Open a front's TLS listener; `ConfigurationError` names the key if that fails."""
+        """Open a front's TLS listener; `ConfigurationError` names the setting if that fails."""
         create_transport = self.access_control.create_tls_transport
         return open_listener(
             key,
@@ -71,7 +72,7 @@
     def prepare_reload(
         self, _config: NodeConfig, operator: OperatorConfig | None
     ) -> Callable[[], None]:
-        """Read the files of a new section; return what puts it into force."""
+        """Read the files of a new section; return the function that puts it into force."""
         require_all_unchanged(RESTART_ONLY_KEYS, self.context.operator, operator)
         loaded = load_identity(section_of(operator))
         return lambda: self.access_control.apply(loaded)
--- a/stepstream/identity/tls.py
+++ b/stepstream/identity/tls.py
@@ -1,8 +1,8 @@
-"""TLS under an inbound connection: the library between two memory buffers, and the plain socket.
+"""TLS for an inbound connection: `ssl` works on memory buffers, copied from and to the socket.
 
-The handshake runs in the connection's own thread, within the time of its first message. Receiving
-never sends: the library's own bytes leave with the next answer, so that one thread at a time sends.
-A `TlsTransport` owns the library's state, which its lock guards.
+The handshake runs in the connection's own thread, within the time limit of the first message.
+Receiving never sends: bytes that `ssl` itself has to send are sent with the next answer, so that
+one thread at a time sends. A `TlsTransport` owns the state of `ssl`, which its lock guards.
 """
 
 import contextlib
@@ -26,7 +26,7 @@
 from stepstream.runtime import log_events
 from stepstream.runtime.transport import Transport
 
-RECORD_BYTES = 16 * 1024  # the longest TLS record's plain text (RFC 8446, 5.1)
+RECORD_BYTES = 16 * 1024  # the longest plaintext of a TLS record (RFC 8446, 5.1)
 TLS_VERSIONS = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
 
 
@@ -39,10 +39,10 @@
 
 
 def load_tls_credentials(section: TlsSection) -> TlsCredentials:
-    """Read the files of `[identity.tls]`; `ConfigurationError` names the key of a faulty one."""
+    """Read the files of `[identity.tls]`; `ConfigurationError` names a faulty one's setting."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = TLS_VERSIONS[section.least]
-    # Guards revocation: a resumed session would bring back a certificate that is not checked again.
+    # Guards against a resumed session: it would restore a certificate without checking it again.
     context.options |= ssl.OP_NO_TICKET | ssl.OP_NO_RENEGOTIATION
     context.num_tickets = 0
     context.set_alpn_protocols(["http/1.1"])
@@ -65,7 +65,7 @@
 
 
 def load_revocation_list(section: TlsSection, issuers: list[x509.Certificate]) -> RevocationList:
-    """Read the section's CRL file, if any; `ConfigurationError` if it cannot be used."""
+    """Read the section's CRL file, if any; raise `ConfigurationError` if it cannot be used."""
     if not section.crl:
         return RevocationList()
     try:
@@ -85,23 +85,24 @@
         # Guards `tls` and both buffers after the handshake: one thread reads, another may send.
         self.lock = threading.Lock()
         self.certificate: ClientCertificate | None = None
-        self.decrypted = b""  # by `wait_readable`, for `receive_available`
+        # Decrypted by `wait_readable`, not yet returned by `receive_available`.
+        self.decrypted = b""
 
     def handshake(self) -> None:
         """Carry out the handshake; raise OSError (ssl.SSLError is one) if it fails.
 
-        The driver's timeout bounds it by shutting the socket down.
+        The owner of the connection bounds its duration: it shuts the socket down at a time-out.
         """
         while not self._advance_handshake():
             data = self.sock.recv(RECORD_BYTES)
             if not data:
-                raise OSError("the peer left in the handshake")
+                raise OSError("the peer closed the connection during the TLS handshake")
             self.incoming.write(data)
         der = self.tls.getpeercert(binary_form=True)
         try:
             self.certificate = parse_certificate(der) if der else None
         except CertificateError as error:
-            # Only the holder of a certificate of our own CA bundle can cause this line.
+            # Only the holder of a certificate of the configured CA bundle can cause this log line.
             log_events.client_certificate_unreadable(reason=str(error))
             raise OSError(str(error)) from error
 
@@ -112,13 +113,13 @@
         except ssl.SSLWantReadError:
             return False
         finally:
-            # After an error, too: the alert names the fault to the peer.
+            # Sent after an error, too: the TLS alert tells the peer the fault.
             with contextlib.suppress(OSError):
                 self.sock.sendall(self.outgoing.read())
         return True
 
     def receive(self, max_bytes: int) -> bytes:
-        """Wait for decrypted bytes; b"" for the peer's end."""
+        """Wait for decrypted bytes; return b"" if the peer sends no more."""
         while True:
             with self.lock:
                 try:
@@ -151,7 +152,7 @@
             self.unsent += self.outgoing.read()
 
     def send_available(self, data: bytes) -> bool:
-        """Encrypt and send without waiting; return whether all is sent."""
+        """Encrypt and send without waiting; return whether all bytes were sent."""
         self.enqueue(data)
         return self.flush_available()
 
@@ -164,7 +165,7 @@
     def half_close(self) -> None:
         """Send the closing alert and nothing more (RFC 8446, 6.1), and go on receiving."""
         with self.lock, contextlib.suppress(OSError):
-            # Without the peer's own alert the library wants to read more, but none need come.
+            # `unwrap` raises until the peer's closing alert arrives, which need not be sent.
             with contextlib.suppress(ssl.SSLWantReadError):
                 self.tls.unwrap()
             self.sock.send(self.outgoing.read(), socket.MSG_DONTWAIT)
--- a/tests/identity/test_identity_permissions.py
+++ b/tests/identity/test_identity_permissions.py
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize(
     ("principal", "class_name", "tenant", "verdict", "reason", "rule"),
     [
-        (None, "revalue", "north", Verdict.UNKNOWN, "no_credential", "identity"),
+        (None, "revalue", "north", Verdict.UNAUTHENTICATED, "no_credential", "identity"),
         (by_token("who"), "revalue", "north", Verdict.DENIED, "unknown_caller", "identity.caller"),
         (
             by_token("out"),
@@ -140,7 +140,7 @@
     engine = permissions_with(slow)
     assert engine.admit(by_token("slow"), "revalue", "north", 10.0).verdict is Verdict.ALLOWED
     later = engine.admit(by_token("slow"), "revalue", "north", 10.1)
-    assert later.verdict is Verdict.LATER
+    assert later.verdict is Verdict.RATE_LIMITED
     assert later.retry_after_seconds == pytest.approx(0.4)
     assert engine.admit(by_token("slow"), "revalue", "north", 10.5).verdict is Verdict.ALLOWED
     # One caller's rate is not another's, and what is denied costs nothing.
