--- a/tests/membership/test_membership_simulation.py
+++ b/tests/membership/test_membership_simulation.py
@@ -1,4 +1,4 @@
-"""Simulated clusters: what must always hold, the hard cases, and faults planted on purpose."""
+"""Simulated clusters: invariants under random faults, single scenarios, deliberate faults."""
 
 import random
 
@@ -17,16 +17,16 @@
 from tests.membership import planted_membership_faults as planted
 from tests.membership.membership_builders import SETTINGS, converged_cluster, member_names
 
-RECOVERY_SECONDS = 20.0  # after the last fault, at 5 members; most need one
-SEEDS_OF_A_PLANTED_FAULT = 40  # within which it must be caught
-FAULT_SECONDS = 20.0  # within which the random faults begin
+RECOVERY_SECONDS = 20.0  # after the last fault; most clusters of 5 members need 1 s
+PLANTED_FAULT_SEEDS = 40  # the invariants must detect a planted fault with one of them
+FAULT_SECONDS = 20.0  # all random faults begin within this time
 
 
 # -- random schedules, planted faults, exhaustive search -------------------------------------------
 
 
 @pytest.mark.parametrize(("members", "seeds"), [(3, 20), (5, 25), (20, 2)])
-def test_a_cluster_agrees_after_any_schedule_of_faults(members, seeds):
+def test_a_cluster_converges_after_random_schedules_of_faults(members, seeds):
     for seed in range(seeds):
         cluster = MembershipCluster(seed, members, SETTINGS)
         cluster.links.duplicate_probability = 0.05
@@ -39,8 +39,8 @@
             raise AssertionError(f"seed {seed}: {error}") from None
 
 
-def play_seeds():
-    for seed in range(SEEDS_OF_A_PLANTED_FAULT):
+def play_random_schedules():
+    for seed in range(PLANTED_FAULT_SEEDS):
         cluster = MembershipCluster(seed, 5, SETTINGS)
         cluster.start_all()
         cluster.run(3.0)
@@ -57,37 +57,37 @@
     ],
     ids=lambda plant: plant.__name__,
 )
-def test_a_planted_fault_is_caught(plant, monkeypatch):
-    """A checker that catches none proves nothing."""
+def test_the_invariants_detect_a_planted_fault(plant, monkeypatch):
+    """Guards against invariant checks that cannot fail."""
     plant(monkeypatch)
     with pytest.raises(InvariantError):
-        play_seeds()
+        play_random_schedules()
 
 
-def test_a_connected_member_that_is_held_dead_for_long_is_noticed(monkeypatch):
+def test_the_invariants_detect_a_connected_member_that_stays_declared_dead(monkeypatch):
     cluster = converged_cluster()
     cluster.links.cut(member_names(1), member_names(0, 2, 3, 4))
-    cluster.run(40.0)  # cut off: no fault of theirs
+    cluster.run(40.0)  # n1 is cut off, so its being declared dead is no violation
     cluster.links.heal()
     planted.dead_members_are_not_contacted(monkeypatch)
     with pytest.raises(InvariantError, match="has held"):
         cluster.run(30.0)
 
 
-def test_three_members_agree_after_every_order_of_four_steps():
+def test_three_members_converge_after_every_order_of_four_steps():
     search = MembershipSearch(max_depth=4)
     search.run()
     assert search.states > 1000
     assert search.converged >= 20
 
 
-def test_the_search_catches_a_planted_fault(monkeypatch):
+def test_the_search_detects_a_planted_fault(monkeypatch):
     planted.precedence_ignores_process_starts(monkeypatch)
     with pytest.raises(InvariantError):
         MembershipSearch(max_depth=4, convergence_interval=10).run()
 
 
-def test_a_seed_replays_a_simulation():
+def test_two_simulations_with_the_same_seed_are_equal():
     runs = []
     for _ in range(2):
         cluster = MembershipCluster(7, 5, SETTINGS)
@@ -98,7 +98,7 @@
     assert runs[0] == runs[1]
 
 
-# -- hard cases ------------------------------------------------------------------------------------
+# -- single scenarios ------------------------------------------------------------------------------
 
 
 def link_fault(members, kind=FaultKind.CUT, seconds=15.0):
@@ -109,7 +109,7 @@
     return link_fault(members, FaultKind.CRASH, seconds)
 
 
-THREE_ISLANDS = [
+THREE_PARTITIONS = [
     link_fault(member_names(0, 1), seconds=25.0),
     link_fault(member_names(2), seconds=20.0),
 ]
@@ -132,19 +132,25 @@
 @pytest.mark.parametrize(
     ("faults", "deaths_expected"),
     [
-        pytest.param([link_fault(member_names(0, 1))], True, id="halves"),
-        pytest.param([link_fault(member_names(3))], True, id="one"),
-        pytest.param(THREE_ISLANDS, True, id="islands"),
-        pytest.param([link_fault(member_names(2), FaultKind.FLAP)], False, id="flap one"),
-        pytest.param([link_fault(member_names(0, 1, 2), FaultKind.FLAP)], False, id="flap most"),
-        pytest.param(LOSS, False, id="loss"),
-        pytest.param([crash(member_names(1, 2, 3, 4), 15.0)], True, id="all but one"),
-        pytest.param([crash(member_names(0, 1, 2), 9.0)], True, id="seeds"),
-        pytest.param(ROLLING_RESTART, False, id="rolling"),
-        pytest.param(LEAVES_IN_TURN, False, id="leave"),
+        pytest.param([link_fault(member_names(0, 1))], True, id="two members cut off"),
+        pytest.param([link_fault(member_names(3))], True, id="one member cut off"),
+        pytest.param(THREE_PARTITIONS, True, id="three partitions"),
+        pytest.param(
+            [link_fault(member_names(2), FaultKind.FLAP)], False, id="links of one member flap"
+        ),
+        pytest.param(
+            [link_fault(member_names(0, 1, 2), FaultKind.FLAP)],
+            False,
+            id="links of three members flap",
+        ),
+        pytest.param(LOSS, False, id="lossy links"),
+        pytest.param([crash(member_names(1, 2, 3, 4), 15.0)], True, id="all but one crash"),
+        pytest.param([crash(member_names(0, 1, 2), 9.0)], True, id="three crash, with both seeds"),
+        pytest.param(ROLLING_RESTART, False, id="rolling restart"),
+        pytest.param(LEAVES_IN_TURN, False, id="members leave in turn"),
     ],
 )
-def test_a_cluster_agrees_after_partitions_flaps_losses_and_restarts(faults, deaths_expected):
+def test_a_cluster_converges_after_partitions_flaps_losses_and_restarts(faults, deaths_expected):
     for seed in range(3):
         cluster = converged_cluster(seed)
         cluster.play(Schedule(tuple(faults)), RECOVERY_SECONDS)
@@ -152,7 +158,7 @@
 
 
 @pytest.mark.parametrize("stall_seconds", [5.0, 60.0])
-def test_a_stalled_process_declares_nobody_dead_and_returns(stall_seconds):
+def test_a_stalled_process_declares_nobody_dead_and_rejoins_within_5_seconds(stall_seconds):
     cluster = converged_cluster()
     stalled_at = cluster.now
     cluster.stall("n2", stall_seconds)
@@ -167,7 +173,7 @@
 
 
 def test_nobody_is_declared_dead_where_every_process_stalls():
-    """A machine so busy that each member stands still for up to a second again and again."""
+    """Guards against false deaths on a machine so busy that each process stalls for up to 1 s."""
     cluster = converged_cluster(3, members=8)
     for _ in range(60):
         for process in cluster.processes.values():
@@ -178,15 +184,16 @@
     assert cluster.run(RECOVERY_SECONDS, cluster.has_converged)
 
 
-def test_indirect_probes_bridge_a_one_way_partition():
-    """n2 receives nothing from n0 but the others do: nobody dies."""
+def test_indirect_probes_prevent_deaths_in_a_one_way_partition():
+    """n2 receives nothing from n0, but the other members do."""
     cluster = converged_cluster()
     cluster.links.cut_pairs = {("n0", "n2")}
     cluster.run(30.0)
     assert not cluster.declared_deaths
 
 
-def test_a_member_that_receives_but_is_not_received_is_the_only_one_declared_dead():
+def test_only_the_member_whose_datagrams_are_all_lost_is_declared_dead():
+    """n0 receives datagrams, but no other member receives one from it."""
     cluster = converged_cluster()
     cluster.links.cut_pairs = {("n0", other) for other in member_names(1, 2, 3, 4)}
     cluster.run(30.0)
@@ -196,7 +203,7 @@
     assert cluster.run(RECOVERY_SECONDS, cluster.has_converged)
 
 
-def test_a_name_started_twice_goes_to_the_later_start_and_the_earlier_reports_it_once():
+def test_the_later_of_two_starts_keeps_the_name_and_the_earlier_reports_it_once():
     cluster = converged_cluster()
     earlier = cluster.processes["n4"]
     later = MembershipProcess("n4", address="127.1.9.9:7946")
@@ -225,31 +232,31 @@
 
 
 @pytest.mark.parametrize("clock_offset_seconds", [-5.0, -3600.0])
-def test_a_restart_with_its_clock_set_back_takes_its_name_over(clock_offset_seconds):
+def test_a_process_that_restarts_with_its_clock_set_back_takes_over_its_name(clock_offset_seconds):
     cluster = converged_cluster()
     process = cluster.processes["n1"]
     process.clock_offset_seconds = clock_offset_seconds
     cluster.kill("n1")
-    cluster.start("n1")  # at once: its death is not known yet
+    cluster.start("n1")  # at once, so that no other member knows of its crash yet
     assert cluster.run(RECOVERY_SECONDS, cluster.has_converged)
     events = process.protocol.members.events.recent
     assert any("clock was ahead" in event.reason for event in events)
 
 
-def test_an_address_with_a_new_owner_is_distinguished_from_the_former():
+def test_a_new_member_at_a_dead_members_address_is_told_apart_from_it():
     cluster = converged_cluster()
     cluster.kill("n3")
-    heir = MembershipProcess("heir", address=cluster.processes["n3"].address)
-    cluster.add_process("heir", heir)
-    cluster.start("heir")
+    newcomer = MembershipProcess("newcomer", address=cluster.processes["n3"].address)
+    cluster.add_process("newcomer", newcomer)
+    cluster.start("newcomer")
 
-    def is_distinguished():
+    def are_told_apart():
         return cluster.is_known_as("n3", (MemberState.DEAD,)) and cluster.is_known_as(
-            "heir", (MemberState.ALIVE,)
+            "newcomer", (MemberState.ALIVE,)
         )
 
-    assert cluster.run(30.0, is_distinguished)
-    assert heir.protocol.context.metrics.misdirected_pings > 0
+    assert cluster.run(30.0, are_told_apart)
+    assert newcomer.protocol.context.metrics.misdirected_pings > 0
 
 
 def test_a_member_whose_seeds_are_all_dead_joins_once_one_is_back():
@@ -265,7 +272,7 @@
 
 
 def members_declared_dead_on_lossy_links(settings):
-    """How many of 20 running members were, with three in ten datagrams lost on every link."""
+    """Return how many of 20 running members are declared dead while each link loses 30 %."""
     cluster = converged_cluster(5, members=20, settings=settings)
     cluster.links.loss_probability = 0.3
     cluster.run(120.0)
@@ -273,7 +280,7 @@
 
 
 def test_lifeguard_reduces_false_deaths_on_lossy_links():
-    """Against plain SWIM, the same program with Lifeguard's parts off."""
+    """Compare with plain SWIM: the same program with Lifeguard's parts switched off."""
     plain_swim = ProtocolSettings(
         max_local_health_score=0, suspicion_max_multiplier=1.0, suspicion_confirmations=0
     )
@@ -283,7 +290,7 @@
 
 
 @pytest.mark.parametrize("members", [5, 20, 50])
-def test_a_crash_is_detected_in_time(members):
+def test_a_crash_is_detected_within_10_seconds(members):
     cluster = converged_cluster(4, members=members)
     cluster.run(13.0)
     cluster.kill("n1")
@@ -293,7 +300,7 @@
 
 
 @pytest.mark.parametrize("members", [5, 20, 50])
-def test_the_load_is_flat_in_the_size(members):
+def test_the_traffic_of_a_member_stays_bounded_at_any_cluster_size(members):
     cluster = converged_cluster(4, members=members)
     cluster.run(3.0)
     packets_before = cluster.packets_sent
@@ -304,7 +311,7 @@
     assert (cluster.bytes_sent - bytes_before) / member_seconds < 400
 
 
-# -- maintenance records and the count ------------------------------------------------------------
+# -- maintenance records and the count of dispatchers ----------------------------------------------
 
 
 def put_in_maintenance(cluster, name, in_maintenance, at_us):
@@ -312,17 +319,17 @@
     maintenance.record("s-1", in_maintenance=in_maintenance, recorded_at_us=at_us)
 
 
-def is_in_maintenance(process):
+def has_worker_in_maintenance(process):
     record = process.protocol.maintenance.by_worker.get("s-1")
     return record is not None and record.in_maintenance
 
 
-@pytest.mark.parametrize("pages", [True, False])
+@pytest.mark.parametrize("sends_pages", [True, False])
 def test_a_maintenance_record_reaches_partitioned_and_restarted_members_by_anti_entropy(
-    pages, monkeypatch
+    sends_pages, monkeypatch
 ):
-    """Not without pages: dissemination sends each update a limited number of times."""
-    if not pages:
+    """Without pages it does not: dissemination sends each update a limited number of times."""
+    if not sends_pages:
         monkeypatch.setattr(AntiEntropy, "send_pages", lambda *_, **__: None)
     cluster = converged_cluster()
     cluster.links.cut(member_names(4), member_names(0, 1, 2, 3))
@@ -334,10 +341,10 @@
     cluster.start("n1")
     cluster.links.heal()
 
-    def everywhere():
-        return all(is_in_maintenance(process) for process in cluster.running())
+    def all_are_in_maintenance():
+        return all(has_worker_in_maintenance(process) for process in cluster.running())
 
-    assert cluster.run(RECOVERY_SECONDS, everywhere) == pages
+    assert cluster.run(RECOVERY_SECONDS, all_are_in_maintenance) == sends_pages
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -347,12 +354,16 @@
     put_in_maintenance(cluster, "n3", False, 2)
     assert cluster.run(RECOVERY_SECONDS, cluster.has_converged)
     cluster.run(5.0)
-    assert {is_in_maintenance(process) for process in cluster.running()} == {True}
+    assert {has_worker_in_maintenance(process) for process in cluster.running()} == {True}
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_the_majority_counts_itself_alone_though_its_seeds_are_on_the_other_side(seed):
-    """Digests to the dead must not use up updates, and a lost confirmation is sent again."""
+def test_a_majority_cut_off_from_all_seeds_counts_only_its_own_members(seed):
+    """Guards against confirmations of deaths that do not reach the whole majority.
+
+    Digests to dead members must not use up the transmissions of updates, and anti-entropy must
+    send a lost confirmation again.
+    """
     cluster = converged_cluster(seed)
     cluster.start_counting(2.0)
     cluster.run(5.0)
