--- a/stepstream/lab/emulator/__init__.py
+++ b/stepstream/lab/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Emulate what surrounds a dispatcher: workers, discovery, and the network between dispatchers."""
+"""Emulate a dispatcher's environment: workers, discovery, and the network to other dispatchers."""
--- a/stepstream/lab/emulator/clock.py
+++ b/stepstream/lab/emulator/clock.py
@@ -15,5 +15,5 @@
         self.base_ns = time.time_ns() - time.monotonic_ns()
 
     def now_us(self) -> int:
-        """Return the present time."""
+        """Return the present Unix time."""
         return (self.base_ns + time.monotonic_ns()) // NS_PER_US
--- a/stepstream/lab/emulator/discovery.py
+++ b/stepstream/lab/emulator/discovery.py
@@ -1,8 +1,8 @@
 """Emulate the platform's discovery service: the list of endpoints, and the watch for its changes.
 
 `GET` without a query returns the whole list. `GET ?index=VERSION&wait=MILLISECONDS` waits for
-a version above the given one and returns the endpoints that changed since. A `DiscoveryEmulator`
-belongs to the event loop that plays the run; it has no lock.
+a version above the given one and returns the endpoints that have changed after the given version.
+A `DiscoveryEmulator` belongs to the event loop of the run; it has no lock.
 """
 
 import asyncio
@@ -26,13 +26,13 @@
 
 @dataclass(eq=False)
 class DiscoveryEmulator:
-    """The endpoint list with its version, served over HTTP on a loopback port."""
+    """Serve the endpoint list and its version over HTTP on a loopback port."""
 
     clock: Clock
     verifier: Verifier
     version: int = 1
     endpoints: dict[str, EndpointJson] = field(default_factory=dict)  # by id
-    changed_in: dict[str, int] = field(default_factory=dict)  # version of the last change, by id
+    change_versions: dict[str, int] = field(default_factory=dict)  # of the last change, by id
     version_raised: asyncio.Condition = field(default_factory=asyncio.Condition)
     server: asyncio.Server | None = None
 
@@ -46,9 +46,9 @@
         """Add or replace an endpoint, and wake every watch."""
         self.version += 1
         self.endpoints[endpoint["id"]] = endpoint
-        self.changed_in[endpoint["id"]] = self.version
+        self.change_versions[endpoint["id"]] = self.version
         if self.verifier.scenario.site.endpoint_source is EndpointSource.PUSHED:
-            # The dispatcher counts as informed once its local agent holds the change.
+            # The local agent has the change at once, so the dispatcher counts as informed.
             self._note_dispatcher_informed([endpoint])
         async with self.version_raised:
             self.version_raised.notify_all()
@@ -62,12 +62,12 @@
                 while (message := parser.next()) is not None:
                     writer.write(await self.respond(message))
         except (OSError, ProtocolError, asyncio.CancelledError):
-            pass  # the dispatcher is gone, or the run is over
+            pass  # the dispatcher has ended, or the run is over
         finally:
             writer.close()
 
     async def respond(self, message: Message) -> bytes:
-        """Return the response to a request: the whole list, or the changes once there are any."""
+        """Return the response to a request: the whole list, or the changes when there are any."""
         query = parse_qs(urlsplit(message.target).query)
         if "index" not in query:
             endpoints = [
@@ -80,7 +80,7 @@
         changes = [
             endpoint
             for endpoint in self.endpoints.values()
-            if self.changed_in[endpoint["id"]] > version
+            if self.change_versions[endpoint["id"]] > version
         ]
         return self._encode_response(changes, full=False)
 
@@ -102,7 +102,7 @@
                 self.verifier.on_drain_known(now_us, endpoint["id"])
 
     def _encode_response(self, endpoints: list[EndpointJson], *, full: bool) -> bytes:
-        """Return the response's bytes; the dispatcher counts as informed from now on."""
+        """Return the response's bytes; note that the dispatcher is informed from now on."""
         self._note_dispatcher_informed(endpoints)
         body = {"version": self.version, "full": full, "servers": endpoints}
         return write_answer(HTTPStatus.OK, ujson.dumps(body).encode())
--- a/stepstream/lab/emulator/gearman_worker.py
+++ b/stepstream/lab/emulator/gearman_worker.py
@@ -10,7 +10,7 @@
 from stepstream.lab.emulator.worker_driver import WorkerDriver
 from stepstream.lab.emulator.worker_model import SubmissionResult, TaskEvent, TaskState
 
-PROGRESS_DENOMINATOR = 1000  # of WORK_STATUS
+PROGRESS_DENOMINATOR = 1000  # of the progress in WORK_STATUS
 
 
 @dataclass(eq=False)
@@ -19,12 +19,12 @@
 
     address: tuple[str, int] = ("127.0.0.1", 0)  # of the dispatcher's Gearman listener
     functions: tuple[str, ...] = ()
-    writer: asyncio.StreamWriter | None = None  # of the connection in use; None while down
+    writer: asyncio.StreamWriter | None = None  # of the present connection; None while down
     grab_pending: bool = False  # GRAB_JOB_UNIQ sent, response outstanding
     sleeping: bool = False  # PRE_SLEEP sent; NOOP wakes it
 
     async def start(self) -> None:
-        """Connect and start to play the model."""
+        """Connect and start to run the model."""
         await self.connect()
         self.run_in_background(self.run_model())
 
@@ -32,8 +32,9 @@
         """Connect to the dispatcher, announce the worker's properties and request a job."""
         reader, self.writer = await asyncio.open_connection(*self.address)
         spec = self.model.spec
-        # A worker that does not state its start counts as started with its connection, and so as
-        # warming up. The first process of each worker is at full capacity.
+        # The dispatcher takes a worker that does not state its start time as started when it
+        # connects, and so as warming up. The first process of each worker is at full capacity, so
+        # it states a start time long ago.
         start = "" if self.model.started_at_us else ";start=1"
         self.grab_pending = False
         self.sleeping = False
@@ -55,17 +56,17 @@
     async def read_packets(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Handle a connection's packets until it ends; ignore them after a restart."""
+        """Handle a connection's packets until it ends; ignore them if it is not the latest."""
         parser = codec.Parser(LIMITS, responses=True)
         with contextlib.suppress(OSError):
             while data := await reader.read(READ_BYTES):
                 parser.feed(data)
-                while (item := parser.next_message()) is not None:
+                while (packet := parser.next_message()) is not None:
                     if self.writer is writer:
-                        self.on_packet(item)
+                        self.on_packet(packet)
 
     def on_packet(self, packet: Message) -> None:
-        """Handle a packet of the dispatcher; ignore unknown ones."""
+        """Handle a packet of the dispatcher; ignore packets of other kinds."""
         match packet:
             case Packet(PacketKind.JOB_ASSIGN_UNIQ, (handle, _, _, workload)):
                 self.grab_pending = False
@@ -97,7 +98,7 @@
         self.send(PacketKind.GRAB_JOB_UNIQ)
 
     def notify(self, event: TaskEvent) -> None:
-        """Send a task's progress or its end."""
+        """Send a task's progress or end to the dispatcher."""
         task = event.task
         handle = task.context.handle
         match event.state:
@@ -117,7 +118,7 @@
         self.verifier.on_drain_known(self.clock.now_us(), self.name)
 
     def crash(self) -> None:
-        """Abort the connection and lose the tasks."""
+        """Abort the connection and end the process, which loses its tasks."""
         if self.writer is not None:
             self.writer.transport.abort()
             self.writer = None
--- a/stepstream/lab/emulator/http_worker.py
+++ b/stepstream/lab/emulator/http_worker.py
@@ -18,7 +18,7 @@
 NOTIFICATION_PATH = "/_jobs/news"  # the platform's path for job notifications
 NOTIFICATION_ATTEMPTS = 10
 NOTIFICATION_BACKOFF_SECONDS = 0.1
-AGENT_DETECTION_SECONDS = 0.05  # until a machine's agent reports a dead process's jobs as lost
+AGENT_DETECTION_SECONDS = 0.05  # until the machine's agent reports the jobs of an ended process
 
 Notification = dict[str, object]
 """A job notification, with the platform's field names."""
@@ -26,7 +26,7 @@
 
 @dataclass(eq=False)
 class NotificationSender:
-    """Send job notifications to a dispatcher on one connection, opened anew after a failure."""
+    """Send job notifications to a dispatcher on one connection, reopened after a failure."""
 
     address: tuple[str, int]
     connection: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
@@ -62,10 +62,10 @@
 
 @dataclass(eq=False)
 class HttpWorker(WorkerDriver):
-    """Emulate an HTTP worker: respond 202 at once, then send notifications of the job."""
+    """Emulate an HTTP worker: accept a job with 202, then send notifications of its progress."""
 
     host: str = "127.0.0.1"
-    port: int = 0  # 0: chosen when the listener first opens
+    port: int = 0  # 0: the system chooses one when the listener first opens
     dispatcher_address: tuple[str, int] = ("127.0.0.1", 0)
     server: asyncio.Server | None = None
     connections: set[asyncio.StreamWriter] = field(default_factory=set)  # open
@@ -74,17 +74,17 @@
     health_check_count: int = 0
     load_sampled_at_us: int = 0
     sampled_load: dict[str, int] = field(default_factory=dict)  # reported until the next sample
-    # Listener of the message that `on_message` handles, where a worker has several.
+    # Which listener received the message that `on_message` handles, if the worker has several.
     listener_index: int = 0
 
     async def start(self) -> None:
-        """Open the listener; start to play the model and to deliver notifications."""
+        """Open the listener; start to run the model and to deliver notifications."""
         await self.open_listener()
         self.run_in_background(self.run_model())
         self.run_in_background(self.deliver_notifications())
 
     async def open_listener(self) -> None:
-        """Open the listener, after a restart on the same port."""
+        """Open the listener; a restart opens it on the same port again."""
         self.server = await asyncio.start_server(self.serve, self.host, self.port)
         self.port = self.server.sockets[0].getsockname()[1]
 
@@ -110,7 +110,7 @@
             writer.close()
 
     def on_message(self, message: Message) -> bytes | None:
-        """Return the response to a request; None to close the connection without one."""
+        """Return the response to a request; None means to close the connection without one."""
         if message.method == "DELETE":
             self.cancel(message.target.rpartition("/")[2])
             return write_answer(HTTPStatus.OK)
@@ -130,7 +130,7 @@
         return None
 
     def respond_to_health_check(self, path: str) -> bytes:
-        """Respond to a health check, which costs work; 404 where the site's settings have none."""
+        """Respond to a health check, which costs work; 404 if the site uses no health checks."""
         site = self.verifier.scenario.site
         if site.load_reports is LoadReports.NONE or path not in (HEALTH_PATH, LOAD_REPORT_PATH):
             return write_answer(HTTPStatus.NOT_FOUND)
@@ -143,7 +143,7 @@
         return write_answer(HTTPStatus.OK, body)
 
     def current_load_report(self) -> dict[str, int]:
-        """Return the load report, sampled anew at the site's report interval."""
+        """Return the load report, which is sampled once per report interval of the site."""
         now_us = self.clock.now_us()
         interval_us = self.verifier.scenario.site.load_report_interval_ms * US_PER_MS
         if now_us - self.load_sampled_at_us >= interval_us:
@@ -195,7 +195,7 @@
             await sender.send(await self.notifications.get())
 
     def crash(self) -> None:
-        """Close the listener and every connection, and lose the tasks; an agent reports them."""
+        """Close the listener and every connection; an agent reports the lost tasks later."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.connections):
--- a/stepstream/lab/emulator/links.py
+++ b/stepstream/lab/emulator/links.py
@@ -1,8 +1,8 @@
 """Model the network between the members of a cluster: delay, loss, duplicates, partitions.
 
-`Links` decides what becomes of one datagram and holds no datagram itself. Simulated clusters apply
-it to simulated time, `emulator.udp_relay` to real datagrams. Whoever made a `Links` owns it and
-says which threads may use it.
+`Links` decides whether and when a datagram arrives; it stores no datagram. Simulated clusters use
+it in simulated time, `emulator.udp_relay` uses it for real datagrams. The code that creates a
+`Links` owns it and decides which threads may use it.
 """
 
 import random
@@ -18,13 +18,13 @@
     """The properties of all links of a cluster.
 
     Attributes:
-        loss_probability: that one copy of a datagram is dropped.
-        duplicate_probability: that a datagram arrives twice.
-        delay_seconds: least and greatest delay, of which each copy has a random one.
-        reorder_probability: that a copy is delayed by `reorder_delay_seconds` more, so that it
-            arrives after datagrams that were sent later.
-        reorder_delay_seconds: that further delay.
-        cut_pairs: the directions in which nothing passes.
+        loss_probability: probability that one copy of a datagram is dropped.
+        duplicate_probability: probability that a datagram is sent twice.
+        delay_seconds: least and greatest delay; each copy gets a random delay between them.
+        reorder_probability: probability that a copy is delayed by `reorder_delay_seconds` more,
+            so that it arrives after datagrams that were sent later.
+        reorder_delay_seconds: the additional delay of a reordered copy.
+        cut_pairs: the directions in which every datagram is dropped.
 
     """
 
@@ -55,9 +55,9 @@
     def sample_delays(self, rng: random.Random) -> Iterator[float]:
         """Yield the delay in seconds of each copy of a datagram that arrives.
 
-        Cut links are the caller's to check. A seed replays a run only as long as the order of the
-        random numbers stays: whether the datagram is duplicated, then for each copy whether it is
-        lost, its delay, and whether it is reordered.
+        This function ignores `cut_pairs`: the caller checks them. The order of the random numbers
+        must not change, because otherwise a seed would replay another run: whether the datagram is
+        duplicated, then for each copy whether it is lost, its delay, and whether it is reordered.
         """
         copies = 2 if rng.random() < self.duplicate_probability else 1
         for _ in range(copies):
--- a/stepstream/lab/emulator/streams.py
+++ b/stepstream/lab/emulator/streams.py
@@ -1,4 +1,4 @@
-"""Reading of asyncio streams, as emulated workers, discovery and clients share it."""
+"""Read HTTP responses from asyncio streams, for emulated workers, discovery and clients."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 from stepstream.http.codec import Message, Parser
 
 LIMITS = Limits()
-READ_BYTES = 65_536  # read from a socket at once
+READ_BYTES = 65_536  # at most, in one read of a socket
 
 
 async def read_response(reader: asyncio.StreamReader) -> Message:
--- a/stepstream/lab/emulator/udp_relay.py
+++ b/stepstream/lab/emulator/udp_relay.py
@@ -1,10 +1,10 @@
-"""A UDP relay that applies a model of the network to real datagrams between processes.
+"""Relay UDP datagrams between processes, with the delays and losses of a network model.
 
 The relay has one socket for each member. A member advertises that socket's address in place of its
 own, so every datagram to the member passes through the relay. The relay recognizes the sender by
 the address that a datagram comes from.
 
-A datagram is received, then delayed or dropped as the `Links` say, then forwarded to the address at
+The relay delays or drops each datagram as the `Links` decide, then forwards it to the address on
 which the member listens.
 """
 
@@ -24,17 +24,17 @@
 
 DATAGRAM_BYTES = 64 * 1024
 MAX_POLL_SECONDS = 0.05
-"""Longest wait for a datagram, which bounds how long `close` takes."""
+"""Longest wait for a datagram; `close` may take as long."""
 
 MAX_DATAGRAMS_PER_BATCH = 64
-"""How many datagrams to one member are received before the next member has its turn."""
+"""How many datagrams to one member are received before those to the next member."""
 
-MILLISECONDS = 1000
+MS_PER_SECOND = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedMember:
-    """One member: the relay's socket for it, and the address it listens and sends from."""
+    """One member: the relay's socket for it, and the address on which it listens and sends."""
 
     name: str
     relay_socket: socket.socket
@@ -43,41 +43,41 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class DelayedDatagram:
-    """A datagram that waits for its time; it sorts by that time, then by its arrival.
+    """A datagram that is forwarded when it is due; it sorts by that time, then by its arrival.
 
     `due_at_seconds` is a time of the monotonic clock.
     """
 
     due_at_seconds: float
-    serial: int
+    arrival_number: int
     receiver: RelayedMember = field(compare=False)
     data: bytes = field(compare=False)
 
 
 class UdpRelay:
-    """Forward datagrams between members as `links` say, on a thread of its own.
+    """Forward datagrams between members as `links` decide, on a thread of its own.
 
-    As a context manager it runs the thread and, at the end, closes every socket. The thread owns
-    the queue of delayed datagrams and the counters. Any thread may call `add_member`. `lock` guards
-    the members and `links`: hold it to change several fields of `links` together.
+    As a context manager it runs the thread, and closes every socket at the end of the block. The
+    thread owns the queue of delayed datagrams and the counters. Any thread may call `add_member`.
+    `lock` guards the members and `links`: hold it to change several fields of `links` together.
 
     Attributes:
-        forwarded: datagrams that were sent on to their member.
-        dropped: datagrams that were lost or could not be sent on.
+        forwarded_count: datagrams that the relay tried to send on to their member.
+        dropped_count: datagrams that were lost on a link or could not be sent on.
 
     """
 
     def __init__(self, seed: int, links: Links | None = None) -> None:
         self.links = links or Links(delay_seconds=(0.0, 0.0))
         self.lock = threading.Lock()
-        self.forwarded = 0
-        self.dropped = 0
+        self.forwarded_count = 0
+        self.dropped_count = 0
         self._rng = random.Random(seed)
         self._members: dict[int, RelayedMember] = {}  # by the descriptor of the relay's socket
         self._sender_names: dict[Address, str] = {}  # by the address that a member sends from
         self._poll = select.poll()
-        self._delayed: list[DelayedDatagram] = []  # a heap
-        self._serial = count()
+        self._delayed: list[DelayedDatagram] = []  # a heap, ordered by due time
+        self._arrival_numbers = count()
         self._is_closed = False
         self._thread: threading.Thread | None = None
 
@@ -131,7 +131,7 @@
     def _run(self) -> None:
         """Receive and forward datagrams until the relay is closed."""
         while not self._is_closed:
-            for descriptor, _ in self._poll.poll(self._poll_seconds() * MILLISECONDS):
+            for descriptor, _ in self._poll.poll(self._poll_seconds() * MS_PER_SECOND):
                 self._receive(self._members[descriptor])
             self._forward_due()
 
@@ -143,22 +143,24 @@
         return min(max(due_in_seconds, 0.0), MAX_POLL_SECONDS)
 
     def _receive(self, receiver: RelayedMember) -> None:
-        """Receive what was sent to one member, and queue each copy that the links let pass."""
+        """Receive the datagrams to one member, and queue each copy that is not lost."""
         for _ in range(MAX_DATAGRAMS_PER_BATCH):
             try:
                 data, source = receiver.relay_socket.recvfrom(DATAGRAM_BYTES)
             except OSError:
-                return  # nothing more has arrived
+                return  # no further datagram has arrived
             delays_seconds = self._sample_delays(source, receiver)
             if not delays_seconds:
-                self.dropped += 1
+                self.dropped_count += 1
             for delay_seconds in delays_seconds:
                 due_at_seconds = time.monotonic() + delay_seconds
-                delayed = DelayedDatagram(due_at_seconds, next(self._serial), receiver, data)
+                delayed = DelayedDatagram(
+                    due_at_seconds, next(self._arrival_numbers), receiver, data
+                )
                 heapq.heappush(self._delayed, delayed)
 
     def _sample_delays(self, source: Address, receiver: RelayedMember) -> list[float]:
-        """Return the delay of each copy that arrives, in seconds; none over a cut link."""
+        """Return the delay in seconds of each copy that is not lost; none over a cut link."""
         with self.lock:
             pair = (self._sender_names.get(source, ""), receiver.name)
             if pair in self.links.cut_pairs:
@@ -166,13 +168,14 @@
             return list(self.links.sample_delays(self._rng))
 
     def _forward_due(self) -> None:
-        """Send every delayed datagram that is due to its member."""
+        """Send each datagram that is due now to its member."""
         now_seconds = time.monotonic()
         while self._delayed and self._delayed[0].due_at_seconds <= now_seconds:
             delayed = heapq.heappop(self._delayed)
             receiver = delayed.receiver
-            self.forwarded += 1
+            self.forwarded_count += 1
             try:
                 receiver.relay_socket.sendto(delayed.data, receiver.listen_address)
             except OSError:
-                self.dropped += 1  # the member's process is gone, or its receive buffer is full
+                # The member's process has ended, or its receive buffer is full.
+                self.dropped_count += 1
--- a/stepstream/lab/emulator/worker_driver.py
+++ b/stepstream/lab/emulator/worker_driver.py
@@ -1,7 +1,7 @@
-"""Base of the emulated workers: play a worker's model in real time and report to the verifier.
+"""Base of the emulated workers: run a worker's model in real time and report to the verifier.
 
 `http_worker` and `gearman_worker` add the protocols. A driver owns its worker's model and sockets;
-all of it runs on the event loop that starts it.
+all of its methods run on the event loop that starts it.
 """
 
 import asyncio
@@ -27,8 +27,8 @@
 
 MIN_EXTERNAL_WORK_US = 1000
 
-# Work of a job that no lab client sent: the mean of the site's first class times a log-normal
-# factor with these parameters, whose mean is 1.
+# A job that no lab client sent gets the mean work of the site's first job class, times a log-normal
+# factor with these parameters. The mean of the factor is 1.
 EXTERNAL_WORK_LOG_MEAN = -0.125
 EXTERNAL_WORK_LOG_SIGMA = 0.5
 
@@ -44,14 +44,14 @@
 
 @dataclass(eq=False)
 class WorkerDriver(ABC):
-    """Play a worker's model in real time and report its attempts to the verifier."""
+    """Run a worker's model in real time and report its attempts to the verifier."""
 
     model: WorkerModel
     clock: Clock
     verifier: Verifier
-    # Set when a call changes the model's next event, so that `run_model` plans anew.
+    # Set when a call changes the model's next event, so that `run_model` waits for that one.
     model_changed: asyncio.Event = field(default_factory=asyncio.Event)
-    background_tasks: list[asyncio.Task[None]] = field(default_factory=list)  # until `stop`
+    background_tasks: list[asyncio.Task[None]] = field(default_factory=list)  # cancelled by `stop`
     external_job_count: int = 0  # jobs of clients other than the lab's
 
     @property
@@ -64,7 +64,7 @@
         self.background_tasks.append(asyncio.ensure_future(coroutine))
 
     async def run_model(self) -> None:
-        """Play the model in real time until cancelled."""
+        """Advance the model in real time until cancelled."""
         while True:
             due_us = self.model.next_event_us()
             wait_seconds = (
@@ -92,9 +92,9 @@
         return f"price {key.job_number}.{key.client_attempt} by {self.name}"
 
     def generate_external_workload(self) -> Workload:
-        """Draw the work of a job that no lab client sent, as of the site's first job class.
+        """Draw the work of a job that no lab client sent, as for the site's first job class.
 
-        Its number is negative, so that the verifier knows it is not part of the scenario.
+        The job number is negative, so that the verifier knows it is not part of the scenario.
         """
         self.external_job_count += 1
         job_class = self.verifier.scenario.site.job_classes[0]
@@ -131,7 +131,7 @@
 
     @abstractmethod
     async def start(self) -> None:
-        """Start to serve, as a worker that has run long enough to be at full capacity."""
+        """Start to serve; the worker is at full capacity from the start."""
 
     @abstractmethod
     def notify(self, event: TaskEvent) -> None:
--- a/stepstream/lab/emulator/worker_model.py
+++ b/stepstream/lab/emulator/worker_model.py
@@ -13,14 +13,14 @@
 
 import numpy as np
 
-SLOW_START_STEP_US = 10_000  # the capacity of a worker in slow start is constant for this step
-MIN_OVERLOAD_TASKS_PER_CORE = 2  # up to this, a few long tasks are chance and no overload
-FINISHED_BELOW_US = 0.5  # less remaining work is none: times are rounded to microseconds
+SLOW_START_STEP_US = 10_000  # during slow start, the capacity is constant for this long
+MIN_OVERLOAD_TASKS_PER_CORE = 2  # no overload with fewer: long ones can be chance
+FINISHED_BELOW_US = 0.5  # counts as no remaining work: times are rounded to microseconds
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerSpec:
-    """The properties of a worker that no fault and no restart changes."""
+    """The properties of a worker that stay the same through faults and restarts."""
 
     name: str
     zone: str
@@ -29,18 +29,18 @@
     cores: int
     speed: float  # of a core, relative to the reference core's 1
     queue_capacity: int  # jobs that may wait beyond those that run
-    initial_capacity_fraction: float  # fraction of its capacity at its start, 0 to 1
-    slow_start_us: int  # from its start to full capacity
+    initial_capacity_fraction: float  # capacity at the start over full capacity, 0 to 1
+    slow_start_us: int  # time from the start to full capacity
     error_rate: float = 0.0  # fraction of the jobs that fail at their end, 0 to 1
     progress_interval_us: int = 2_000_000  # between two progress events of a job
     # A worker in slow start fails if the work offered within the window exceeds this multiple of
-    # its capacity in that time.
+    # what it can do in that time.
     overload_multiple: float = 4.0
     overload_window_us: int = 2_000_000
 
     @property
     def slots(self) -> int:
-        """Return the number of slots: one a core."""
+        """Return the number of slots, which is that of the cores."""
         return self.cores
 
     @property
@@ -69,7 +69,7 @@
     """A change of a task's state; the values are the states of the platform's job notifications."""
 
     STARTED = "started"
-    RUNNING = "running"  # progress
+    RUNNING = "running"  # the event reports progress
     DONE = "done"
     FAILED = "failed"
 
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskEvent:
-    """An event of one task."""
+    """A change of one task, which the driver reports to the dispatcher."""
 
     state: TaskState
     task: Task
@@ -112,10 +112,10 @@
 
     spec: WorkerSpec
     rng: np.random.Generator
-    advanced_to_us: int  # the state is that of this time
+    advanced_to_us: int  # the time up to which the state is computed
     started_at_us: int = 0  # 0: started long ago, at full capacity
     health: Health = Health.UP
-    slowdown_factor: float = 1.0  # fault: factor by which it is slower than usual
+    slowdown_factor: float = 1.0  # fault: factor by which the worker is slower than usual
     error_fraction: float = 0.0  # fault: fraction of the offered tasks that fail at once, 0 to 1
     running: dict[str, Task] = field(default_factory=dict)
     waiting: deque[Task] = field(default_factory=deque)
@@ -126,7 +126,7 @@
     # -- capacity --
 
     def slow_start_factor(self, now_us: int) -> float:
-        """Return the fraction of its capacity that the worker has: linear during slow start."""
+        """Return present capacity over full capacity, which rises linearly during slow start."""
         age_us = now_us - self.started_at_us
         if not self.started_at_us or age_us >= self.spec.slow_start_us:
             return 1.0
@@ -140,7 +140,7 @@
         return self.slow_start_factor(now_us) < 1.0
 
     def work_rate(self, now_us: int) -> float:
-        """Return the work done in a microsecond on each running task."""
+        """Return the work done on each running task in one microsecond."""
         return self.spec.speed * self.slow_start_factor(now_us) / self.slowdown_factor
 
     @property
@@ -165,7 +165,7 @@
         self.offered_while_warming_up.clear()
 
     def terminate(self, now_us: int, health: Health = Health.DOWN) -> list[Task]:
-        """End the process; return the running and waiting tasks, which are lost."""
+        """End the process; return the tasks that were running or waiting, which are lost."""
         self.advance(now_us)
         lost = [*self.running.values(), *self.waiting]
         self.running.clear()
@@ -176,7 +176,7 @@
     # -- tasks --
 
     def submit(self, now_us: int, task: Task) -> SubmissionResult:
-        """Offer a task; it runs or waits if the answer is `ACCEPTED`."""
+        """Offer a task to the worker; if the result is `ACCEPTED`, the task runs or waits."""
         self.advance(now_us)
         if self.health is not Health.UP:
             return SubmissionResult.DOWN
@@ -184,7 +184,7 @@
             return SubmissionResult.DOWN
         if self.error_fraction and self.rng.random() < self.error_fraction:
             return SubmissionResult.ERROR
-        if len(self.waiting) >= self.spec.queue_capacity and not self.fits(task):
+        if len(self.waiting) >= self.spec.queue_capacity and not self.can_start_now(task):
             return SubmissionResult.FULL
         task.remaining_us = float(task.work_us)
         self.waiting.append(task)
@@ -192,7 +192,7 @@
         return SubmissionResult.ACCEPTED
 
     def overloads_while_warming_up(self, now_us: int, work_us: int) -> bool:
-        """Record work offered during slow start; return whether its window exceeds the limit."""
+        """Record work offered during slow start; return whether recent work exceeds the limit."""
         if not self.is_warming_up(now_us):
             return False
         self.offered_while_warming_up.append(OfferedWork(now_us, work_us))
@@ -208,12 +208,12 @@
         min_tasks = MIN_OVERLOAD_TASKS_PER_CORE * self.spec.cores
         return offered_us > limit_us and len(self.offered_while_warming_up) > min_tasks
 
-    def fits(self, task: Task) -> bool:
+    def can_start_now(self, task: Task) -> bool:
         """Return whether the task could start at once."""
         return not self.waiting and self.busy_slots + task.slots <= self.spec.slots
 
     def start_waiting(self, now_us: int) -> None:
-        """Start waiting tasks in order; the first one holds back the others until it fits.
+        """Start waiting tasks in order: none starts before the tasks that have waited longer.
 
         A task that needs more slots than the worker has starts once all of them are free.
         """
@@ -227,7 +227,7 @@
             self.events.append(TaskEvent(TaskState.STARTED, task))
 
     def cancel(self, now_us: int, task_id: str) -> bool:
-        """Remove a running or waiting task; return whether the worker had it."""
+        """Remove a task; return whether it was running or waiting."""
         self.advance(now_us)
         found = self.running.pop(task_id, None) is not None
         remaining = deque(task for task in self.waiting if task.id != task_id)
@@ -237,14 +237,14 @@
         return found
 
     def add_side_work(self, work_us: int) -> None:
-        """Spend work on something else, such as a health check: it delays each running task."""
+        """Add other work, such as a health check, which delays each running task."""
         for task in self.running.values():
             task.remaining_us += work_us / self.spec.cores
 
     # -- time --
 
     def next_event_us(self) -> float:
-        """Return the time of the next event if nothing is offered before; infinity for never."""
+        """Return when the next event is due if no task is offered before; infinity if none is."""
         if not self.running or self.health is not Health.UP:
             return inf
         rate = self.work_rate(self.advanced_to_us)
@@ -265,7 +265,7 @@
         self._advance_at_constant_rate(now_us)
 
     def _advance_at_constant_rate(self, to_us: int) -> None:
-        """Advance to `to_us` at the present rate of work; the caller excludes events in between."""
+        """Advance to `to_us` at the present work rate; no event may be due before `to_us`."""
         elapsed_us = max(to_us - self.advanced_to_us, 0)
         done_us = elapsed_us * self.work_rate(self.advanced_to_us)
         self.advanced_to_us = max(to_us, self.advanced_to_us)
--- a/stepstream/lab/emulator/workload.py
+++ b/stepstream/lab/emulator/workload.py
@@ -10,10 +10,10 @@
 
 @dataclass(slots=True)
 class Workload:
-    """The work that a lab client requests; the body of the request in either protocol."""
+    """The work that a lab client requests."""
 
-    job_number: int  # of PlannedRequest; negative if no lab client sent it
-    client_attempt: int  # 0 for the first
+    job_number: int  # `PlannedRequest.number`; negative if no lab client sent the job
+    client_attempt: int  # 0 for the first attempt
     work_us: int  # on a core of speed 1
     slots: int
 
@@ -24,7 +24,7 @@
 
     @classmethod
     def parse(cls, body: bytes) -> "Workload | None":
-        """Parse a body; return None if no lab client wrote it, as other clients may send any."""
+        """Parse a body; return None if it has another form, as other clients' bodies may have."""
         try:
             values = ujson.loads(body)
         except ValueError:
--- a/tests/lab/emulator/test_http_worker.py
+++ b/tests/lab/emulator/test_http_worker.py
@@ -1,4 +1,4 @@
-"""The emulated HTTP worker: its load reports are those that the dispatcher reads."""
+"""The emulated HTTP worker: the dispatcher can read its load reports."""
 
 from types import SimpleNamespace
 
@@ -16,15 +16,18 @@
 from stepstream.lab.load.site import LoadReports, read_site
 from stepstream.lab.verification.verifier import Verifier
 
-FULL = {"queue": 1.0, "free_slots": 0.0}
-"""The load report of a worker of two slots with three tasks."""
+LOAD_OF_FULL_WORKER = {"queue": 1.0, "free_slots": 0.0}
+"""The load report, as the dispatcher reads it, of a worker of two slots with three tasks."""
 
 
 @pytest.fixture(
     params=[LoadReports.HEALTH_CHECKS, LoadReports.RESPONSES], ids=["health-checks", "responses"]
 )
-def reporting(request, make_worker_model):
-    """A full worker at a site that reports load in this way, and the dispatcher's reader."""
+def reporting_setup(request, make_worker_model):
+    """A worker with all slots in use, and the dispatcher's reader of its site's load reports.
+
+    `report_in_responses` is what responses and notifications report; None if they report nothing.
+    """
     site = msgspec.structs.replace(
         read_site(name="probed"), load_reports=request.param, load_report_interval_ms=0.0
     )
@@ -36,20 +39,22 @@
     return SimpleNamespace(
         worker=worker,
         reader=LoadReportReader(read_settings(fields), pytest.fail),
-        report_in_responses=FULL if request.param is LoadReports.RESPONSES else None,
+        report_in_responses=LOAD_OF_FULL_WORKER if request.param is LoadReports.RESPONSES else None,
     )
 
 
-def test_the_dispatcher_reads_the_load_of_a_health_check(reporting):
-    text = reporting.worker.load_text().encode()
-    assert reporting.reader.read_health_check(text) == FULL
+def test_the_dispatcher_reads_the_load_report_of_a_health_check(reporting_setup):
+    text = reporting_setup.worker.load_text().encode()
+    assert reporting_setup.reader.read_health_check(text) == LOAD_OF_FULL_WORKER
 
 
-def test_the_dispatcher_reads_the_load_of_a_response_where_the_site_has_it(reporting):
-    header = reporting.worker.load_header().get("Server-Load")
-    assert reporting.reader.read_header(header) == reporting.report_in_responses
+def test_a_response_carries_a_load_report_only_if_the_site_reports_in_responses(reporting_setup):
+    header = reporting_setup.worker.load_header().get("Server-Load")
+    assert reporting_setup.reader.read_header(header) == reporting_setup.report_in_responses
 
 
-def test_the_dispatcher_reads_the_load_of_a_notification_where_the_site_has_it(reporting):
-    report = reporting.worker.current_load_report()
-    assert reporting.reader.read_notification(report) == reporting.report_in_responses
+def test_the_dispatcher_reads_a_notifications_load_report_only_if_the_site_reports_in_responses(
+    reporting_setup,
+):
+    report = reporting_setup.worker.current_load_report()
+    assert reporting_setup.reader.read_notification(report) == reporting_setup.report_in_responses
--- a/tests/lab/emulator/test_udp_relay.py
+++ b/tests/lab/emulator/test_udp_relay.py
@@ -10,13 +10,13 @@
 from stepstream.lab.emulator.udp_relay import UdpRelay
 
 HOST = "127.0.0.1"
-WAIT_TIMEOUT_SECONDS = 10.0  # for what must happen
+WAIT_TIMEOUT_SECONDS = 10.0  # for events that must happen
 DELAY_SECONDS = 0.2
 
 
 @pytest.fixture
 def members():
-    """Two sockets of members, by name."""
+    """The sockets of two members, by name."""
     sockets = {}
     for name in ("a", "b"):
         sockets[name] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -28,7 +28,7 @@
 
 
 def add_members(relay, members):
-    """Add the members; return the relay's address for each."""
+    """Add the members to the relay; return the relay's address for each, by name."""
     addresses = {}
     for name, member in members.items():
         host, _, port = relay.add_member(name, HOST, member.getsockname()).partition(":")
@@ -50,38 +50,38 @@
 
 
 def wait_until(condition):
-    deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
+    deadline_seconds = time.monotonic() + WAIT_TIMEOUT_SECONDS
     while not condition():
-        assert time.monotonic() < deadline
+        assert time.monotonic() < deadline_seconds
         time.sleep(0.01)
 
 
-def test_a_datagram_to_the_relays_address_of_a_member_reaches_the_member(members):
+def test_a_datagram_to_the_relays_address_for_a_member_reaches_the_member(members):
     with UdpRelay(seed=1) as relay:
         addresses = add_members(relay, members)
         members["a"].sendto(b"hello", addresses["b"])
         assert members["b"].recv(100) == b"hello"
 
 
-def test_a_cut_link_drops_datagrams_in_its_direction_alone(members):
+def test_a_link_cut_one_way_drops_datagrams_in_that_direction_only(members):
     links = Links(delay_seconds=(0.0, 0.0))
     links.cut(["a"], ["b"], both_ways=False)
     with UdpRelay(seed=1, links=links) as relay:
         addresses = add_members(relay, members)
         members["a"].sendto(b"lost", addresses["b"])
-        wait_until(lambda: relay.dropped == 1)
+        wait_until(lambda: relay.dropped_count == 1)
         members["b"].sendto(b"hello", addresses["a"])
         assert members["a"].recv(100) == b"hello"
-        assert relay.forwarded == 1
+        assert relay.forwarded_count == 1
 
 
 def test_a_datagram_is_forwarded_after_its_delay(members):
     with UdpRelay(seed=1, links=Links(delay_seconds=(DELAY_SECONDS, DELAY_SECONDS))) as relay:
         addresses = add_members(relay, members)
-        sent_at = time.monotonic()
+        sent_at_seconds = time.monotonic()
         members["a"].sendto(b"hello", addresses["b"])
         members["b"].recv(100)
-        assert time.monotonic() - sent_at >= DELAY_SECONDS
+        assert time.monotonic() - sent_at_seconds >= DELAY_SECONDS
 
 
 def test_a_closed_relay_leaves_no_thread_or_socket(members):
@@ -99,7 +99,7 @@
     assert not any(is_bound(address) for address in addresses.values())
 
 
-def test_a_start_that_fails_leaves_no_thread_or_socket(members, monkeypatch):
+def test_a_relay_whose_thread_fails_to_start_leaves_no_thread_or_socket(members, monkeypatch):
     def fail(_thread):
         raise RuntimeError("can't start new thread")
 
@@ -112,13 +112,13 @@
     assert not any(is_bound(address) for address in addresses.values())
 
 
-def test_a_host_that_cannot_be_bound_leaves_no_socket(members, monkeypatch):
-    opened = []
+def test_adding_a_member_on_a_host_that_cannot_be_bound_leaves_no_socket(members, monkeypatch):
+    opened_sockets = []
 
     class RecordedSocket(socket.socket):
         def __init__(self, *arguments):
             super().__init__(*arguments)
-            opened.append(self)
+            opened_sockets.append(self)
 
         def bind(self, address):
             raise OSError("the address can't be assigned")
@@ -127,4 +127,4 @@
     relay = UdpRelay(seed=1)
     with pytest.raises(OSError, match="assigned"):
         relay.add_member("a", HOST, members["a"].getsockname())
-    assert [one.fileno() for one in opened] == [-1]
+    assert [opened_socket.fileno() for opened_socket in opened_sockets] == [-1]
