--- a/stepstream/leases/fencing.py
+++ b/stepstream/leases/fencing.py
@@ -34,7 +34,7 @@
     """
 
     highest_token: int = 0
-    rejected: int = field(default=0, compare=False)
+    rejected_count: int = field(default=0, compare=False)
 
     def admit(self, token: int) -> None:
         """Check a token before the effect, in the same transaction.
@@ -43,7 +43,7 @@
         holder has used the resource.
         """
         if token < self.highest_token:
-            self.rejected += 1
+            self.rejected_count += 1
             raise FencedError(token, self.highest_token)
         self.highest_token = token
 
--- a/tests/golden/state/protocol_transcripts.py
+++ b/tests/golden/state/protocol_transcripts.py
@@ -60,7 +60,7 @@
             answers.append([token, "taken"])
         except FencedError as error:
             answers.append([token, str(error), error.token, error.highest_token])
-    return {"calls": answers, "highest": guard.highest_token, "refused": guard.rejected}
+    return {"calls": answers, "highest": guard.highest_token, "refused": guard.rejected_count}
 
 
 def health_report_pages() -> list[str]:
--- a/tests/leases/test_lease_fencing.py
+++ b/tests/leases/test_lease_fencing.py
@@ -13,4 +13,4 @@
         guard.apply(4, lambda: taken.append(4))
     assert taken == [5, 5]
     assert (rejection.value.token, rejection.value.highest_token) == (4, 5)
-    assert guard.rejected == 1
+    assert guard.rejected_count == 1
