--- a/stepstream/leases/__init__.py
+++ b/stepstream/leases/__init__.py
@@ -4,7 +4,7 @@
 (here: fencing tokens) follow Chubby (Burrows 2006). docs/leases.md has the messages and the proof.
 
     messages, wire, configuration
-                               what members exchange and what they must agree on
+                               messages between members, and the settings that must match
     acceptor_rules, proposer_rules, lease_state
                                the protocol's decisions, as pure functions
     lease_record, ballots      the records that they read
@@ -13,10 +13,10 @@
     fencing                    the check at a guarded resource
     driver, client             the thread that runs the state machines, and its interface for tasks
     session_table, sessions, admin_api
-                               leases held for programs outside, by calls to the admin listener
+                               leases held for other programs, which call the admin listener
     health_reports, health_check_leader
-                               one dispatcher's health checks serve all
-    subsystem                  plugs all of it into the node
+                               one dispatcher checks the workers' health for all
+    subsystem                  connects this package to the node
     commands, command_runner, command_deadlines
                                `stepstream lease`
 """
--- a/stepstream/leases/acceptor.py
+++ b/stepstream/leases/acceptor.py
@@ -2,8 +2,9 @@
 
 PaxosLease's acceptor (Trencseni, Gazso, Reinhardt 2012), with one record for each lease ("Leases
 for many resources"). By the rules in `acceptor_rules` at most one ballot at a time has a quorum's
-unexpired acceptance. Two rules of time stand in `configuration`: an acceptor keeps a grant longer
-than the holder does, and answers nothing after its start until every earlier grant has expired.
+unexpired acceptance. `configuration` has two rules about time: an acceptor keeps a grant longer
+than the holder does; after its start it promises and accepts nothing until every earlier grant has
+expired.
 
     free     -> granted   a proposal is accepted
     granted  -> granted   its holder's renewal is accepted
@@ -53,7 +54,7 @@
 
 
 class Acceptor:
-    """One acceptor of all leases, from its start on."""
+    """The acceptor of one process, for all leases."""
 
     def __init__(self, configuration: LeaseConfiguration, now: float) -> None:
         self.configuration = configuration
@@ -63,7 +64,7 @@
         self.next_tick_at = inf  # when a grant expires or a waiter becomes eligible
 
     def remaining_recovery_seconds(self, now: float) -> float:
-        """Return the seconds until it answers; 0 if it does."""
+        """Return the seconds until the recovery after the start ends; 0 once it has ended."""
         return max(self.recovering_until - now, 0.0)
 
     def handle(self, now: float, member: str, message: ProposerMessage) -> list[AddressedMessage]:
@@ -72,7 +73,7 @@
         return notifications + self.replies(now, member, message)
 
     def replies(self, now: float, member: str, message: ProposerMessage) -> list[AddressedMessage]:
-        """Return the answer to a message, or what follows from a release."""
+        """Return the answer to a message; for a release, the notifications of waiters."""
         wait_seconds = self.remaining_recovery_seconds(now)
         if isinstance(message, Release):
             return [] if wait_seconds > 0 else self.on_release(now, message)
@@ -86,7 +87,7 @@
         return [AddressedMessage(member, answer)]
 
     def on_prepare(self, now: float, member: str, prepare: Prepare) -> Message:
-        """Promise the ballot, or say why not."""
+        """Promise the ballot, or answer with the reason for no promise."""
         lease = prepare.lease
         ballot = prepare.ballot
         record = self.record_for(now, lease)
@@ -95,7 +96,7 @@
             return Busy(lease, ballot, "", 0, wait_ms)
         busy = self.busy_reply(now, record, prepare)
         if busy is not None:
-            self.enlist(now, member, record, prepare)
+            self.enqueue_waiter(now, member, record, prepare)
             return busy
         highest_number = max(record.promised_number(), self.highest_forgotten_number)
         if not may_promise(record, ballot, highest_number):
@@ -105,7 +106,7 @@
         return Promise(lease, ballot)
 
     def record_for(self, now: float, lease: str) -> LeaseRecord | None:
-        """Return a lease's record, made if there is none; None without capacity for one more."""
+        """Return a lease's record, created if missing; None if there is no capacity for it."""
         record = self.records.get(lease)
         if record is None and self.has_capacity():
             record = LeaseRecord(WaitQueue(self.configuration), free_since=now)
@@ -113,7 +114,10 @@
         return record
 
     def busy_reply(self, now: float, record: LeaseRecord, prepare: Prepare) -> Busy | None:
-        """Return why the proposer has to wait: another's grant, or the turn of another waiter."""
+        """Return the answer to a proposer that has to wait; None if it need not wait.
+
+        It waits until another proposer's grant ends, or until its turn in the queue.
+        """
         lease = prepare.lease
         ballot = prepare.ballot
         if record.grant is None:
@@ -145,7 +149,7 @@
         return Accepted(lease, ballot, proposal.round)
 
     def on_release(self, now: float, release: Release) -> list[AddressedMessage]:
-        """End the proposer's grant and promise; return the call to the next waiters."""
+        """End the proposer's grant and promise; return notifications for the next waiters."""
         ballot = release.ballot
         record = self.records.get(release.lease)
         if record is None:
@@ -161,9 +165,11 @@
 
     # -- waiters ----------------------------------------------------------------------------------
 
-    def enlist(self, now: float, member: str, record: LeaseRecord, prepare: Prepare) -> None:
-        """Put a proposer into the queue; while the lease is free a timer notifies it."""
-        if record.waiters.enlist(now, member, prepare) and record.grant is None:
+    def enqueue_waiter(
+        self, now: float, member: str, record: LeaseRecord, prepare: Prepare
+    ) -> None:
+        """Add a proposer to the queue; if the lease is free, set the timer that notifies it."""
+        if record.waiters.add_or_refresh(now, member, prepare) and record.grant is None:
             eligible_at = now + self.configuration.head_start_seconds
             self.next_tick_at = min(self.next_tick_at, eligible_at)
 
@@ -195,7 +201,7 @@
         return notifications
 
     def has_capacity(self) -> bool:
-        """Return whether one more lease fits, after a record that may go was dropped.
+        """Return whether one more lease fits; if all places are taken, first drop an unused record.
 
         The dropped record's ballot number is kept for all leases, so that no number is promised
         twice.
--- a/stepstream/leases/acceptor_rules.py
+++ b/stepstream/leases/acceptor_rules.py
@@ -1,4 +1,4 @@
-"""How an acceptor answers: the rules that keep a lease with one holder. Free of I/O and of state.
+"""The rules by which an acceptor lets a lease have only one holder. Free of I/O and of state.
 
 PaxosLease (Trencseni, Gazso, Reinhardt 2012). docs/leases.md has the proof. All times are seconds
 of the acceptor's clock.
@@ -9,7 +9,7 @@
 
 
 def blocking_grant(grant: Grant | None, proposer: str) -> Grant | None:
-    """Return the grant for which this proposer gets no promise; None if there is none.
+    """Return the grant because of which this proposer gets no promise; None if there is none.
 
     While an acceptor keeps a proposer's grant it promises nothing to another: a second quorum could
     form beside the holder's.
@@ -33,14 +33,14 @@
 def may_accept(record: LeaseRecord, ballot: Ballot) -> bool:
     """Return whether an acceptor accepts a proposal under this ballot.
 
-    Only under the very ballot that it promised last. A promise that was released, or lost in a
-    restart, accepts nothing: a late proposal must not revive a lease that is over.
+    It accepts only under the ballot that it promised last. After the promise was released, or lost
+    in a restart, it accepts nothing: a late proposal must not revive a lease that has ended.
     """
     return record.promised == ballot and not record.promise_released
 
 
 def is_covered_by_release(ballot: Ballot | None, released: Ballot) -> bool:
-    """Return whether a release ends this ballot: a late one must not end a later grant."""
+    """Return whether a release ends this ballot: a late release must not end a later grant."""
     return (
         ballot is not None
         and ballot.proposer == released.proposer
@@ -54,8 +54,8 @@
 
 
 def may_forget(record: LeaseRecord) -> bool:
-    """Return whether a record may be dropped for another lease: nobody holds or waits for its own.
+    """Return whether a record may be dropped: nobody holds its lease or waits for it.
 
-    A dropped grant would let a second holder in.
+    If a grant were dropped, a second holder could get the lease.
     """
     return record.grant is None and not record.waiters
--- a/stepstream/leases/admin_api.py
+++ b/stepstream/leases/admin_api.py
@@ -3,7 +3,7 @@
 Paths, query parameters, JSON fields and error texts are read by operators' tools and by
 `stepstream lease`; their spelling is fixed. This module alone translates between them and the
 package's terms: `want` is a session's heartbeat, `act_ms` an operation's time, `left_ms` the
-remaining time, `ending` that the program is to end, `drift` the bound on clock drift.
+remaining time, `ending` that the program must end, `drift` the bound on clock drift.
 
 Owns no state. The admin listener's thread calls it; the driver's lock guards what it reads.
 """
@@ -45,7 +45,7 @@
 MAX_QUOTED_CHARACTERS = 80
 FREE = "free"  # the `state` of a lease that nobody holds
 MAX_ANSWER_AGE_REFRESHES = 2  # a waiter gets an answer in each refresh interval
-FIRST_ANSWER_ROUNDS = 2  # the first answers may take as many rounds
+FIRST_ANSWER_ROUNDS = 2  # the first answers may take this number of rounds
 
 Row = dict[str, object]  # one lease in `GET /leases`
 
@@ -55,7 +55,7 @@
 
 
 class LeaseAdminApi:
-    """Answers the calls."""
+    """Answers the calls on leases."""
 
     def __init__(self, driver: LeaseDriver, sessions: SessionService, client: LeaseClient) -> None:
         self.driver = driver
@@ -63,7 +63,7 @@
         self.client = client
 
     def routes(self) -> Sequence[AdminRoute]:
-        """Return the paths that it answers."""
+        """Return the paths and their handlers."""
         lease_path = r"/leases/([^/]{1,200})"
         return (
             AdminRoute(r"/leases", READ_METHODS, self.on_list),
@@ -77,7 +77,7 @@
         return json_response(200, self.rows())
 
     def on_show(self, request: AdminRequest) -> AdminResponse:
-        """Answer `GET /leases/NAME`: one of them."""
+        """Answer `GET /leases/NAME`: one lease."""
         try:
             lease = lease_name(request)
         except BadRequestError as error:
@@ -143,8 +143,8 @@
     def on_release(self, request: AdminRequest) -> AdminResponse:
         """Answer `PUT /leases/NAME/release`.
 
-        With a session's name, its program gives the lease back at once. Without one, an operator
-        takes it back: its holders through this dispatcher are notified to end.
+        With a session's name, the session's program releases the lease at once. Without one, an
+        operator revokes the lease: its holders through this dispatcher are notified to end.
         """
         try:
             lease = lease_name(request)
@@ -213,7 +213,7 @@
 
 
 def fill_from_proposer(now: float, row: Row, proposer: Proposer) -> None:
-    """Add what one of this dispatcher's proposers knows: the holder knows its own lease best."""
+    """Add what one of this dispatcher's proposers knows; a holder's own values replace others."""
     if not proposer.is_held(now):
         row.setdefault("state", LeaseState.ACQUIRING.value)
         return
@@ -224,7 +224,10 @@
 
 
 def missing_quorum(configuration: LeaseConfiguration, proposer: Proposer, now: float) -> str:
-    """Return which acceptors a quorum misses; "" if the lease is held or may be granted."""
+    """Return an error that names the acceptors missing for a quorum.
+
+    Return "" if the lease is held or can be granted.
+    """
     recent_seconds = MAX_ANSWER_AGE_REFRESHES * configuration.waiter_refresh_seconds()
     answered = {name for name, at in proposer.answered_at.items() if now - at <= recent_seconds}
     first_rounds_seconds = FIRST_ANSWER_ROUNDS * configuration.round_timeout_seconds
--- a/stepstream/leases/ballots.py
+++ b/stepstream/leases/ballots.py
@@ -1,11 +1,11 @@
-"""The ballots of one process's proposers, as records without rules; owned by the participant."""
+"""Data on the ballots of one process's proposers, without rules; owned by the participant."""
 
 from dataclasses import dataclass, field
 from enum import Enum
 
 
 class Phase(Enum):
-    """Where a proposer's current ballot stands."""
+    """The phase of a proposer's current ballot."""
 
     IDLE = 0
     PREPARING = 1
@@ -19,18 +19,18 @@
     highest: int
 
     def next_number(self) -> int:
-        """Return a number above all that are known."""
+        """Return a number above all known ones."""
         self.highest += 1
         return self.highest
 
     def advance_past(self, number: int) -> None:
-        """Have later ballots above a number that was seen elsewhere."""
+        """Make later numbers greater than this one, which another process has used."""
         self.highest = max(self.highest, number)
 
 
 @dataclass(slots=True)
 class ProposalRound:
-    """One sending of a ballot's proposal, and the acceptors that accepted it."""
+    """One sending of a ballot's proposal, and the acceptors that have accepted this sending."""
 
     sent_at: float
     accepted_by: set[str] = field(default_factory=set)
--- a/stepstream/leases/client.py
+++ b/stepstream/leases/client.py
@@ -6,9 +6,9 @@
             resource.write(token, ...)    # an operation takes `operation_seconds` at most
     lease.release()
 
-While one holder's operation is under way for at most `operation_seconds`, in a process that does
-not stand still, no other holder's is. A process may stall inside an operation; then only the
-fencing guard of the resource stops it (`fencing`).
+Operations of two holders do not overlap if each takes at most `operation_seconds` and no process
+stalls. If a process stalls inside an operation, only the fencing guard of the resource can reject
+the operation (`fencing`).
 
 Any thread may call; all state is the driver's. Durations are seconds.
 """
@@ -29,11 +29,11 @@
 
 
 class OperationOverranError(LeaseError):
-    """An operation ended after its lease: it took too long, or the process stood still."""
+    """An operation ended after its lease: it took too long, or the process stalled."""
 
 
 class Lease:
-    """One attempt at a lease; once lost or released it is over."""
+    """One attempt at a lease; it ends when the lease is lost or released."""
 
     def __init__(
         self, driver: LeaseDriver, name: str, ttl_seconds: float, operation_seconds: float
@@ -87,16 +87,16 @@
             raise LeaseLostError(f"{self.name} is {self.state.value}")
         yield self.token
         if self.remaining_seconds() <= 0:
-            raise OperationOverranError(f"{self.name} ended before the act did")
+            raise OperationOverranError(f"{self.name} expired before the operation ended")
 
     def on_fenced(self, highest_token: int) -> None:
-        """Release after a guarded resource rejected the token; the next grant's will be above."""
+        """Release the lease after a resource rejected its token; the next token will be higher."""
         with self.driver.state_changed:
             self.driver.participant.advance_ballots_past(highest_token)
         self.release()
 
     def release(self) -> None:
-        """Give the lease back, so that the next waiter gets it at once.
+        """Release the lease, so that the next waiter gets it at once.
 
         No operation may be under way. May be called any number of times.
         """
@@ -104,7 +104,7 @@
 
 
 class LeaseClient:
-    """Gives leases to other subsystems; the leases' subsystem has it as `client`."""
+    """Acquires leases for other subsystems; they find it as `LeasesSubsystem.client`."""
 
     def __init__(self, driver: LeaseDriver, configuration: LeaseConfiguration) -> None:
         self.driver = driver
--- a/stepstream/leases/command_deadlines.py
+++ b/stepstream/leases/command_deadlines.py
@@ -4,7 +4,7 @@
 stalls or cannot be reached. All times are seconds of the machine's boot-time clock.
 """
 
-KILL_MARGIN_SECONDS = 0.3  # after SIGKILL a process may take a moment to be gone
+KILL_MARGIN_SECONDS = 0.3  # a process may end some time after SIGKILL
 MIN_TERM_TO_KILL_SECONDS = 0.2
 TERM_MARGIN_FRACTION_OF_TTL = 1 / 4
 HEARTBEATS_PER_TTL = 6
@@ -16,7 +16,7 @@
 
 
 def term_margin_seconds(ttl_seconds: float) -> float:
-    """Return the time from SIGTERM to the lease's end: the command may need it to end by itself."""
+    """Return the time from SIGTERM to the lease's end, in which the command can end by itself."""
     return max(
         ttl_seconds * TERM_MARGIN_FRACTION_OF_TTL, KILL_MARGIN_SECONDS + MIN_TERM_TO_KILL_SECONDS
     )
@@ -33,7 +33,7 @@
 
 
 def has_time_to_run(now: float, expires_at: float, term_seconds: float) -> bool:
-    """Return whether the lease lasts until the command would have to be ended."""
+    """Return whether the lease lasts longer than until SIGTERM would be due."""
     return expires_at - now > term_seconds
 
 
@@ -55,7 +55,7 @@
     """Return the bound on a call to the dispatcher.
 
     `until_term_seconds` is the time until the command gets SIGTERM, None before it runs. A call
-    must not keep this program past the time to end the command.
+    must not delay this program beyond the time at which it has to end the command.
     """
     longest_seconds = min(ttl_seconds * MAX_CALL_FRACTION_OF_TTL, MAX_CALL_SECONDS)
     if until_term_seconds is None:
--- a/stepstream/leases/command_runner.py
+++ b/stepstream/leases/command_runner.py
@@ -1,12 +1,13 @@
-"""`stepstream lease run`: one command under one lease, ended before the lease can be another's.
+"""`stepstream lease run`: run a command under a lease; end it before another can hold the lease.
 
     acquiring -> running    the dispatcher answers that the lease lasts until SIGTERM would be due
-    acquiring -> ended      the call is bad, `--wait` is over, or a signal came
-    running   -> ending     the lease ends soon, is lost or is taken back, or a signal came: SIGTERM
+    acquiring -> ended      the call is invalid, `--wait` has passed, or a signal came
+    running   -> ending     the lease ends soon, is lost or is revoked, or a signal came: SIGTERM
     ending    -> ended      the command has ended, or SIGKILL shortly before the lease's end
 
-Each call is a heartbeat of the program's session (`session_table`). The time that the dispatcher
-answers counts from before the call. `command_deadlines` has the times of calls and signals.
+Each call is a heartbeat of the program's session (`session_table`). The remaining
+time in the dispatcher's answer counts from the start of the call. `command_deadlines` has the
+times of calls and signals.
 
 One thread; a signal handler only sets `stop_signal`. All times are seconds of the machine's
 boot-time clock.
@@ -39,7 +40,7 @@
 from stepstream.leases.lease_state import LeaseState
 from stepstream.subsystem_api.admin_client import call_admin
 
-EXIT_LOST = os.EX_UNAVAILABLE  # 69
+EXIT_LEASE_LOST = os.EX_UNAVAILABLE  # 69
 EXIT_NOT_ACQUIRED = os.EX_TEMPFAIL  # 75
 EXIT_USAGE = os.EX_USAGE  # 64
 # These three are a shell's exit codes.
@@ -48,7 +49,7 @@
 EXIT_SIGNAL_BASE = 128  # the signal's number is added
 
 POLL_INTERVAL_SECONDS = 0.05
-MIN_TTL_SECONDS = 1.0  # a command could not be ended in a shorter time
+MIN_TTL_SECONDS = 1.0  # there is no time to end a command in a shorter one
 RELEASE_CALL_SECONDS = 1.0
 PR_SET_PDEATHSIG = 1  # prctl(2)
 
@@ -57,7 +58,7 @@
     HTTPStatus.NOT_FOUND,
     HTTPStatus.METHOD_NOT_ALLOWED,
 )
-OVER_STATES = (LeaseState.LOST.value, LeaseState.RELEASED.value)
+FINAL_STATES = (LeaseState.LOST.value, LeaseState.RELEASED.value)
 NOT_RENEWED = "not renewed in time"
 REVOKED = "revoked by an operator"
 
@@ -89,10 +90,10 @@
 
 
 class CommandRunner:
-    """One `stepstream lease run`.
+    """One call of `stepstream lease run`.
 
-    Times in seconds; without `wait_seconds` it waits for the lease as long as it takes. Raise
-    `ConfigurationError` if an option does not fit.
+    Times are seconds; if `wait_seconds` is None, the wait for the lease is unlimited. Raise
+    `ConfigurationError` if the time to live is too short.
     """
 
     def __init__(
@@ -112,11 +113,11 @@
         self.command = command
         self.term_seconds = term_margin_seconds(ttl_seconds)
         self.session_name = uuid.uuid4().hex
-        self.token = 0  # the command's; 0 before it is started
-        self.expires_at = 0.0  # nobody else can hold the lease before
+        self.token = 0  # of the grant that the command runs under; 0 before the command starts
+        self.expires_at = 0.0  # nobody else can hold the lease before this time
         self.answer = SessionAnswer()
-        self.printed_error = ""
-        self.stop_signal = 0  # the number of the signal that arrived
+        self.last_printed_error = ""
+        self.stop_signal = 0  # the number of the signal that arrived; 0 if none
 
     def stop(self, signal_number: int) -> None:
         """End the command, or the wait for the lease; a signal handler may call this."""
@@ -133,8 +134,8 @@
                 return EXIT_USAGE
             if self.may_start_command():
                 return self.run_command()
-            if self.answer.state in OVER_STATES:
-                # The lease was held and lost between two calls: make another attempt.
+            if self.answer.state in FINAL_STATES:
+                # The lease was granted and lost between two calls: begin another attempt.
                 self.session_name = uuid.uuid4().hex
             self.print_new_error()
             if self.stop_signal or self.is_wait_over(begun_at):
@@ -149,8 +150,8 @@
     def print_new_error(self) -> None:
         """Print why the lease is not granted, if that has changed since the last call."""
         error = self.answer.error
-        if error and error != self.printed_error:
-            self.printed_error = error
+        if error and error != self.last_printed_error:
+            self.last_printed_error = error
             print(f"stepstream: waiting for {self.name}: {error}", file=sys.stderr)
 
     def is_wait_over(self, begun_at: float) -> bool:
@@ -189,10 +190,10 @@
             self.answer = SessionAnswer(error=str(error))
             return
         self.answer = SessionAnswer.from_json(status, fields)
-        self.extend(called_at)
+        self.extend_expiry(called_at)
 
-    def extend(self, called_at: float) -> None:
-        """Take the time from the answer to a call, unless it is of a later grant."""
+    def extend_expiry(self, called_at: float) -> None:
+        """Extend the lease's end by the answer to a call, unless it is about a later grant."""
         answer = self.answer
         is_held = answer.status == HTTPStatus.OK and answer.remaining_seconds > 0
         is_same_grant = self.token in (0, answer.token)
@@ -201,7 +202,7 @@
             self.expires_at = max(self.expires_at, called_at + seconds)
 
     def release(self) -> None:
-        """Give the lease back; if the dispatcher cannot be reached, it expires."""
+        """Release the lease; if the dispatcher cannot be reached, the lease expires."""
         path = f"/leases/{self.name}/release?session={self.session_name}"
         with contextlib.suppress(ConnectionError):
             call_admin(self.address, path, "PUT", timeout_seconds=RELEASE_CALL_SECONDS)
@@ -225,7 +226,7 @@
                 f"stepstream: {self.name} was lost: {lost_reason}; the command was ended",
                 file=sys.stderr,
             )
-            return EXIT_LOST
+            return EXIT_LEASE_LOST
         if process.returncode < 0:
             return EXIT_SIGNAL_BASE - process.returncode
         return int(process.returncode)
@@ -244,7 +245,7 @@
     def supervise(self, process: "subprocess.Popen[bytes]") -> str:
         """Send heartbeats until the command has ended; return why the lease was lost, or ""."""
         next_heartbeat_at = boot_time_seconds()
-        is_terminated = False
+        is_sigterm_sent = False
         lost_reason = ""
         while process.poll() is None:
             now = boot_time_seconds()
@@ -256,34 +257,34 @@
             if now >= next_heartbeat_at and not lost_reason:
                 self.heartbeat()
                 next_heartbeat_at = now + self.ttl_seconds / HEARTBEATS_PER_TTL
-                lost_reason = self.answered_loss()
+                lost_reason = self.answered_loss_reason()
             if not lost_reason and self.is_term_due():
                 lost_reason = self.not_renewed_reason()
-            if (lost_reason or self.stop_signal) and not is_terminated:
-                is_terminated = True
+            if (lost_reason or self.stop_signal) and not is_sigterm_sent:
+                is_sigterm_sent = True
                 signal_group(process, signal.SIGTERM)
             with contextlib.suppress(subprocess.TimeoutExpired):
                 process.wait(POLL_INTERVAL_SECONDS)
-        signal_group(process, signal.SIGKILL)  # whatever it has left behind in its group
+        signal_group(process, signal.SIGKILL)  # processes that the command left in its group
         return lost_reason
 
     def is_term_due(self) -> bool:
         """Return whether the command gets SIGTERM, since the lease was not renewed in time."""
         return is_term_due(boot_time_seconds(), self.expires_at, self.term_seconds)
 
-    def answered_loss(self) -> str:
-        """Return why the lease is lost by the dispatcher's last answer, or ""."""
+    def answered_loss_reason(self) -> str:
+        """Return why the lease is lost, by the dispatcher's last answer; "" if it is not."""
         if self.answer.ending:
             return REVOKED
-        return NOT_RENEWED if self.answer.state in OVER_STATES else ""
+        return NOT_RENEWED if self.answer.state in FINAL_STATES else ""
 
     def not_renewed_reason(self) -> str:
-        """Return why the lease runs out."""
+        """Return why the lease expires."""
         return self.answer.error or NOT_RENEWED
 
 
 def signal_group(process: "subprocess.Popen[bytes]", signal_number: int) -> None:
-    """Send a signal to the command's process group, unless that is gone."""
+    """Send a signal to the command's process group, if it still exists."""
     with contextlib.suppress(ProcessLookupError, PermissionError):
         os.killpg(process.pid, signal_number)
 
--- a/stepstream/leases/configuration.py
+++ b/stepstream/leases/configuration.py
@@ -1,7 +1,7 @@
 """What all members must agree on: the acceptors, and the bounds on time. Free of I/O, immutable.
 
 Members compare digests of their configurations with every envelope and grant each other nothing if
-they share none. docs/leases.md has what goes wrong with each value. All times are seconds.
+they share none. docs/leases.md says what goes wrong if a value does not fit. All times are seconds.
 """
 
 from collections.abc import Collection, Iterable
@@ -42,7 +42,7 @@
 
     @property
     def acceptor_sets(self) -> tuple[frozenset[str], ...]:
-        """The sets of which each must have a quorum."""
+        """The sets; a quorum of each is needed."""
         return tuple(
             frozenset(names) for names in (self.acceptors, self.previous_acceptors) if names
         )
@@ -68,8 +68,8 @@
         return not set(digests).isdisjoint(self.digests)
 
     def is_quorum(self, names: Collection[str]) -> bool:
-        """Return whether these are more than half of each set: any two such quorums intersect."""
-        return all(2 * len(one & frozenset(names)) > len(one) for one in self.acceptor_sets)
+        """Return whether these are more than half of each set: any two quorums intersect."""
+        return all(2 * len(each & frozenset(names)) > len(each) for each in self.acceptor_sets)
 
     def acceptor_ttl_seconds(self, ttl_seconds: float) -> float:
         """Return the time for which an acceptor keeps a grant, on its own clock.
@@ -83,7 +83,7 @@
     def recovery_seconds(self) -> float:
         """The time after its start for which an acceptor answers nothing, as in PaxosLease.
 
-        All that it had accepted before has expired by then, so that it needs no disk.
+        All grants from before the start have expired by then, so that the acceptor needs no disk.
         """
         return self.acceptor_ttl_seconds(self.max_ttl_seconds)
 
--- a/stepstream/leases/driver.py
+++ b/stepstream/leases/driver.py
@@ -1,4 +1,4 @@
-"""The driver of the leases: timers, and envelopes through the membership layer.
+"""The driver runs the participant's timers and sends envelopes through the membership layer.
 
 Owns the `leases` thread and the lock of the participant and of the sessions. The subsystem starts
 the thread and stops it; every other call may come from any thread.
@@ -68,7 +68,7 @@
         self.state_changed = threading.Condition()
         self.last_periodic_at = 0.0  # of time.monotonic()
         self.stopped = False
-        self.logged_mismatches: set[str] = set()  # members whose other configuration was logged
+        self.logged_mismatches: set[str] = set()  # members whose mismatch was logged
         transport.subscribe(MESSAGE_KIND, self.on_envelope)
 
     # -- any thread -------------------------------------------------------------------------------
@@ -96,22 +96,22 @@
         return proposer
 
     def release(self, proposer: Proposer) -> None:
-        """Give a lease back; no operation may be under way."""
+        """Release a lease; no operation may be under way."""
         with self.state_changed:
             outgoing = self.participant.release(boot_time_seconds(), proposer)
             self.state_changed.notify_all()
         self.send(outgoing)
 
     def send(self, outgoing: list[OutgoingEnvelope]) -> None:
-        """Hand envelopes to the membership layer; the lock is not held."""
-        for each in outgoing:
-            self.transport.send(each.member, MESSAGE_KIND, encode(each.envelope))
+        """Pass envelopes to the membership layer; the caller does not hold the lock."""
+        for addressed in outgoing:
+            self.transport.send(addressed.member, MESSAGE_KIND, encode(addressed.envelope))
 
     # -- the `leases` thread ----------------------------------------------------------------------
 
     def run(self) -> None:
         """Run the participant's timers until the driver is stopped."""
-        # A fault over one lease must not end the renewals of all others.
+        # An error about one lease must not stop the renewals of all others.
         run_until_closed("leases", self.step, lambda: self.stopped, MAX_WAIT_SECONDS)
 
     def step(self) -> None:
@@ -119,7 +119,7 @@
         with self.state_changed:
             self.wait_for_work()
             if self.transport.superseded():
-                self.participant.acceptor = None  # a later process has this acceptor's name
+                self.participant.acceptor = None  # a later process of this name is the acceptor now
             outgoing = self.participant.tick(boot_time_seconds())
             changes = list(self.participant.state_changes)
             self.participant.state_changes.clear()
@@ -151,6 +151,8 @@
         """Log the members found since the last call to have another configuration."""
         for member in sorted(mismatches - self.logged_mismatches):
             log_events.lease_configuration_mismatch(
-                self.logger, member=member, why="voters, drift and longest_s must be alike"
+                self.logger,
+                member=member,
+                why="voters, drift and longest_s must be the same on all members",
             )
         self.logged_mismatches = mismatches
--- a/stepstream/leases/envelopes.py
+++ b/stepstream/leases/envelopes.py
@@ -57,7 +57,7 @@
                 self.send(member, message)
 
     def take_envelopes(self) -> list[OutgoingEnvelope]:
-        """Return what waits for other members, in as few envelopes as hold it, and forget it."""
+        """Remove the messages to other members; return them in as few envelopes as possible."""
         if not self.by_member:
             return []
         digests = self.configuration.digests
--- a/stepstream/leases/fencing.py
+++ b/stepstream/leases/fencing.py
@@ -1,7 +1,7 @@
-"""The check that a guarded resource makes of every operation: its fencing token. Free of I/O.
+"""The check of fencing tokens that a guarded resource makes for each operation. Free of I/O.
 
 A lease alone cannot stop a holder that stalls between its check and its write. The resource can: it
-keeps the highest token seen and admits an operation as a whole or not at all.
+keeps the highest token seen, and admits an operation as a whole or not at all.
 Chubby calls the token a sequencer (Burrows 2006, section 2.4); "fencing token" is Kleppmann's term
 ("How to do distributed locking", 2016).
 
@@ -50,7 +50,7 @@
     def apply(self, token: int, effect: Callable[[], None]) -> None:
         """Check the token and run the whole effect, for a resource that has one thread.
 
-        If `effect` raises, the token counts as seen; the effect is undone by whoever raises.
+        If `effect` raises, the token counts as seen; `effect` must undo its own changes.
         """
         self.admit(token)
         effect()
--- a/stepstream/leases/health_check_leader.py
+++ b/stepstream/leases/health_check_leader.py
@@ -1,11 +1,11 @@
-"""The health-check leader: the dispatcher with the lease `probe-sweep` checks workers for all.
+"""The health-check leader: the holder of the lease `probe-sweep` checks workers for all.
 
-    follower -> leader   the lease is granted: it checks every worker evenly over each period
-    leader -> follower   the lease can no longer cover a check: it stops before the next one
+    follower -> leader   the lease is granted: it spreads its checks of all workers over each period
+    leader -> follower   the lease may end before another check would: it stops checking
     either -> stopped    this dispatcher stops
 
 Owns the `sweep` thread's state; the subsystem starts the thread and stops it by `stopped`. Results
-of health checks come from other threads, under the lock below; pages come on the thread of the
+of health checks come from other threads, under `lock`; pages come on the thread of the
 membership layer. All times are seconds of time.monotonic().
 """
 
@@ -47,14 +47,14 @@
 
 
 class AnsweredCheck(NamedTuple):
-    """A check's result and when it came, in seconds of time.monotonic()."""
+    """A check's result and when it arrived, in seconds of time.monotonic()."""
 
     answered_at: float
-    checked: HealthChecked
+    result: HealthChecked
 
 
 class HealthCheckLeader:
-    """Campaigns for the lease, leads while it holds it, and learns from the leader otherwise."""
+    """Requests the lease, leads while it holds it, and otherwise receives the leader's reports."""
 
     def __init__(
         self,
@@ -85,23 +85,23 @@
             self.malformed_logger.add(f"health reports from {member}: {error}")
             return
         for report in reports:
-            checked = HealthChecked(
+            result = HealthChecked(
                 report.worker_id,
                 healthy=True,
                 elapsed_us=report.elapsed_us,
                 load_report=report.load_report,
             )
-            self.port.post(checked)
+            self.port.post(result)
 
     def is_delegated(self, worker_id: str) -> bool:
-        """Return whether this dispatcher leaves out its own check of a worker."""
+        """Return whether this dispatcher leaves the checks of a worker to the leader."""
         return self.receiver.is_delegated(worker_id, time.monotonic())
 
     # -- the leader: the `sweep` thread -----------------------------------------------------------
 
     def run(self) -> None:
         """Campaign and lead until stopped."""
-        # Without a leader each dispatcher checks for itself, which costs workers more.
+        # If this thread ended, each dispatcher might check for itself, which costs workers more.
         run_until_closed(
             "the probe sweep", self.campaign, lambda: self.stopped, RETRY_PAUSE_SECONDS
         )
@@ -114,16 +114,16 @@
             time.sleep(RETRY_PAUSE_SECONDS)
 
     def lead(self) -> None:
-        """Make one attempt at the lease, to its end."""
+        """Make one attempt at the lease, and lead until the lease ends."""
         lease = self.client.acquire(LEASE_NAME, TTL_SECONDS, OPERATION_SECONDS)
         try:
-            self.wait_for(lease)
+            self.wait_until_granted(lease)
             while lease.may_begin_operation() and not self.stopped:
                 self.check_all_workers(lease)
         finally:
             lease.release()
 
-    def wait_for(self, lease: Lease) -> None:
+    def wait_until_granted(self, lease: Lease) -> None:
         """Wait until the lease is granted or over, or this dispatcher stops."""
         while True:
             is_granted = lease.wait(RETRY_PAUSE_SECONDS)
@@ -131,13 +131,13 @@
                 return
 
     def check_all_workers(self, lease: Lease) -> None:
-        """Check all workers once, evenly over the period, each only while the lease covers it."""
+        """Check each worker once in the period; stop if a check could outlast the lease."""
         workers = list(self.port.list_workers())
         period_seconds = check_period_seconds(len(self.transport.present_members()) + 1)
         begun_at = time.monotonic()
         published_at = begun_at
-        for place, worker_id in enumerate(workers):
-            due_at = begun_at + place * period_seconds / len(workers)
+        for position, worker_id in enumerate(workers):
+            due_at = begun_at + position * period_seconds / len(workers)
             published_at = self.publish_until(due_at, published_at, lease)
             if self.stopped or not lease.may_begin_operation():
                 return
@@ -150,7 +150,7 @@
         self.publish(lease)
 
     def publish_until(self, due_at: float, published_at: float, lease: Lease) -> float:
-        """Wait and publish at intervals; return when reports were published last."""
+        """Wait until `due_at`, publishing at intervals; return the time of the last publication."""
         while True:
             now = time.monotonic()
             if now - published_at >= PUBLISH_INTERVAL_SECONDS:
@@ -161,17 +161,20 @@
             else:
                 return published_at
 
-    def on_health_checked(self, checked: HealthChecked) -> None:
-        """Take a check's result, on any thread: to the core, and with a report to all members."""
-        self.port.post(checked)
-        if checked.healthy and checked.load_report:
+    def on_health_checked(self, result: HealthChecked) -> None:
+        """Post a check's result to the core, and queue its load report for all members.
+
+        May be called on any thread.
+        """
+        self.port.post(result)
+        if result.healthy and result.load_report:
             answered_at = time.monotonic()
-            self.receiver.record_report(checked.worker_id, answered_at)
+            self.receiver.record_report(result.worker_id, answered_at)
             with self.lock:
-                self.unsent_reports.append(AnsweredCheck(answered_at, checked))
+                self.unsent_reports.append(AnsweredCheck(answered_at, result))
 
     def publish(self, lease: Lease) -> None:
-        """Send the reports that have come since the last call to all members."""
+        """Send all members the reports that have arrived since the last call."""
         with self.lock:
             unsent = self.unsent_reports
             self.unsent_reports = []
@@ -183,12 +186,12 @@
 
 
 def health_report(now: float, answered: AnsweredCheck) -> HealthReport:
-    """Return a check's result for a page."""
-    checked = answered.checked
-    assert checked.load_report is not None
+    """Return a check's result as a report for a page."""
+    result = answered.result
+    assert result.load_report is not None
     return HealthReport(
-        checked.worker_id,
+        result.worker_id,
         int((now - answered.answered_at) * 1000),
-        max(checked.elapsed_us, 0),
-        checked.load_report,
+        max(result.elapsed_us, 0),
+        result.load_report,
     )
--- a/stepstream/leases/health_reports.py
+++ b/stepstream/leases/health_reports.py
@@ -1,12 +1,13 @@
-"""Health reports that one dispatcher shares with all: pages, and what a member learns of them.
+"""Health reports that one dispatcher sends to all: their pages, and how a member receives them.
 
 The holder of the lease `probe-sweep` checks each worker's health for all dispatchers and publishes
 the load reports it got. A dispatcher that received a worker's report a short time ago sends it no
-check of its own. Without reports that count, each dispatcher checks for itself.
+check of its own. Without recent reports, each dispatcher checks for itself.
 
-Wire format: one MessagePack array a page, by position, in a datagram of the membership layer. Free
-of I/O. A receiver is owned by its dispatcher's health-check leader; all times are seconds of its
-caller's monotonic clock.
+Wire format: one MessagePack array per page, by position, in a datagram of the membership layer.
+
+Free of I/O. A receiver is owned by its dispatcher's health-check leader. All times are seconds of
+its caller's monotonic clock.
 """
 
 from collections.abc import Collection, Sequence
@@ -37,15 +38,15 @@
 def check_period_seconds(dispatchers: int) -> float:
     """Return the time between the leader's two checks of one worker.
 
-    It shrinks with the root of the number of dispatchers. All learn a report in one instant, and
-    until the next one none sees the load that the others send; each alone would check at a time of
-    its own.
+    It shrinks with the square root of the number of dispatchers. All of them receive a report at
+    the same time, and until the next report none sees the load that the others add. Without a
+    leader, they would check at different times.
     """
     return SINGLE_DISPATCHER_PERIOD_SECONDS / sqrt(max(dispatchers, 1))
 
 
 def is_check_delegated(now: float, reported_at: float | None) -> bool:
-    """Return whether the leader's reports stand in for this dispatcher's check of a worker.
+    """Return whether the leader's reports replace this dispatcher's own checks of a worker.
 
     `reported_at` is when the worker's last report was received, None if never. A leader that is
     killed or cut off must not leave workers unchecked.
@@ -58,16 +59,16 @@
     return age_ms > MAX_REPORT_AGE_SECONDS * 1000
 
 
-Text = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
+ShortText = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
 
 
 class HealthReport(msgspec.Struct, frozen=True, array_like=True):
     """A worker's load report; `age_ms` since its check was answered, by the leader's clock."""
 
-    worker_id: Text
+    worker_id: ShortText
     age_ms: Annotated[int, msgspec.Meta(ge=0, le=60_000)]
     elapsed_us: Annotated[int, msgspec.Meta(ge=0, le=60_000_000)]
-    load_report: Annotated[dict[Text, float], msgspec.Meta(max_length=16)]
+    load_report: Annotated[dict[ShortText, float], msgspec.Meta(max_length=16)]
 
 
 class ReportPage(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
@@ -87,7 +88,7 @@
 
 
 def encode_pages(token: int, reports: Sequence[HealthReport]) -> list[bytes]:
-    """Return the reports in as few pages as hold them, in their order."""
+    """Return the reports, in their order, in as few pages as possible."""
     parts = pack(reports, encoded_size_bytes, PAGE_PAYLOAD_BYTES, MAX_REPORTS_PER_PAGE)
     return [encode_page(token, part) for part in parts]
 
@@ -111,9 +112,9 @@
 
 
 class HealthReportReceiver:
-    """What one dispatcher has learned of the leader's health checks; the counts are of reports.
+    """One dispatcher's record of the leader's reports; the counts are of reports.
 
-    A leader that stalled and was overtaken is fenced off by its token.
+    Reports of a leader that stalled and lost its lease to another are rejected by their token.
     """
 
     def __init__(self) -> None:
@@ -124,11 +125,11 @@
         self.reported_at: dict[str, float] = {}  # by worker
 
     def is_delegated(self, worker_id: str, now: float) -> bool:
-        """Return whether the leader's reports stand in for a check from here."""
+        """Return whether the leader's reports replace this dispatcher's own checks of a worker."""
         return is_check_delegated(now, self.reported_at.get(worker_id))
 
     def record_report(self, worker_id: str, now: float) -> None:
-        """Note that a worker was reported."""
+        """Record that a report on a worker was received."""
         is_new = worker_id not in self.reported_at
         if is_new and len(self.reported_at) >= MAX_TRACKED_WORKERS:
             self.reported_at.pop(next(iter(self.reported_at)))
@@ -150,15 +151,15 @@
             if is_outdated(report.age_ms):
                 self.outdated_count += 1
                 continue
-            known_part = with_columns(report, columns)
-            if known_part.load_report:
+            known_report = with_columns(report, columns)
+            if known_report.load_report:
                 self.record_report(report.worker_id, now)
-                received.append(known_part)
+                received.append(known_report)
         self.received_count += len(received)
         return received
 
 
 def with_columns(report: HealthReport, columns: Collection[str]) -> HealthReport:
-    """Return the report with only these fields."""
+    """Return the report with only these load report columns."""
     fields = {name: value for name, value in report.load_report.items() if name in columns}
     return HealthReport(report.worker_id, report.age_ms, report.elapsed_us, fields)
--- a/stepstream/leases/lease_record.py
+++ b/stepstream/leases/lease_record.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class Grant:
-    """An accepted proposal, for this acceptor's part."""
+    """A proposal that this acceptor has accepted."""
 
     ballot: Ballot
     token: int
@@ -25,7 +25,7 @@
 
     waiters: WaitQueue
     promised: Ballot | None = None
-    promise_released: bool = False  # nothing of the promised ballot is accepted any more
+    promise_released: bool = False  # no proposal of the promised ballot is accepted any more
     grant: Grant | None = None
     free_since: float = -inf
 
--- a/stepstream/leases/messages.py
+++ b/stepstream/leases/messages.py
@@ -6,7 +6,7 @@
 messages give a proposer the reason for no promise, release a lease early (the paper's "Releasing
 leases") or notify the next waiter. docs/leases.md has the table of messages and the proof.
 
-Wire format: one MessagePack array an envelope, inside a datagram of the membership layer. Structs
+Wire format: one MessagePack array per envelope, inside a datagram of the membership layer. Structs
 are encoded by position, a message's type as an integer tag, so that names here are not on the wire.
 
 This module owns no state; any thread may call it.
@@ -44,14 +44,14 @@
 
 
 class LeaseMessage(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """What every message names: the lease and the ballot that it is about."""
+    """The fields of every message: the lease and the ballot that it is about."""
 
     lease: LeaseName
     ballot: Ballot
 
 
 class Prepare(LeaseMessage, frozen=True, tag=1):
-    """Request a promise of this ballot; `waited_ms`: since the proposer began to want the lease."""
+    """Request a promise of this ballot; `waited_ms` is the time since the attempt began."""
 
     ttl_ms: Milliseconds
     waited_ms: Milliseconds
@@ -76,7 +76,7 @@
 
 
 class Recovering(LeaseMessage, frozen=True, tag=5):
-    """Answer nothing yet: what the acceptor accepted before its restart may not have expired."""
+    """Promise and accept nothing yet: grants from before the restart may not have expired."""
 
     remaining_ms: Milliseconds
 
@@ -96,15 +96,15 @@
 
 
 class Release(LeaseMessage, frozen=True, tag=8):
-    """End all grants to this proposer up to this ballot; nothing of it is accepted any more."""
+    """End all grants to this proposer up to this ballot; no later proposal of it is accepted."""
 
 
 class LeaseAvailable(LeaseMessage, frozen=True, tag=9):
-    """Notify a waiter that it is eligible; the ballot is the one that had to wait."""
+    """Notify a waiter that it may try again; the ballot is the one that was told to wait."""
 
 
 class ConfigurationMismatch(LeaseMessage, frozen=True, tag=10):
-    """Reject a member that shares no acceptor set, or not the same time bounds, with this one."""
+    """Reject a member that has no acceptor set in common, or that has other time bounds."""
 
 
 Message = (
@@ -126,7 +126,8 @@
 class Envelope(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """Several messages to one member.
 
-    `configuration_digests`: of the acceptor sets whose quorums the sender needs, with its bounds.
+    `configuration_digests` has one for each acceptor set of which the sender needs a quorum; each
+    also covers the time bounds.
     """
 
     version: Annotated[int, msgspec.Meta(ge=0, le=255)]
--- a/stepstream/leases/participant.py
+++ b/stepstream/leases/participant.py
@@ -1,6 +1,6 @@
 """One member's part in all leases: its acceptor, if it is one, and its proposers. Free of I/O.
 
-Routes messages: from other members' envelopes to the acceptor and the proposers, and theirs into
+Routes received messages to the acceptor and the proposers, and puts their messages to others into
 envelopes. The configuration alone says who is an acceptor, not the membership list.
 
 Owns the acceptor, the proposers and their schedule. The driver's lock guards it; whoever calls
@@ -50,9 +50,9 @@
 class Participant:
     """One process's part in the leases.
 
-    `process_id` names this start of the process and no other ever. Ballot numbers begin above
-    `first_number`, which should be the time of day in milliseconds: a clock that was set back then
-    costs rejections by the fencing guard, never safety.
+    `process_id` is unique to this start of the process. Ballot numbers begin above `first_number`,
+    which should be the time of day in milliseconds. If the clock was set back, the fencing guard
+    rejects some operations, but safety is kept.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         is_acceptor = name in configuration.all_acceptors
         self.acceptor = Acceptor(configuration, now) if is_acceptor else None
         self.proposers: dict[str, Proposer] = {}  # by proposer id
-        self.schedule: list[tuple[float, str]] = []  # a heap of ticks; outdated entries linger
+        self.schedule: list[tuple[float, str]] = []  # a heap of ticks; entries may be outdated
         self.last_serial = 0  # of the proposer ids
         self.release_repeats = ReleaseRepeats(configuration.round_timeout_seconds)
         self.mismatched_members: dict[str, tuple[int, ...]] = {}  # their digests, by member
@@ -107,7 +107,7 @@
         return proposer, self.drain_outbox(now)
 
     def release(self, now: float, proposer: Proposer) -> list[OutgoingEnvelope]:
-        """Give a lease back; no operation may be under way."""
+        """Release a lease; no operation may be under way."""
         self.release_and_retire(now, proposer)
         return self.drain_outbox(now)
 
@@ -126,7 +126,7 @@
         return self.drain_outbox(now)
 
     def advance_ballots_past(self, number: int) -> None:
-        """Have later ballots above a token that a guarded resource has seen."""
+        """Make later ballot numbers greater than a token that a guarded resource has seen."""
         self.ballots.advance_past(number)
 
     def release_and_retire(self, now: float, proposer: Proposer) -> None:
@@ -170,7 +170,7 @@
                     self.dispatch(now, member, message)
 
     def dispatch(self, now: float, member: str, message: Message) -> None:
-        """Give a message to the acceptor, or an answer to its proposer."""
+        """Pass a request to the acceptor, or an answer to its proposer."""
         if isinstance(message, PROPOSER_MESSAGES):
             if self.acceptor is not None:
                 self.send_all(self.acceptor.handle(now, member, message))
@@ -180,7 +180,7 @@
             self.apply(now, proposer, proposer.handle(now, member, message))
 
     def apply(self, now: float, proposer: Proposer, messages: Sequence[ProposerMessage]) -> None:
-        """Send the messages of a proposer's step, and schedule or end the proposer."""
+        """Queue the messages of a proposer's step, and schedule the proposer or retire it."""
         self.outbox.broadcast(messages)
         if proposer.is_over:
             self.retire(now, proposer, messages)
@@ -231,7 +231,7 @@
         return min(step_at, self.release_repeats.next_due_at(), acceptor_at)
 
     def reschedule(self, proposer: Proposer) -> None:
-        """Put a proposer's next tick into the schedule, unless an entry is due no later."""
+        """Schedule a proposer's next tick, unless a pending entry is due as early."""
         due_at = proposer.next_tick_at()
         is_earlier = due_at < proposer.scheduled_at
         was_taken = proposer.scheduled_at <= self.last_tick_at
--- a/stepstream/leases/proposer.py
+++ b/stepstream/leases/proposer.py
@@ -1,8 +1,8 @@
 """The proposer: one attempt to hold one lease, from its first prepare to its end. Free of I/O.
 
-Its role is PaxosLease's proposer (Trencseni, Gazso, Reinhardt 2012), which is also the learner of
-its own lease: it counts the acceptances itself. Events are answers and ticks; each returns the
-messages to send. `proposer_rules` has the conditions. The phases of a ballot:
+It is PaxosLease's proposer (Trencseni, Gazso, Reinhardt 2012) and also the learner of its own
+lease: it counts the acceptances itself. Events are answers and ticks; each returns the messages to
+send. `proposer_rules` has the conditions. The phases of a ballot:
 
     IDLE       -> PREPARING  when `next_step_at` comes: a new ballot, `Prepare` to all acceptors
     PREPARING  -> PROPOSING  on promises of a quorum: `Propose` to all acceptors
@@ -16,8 +16,8 @@
 
 A lease is held until a time to live after the proposal was *sent* that a quorum accepted.
 Acceptors start their timers later and run them longer (`LeaseConfiguration.acceptor_ttl_seconds`),
-so that the holder's expires first. A proposer whose lease was lost or released is over; a task
-that still wants the lease makes another one.
+so that the holder's expires first. A proposer ends when its lease is lost or released; a task
+that still wants the lease creates another one.
 
 The participant owns proposers; whoever calls holds the driver's lock. All times are seconds of the
 caller's monotonic clock.
@@ -63,18 +63,18 @@
     may_renew_with_ballot,
     may_repeat_prepare,
     renewal_due_at,
-    wait_seconds,
+    retry_wait_seconds,
 )
 
 
 class Proposer:
     """One attempt at one lease.
 
-    `proposer_id` is of this attempt and no other. `ttl_seconds` is the time to live of each grant,
+    `proposer_id` is unique to this attempt. `ttl_seconds` is the time to live of each grant,
     `operation_seconds` the longest time that one operation under the lease takes.
     """
 
-    def __init__(  # noqa: PLR0913, PLR0917  all distinct, and made in one place
+    def __init__(  # noqa: PLR0913, PLR0917  all distinct, and called in one place
         self,
         configuration: LeaseConfiguration,
         lease: str,
@@ -103,7 +103,7 @@
         self.rejections: dict[str, float] = {}  # by acceptor: seconds until it may promise
         self.round_number = 0
         self.rounds: dict[int, ProposalRound] = {}
-        self.can_renew = False  # no acceptor has rejected this ballot: one round renews
+        self.can_renew = False  # no acceptor has rejected this ballot: a renewal takes one round
         self.consecutive_failures = 0
 
         self.token = 0  # fencing token: the number of the ballot that was first accepted
@@ -111,8 +111,8 @@
         self.lost = False
         self.released = False
         self.winding_down = False  # not renewed any more, and no operation begins
-        self.last_known_holder = ""  # by an acceptor's latest answer
-        self.answered_at: dict[str, float] = {}  # by acceptor; recovering ones are left out
+        self.last_known_holder = ""  # from the acceptors' answers
+        self.answered_at: dict[str, float] = {}  # by acceptor; without the recovering ones
 
     # -- queries ----------------------------------------------------------------------------------
 
@@ -131,7 +131,7 @@
         return self.is_held(now) and has_time and not self.winding_down
 
     def remaining_seconds(self, now: float) -> float:
-        """Return the seconds for which the lease is held at least."""
+        """Return the seconds for which nobody else can hold the lease."""
         return max(self.expires_at - now, 0.0) if not self.is_over else 0.0
 
     def state(self, now: float) -> LeaseState:
@@ -184,7 +184,7 @@
         return self.begin_ballot(now)
 
     def expire(self) -> list[ProposerMessage]:
-        """End the attempt; the release spares the waiters the margin for clock drift."""
+        """End the attempt; by its release, waiters need not wait for the clock-drift margin too."""
         self.lost = True
         return self.release_messages()
 
@@ -232,7 +232,7 @@
         return [Propose(self.lease, ballot, self.round_number, token, self.ttl_ms())]
 
     def back_off(self, now: float) -> list[ProposerMessage]:
-        """Rest for a randomized time, so that two proposers in step get out of it."""
+        """Wait for a random time, so that two proposers do not keep blocking each other."""
         self.consecutive_failures = min(self.consecutive_failures + 1, MAX_BACKOFF_DOUBLINGS)
         longest_seconds = longest_backoff_seconds(
             self.configuration.round_timeout_seconds,
@@ -245,7 +245,7 @@
         return []
 
     def current_ballot(self) -> Ballot:
-        """Return the ballot that the phases after `IDLE` have."""
+        """Return the current ballot; there is one after the first `begin_ballot`."""
         assert self.ballot is not None
         return self.ballot
 
@@ -262,8 +262,8 @@
         if self.has_expired(now):
             return self.expire()
         match message:
-            case Busy(token=seen) | StaleBallot(highest_number=seen):
-                self.ballots.advance_past(seen)
+            case Busy(token=seen_number) | StaleBallot(highest_number=seen_number):
+                self.ballots.advance_past(seen_number)
             case LeaseAvailable() if message.ballot.proposer == self.proposer_id:
                 return self.on_lease_available(now)
         if message.ballot != self.ballot or member not in self.configuration.all_acceptors:
@@ -287,8 +287,8 @@
             case Recovering():
                 return self.on_rejection(now, member, message.remaining_ms / 1000)
             case ConfigurationMismatch():
-                refresh = self.configuration.waiter_refresh_seconds()
-                return self.on_rejection(now, member, refresh)
+                refresh_seconds = self.configuration.waiter_refresh_seconds()
+                return self.on_rejection(now, member, refresh_seconds)
         return []
 
     def on_promise(self, now: float, member: str) -> list[ProposerMessage]:
@@ -330,7 +330,7 @@
     def on_rejection(
         self, now: float, member: str, retry_after_seconds: float
     ) -> list[ProposerMessage]:
-        """Count an acceptor that did not promise or accept; give up once no quorum remains."""
+        """Count an acceptor's rejection; back off once no quorum is possible."""
         self.rejections[member] = retry_after_seconds
         if self.phase is Phase.IDLE or is_quorum_possible(self.rejections, self.configuration):
             return []
@@ -341,10 +341,10 @@
         return []
 
     def wait_until_available(self, now: float, announced_seconds: float) -> None:
-        """Rest until the lease may be free, or until the place in the queue needs a refresh."""
+        """Wait until the lease may be free, or until the place in the queue needs a refresh."""
         refresh_fraction = self.rng.uniform(*WAIT_FRACTIONS_OF_REFRESH)
         jitter_fraction = self.rng.uniform(*WAIT_JITTER_FRACTIONS_OF_ROUND)
-        self.next_step_at = now + wait_seconds(
+        self.next_step_at = now + retry_wait_seconds(
             announced_seconds, jitter_fraction, refresh_fraction, self.configuration
         )
 
@@ -358,7 +358,7 @@
     # -- end --------------------------------------------------------------------------------------
 
     def release(self) -> list[ProposerMessage]:
-        """Give the lease back (the paper's "Releasing leases"); no operation may be under way.
+        """Release the lease (the paper's "Releasing leases"); no operation may be under way.
 
         May be called any number of times.
         """
--- a/stepstream/leases/proposer_rules.py
+++ b/stepstream/leases/proposer_rules.py
@@ -1,7 +1,7 @@
-"""When a proposer repeats, renews, waits and gives up. Free of I/O and of state.
+"""When a proposer repeats a request, renews, waits and backs off. Free of I/O and of state.
 
-PaxosLease (Trencseni, Gazso, Reinhardt 2012). All times are seconds of the proposer's clock. Rules
-that draw a fraction take it as an argument.
+PaxosLease (Trencseni, Gazso, Reinhardt 2012). All times are seconds of the proposer's clock. Random
+fractions are arguments.
 """
 
 from collections.abc import Collection
@@ -30,8 +30,8 @@
 def gives_up_proposal(round_number: int, *, is_held: bool) -> bool:
     """Return whether a proposer backs off after a proposal that timed out.
 
-    A holder goes on until its lease expires. Another one has MAX_OPEN_ROUNDS, so that two
-    proposers do not block each other.
+    A holder goes on until its lease expires. A proposer without a lease backs off after
+    MAX_OPEN_ROUNDS, so that two proposers do not block each other.
     """
     return not is_held and round_number >= MAX_OPEN_ROUNDS
 
@@ -50,23 +50,23 @@
 def longest_backoff_seconds(
     round_timeout_seconds: float, failures: int, *, has_lease: bool
 ) -> float:
-    """Return the longest rest after failed attempts, of which a drawn fraction is taken.
+    """Return the longest back-off after failed attempts; a random fraction of it is used.
 
-    It doubles with each failure in a row, so that proposers in step get out of it. A proposer with
-    a lease has no time for that.
+    It doubles with each failure in a row, so that proposers stop blocking each other. A proposer
+    with a lease cannot wait so long, since its lease would expire.
     """
     if has_lease:
         return round_timeout_seconds
     return round_timeout_seconds * (2.0**failures / 2)
 
 
-def wait_seconds(
+def retry_wait_seconds(
     announced_seconds: float,
     jitter_fraction: float,
     refresh_fraction: float,
     configuration: LeaseConfiguration,
 ) -> float:
-    """Return the rest of a proposer whose lease is another's.
+    """Return how long a proposer waits while the lease is not available to it.
 
     It lasts until the lease may be free, as the acceptors announced, but no longer than the refresh
     that keeps the place in the wait queue. So the messages of waiters are bounded.
@@ -100,8 +100,9 @@
 
 
 def may_renew_with_ballot(token: int, *, can_renew: bool) -> bool:
-    """Return whether the next step proposes under the present ballot, in one round trip.
+    """Return whether the next step renews under the present ballot, in one round trip.
 
-    A lease must be held (its token is not 0) and no acceptor have rejected the ballot.
+    The lease must have been granted (its token is not 0), and no acceptor may have rejected the
+    ballot.
     """
     return token != 0 and can_renew
--- a/stepstream/leases/release_repeats.py
+++ b/stepstream/leases/release_repeats.py
@@ -1,7 +1,7 @@
 """Releases that are sent again, since some may be lost. Free of I/O.
 
-A release that is lost costs the next holder a whole time to live. Owned by the participant. All
-times are seconds of the caller's monotonic clock.
+If a release is lost, the next holder waits for up to a whole time to live. Owned by the
+participant. All times are seconds of the caller's monotonic clock.
 """
 
 from collections import deque
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseRepeat:
-    """A release that is due again, and how often it is sent from then on."""
+    """A release to send again, and how many times it is still to be sent."""
 
     due_at: float
     release: Release
@@ -24,7 +24,7 @@
 
 
 class ReleaseRepeats:
-    """Pending repeats, the next one first; beyond MAX_PENDING_REPEATS the oldest are dropped."""
+    """Pending repeats, the earliest first; beyond MAX_PENDING_REPEATS the oldest are dropped."""
 
     def __init__(self, interval_seconds: float) -> None:
         self.interval_seconds = interval_seconds
--- a/stepstream/leases/session_table.py
+++ b/stepstream/leases/session_table.py
@@ -1,15 +1,15 @@
-"""The sessions of programs outside, and the rules of their ends. Free of I/O.
+"""The sessions of external programs, and the rules for their end. Free of I/O.
 
 After Chubby (Burrows 2006, section 2.8, sessions and KeepAlives). A program calls the admin
-listener again and again; each call is a heartbeat.
+listener repeatedly; each call is a heartbeat.
 
     waiting       -> held          the proposer is granted the lease
     waiting       -> withdrawn     no heartbeat for half a time to live
-    held          -> winding down  the same, or an operator takes it back, or this dispatcher stops
-    winding down  -> expired       the lease runs out
+    held          -> winding down  the same, or an operator revokes it, or this dispatcher stops
+    winding down  -> expired       the lease is not renewed and reaches its end
 
 A held lease is never released on a program's behalf, since the program may still act: without
-heartbeats it is no longer renewed and runs out.
+heartbeats it is no longer renewed and expires.
 
 The driver's lock guards a table. All times are seconds of the driver's clock.
 """
@@ -23,12 +23,12 @@
 
 @dataclass(slots=True)
 class Session:
-    """One outside program's attempt at one lease."""
+    """One external program's attempt at one lease."""
 
     name: str  # chosen by the program at random
     proposer: Proposer
     last_heartbeat_at: float
-    ending: bool = False  # the program is to end and to give the lease back
+    ending: bool = False  # the program must end and release the lease
 
     def silent_seconds(self, now: float) -> float:
         """Return the time since the last heartbeat."""
@@ -36,18 +36,18 @@
 
 
 def is_silent(session: Session, now: float) -> bool:
-    """Return whether a session had no heartbeat for a part of its time to live; it is wound down.
+    """Return whether a session had no heartbeat for half its time to live, and is wound down.
 
-    A program that has died must not keep its lease from others.
+    The lease of a program that has died must become free for others.
     """
     max_silent_seconds = HEARTBEAT_TIMEOUT_FRACTION_OF_TTL * session.proposer.ttl_seconds
     return session.silent_seconds(now) > max_silent_seconds
 
 
 def is_forgettable(session: Session, now: float) -> bool:
-    """Return whether a session is forgotten: its lease is over, and a time to live has passed.
+    """Return whether a session is dropped: its attempt has ended, and a time to live has passed.
 
-    Until then its program can still call and learn that its lease is over.
+    Until then its program can still call and find out that it has no lease any more.
     """
     proposer = session.proposer
     return proposer.is_over and session.silent_seconds(now) > proposer.ttl_seconds
@@ -61,7 +61,7 @@
         self.open_sessions: dict[str, Session] = {}
 
     def heartbeat(self, now: float, name: str) -> Session | None:
-        """Return a known session, kept alive."""
+        """Record a heartbeat; return the session, None if it is unknown."""
         session = self.open_sessions.get(name)
         if session is not None:
             session.last_heartbeat_at = now
@@ -82,7 +82,7 @@
         return len(self.open_sessions) < self.max_sessions
 
     def request_end(self, lease: str | None = None) -> list[Session]:
-        """Mark the sessions of one lease, or all, as ending; the participant winds them down."""
+        """Mark the sessions of one lease, or all, as ending; the caller winds down their leases."""
         ended = [
             session
             for session in self.open_sessions.values()
@@ -93,7 +93,7 @@
         return ended
 
     def expire(self, now: float) -> list[Session]:
-        """Wind down the silent sessions; return those that only waited, for their withdrawal."""
+        """Wind down the silent sessions; return the waiting ones, for the caller to withdraw."""
         silent = [session for session in self.open_sessions.values() if is_silent(session, now)]
         for session in silent:
             session.proposer.winding_down = True
--- a/stepstream/leases/sessions.py
+++ b/stepstream/leases/sessions.py
@@ -1,4 +1,4 @@
-"""Leases held for programs outside, which keep them alive by heartbeats.
+"""Leases held for external programs, which keep them by heartbeats.
 
 `SessionService` runs a `SessionTable` under the driver's lock. Any thread may call it. All times
 are seconds of the driver's clock.
@@ -16,7 +16,7 @@
         self.table = table  # guarded by the driver's lock
 
     def heartbeat(self, now: float, name: str) -> Session | None:
-        """Return a known session, kept alive."""
+        """Record a heartbeat; return the session, None if it is unknown."""
         with self.driver.state_changed:
             return self.table.heartbeat(now, name)
 
@@ -35,7 +35,7 @@
             return self.table.add(now, name, proposer)
 
     def release(self, name: str) -> bool:
-        """Give a session's lease back at its program's call; return False if it is unknown."""
+        """Release the lease of a session at its program's call; return False if it is unknown."""
         with self.driver.state_changed:
             session = self.table.remove(name)
         if session is None:
@@ -44,9 +44,9 @@
         return True
 
     def end(self, lease: str | None = None) -> int:
-        """End the holders of one lease, or of all; return the number of programs.
+        """Notify the holders of one lease, or of all, to end; return the number of programs.
 
-        Tasks inside this dispatcher end as well. Each ends after its operation under way.
+        Tasks inside this dispatcher end as well. Each ends after its current operation.
         """
         with self.driver.state_changed:
             ended = self.table.request_end(lease)
--- a/stepstream/leases/subsystem.py
+++ b/stepstream/leases/subsystem.py
@@ -1,6 +1,6 @@
-"""How `[leases]` plugs into the node.
+"""The subsystem that the node creates for the section `[leases]` of the operator's file.
 
-Makes and owns the participant, its driver, the sessions and, if configured, the health-check
+Creates and owns the participant, its driver, the sessions and, if configured, the health-check
 leader; starts their threads (`leases`, `sweep`) and stops them. The node's main thread calls it.
 """
 
@@ -53,14 +53,14 @@
         self.context = context
         section = section_of(context.operator)
         self.configuration = configuration_of(section)
-        # The membership subsystem, made before this one, carries other subsystems' messages too.
+        # The membership subsystem is created before this one; it carries the leases' messages.
         transport = cast("MessageTransport", context.subsystems["fleet"])
         self.participant = Participant(
             context.config.name,
             transport.process_name,
             self.configuration,
             time.time_ns() // 1_000_000,
-            random.Random(),  # seeded by the system: members must not draw alike
+            random.Random(),  # seeded by the system, so that members draw different values
             boot_time_seconds(),
         )
         malformed_logger = RateLimitedLogger(log_events.lease_message_dropped, context.limits)
@@ -97,7 +97,7 @@
                 dispatcher=self.context.config.name,
                 recovery_seconds=self.configuration.recovery_seconds,
             )
-        spawn_thread("leases", self.driver.run)  # ends by `stop`
+        spawn_thread("leases", self.driver.run)  # `stop` ends it
 
     def on_serving(self) -> None:
         """Start the health-check leader's thread, which `begin_shutdown` ends."""
@@ -112,7 +112,7 @@
         return lambda: None
 
     def run_periodic_tasks(self) -> None:
-        """Hold no leases while this dispatcher is drained; tasks may acquire new ones after it."""
+        """Hold no leases while this dispatcher is drained; allow new ones after the drain."""
         maintenance = worker_maintenance(self.context)
         draining = maintenance is not None and maintenance.draining()
         if draining and not self.client.closed:
@@ -121,7 +121,7 @@
             self.client.closed = False
 
     def begin_shutdown(self) -> bool:
-        """Begin and renew nothing from now on; every holder here is notified to end."""
+        """Acquire and renew no leases from now on; notify every holder here to end."""
         self.shutting_down = True
         self.end_all()
         if self.health_check_leader is not None:
@@ -131,7 +131,7 @@
     def stop(self) -> None:
         """End the driver's thread.
 
-        What was not given back expires by itself: its program may still act.
+        A lease that was not released expires by itself, since its program may still act.
         """
         self.driver.stopped = True
 
@@ -140,8 +140,8 @@
         with self.driver.state_changed:
             now = boot_time_seconds()
             proposers = self.participant.proposers.values()
-            held = sum(proposer.is_held(now) for proposer in proposers)
-            counts = {"leases_held": held, "leases_wanted": len(proposers) - held}
+            held_count = sum(proposer.is_held(now) for proposer in proposers)
+            counts = {"leases_held": held_count, "leases_wanted": len(proposers) - held_count}
         if self.health_check_leader is None:
             return counts
         receiver = self.health_check_leader.receiver
@@ -158,7 +158,7 @@
     # -- leases -----------------------------------------------------------------------------------
 
     def end_all(self) -> None:
-        """End every holder here after its operation under way, and begin nothing new."""
+        """Notify every holder here to end after its current operation; acquire no new leases."""
         self.client.closed = True
         self.sessions.end()
 
@@ -168,7 +168,7 @@
 
 
 def section_of(operator: OperatorConfig | None) -> LeasesSection:
-    """Return `[leases]`, without which the node does not make this subsystem."""
+    """Return the section `[leases]`; without it the node does not create this subsystem."""
     assert operator is not None
     assert operator.leases is not None
     return operator.leases
@@ -188,7 +188,7 @@
 
 
 def health_check_port(context: SubsystemContext) -> HealthCheckPort:
-    """Return what the health-check leader uses of the node.
+    """Return the node's functions that the health-check leader uses.
 
     Raise `ConfigurationError` if the settings have no load reports or no health checks.
     """
@@ -206,7 +206,7 @@
 
 
 def warn_of_small_quorum(key: str, names: Sequence[str]) -> None:
-    """Log a set of acceptors that tolerates no more failures than a smaller one."""
+    """Log a set of acceptors that tolerates no more failures than a smaller set would."""
     count = len(names)
     if count == 1 or (count > 0 and count % 2 == 0):
         log_events.acceptor_set_weak(
@@ -215,5 +215,5 @@
 
 
 def create_subsystem(context: SubsystemContext) -> LeasesSubsystem:
-    """Make the subsystem; the node calls this for an operator's file with `[leases]`."""
+    """Create the subsystem; the node calls this for an operator's file with `[leases]`."""
     return LeasesSubsystem(context)
--- a/stepstream/leases/wait_queue.py
+++ b/stepstream/leases/wait_queue.py
@@ -1,7 +1,7 @@
 """The queue of proposers that wait for one lease at one acceptor. Free of I/O.
 
-The waiters of a lease that becomes free get it in the order in which they began to want it. Safety
-does not depend on this order.
+When a lease becomes free, its waiters may try to get it in the order in which they began to wait.
+Safety does not depend on this order.
 
 Each queue belongs to an acceptor's record of a lease. All times are seconds of the acceptor's
 clock.
@@ -21,8 +21,8 @@
 class Waiter:
     """A proposer that waits.
 
-    `waiting_since` follows from the waiting time that the proposer states; `notified` says whether
-    it was notified that it is eligible.
+    `waiting_since` is computed from the waiting time in the proposer's message; `notified` says
+    whether the proposer was notified that it is eligible.
     """
 
     member: str
@@ -33,35 +33,35 @@
 
 
 class EligibleWaiters(NamedTuple):
-    """The waiters that have become eligible, and when the next one does; infinity if none waits."""
+    """The waiters to notify, and when the next one becomes eligible; infinity if there is none."""
 
     waiters: list[Waiter]
     next_at: float
 
 
 def wait_order(waiter: Waiter) -> tuple[float, str]:
-    """Return the sort key of the queue: who has waited longest goes first."""
+    """Return the sort key of the queue: the proposer that has waited longest is first."""
     return waiter.waiting_since, waiter.ballot.proposer
 
 
-def eligible_at(free_since: float, place: int, head_start_seconds: float) -> float:
-    """Return when the waiter at a place of the queue, 0 for the first, may try to get the lease.
+def eligible_at(free_since: float, position: int, head_start_seconds: float) -> float:
+    """Return when the waiter at a position of the queue, from 0, may try to get the lease.
 
-    Each waiter has one head start before the next: a hundred ballots at once would all fail.
+    Each waiter has one head start before the next, since a hundred ballots at once would all fail.
     """
-    return free_since + place * head_start_seconds
+    return free_since + position * head_start_seconds
 
 
 def is_silent(waiter: Waiter, now: float, refresh_seconds: float) -> bool:
-    """Return whether a waiter is forgotten: its refreshes, at least so often, have stopped.
+    """Return whether a waiter is dropped: it sent no prepare for MAX_MISSED_REFRESHES intervals.
 
-    A waiter that is gone must not keep its place before the others.
+    A waiter that no longer exists must not keep its place before the others.
     """
     return waiter.last_refresh_at < now - MAX_MISSED_REFRESHES * refresh_seconds
 
 
 class WaitQueue:
-    """The waiters of one lease, in the order in which they began to want it."""
+    """The waiters of one lease, in the order in which they began to wait."""
 
     __slots__ = ("configuration", "waiters")
 
@@ -72,10 +72,10 @@
     def __len__(self) -> int:
         return len(self.waiters)
 
-    def enlist(self, now: float, member: str, prepare: Prepare) -> bool:
+    def add_or_refresh(self, now: float, member: str, prepare: Prepare) -> bool:
         """Add or refresh a waiter; return False if the queue is full.
 
-        A prepare that was delayed does not cost the waiter its place.
+        The waiter keeps its place if a prepare is delayed.
         """
         proposer = prepare.ballot.proposer
         waiting_since = now - prepare.waited_ms / 1000
@@ -92,17 +92,17 @@
         return True
 
     def remove(self, proposer: str) -> None:
-        """Forget a proposer that waits no more."""
+        """Remove a proposer that no longer waits."""
         self.waiters.pop(proposer, None)
 
     def has_capacity(self, now: float) -> bool:
-        """Return whether one more fits, after the silent ones were dropped."""
+        """Return whether one more waiter fits; if the queue is full, first drop the silent ones."""
         if len(self.waiters) >= self.configuration.max_waiters:
             self.drop_silent(now)
         return len(self.waiters) < self.configuration.max_waiters
 
     def drop_silent(self, now: float) -> None:
-        """Forget the waiters whose refreshes have stopped."""
+        """Drop the waiters whose refreshes have stopped."""
         refresh_seconds = self.configuration.waiter_refresh_seconds()
         self.waiters = {
             proposer: waiter
@@ -116,7 +116,7 @@
         return sorted(self.waiters.values(), key=wait_order)
 
     def seconds_until_eligible(self, now: float, free_since: float, proposer: str) -> float:
-        """Return the time until a proposer may try; zero or less if it may now."""
+        """Return the time until a proposer may try to get the lease; zero or less if it may now."""
         ahead = 0
         for waiter in self.in_order(now):
             if waiter.ballot.proposer == proposer:
@@ -125,13 +125,13 @@
         return eligible_at(free_since, ahead, self.configuration.head_start_seconds) - now
 
     def take_eligible(self, now: float, free_since: float) -> EligibleWaiters:
-        """Return the waiters that have become eligible, and note that they are notified."""
-        called: list[Waiter] = []
-        for place, waiter in enumerate(self.in_order(now)):
-            due_at = eligible_at(free_since, place, self.configuration.head_start_seconds)
+        """Return the waiters that have become eligible, and mark them as notified."""
+        newly_eligible: list[Waiter] = []
+        for position, waiter in enumerate(self.in_order(now)):
+            due_at = eligible_at(free_since, position, self.configuration.head_start_seconds)
             if due_at > now:
-                return EligibleWaiters(called, due_at)
+                return EligibleWaiters(newly_eligible, due_at)
             if not waiter.notified:
                 waiter.notified = True
-                called.append(waiter)
-        return EligibleWaiters(called, inf)
+                newly_eligible.append(waiter)
+        return EligibleWaiters(newly_eligible, inf)
--- a/stepstream/leases/wire.py
+++ b/stepstream/leases/wire.py
@@ -1,4 +1,4 @@
-"""What this package's two wire formats share: decoding, and packing parts into datagrams.
+"""Functions for this package's two wire formats: decoding, and packing parts into datagrams.
 
 Free of I/O and of state.
 """
@@ -19,7 +19,7 @@
 def decode_with(
     decoder: "msgspec.msgpack.Decoder[Decoded]", data: bytes, error_type: type[LeaseError]
 ) -> Decoded:
-    """Return what the bytes hold; raise `error_type` with the reason if they are unreadable."""
+    """Return the decoded value; raise `error_type` with the reason if the bytes are unreadable."""
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -34,7 +34,7 @@
 ) -> Iterator[list[Part]]:
     """Yield the parts, in their order, in lists of at most `capacity_bytes` and `max_parts`.
 
-    A part that is larger than the capacity goes alone.
+    A part that is larger than the capacity is in a list of its own.
     """
     packed: list[Part] = []
     free_bytes = capacity_bytes
--- a/tests/leases/test_lease_rules.py
+++ b/tests/leases/test_lease_rules.py
@@ -34,7 +34,7 @@
     may_renew_with_ballot,
     may_repeat_prepare,
     renewal_due_at,
-    wait_seconds,
+    retry_wait_seconds,
 )
 from stepstream.leases.session_table import Session, is_forgettable, is_silent
 from stepstream.leases.wait_queue import WaitQueue
@@ -87,7 +87,7 @@
 
 def test_a_record_is_forgotten_only_if_nobody_holds_or_wants_the_lease():
     waited_for = lease_record()
-    waited_for.waiters.enlist(0.0, "b", Prepare("x", BALLOT, 3000, 0))
+    waited_for.waiters.add_or_refresh(0.0, "b", Prepare("x", BALLOT, 3000, 0))
     records = [lease_record(), lease_record(grant=GRANT), waited_for]
     assert [may_forget(record) for record in records] == [True, False, False]
 
@@ -98,7 +98,7 @@
 def test_waiters_become_eligible_one_head_start_apart_and_silent_ones_are_forgotten():
     queue = WaitQueue(CONFIGURATION)
     for waited_ms, name in ((0, "a.1"), (900, "b.1"), (500, "c.1")):
-        queue.enlist(1.0, name, Prepare("x", Ballot(5, name), 3000, waited_ms))
+        queue.add_or_refresh(1.0, name, Prepare("x", Ballot(5, name), 3000, waited_ms))
     assert [waiter.member for waiter in queue.in_order(1.0)] == ["b.1", "c.1", "a.1"]
     head_start = CONFIGURATION.head_start_seconds
     assert queue.seconds_until_eligible(1.0, 1.0, "c.1") == pytest.approx(head_start)
@@ -138,8 +138,8 @@
 
 def test_a_waiter_rests_for_the_announced_time_or_until_its_refresh():
     refresh_seconds = CONFIGURATION.waiter_refresh_seconds()
-    assert wait_seconds(0.5, 0.1, 1.0, CONFIGURATION) == pytest.approx(0.53)
-    assert wait_seconds(60.0, 0.1, 0.6, CONFIGURATION) == pytest.approx(0.6 * refresh_seconds)
+    assert retry_wait_seconds(0.5, 0.1, 1.0, CONFIGURATION) == pytest.approx(0.53)
+    assert retry_wait_seconds(60.0, 0.1, 0.6, CONFIGURATION) == pytest.approx(0.6 * refresh_seconds)
 
 
 def test_a_ballot_is_given_up_once_no_quorum_can_promise_it():
