--- a/stepstream/lab/faults/schedule.py
+++ b/stepstream/lab/faults/schedule.py
@@ -16,14 +16,18 @@
 Seconds = Annotated[float, msgspec.Meta(ge=0, le=86_400)]
 Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
 
-FLAP_HALF_SECONDS = 0.4
-"""Length of the cut and of the healed half of a flap: shorter than any suspicion timeout."""
+FLAP_HALF_PERIOD_SECONDS = 0.4
+"""Length of each cut of a flap, and of each pause between two cuts.
+
+It is shorter than any suspicion timeout.
+"""
 
 
 class FaultKind(StrEnum):
-    """What happens; the value is the file's word for it.
+    """What happens during a fault; the values are those of the schedule file.
 
-    `members` are those of the fault, `others` all that it does not name.
+    In the comments below, "members" are the fault's `members`, "others" are all other members of
+    the cluster.
     """
 
     CRASH = "crash"
@@ -45,7 +49,7 @@
     """Drop the traffic from the members to the others."""
 
     FLAP = "flap"
-    """Cut and heal in turn, every `FLAP_HALF_SECONDS`."""
+    """Cut as with `CUT` and heal in turn, every `FLAP_HALF_PERIOD_SECONDS`."""
 
     LOSS = "loss"
     """Drop a fraction of the datagrams on every link; `members` has no effect."""
@@ -71,10 +75,10 @@
 
     Attributes:
         kind: what happens.
-        begin_seconds: when, after the start of the schedule.
-        duration_seconds: for how long; unused by a restart.
+        begin_seconds: time of the begin, counted from the start of the schedule.
+        duration_seconds: time from the begin to the end; a restart does not use it.
         members: the affected members, or one side of a cut; the other side is all others.
-        loss_fraction: of the datagrams, for a loss.
+        loss_fraction: fraction of the datagrams that a loss drops.
 
     """
 
@@ -96,7 +100,7 @@
 
     Raises:
         ConfigurationError: the file can't be read, has a wrong or unknown key, or names a member
-            that is not among `member_names`; the text says the file and the key.
+            that is not among `member_names`; the message names the file and the key.
 
     """
     try:
--- a/stepstream/lab/faults/stop_plan.py
+++ b/stepstream/lab/faults/stop_plan.py
@@ -1,6 +1,6 @@
-"""The plan of a soak of stops: which dispatcher is stopped when, how, and what happens beside it.
+"""The plan of a stop soak: which dispatcher is stopped when and how, and what else happens.
 
-One seed draws one plan. Times are seconds from the start of the run.
+Equal seeds give equal plans. Times are seconds from the start of the run.
 """
 
 import random
@@ -14,31 +14,35 @@
 RELOAD_INTERVAL_SECONDS = 0.002
 EXTRA_CONNECTIONS_PROBABILITY = 0.3
 MAINTENANCE_PROBABILITY = 0.5
-MAX_PAUSE_SECONDS = 0.3  # between two signals of a series
+MAX_PAUSE_SECONDS = 0.3
 
 
 class StopKind(StrEnum):
-    """How a dispatcher is stopped; the value is what a failure prints."""
+    """How a dispatcher is stopped; the report of a failed soak prints the value."""
 
     SIGTERM = "sigterm"
     SECOND_SIGTERM = "sigterm twice"
     RELOADS_THEN_SIGTERM = "reloads, then sigterm"
     SIGTERM_THEN_RELOADS = "sigterm, then reloads"
     HOT_RESTART = "hot restart"
-    HOT_RESTARTS = "two hot restarts"
+    TWO_HOT_RESTARTS = "two hot restarts"
     DRAIN = "drain and its end"
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedStop:
-    """One stop; `with_maintenance` takes a worker out of service at the same moment."""
+    """One stop of a dispatcher.
+
+    With `with_maintenance`, a worker goes into maintenance at the same time.
+    """
 
     at_seconds: float
     dispatcher_index: int
     kind: StopKind
-    reloads: int
+    reload_count: int
     with_maintenance: bool
-    pause_seconds: float  # between the signals of a series
+    # Between two SIGTERMs, or from a hot restart's new process to the SIGTERM of the old one.
+    pause_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,17 +57,17 @@
     has_extra_connections: bool
 
 
-def generate_stop_plan(seed: int, dispatchers: int, seconds: float) -> StopPlan:
-    """Draw the plan of a seed; a dispatcher may be stopped while another one still stops."""
+def generate_stop_plan(seed: int, dispatcher_count: int, seconds: float) -> StopPlan:
+    """Draw the plan of a seed; a stop may begin while another dispatcher is still stopping."""
     rng = random.Random(seed)
     stops: list[PlannedStop] = []
     at_seconds = FIRST_STOP_SECONDS
     while at_seconds < seconds - MAX_INTERVAL_SECONDS:
         stop = PlannedStop(
             at_seconds,
-            dispatcher_index=len(stops) % dispatchers,
+            dispatcher_index=len(stops) % dispatcher_count,
             kind=rng.choice(tuple(StopKind)),
-            reloads=rng.randint(1, MAX_RELOADS),
+            reload_count=rng.randint(1, MAX_RELOADS),
             with_maintenance=rng.random() < MAINTENANCE_PROBABILITY,
             pause_seconds=rng.uniform(0.0, MAX_PAUSE_SECONDS),
         )
--- a/stepstream/lab/load/clients.py
+++ b/stepstream/lab/load/clients.py
@@ -1,7 +1,7 @@
 """Emulate open-loop clients of both protocols.
 
-A job is sent at its planned time, whether or not earlier ones have ended. `Clients` owns the
-connections; all of it runs on the event loop that awaits `Clients.run`.
+They send each job at its planned time, even if earlier jobs have not ended. `Clients` owns the
+connections; all of its methods run on the event loop that awaits `Clients.run`.
 """
 
 import asyncio
@@ -13,15 +13,15 @@
 from stepstream.lab.emulator.streams import read_response
 from stepstream.lab.emulator.workload import Workload
 from stepstream.lab.load.gearman_connection import GearmanConnection
-from stepstream.lab.load.response import ReceivedResponse, received_http_response
+from stepstream.lab.load.response import ReceivedResponse, response_from_http
 from stepstream.lab.load.scenario import PlannedRequest, Scenario, WireProtocol
 from stepstream.lab.load.site import JobEffect
 from stepstream.lab.verification.observations import FinalOutcome, RequestKey
 from stepstream.lab.verification.verifier import Verifier
 
-RETRY_AFTER_FRACTION = 0.5  # of the clients: those that wait as long as a retry-after says
+RETRY_AFTER_FRACTION = 0.5  # fraction of the clients that wait as long as retry-after says
 GEARMAN_CONNECTIONS = 4
-HTTP_SENDS = 2  # a request is sent once more if a reused connection turns out to be closed
+MAX_HTTP_SENDS = 2  # of one request: again if a reused connection turns out to be closed
 
 
 @dataclass(eq=False)
@@ -38,8 +38,9 @@
         default_factory=list
     )
     gearman_connections: list[GearmanConnection] = field(default_factory=list)
-    max_start_delay_us: int = 0  # greatest delay of a job behind its plan, caused by the lab itself
-    finished_count: int = 0  # jobs
+    # Greatest delay of a job behind its planned time; the lab itself causes it.
+    max_start_delay_us: int = 0
+    finished_count: int = 0  # jobs that are served or given up
 
     async def run(self) -> None:
         """Send all requests at their planned times; return when the last job has finished."""
@@ -62,20 +63,20 @@
         await asyncio.gather(*running)
 
     async def submit(self, planned: PlannedRequest) -> None:
-        """Send a job until it is served, its deadline passes or the client's retries are used up.
+        """Send a job until it is served, its deadline passes or its retries are used up.
 
-        A job that must not run twice is sent again only after a rejection.
+        After a failure, a job that is not idempotent is not sent again, because it may have run.
         """
         self.verifier.on_submission(planned.number)
         job_class = self.scenario.site.job_classes[planned.class_index]
         is_not_idempotent = job_class.effect is JobEffect.NOT_IDEMPOTENT
         deadline_us = self.clock.now_us() + int(job_class.deadline_ms * US_PER_MS)
-        for attempt in range(self.scenario.site.retries + 1):
-            key = RequestKey(planned.number, attempt)
+        for attempt_number in range(self.scenario.site.retries + 1):
+            key = RequestKey(planned.number, attempt_number)
             remaining_us = deadline_us - self.clock.now_us()
             if remaining_us <= 0:
                 break
-            response = await self.attempt(planned, attempt, remaining_us)
+            response = await self.send_attempt(planned, attempt_number, remaining_us)
             self.verifier.on_response(self.clock.now_us(), key, response.outcome, response.result)
             if response.outcome is FinalOutcome.SERVED:
                 break
@@ -86,22 +87,24 @@
             await asyncio.sleep(max(advised_seconds, self.scenario.site.backoff_ms / MS_PER_SECOND))
         self.finished_count += 1
 
-    async def attempt(
-        self, planned: PlannedRequest, attempt: int, remaining_us: int
+    async def send_attempt(
+        self, planned: PlannedRequest, attempt_number: int, remaining_us: int
     ) -> ReceivedResponse:
-        """Send a job once, in its client's protocol, and await the outcome."""
-        workload = Workload(planned.number, attempt, planned.work_us, planned.slots).serialize()
+        """Make one attempt at a job, in its client's protocol, and await the outcome."""
+        workload = Workload(
+            planned.number, attempt_number, planned.work_us, planned.slots
+        ).serialize()
         if planned.protocol is WireProtocol.GEARMAN:
             return await self.send_by_gearman(planned, workload)
-        return await self.send_by_http(planned, workload, remaining_us, is_retry=attempt > 0)
+        return await self.send_by_http(planned, workload, remaining_us, is_retry=attempt_number > 0)
 
     async def send_by_http(
         self, planned: PlannedRequest, workload: bytes, remaining_us: int, *, is_retry: bool
     ) -> ReceivedResponse:
-        """Send a job by HTTP; `remaining_us` is the time to its deadline."""
+        """Send a job by HTTP and await the outcome; `remaining_us` is the time to its deadline."""
         data = self.http_request(planned, workload, remaining_us, is_retry=is_retry)
         may_be_closed = bool(self.idle_connections)
-        for _ in range(HTTP_SENDS):
+        for _ in range(MAX_HTTP_SENDS):
             try:
                 if self.idle_connections:
                     connection = self.idle_connections.pop()
@@ -112,7 +115,7 @@
                 message = await read_response(reader)
             except (OSError, EOFError):
                 if may_be_closed:
-                    # A dispatcher may close an idle connection at any time: use a new one.
+                    # A dispatcher may close an idle connection at any time: send on a new one.
                     self.idle_connections.clear()
                     may_be_closed = False
                     continue
@@ -121,7 +124,7 @@
                 self.idle_connections.append(connection)
             else:
                 writer.close()
-            return received_http_response(message)
+            return response_from_http(message)
         return ReceivedResponse(FinalOutcome.LOST)
 
     def http_request(
@@ -144,7 +147,10 @@
         return write_request("POST", f"/{job_class.name}", headers, workload)
 
     async def send_by_gearman(self, planned: PlannedRequest, workload: bytes) -> ReceivedResponse:
-        """Send a job by Gearman; the function names tenant, job class and slots above one."""
+        """Send a job by Gearman and await the outcome.
+
+        The function names the tenant and the job class, and the number of slots if it is above one.
+        """
         job_class = self.scenario.site.job_classes[planned.class_index]
         slots = f"+{planned.slots}" if planned.slots > 1 else ""
         tenant = self.scenario.site.tenants[planned.tenant_index]
--- a/stepstream/lab/load/dispatcher_settings.py
+++ b/stepstream/lab/load/dispatcher_settings.py
@@ -1,4 +1,4 @@
-"""Derive the dispatcher's settings of a run, with the platform's own keys."""
+"""Derive the dispatcher's settings for a run from its scenario, with the platform's keys."""
 
 from typing import Any
 
@@ -6,8 +6,8 @@
 from stepstream.lab.load.scenario import Scenario
 from stepstream.lab.load.site import EndpointSource, JobClassTable, LoadReports, Site
 
-# Settings of the dispatcher that are the same for each site.
-QUOTA_FACTOR = 1.5  # a tenant's quota over its expected request rate
+# These settings are the same for each site.
+QUOTA_FACTOR = 1.5  # ratio of a tenant's quota to its expected request rate
 OVER_QUOTA_WEIGHT = 0.2  # priority weight of a request beyond its tenant's share
 MAX_RETRY_AFTER_US = 2_000_000
 CONNECTION_IDLE_US = 10_000_000
@@ -21,7 +21,7 @@
 def dispatcher_settings(scenario: Scenario) -> dict[str, Any]:
     """Return the dispatcher's settings for a run, as nested JSON."""
     site = scenario.site
-    polls = site.endpoint_source is EndpointSource.POLLED
+    is_polled = site.endpoint_source is EndpointSource.POLLED
     rate_per_second = len(scenario.requests) / scenario.seconds
     return {
         "services": [_service_settings(table) for table in site.job_classes],
@@ -44,7 +44,7 @@
         "zones": list(site.zones),
         "zone": 0,
         "kinds": [kind.name for kind in site.worker_kinds],
-        "discovery": "subscribe" if polls else "automatic",
+        "discovery": "subscribe" if is_polled else "automatic",
         "worth_by": site.weight_by.value,
         "limits": _limit_settings(site),
         "safety": _safety_settings(site),
@@ -57,7 +57,7 @@
 
 
 def _service_settings(table: JobClassTable) -> dict[str, Any]:
-    """Return a job class as an entry of the settings' `services`."""
+    """Return the entry of a job class in the settings' `services`."""
     return {
         "name": table.name,
         "goal_time_us": int(table.latency_objective_ms * US_PER_MS),
--- a/stepstream/lab/load/gearman_connection.py
+++ b/stepstream/lab/load/gearman_connection.py
@@ -15,24 +15,24 @@
 
 @dataclass(eq=False)
 class GearmanConnection:
-    """A connection that many jobs share; outcomes are matched to jobs by handle."""
+    """A connection that many jobs share; it matches outcomes to jobs by handle."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    # Jobs without a handle yet, in the order of their submission.
-    submitted: deque[asyncio.Future[ReceivedResponse]] = field(default_factory=deque)
+    # Jobs that have no handle yet, in the order of their submission.
+    jobs_without_handle: deque[asyncio.Future[ReceivedResponse]] = field(default_factory=deque)
     # Unfinished jobs by handle; jobs that the dispatcher coalesces share one.
     open_jobs: dict[bytes, list[asyncio.Future[ReceivedResponse]]] = field(default_factory=dict)
     warnings: dict[bytes, bytes] = field(default_factory=dict)  # latest WORK_WARNING by handle
     is_closed: bool = False
-    # Runs `read_packets`; the reference prevents its garbage collection.
-    reading: asyncio.Task[None] | None = None
+    # Runs `read_packets`; this reference keeps the task from being garbage collected.
+    reading_task: asyncio.Task[None] | None = None
 
     @classmethod
     async def open(cls, address: tuple[str, int]) -> "GearmanConnection":
         """Connect and start to handle the dispatcher's packets."""
         connection = cls(*await asyncio.open_connection(*address))
-        connection.reading = asyncio.ensure_future(connection.read_packets())
+        connection.reading_task = asyncio.ensure_future(connection.read_packets())
         return connection
 
     async def submit(self, function: str, unique: str, workload: bytes) -> ReceivedResponse:
@@ -40,22 +40,22 @@
         if self.is_closed:
             return ReceivedResponse(FinalOutcome.LOST)
         future: asyncio.Future[ReceivedResponse] = asyncio.get_running_loop().create_future()
-        self.submitted.append(future)
+        self.jobs_without_handle.append(future)
         self.writer.write(codec.encode_request(PacketKind.SUBMIT_JOB, function, unique, workload))
         return await future
 
     async def read_packets(self) -> None:
-        """Handle packets until the connection ends; then every unfinished job is lost."""
+        """Handle packets until the connection ends; report every unfinished job as lost."""
         parser = codec.Parser(LIMITS, responses=True)
         try:
             while data := await self.reader.read(READ_BYTES):
                 parser.feed(data)
-                while (item := parser.next_message()) is not None:
-                    self.on_packet(item)
+                while (packet := parser.next_message()) is not None:
+                    self.on_packet(packet)
         except OSError:
             pass
         self.is_closed = True
-        unfinished = list(self.submitted)
+        unfinished = list(self.jobs_without_handle)
         for futures in self.open_jobs.values():
             unfinished += futures
         for future in unfinished:
@@ -65,13 +65,13 @@
         """Handle a packet of the dispatcher; ignore those that end no job, such as progress."""
         match packet:
             case Packet(PacketKind.JOB_CREATED, (handle,)):
-                self.open_jobs.setdefault(handle, []).append(self.submitted.popleft())
+                self.open_jobs.setdefault(handle, []).append(self.jobs_without_handle.popleft())
             case Packet(PacketKind.ERROR, (code, text)):
                 outcome = (
                     FinalOutcome.REJECTED if code == b"JOB_QUEUE_FULL" else FinalOutcome.FAILED
                 )
                 response = ReceivedResponse(outcome, retry_after_seconds=parse_retry_after(text))
-                self.submitted.popleft().set_result(response)
+                self.jobs_without_handle.popleft().set_result(response)
             case Packet(PacketKind.WORK_WARNING, (handle, text)):
                 self.warnings[handle] = text
             case Packet(PacketKind.WORK_COMPLETE, (handle, result)):
@@ -88,7 +88,7 @@
                 )
 
     def finish(self, handle: bytes, response: ReceivedResponse) -> None:
-        """Complete the oldest job of the handle with the response."""
+        """End the oldest job of the handle with the response."""
         self.warnings.pop(handle, None)
         futures = self.open_jobs[handle]
         futures.pop(0).set_result(response)
@@ -97,9 +97,9 @@
 
 
 def parse_retry_after(text: bytes) -> float:
-    """Return the retry-after in seconds in an outcome's text, 0 if it has none.
+    """Return the retry-after in seconds that an outcome's text states; 0 if it states none.
 
-    The format is that of the table of outcomes in docs/gearman.md.
+    docs/gearman.md gives the format, in its table of outcomes.
     """
     for field_text in text.decode("utf-8", "replace").split():
         name, _, value = field_text.partition("=")
--- a/stepstream/lab/load/response.py
+++ b/stepstream/lab/load/response.py
@@ -1,4 +1,4 @@
-"""The outcome of a client's attempt, and its translation from the platform's HTTP."""
+"""The outcome of a client's attempt, and how to read it from an HTTP response."""
 
 from dataclasses import dataclass
 from http import HTTPStatus
@@ -16,8 +16,8 @@
     retry_after_seconds: float = 0.0
 
 
-def received_http_response(message: Message) -> ReceivedResponse:
-    """Return the outcome that an HTTP response means."""
+def response_from_http(message: Message) -> ReceivedResponse:
+    """Return the outcome that an HTTP response stands for."""
     if message.status == HTTPStatus.OK:
         return ReceivedResponse(FinalOutcome.SERVED, message.body.decode())
     if message.status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
--- a/stepstream/lab/load/scenario.py
+++ b/stepstream/lab/load/scenario.py
@@ -1,11 +1,11 @@
 """Draw a scenario from a site: the workers, the planned requests and the faults of one run.
 
-Each purpose draws from a random stream of its own, all spawned from one `SeedSequence`, so a change
-to the draws of one purpose does not shift those of the others, and one seed gives the same workers,
-load and faults whatever the mix of protocols.
+Each purpose has a random stream of its own; all streams are spawned from one `SeedSequence`. So a
+change to the draws of one purpose does not change those of the others, and one seed gives the same
+workers, load and faults for every mix of protocols.
 
-The module holds no state. A `Scenario` belongs to the run that drew it: its streams change with
-each draw and are used on that run's event loop thread only.
+The module holds no state. A `Scenario` belongs to the run that drew it: each draw changes its
+streams, and only the thread of that run's event loop uses them.
 """
 
 from dataclasses import dataclass
@@ -18,11 +18,12 @@
 from stepstream.lab.emulator.worker_model import WorkerSpec
 from stepstream.lab.load.site import JobClassTable, Site, WorkerFaultKind, WorkerFaultTable
 
-MIXES = ("http", "gearman", "mixed")  # of protocols
-MIXED_GEARMAN_FRACTION = 0.5  # of the requests in a mixed run
+MIXES = ("http", "gearman", "mixed")  # which protocols the clients and workers speak
+MIXED_GEARMAN_FRACTION = 0.5  # fraction of the requests sent by Gearman in a mixed run
 MIN_WORK_US = 1000
 
-# In the order in which they are spawned from the seed: append a new one at the end.
+# The streams are spawned from the seed in this order. Append a new one at the end, so that the
+# others stay the same.
 STREAM_NAMES = (
     "fleet",
     "arrivals",
@@ -38,7 +39,7 @@
 
 
 class WireProtocol(Enum):
-    """Protocol that a client or a worker speaks with the dispatcher."""
+    """The protocol that a client or a worker speaks with the dispatcher."""
 
     HTTP = "http"
     GEARMAN = "gearman"
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedRequest:
-    """One request of the schedule; the client's retries of it are part of it."""
+    """One request of the schedule; the client's retries belong to the same request."""
 
     number: int
     at_us: int  # planned time, from the start of the run
@@ -55,7 +56,7 @@
     work_us: int  # on a core of speed 1
     slots: int
     protocol: WireProtocol
-    retry_after_random: float  # uniform on [0, 1): whether this client follows Retry-After
+    retry_after_random: float  # uniform on [0, 1); decides if the client follows Retry-After
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,13 +72,13 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """One draw from a site: workers, planned requests and faults of a run."""
+    """The workers, planned requests and faults of one run, drawn from a site."""
 
     site: Site
     seconds: int
     worker_specs: tuple[WorkerSpec, ...]
     worker_protocols: tuple[WireProtocol, ...]  # in the order of `worker_specs`
-    requests: tuple[PlannedRequest, ...]  # by `at_us`
+    requests: tuple[PlannedRequest, ...]  # sorted by `at_us`
     faults: tuple[WorkerFault, ...]
     streams: dict[str, np.random.Generator]  # by purpose, for draws during the run
 
@@ -85,8 +86,8 @@
 def generate_scenario(site: Site, seed: int, seconds: int, mix: str) -> Scenario:
     """Draw a run of `seconds` from `site`.
 
-    `mix` is one of `MIXES` and decides who speaks which protocol, nothing else. Raises
-    ConfigurationError if it is not one of them.
+    `mix` decides which protocol each client and worker speaks, and nothing else. Raises
+    ConfigurationError if it is not one of `MIXES`.
     """
     if mix not in MIXES:
         raise ConfigurationError(f"--mix={mix} is none of {', '.join(MIXES)}")
@@ -112,7 +113,7 @@
 
 
 def sample_worker(site: Site, index: int, rng: np.random.Generator) -> WorkerSpec:
-    """Draw kind, name and speed of one worker; zone and cell follow from its index."""
+    """Draw the kind, name and speed of one worker; its index decides its zone and cell."""
     shares = normalized([kind.share for kind in site.worker_kinds])
     kind = site.worker_kinds[rng.choice(len(site.worker_kinds), p=shares)]
     return WorkerSpec(
@@ -138,7 +139,7 @@
     mix: str,
     streams: dict[str, np.random.Generator],
 ) -> tuple[PlannedRequest, ...]:
-    """Draw the requests, as Poisson arrivals; each stream is drawn for all of them at once."""
+    """Draw the requests, as Poisson arrivals; each stream draws for all requests at once."""
     shares = normalized([table.share for table in site.job_classes])
     duration_us = seconds * US_PER_SECOND
     count = int(streams["arrivals"].poisson(arrival_rate_per_us(site, specs, shares) * duration_us))
@@ -182,9 +183,9 @@
 
 
 def arrival_rate_per_us(site: Site, specs: tuple[WorkerSpec, ...], shares: np.ndarray) -> float:
-    """Return the requests per microsecond that load the workers as `site.load` says.
+    """Return the rate of requests, per microsecond, that loads the workers by `site.load`.
 
-    `shares` are those of the job classes, with a sum of 1.
+    `shares` holds the share of each job class; their sum is 1.
     """
     slots = np.array([1 + table.two_slots_fraction for table in site.job_classes])
     mean_us = float(sum(shares * slots * [table.work_ms * US_PER_MS for table in site.job_classes]))
@@ -193,7 +194,7 @@
 
 
 def choose_client_protocol(mix: str, uniform: float) -> WireProtocol:
-    """Return a request's protocol; `uniform`, a draw on [0, 1), decides in a mixed load."""
+    """Return a request's protocol; in a mixed run, `uniform`, a draw on [0, 1), decides."""
     if mix == "gearman" or (mix == "mixed" and uniform < MIXED_GEARMAN_FRACTION):
         return WireProtocol.GEARMAN
     return WireProtocol.HTTP
--- a/stepstream/lab/load/site.py
+++ b/stepstream/lab/load/site.py
@@ -1,7 +1,7 @@
 """Read a site file: the ranges and settings of the workers, the load and the faults of a run.
 
 The keys of a site file, and the values of its enumerations, have the platform's spelling. Each
-table below is one table of the file; a field whose name differs from its key says so with `name=`.
+class below is one table of the file; `name=` gives the key of a field whose name differs from it.
 `scenario.generate_scenario` generates a run from a `Site`, and `dispatcher_settings` derives what
 the dispatcher reads.
 """
@@ -25,10 +25,10 @@
 
 
 class JobEffect(Enum):
-    """What a repetition of a job does."""
+    """Whether a job may run more than once."""
 
     IDEMPOTENT = "pure"
-    IDEMPOTENT_WITH_KEY = "token"  # within the class's window and one cell
+    IDEMPOTENT_WITH_KEY = "token"  # for one key, in the class's window and one cell
     NOT_IDEMPOTENT = "side_effect"
 
 
@@ -37,15 +37,15 @@
 
     CRASH = "crash"  # the process ends at once, and restarts at the end of the fault
     DRAIN = "drain"  # the process drains and ends, and restarts after the fault's duration
-    SLOW = "slow"
-    ERRORS = "errors"
+    SLOW = "slow"  # the worker works more slowly
+    ERRORS = "errors"  # a fraction of the tasks fails as soon as the worker receives them
 
 
 class EndpointSource(Enum):
     """Where the dispatcher gets its endpoint list."""
 
     POLLED = "asked"  # the dispatcher polls discovery
-    PUSHED = "pushed"  # an agent beside the dispatcher holds the list
+    PUSHED = "pushed"  # an agent on the dispatcher's machine keeps the list up to date
 
 
 class LoadReports(Enum):
@@ -57,10 +57,10 @@
 
 
 class WeightBasis(Enum):
-    """What the priority weight of a job class applies to."""
+    """The unit to which the priority weight of a job class applies."""
 
-    REQUEST = "request"  # each request alike
-    WORK = "work"  # each request in proportion to its work
+    REQUEST = "request"  # each request counts the same
+    WORK = "work"  # each request counts in proportion to its work
 
 
 class SiteTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -78,7 +78,7 @@
 
 
 class JobClassTable(SiteTable, frozen=True, kw_only=True):
-    """A class of jobs: its share of the load, its work, and its settings at the dispatcher.
+    """A job class: its share of the load, its work, and its settings at the dispatcher.
 
     The latency objective of a job is `latency_objective_ms` plus `stretch` times its own work.
     """
@@ -92,7 +92,7 @@
     deadline_ms: Positive
     priority_weight: Positive = msgspec.field(name="worth")
     effect: JobEffect
-    window_ms: int = 0  # of the idempotency key
+    window_ms: int = 0  # how long workers remember an idempotency key
     two_slots_fraction: Fraction = msgspec.field(default=0.0, name="two_slots")
 
 
@@ -119,19 +119,19 @@
     worker_count: Annotated[int, msgspec.Meta(ge=2, le=1024)] = msgspec.field(name="nodes")
     cell_size: Annotated[int, msgspec.Meta(ge=1)]  # workers in a cell
     zones: tuple[str, ...]
-    load: Positive  # requested work over the workers' capacity
-    discovery_delay_ms: Range = msgspec.field(name="notice_ms")  # until discovery lists a change
+    load: Positive  # ratio of the requested work to the workers' capacity
+    discovery_delay_ms: Range = msgspec.field(name="notice_ms")  # until a change is listed
     # Capacity of a worker that has just started, as a fraction of its full capacity.
     initial_capacity_fraction: Fraction = msgspec.field(name="cold_share")
     slow_start_ms: int = msgspec.field(name="warm_ms")  # from a start to full capacity
-    # A worker in slow start fails if the work it is offered within the window exceeds this multiple
-    # of its present capacity.
+    # A worker in slow start fails if the work offered within the window exceeds this multiple of
+    # what it can do in that time.
     overload_multiple: Positive = msgspec.field(name="fall_multiple")
     overload_window_ms: int = msgspec.field(name="fall_span_ms")
     drain_grace_ms: int
     error_rate: Fraction  # fraction of the jobs that fail at their end
-    retries: int  # by the client
-    backoff_ms: float  # of the client, before a retry
+    retries: int  # of one request by its client, at most
+    backoff_ms: float  # how long the client waits before a retry, at least
     worker_kinds: tuple[WorkerKindTable, ...] = msgspec.field(name="kind")
     job_classes: tuple[JobClassTable, ...] = msgspec.field(name="job")
     tenants: tuple[TenantTable, ...] = msgspec.field(name="tenant")
@@ -139,11 +139,11 @@
     endpoint_source: EndpointSource = msgspec.field(default=EndpointSource.POLLED, name="lists")
     load_reports: LoadReports = msgspec.field(default=LoadReports.NONE, name="reports")
     load_report_interval_ms: NonNegative = msgspec.field(default=50.0, name="report_ms")
-    # Cost of a health check, on a core of speed 1.
+    # Work of a health check, on a core of speed 1.
     health_check_work_ms: NonNegative = msgspec.field(default=0.0, name="probe_work_ms")
     max_attempts: Annotated[int, msgspec.Meta(ge=1)] = msgspec.field(default=4, name="attempts")
     may_hedge: bool = msgspec.field(default=True, name="second_copies")
-    marks_retries: bool = False  # whether clients mark a request as a retry
+    marks_retries: bool = False  # whether clients send Client-Retry with a retry
     weight_by: WeightBasis = msgspec.field(default=WeightBasis.REQUEST, name="worth_by")
 
 
--- a/stepstream/lab/processes/persistent_clients.py
+++ b/stepstream/lab/processes/persistent_clients.py
@@ -9,7 +9,7 @@
 from stepstream.lab.emulator.clock import US_PER_MS
 from stepstream.lab.emulator.streams import read_response
 from stepstream.lab.emulator.workload import Workload
-from stepstream.lab.load.response import ReceivedResponse, received_http_response
+from stepstream.lab.load.response import ReceivedResponse, response_from_http
 from stepstream.lab.load.scenario import PlannedRequest
 from stepstream.lab.processes.round_robin_clients import RoundRobinClients
 from stepstream.lab.verification.observations import FinalOutcome, RequestKey
@@ -38,12 +38,12 @@
     # Requests sent again because the dispatcher closed the connection before it read them.
     unread_request_count: int = 0
 
-    async def attempt(
-        self, planned: PlannedRequest, attempt: int, remaining_us: int
+    async def send_attempt(
+        self, planned: PlannedRequest, attempt_number: int, remaining_us: int
     ) -> ReceivedResponse:
         """Send a job until a dispatcher has read it, and await the outcome."""
-        key = RequestKey(planned.number, attempt)
-        body = Workload(planned.number, attempt, planned.work_us, planned.slots).serialize()
+        key = RequestKey(planned.number, attempt_number)
+        body = Workload(planned.number, attempt_number, planned.work_us, planned.slots).serialize()
         job_class = self.scenario.site.job_classes[planned.class_index]
         for _ in range(MAX_SENDS):
             headers = self.request_headers(planned, remaining_us)
@@ -76,7 +76,7 @@
             self.idle_by_dispatcher[index].append(connection)
         else:
             writer.close()
-        return received_http_response(message)
+        return response_from_http(message)
 
     async def take_connection(self, remaining_us: int) -> tuple[int, ClientConnection]:
         """Return a dispatcher's open connection, or a new one to a dispatcher that takes them."""
--- a/stepstream/lab/processes/round_robin_clients.py
+++ b/stepstream/lab/processes/round_robin_clients.py
@@ -9,7 +9,7 @@
 from stepstream.lab.emulator.clock import US_PER_MS
 from stepstream.lab.emulator.streams import read_response
 from stepstream.lab.load.clients import Clients
-from stepstream.lab.load.response import ReceivedResponse, received_http_response
+from stepstream.lab.load.response import ReceivedResponse, response_from_http
 from stepstream.lab.load.scenario import PlannedRequest
 from stepstream.lab.load.site import JobEffect
 from stepstream.lab.processes.addresses import Address
@@ -64,7 +64,7 @@
             writer.write(data)
             message = await read_response(reader)
             writer.close()
-            return received_http_response(message)
+            return response_from_http(message)
         except (OSError, EOFError):
             # Nothing is known of what a failed dispatcher had accepted. With one that runs, the
             # answer is lost.
--- a/stepstream/lab/processes/stop_soak.py
+++ b/stepstream/lab/processes/stop_soak.py
@@ -160,7 +160,7 @@
                     await self.play_drain(stop.dispatcher_index, clients)
                 case StopKind.HOT_RESTART:
                     await self.hot_restart(stop)
-                case StopKind.HOT_RESTARTS:
+                case StopKind.TWO_HOT_RESTARTS:
                     await self.hot_restart(stop)
                     await self.hot_restart(stop)
                 case _:
@@ -194,11 +194,11 @@
         index = stop.dispatcher_index
         dispatcher = self.dispatchers[index]
         if stop.kind is StopKind.RELOADS_THEN_SIGTERM:
-            await self.send_reloads(dispatcher, stop.reloads)
+            await self.send_reloads(dispatcher, stop.reload_count)
         clients.stopping_since[index] = time.monotonic()
         dispatcher.terminate()
         if stop.kind is StopKind.SIGTERM_THEN_RELOADS:
-            await self.send_reloads(dispatcher, stop.reloads)
+            await self.send_reloads(dispatcher, stop.reload_count)
         if stop.kind is StopKind.SECOND_SIGTERM:
             await asyncio.sleep(stop.pause_seconds)
             dispatcher.terminate()
--- a/tests/lab/faults/test_fault_schedule.py
+++ b/tests/lab/faults/test_fault_schedule.py
@@ -12,11 +12,11 @@
 from stepstream.lab.faults.schedule import Fault, FaultKind, Schedule, read_schedule
 
 NAMES = ("n0", "n1", "n2")
-PAGE = Path(__file__).parents[3] / "docs" / "membership.md"
+MEMBERSHIP_PAGE = Path(__file__).parents[3] / "docs" / "membership.md"
 
 
 class RecordingTarget:
-    """A cluster that records what is done to it."""
+    """A cluster that records the calls of the injector and the faults of its links."""
 
     def __init__(self):
         self.calls = []
@@ -52,21 +52,21 @@
         self.loss_probability = loss_probability
 
 
-def link_fault(kind, **fields):
+def two_second_fault(kind, **fields):
     return Fault(kind=kind, begin_seconds=0.0, duration_seconds=2.0, **fields)
 
 
-def write(folder, text):
+def write_schedule(folder, text):
     path = folder / "faults.toml"
     path.write_text(text)
     return str(path)
 
 
-# -- the file -------------------------------------------------------------------------------------
+# -- file form ------------------------------------------------------------------------------------
 
 
-def test_a_file_keeps_the_operators_keys(tmp_path):
-    path = write(
+def test_a_schedule_file_is_read_with_the_operators_keys(tmp_path):
+    path = write_schedule(
         tmp_path, '[[fault]]\nkind = "cut"\nat = 1.5\nlength = 2.0\nwho = ["n1"]\nsize = 0.5\n'
     )
     (fault,) = read_schedule(path, NAMES).faults
@@ -79,7 +79,7 @@
     )
 
 
-def test_a_fault_is_written_with_the_operators_keys():
+def test_a_fault_is_encoded_with_the_operators_keys():
     fault = Fault(kind=FaultKind.RESTART, begin_seconds=1.0, members=("n1",))
     expected = {"kind": "restart", "at": 1.0, "length": 0.0, "who": ("n1",), "size": 0.0}
     assert msgspec.to_builtins(fault) == expected
@@ -88,36 +88,38 @@
 @pytest.mark.parametrize(
     ("text", "reason"),
     [
-        pytest.param("[[fault]\n", "faults.toml", id="no TOML"),
+        pytest.param("[[fault]\n", "faults.toml", id="invalid TOML"),
         pytest.param('[[fault]]\nkind = "cut"\n', "at", id="a missing key"),
         pytest.param('[[fault]]\nkind = "quake"\nat = 1\n', "quake", id="an unknown kind"),
         pytest.param('[[fault]]\nkind = "cut"\nat = 1\nlengt = 1\n', "lengt", id="an unknown key"),
         pytest.param('[[fault]]\nkind = "cut"\nat = -1\n', "at", id="a time before the start"),
         pytest.param(
-            '[[fault]]\nkind = "cut"\nat = 1\nwho = ["n9"]\n', r"fault\[0\].who", id="no member"
+            '[[fault]]\nkind = "cut"\nat = 1\nwho = ["n9"]\n',
+            r"fault\[0\].who",
+            id="an unknown member",
         ),
     ],
 )
-def test_a_file_that_cannot_be_used_is_rejected_with_its_reason(text, reason, tmp_path):
+def test_an_invalid_schedule_file_is_rejected_with_the_reason(text, reason, tmp_path):
     with pytest.raises(ConfigurationError, match=reason):
-        read_schedule(write(tmp_path, text), NAMES)
+        read_schedule(write_schedule(tmp_path, text), NAMES)
 
 
 # -- generation -----------------------------------------------------------------------------------
 
 
-def test_a_seed_generates_one_schedule():
+def test_the_same_seed_generates_the_same_schedule():
     assert generate_schedule(4, NAMES, 30.0) == generate_schedule(4, NAMES, 30.0)
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_generated_fault_affects_half_of_the_members_at_most(seed):
+def test_a_generated_fault_affects_at_most_half_of_the_members(seed):
     names = tuple(f"n{number}" for number in range(10))
     assert all(len(fault.members) <= 5 for fault in generate_schedule(seed, names, 60.0).faults)
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_generated_fault_begins_within_the_schedule(seed):
+def test_a_generated_fault_begins_before_the_end_of_the_schedule(seed):
     faults = generate_schedule(seed, NAMES, 60.0).faults
     assert faults
     assert all(fault.begin_seconds < 60.0 for fault in faults)
@@ -135,17 +137,17 @@
     ],
     ids=lambda value: value if isinstance(value, str) else "",
 )
-def test_a_process_fault_acts_at_its_begin_and_its_end(kind, at_begin, at_end):
+def test_a_process_fault_changes_its_member_at_its_begin_and_at_its_end(kind, at_begin, at_end):
     target = RecordingTarget()
     injector = FaultInjector(target, Schedule())
-    fault = link_fault(kind, members=("n1",))
+    fault = two_second_fault(kind, members=("n1",))
     injector.apply(Transition.BEGIN, fault)
     assert target.calls == at_begin
     injector.apply(Transition.END, fault)
     assert target.calls == at_begin + at_end
 
 
-def test_a_restart_has_one_step():
+def test_a_restart_is_one_step_that_kills_and_starts_the_member():
     target = RecordingTarget()
     fault = Fault(kind=FaultKind.RESTART, begin_seconds=1.0, members=("n1",))
     injector = FaultInjector(target, Schedule((fault,)))
@@ -154,10 +156,10 @@
     assert target.calls == [("kill", "n1"), ("start", "n1")]
 
 
-def test_a_fault_passes_over_members_that_do_not_run():
+def test_a_process_fault_skips_members_that_are_not_running():
     target = RecordingTarget()
     target.running.discard("n1")
-    fault = link_fault(FaultKind.CRASH, members=("n1", "n2"))
+    fault = two_second_fault(FaultKind.CRASH, members=("n1", "n2"))
     FaultInjector(target, Schedule()).apply(Transition.BEGIN, fault)
     assert target.calls == [("kill", "n2")]
 
@@ -172,37 +174,37 @@
     ],
     ids=lambda value: value if isinstance(value, str) else "",
 )
-def test_a_link_fault_cuts_its_directions(kind, cut_pairs):
+def test_a_link_fault_cuts_the_directions_of_its_kind(kind, cut_pairs):
     target = RecordingTarget()
-    fault = link_fault(kind, members=("n0",))
+    fault = two_second_fault(kind, members=("n0",))
     FaultInjector(target, Schedule()).apply(Transition.BEGIN, fault)
     assert target.cut_pairs == cut_pairs
 
 
-def test_the_greatest_of_two_losses_counts_until_it_ends():
+def test_the_larger_of_two_losses_applies_until_it_ends():
     target = RecordingTarget()
     injector = FaultInjector(target, Schedule())
-    small = link_fault(FaultKind.LOSS, loss_fraction=0.1)
-    great = link_fault(FaultKind.LOSS, loss_fraction=0.3)
+    small = two_second_fault(FaultKind.LOSS, loss_fraction=0.1)
+    large = two_second_fault(FaultKind.LOSS, loss_fraction=0.3)
     injector.apply(Transition.BEGIN, small)
-    injector.apply(Transition.BEGIN, great)
+    injector.apply(Transition.BEGIN, large)
     assert target.loss_probability == 0.3
-    injector.apply(Transition.END, great)
+    injector.apply(Transition.END, large)
     assert target.loss_probability == 0.1
 
 
-def test_one_of_two_equal_faults_may_end():
+def test_when_one_of_two_equal_cuts_ends_the_links_stay_cut():
     target = RecordingTarget()
     injector = FaultInjector(target, Schedule())
-    first = link_fault(FaultKind.CUT, members=("n0",))
-    second = link_fault(FaultKind.CUT, members=("n0",))
+    first = two_second_fault(FaultKind.CUT, members=("n0",))
+    second = two_second_fault(FaultKind.CUT, members=("n0",))
     injector.apply(Transition.BEGIN, first)
     injector.apply(Transition.BEGIN, second)
     injector.apply(Transition.END, first)
     assert ("n0", "n1") in target.cut_pairs
 
 
-def test_a_flap_cuts_and_heals_in_turn_and_ends_healed():
+def test_a_flap_alternates_between_cut_and_healed_and_ends_healed():
     fault = Fault(kind=FaultKind.FLAP, begin_seconds=1.0, duration_seconds=1.3, members=("n0",))
     steps = FaultInjector(RecordingTarget(), Schedule((fault,))).steps
     begin, end = Transition.BEGIN, Transition.END
@@ -210,11 +212,11 @@
     assert [step.at_seconds for step in steps] == pytest.approx([1.0, 1.4, 1.8, 2.3])
 
 
-def test_the_end_of_all_faults_heals_links_and_brings_every_member_back():
+def test_end_all_heals_links_starts_stopped_members_and_resumes_every_member():
     target = RecordingTarget()
     injector = FaultInjector(target, Schedule())
-    injector.apply(Transition.BEGIN, link_fault(FaultKind.CUT, members=("n0",)))
-    injector.apply(Transition.BEGIN, link_fault(FaultKind.CRASH, members=("n1",)))
+    injector.apply(Transition.BEGIN, two_second_fault(FaultKind.CUT, members=("n0",)))
+    injector.apply(Transition.BEGIN, two_second_fault(FaultKind.CRASH, members=("n1",)))
     injector.end_all()
     assert target.cut_pairs == set()
     assert target.running == set(NAMES)
@@ -222,10 +224,10 @@
 
 
 @pytest.mark.parametrize("kind", FaultKind)
-def test_every_kind_of_fault_begins_and_ends(kind):
+def test_every_kind_of_fault_takes_effect_and_can_be_ended(kind):
     target = RecordingTarget()
     injector = FaultInjector(target, Schedule())
-    fault = link_fault(kind, members=("n0",), loss_fraction=0.1)
+    fault = two_second_fault(kind, members=("n0",), loss_fraction=0.1)
     injector.apply(Transition.BEGIN, fault)
     assert target.calls or target.cut_pairs or target.loss_probability
     injector.apply(Transition.END, fault)
@@ -233,22 +235,25 @@
     assert target.running == set(NAMES)
 
 
-def test_the_page_lists_every_kind_of_fault():
+def test_the_membership_page_lists_every_kind_of_fault():
     listed = re.findall(
-        "^\\| `([a-z_]+)` \\| (?:kill|stop|suspend|drop|cut) ", PAGE.read_text(), re.M
+        "^\\| `([a-z_]+)` \\| (?:kill|stop|suspend|drop|cut) ", MEMBERSHIP_PAGE.read_text(), re.M
     )
     assert sorted(listed) == sorted(kind.value for kind in FaultKind)
 
 
 @pytest.mark.parametrize(
-    ("kind", "begun", "ended"),
+    ("kind", "begin_call", "end_call"),
     [(FaultKind.CRASH, "kill", "start"), (FaultKind.STALL, "stall", "resume")],
 )
-def test_of_two_overlapping_faults_of_a_member_the_last_to_end_brings_it_back(kind, begun, ended):
-    # Guards against a fault that the harness ends early, so that it hides what the fault shows.
+def test_a_member_with_two_overlapping_faults_comes_back_when_the_last_one_ends(
+    kind, begin_call, end_call
+):
+    # Guards against an injector that ends a fault early for a member: the run would then pass
+    # although the cluster was never tested with the whole fault.
     target = RecordingTarget()
     injector = FaultInjector(target, Schedule())
-    first = link_fault(kind, members=("n1",))
+    first = two_second_fault(kind, members=("n1",))
     second = Fault(kind=kind, begin_seconds=1.0, duration_seconds=4.0, members=("n1",))
     for transition, fault in (
         (Transition.BEGIN, first),
@@ -256,8 +261,8 @@
         (Transition.END, first),
     ):
         injector.apply(transition, fault)
-    assert (ended, "n1") not in target.calls
+    assert (end_call, "n1") not in target.calls
     injector.apply(Transition.END, second)
-    assert target.calls[0] == (begun, "n1")
-    assert target.calls[-1] == (ended, "n1")
-    assert target.calls.count((ended, "n1")) == 1
+    assert target.calls[0] == (begin_call, "n1")
+    assert target.calls[-1] == (end_call, "n1")
+    assert target.calls.count((end_call, "n1")) == 1
--- a/tests/lab/load/test_dispatcher_settings.py
+++ b/tests/lab/load/test_dispatcher_settings.py
@@ -1,4 +1,4 @@
-"""The settings that a scenario gives the dispatcher are settings that the dispatcher reads."""
+"""The dispatcher can read the settings that are derived from a scenario."""
 
 import msgspec
 import pytest
@@ -27,7 +27,7 @@
     ids=["health-checks", "responses"],
 )
 def probed_settings(request):
-    """The settings of the probed site, for each way to report load."""
+    """The settings of the probed site, for each way in which workers report load."""
     site = msgspec.structs.replace(read_site(name="probed"), load_reports=request.param)
     return read_settings_of(site)
 
@@ -36,13 +36,13 @@
     assert small_settings.class_names == ("revalue", "price-check", "nav-publish")
 
 
-def test_workers_report_the_start_of_a_job(small_settings):
+def test_the_dispatcher_expects_workers_to_report_the_start_of_a_job(small_settings):
     assert small_settings.reports_start
 
 
-def test_a_pushed_endpoint_list_is_not_polled(probed_settings):
+def test_the_dispatcher_does_not_poll_a_pushed_endpoint_list(probed_settings):
     assert not probed_settings.polls_endpoints
 
 
-def test_a_side_effect_is_not_idempotent(probed_settings):
+def test_a_job_class_with_a_side_effect_is_read_as_not_idempotent(probed_settings):
     assert probed_settings.classes[-1].effect is Effect.NOT_IDEMPOTENT
--- a/tests/lab/load/test_scenario.py
+++ b/tests/lab/load/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: one seed draws the same workers, requests and faults whatever the mix of protocols."""
+"""Scenarios: the mix of protocols does not change the workers, requests and faults of a seed."""
 
 from dataclasses import replace
 
@@ -18,7 +18,7 @@
     return tuple(replace(request, protocol=WireProtocol.HTTP) for request in requests)
 
 
-def test_the_mix_does_not_change_the_requests(scenario_by_mix):
+def test_the_protocol_mix_changes_only_the_protocols_of_the_requests(scenario_by_mix):
     http, gearman, mixed = (
         without_protocols(scenario.requests) for scenario in scenario_by_mix.values()
     )
@@ -26,9 +26,11 @@
     assert len(http) > 100
 
 
-def test_the_mix_does_not_change_workers_and_faults(scenario_by_mix):
-    drawn = {(scenario.worker_specs, scenario.faults) for scenario in scenario_by_mix.values()}
-    assert len(drawn) == 1
+def test_the_protocol_mix_does_not_change_workers_and_faults(scenario_by_mix):
+    workers_and_faults = {
+        (scenario.worker_specs, scenario.faults) for scenario in scenario_by_mix.values()
+    }
+    assert len(workers_and_faults) == 1
 
 
 def test_a_mixed_scenario_has_clients_and_workers_of_both_protocols(scenario_by_mix):
@@ -38,8 +40,8 @@
 
 
 def test_another_seed_draws_other_requests(scenario_by_mix):
-    other = generate_scenario(read_site(), 8, 10, "http")
-    assert other.requests != scenario_by_mix["http"].requests
+    other_scenario = generate_scenario(read_site(), 8, 10, "http")
+    assert other_scenario.requests != scenario_by_mix["http"].requests
 
 
 def test_an_unknown_mix_is_rejected():
