--- a/tests/identity/conftest.py
+++ b/tests/identity/conftest.py
@@ -8,19 +8,19 @@
 
 
 @pytest.fixture(autouse=True)
-def end_threads(threads_end):
-    """Check after each test that no thread is left."""
+def check_threads_end(threads_end):
+    """Check after each test that it has left no thread."""
 
 
 @pytest.fixture
 def program(tmp_path):
-    """A dispatcher's process with `[identity]`."""
+    """Start a dispatcher's process with `[identity]`, without TLS listeners."""
     with contextlib.closing(IdentityProgram(tmp_path)) as program:
         yield program
 
 
 @pytest.fixture
 def tls_program(tmp_path):
-    """A dispatcher's process with `[identity]` and TLS listeners."""
+    """Start a dispatcher's process with `[identity]` and TLS listeners."""
     with contextlib.closing(IdentityProgram(tmp_path, tls=True)) as program:
         yield program
--- a/tests/identity/program.py
+++ b/tests/identity/program.py
@@ -1,4 +1,4 @@
-"""A running dispatcher with `[identity]`, its signing keys and, if asked for, TLS listeners."""
+"""A dispatcher's process with `[identity]`, its signing keys and, optionally, TLS listeners."""
 
 import datetime
 import time
@@ -16,7 +16,7 @@
 from tests.runtime.ports import free_port
 
 ISSUER_AND_AUDIENCE = {"iss": "https://issuer.test", "aud": "stepstream"}
-SECTION = """[gearman]
+OPERATOR_FILE_TEMPLATE = """[gearman]
 listen = "127.0.0.1:{{port}}"
 [identity]
 keys = "{folder}/keys.json"
@@ -44,9 +44,9 @@
 rate_per_s = 0.01
 burst = 1
 """
-TLS = """[identity.tls]
-listen = "127.0.0.1:{tls}"
-gearman_listen = "127.0.0.1:{gearman_tls}"
+TLS_SECTION_TEMPLATE = """[identity.tls]
+listen = "127.0.0.1:{tls_port}"
+gearman_listen = "127.0.0.1:{gearman_tls_port}"
 certificate = "{folder}/server.pem"
 key = "{folder}/server.key"
 clients_ca = "{folder}/ca.pem"
@@ -55,35 +55,36 @@
 
 
 class IdentityProgram(GearmanProgram):
-    """The program with `[identity]`: its signing keys, tokens, requests and a Gearman worker."""
+    """A dispatcher's process with `[identity]`, and what the tests send to it."""
 
     def __init__(self, folder, tls=False):
+        """Write the keys and the operator's file, with TLS listeners if `tls`; start the process."""
         self.folder = folder
         self.key_store = SigningKeyStore(folder)
         self.key_store.create_key("EdDSA", "k1", KeyState.ACTIVE, 0)
         self.key_store.create_key("EdDSA", "k2", KeyState.NEXT, 0)
         self.tls_port = free_port()
         self.gearman_tls_port = free_port()
-        section = SECTION.format(folder=folder)
+        operator_text = OPERATOR_FILE_TEMPLATE.format(folder=folder)
         if tls:
             self.ca = trustme.CA()
             self.write_tls_files()
-            section += TLS.format(
-                folder=folder, tls=self.tls_port, gearman_tls=self.gearman_tls_port
+            operator_text += TLS_SECTION_TEMPLATE.format(
+                folder=folder, tls_port=self.tls_port, gearman_tls_port=self.gearman_tls_port
             )
-        super().__init__(folder, section)
+        super().__init__(folder, operator_text)
 
     def write_tls_files(self):
-        """Write a new server certificate of the same CA, and an empty revocation list."""
+        """Write the CA, a new server certificate that it has issued, and an empty CRL."""
         server = self.ca.issue_cert("127.0.0.1")
-        chain = b"".join(blob.bytes() for blob in server.cert_chain_pems)
+        chain = b"".join(pem.bytes() for pem in server.cert_chain_pems)
         (self.folder / "server.pem").write_bytes(chain)
         (self.folder / "server.key").write_bytes(server.private_key_pem.bytes())
         (self.folder / "ca.pem").write_bytes(self.ca.cert_pem.bytes())
         self.write_revocation_list()
 
     def write_revocation_list(self, *serial_numbers):
-        """Write a CRL that revokes these certificates."""
+        """Write a CRL that revokes the certificates with these serial numbers."""
         issuer = x509.load_pem_x509_certificate(self.ca.cert_pem.bytes())
         now = datetime.datetime.now(datetime.UTC)
         crl = x509.CertificateRevocationListBuilder().issuer_name(issuer.subject)
@@ -92,32 +93,34 @@
             entry = x509.RevokedCertificateBuilder().serial_number(serial_number)
             crl = crl.add_revoked_certificate(entry.revocation_date(now).build())
         key = serialization.load_pem_private_key(self.ca.private_key_pem.bytes(), None)
-        signed = crl.sign(key, hashes.SHA256())
-        (self.folder / "crl.pem").write_bytes(signed.public_bytes(serialization.Encoding.PEM))
+        signed_crl = crl.sign(key, hashes.SHA256())
+        (self.folder / "crl.pem").write_bytes(signed_crl.public_bytes(serialization.Encoding.PEM))
 
-    def token(self, subject="portal", ttl=600, **claims):
-        """Issue a token of the active key; `ttl` in seconds."""
+    def issue_token(self, subject="portal", ttl_seconds=600, **claims):
+        """Return a token signed by the active key; `claims` are added or replaced."""
         now = int(time.time())
         return self.key_store.issue_token(
-            {**ISSUER_AND_AUDIENCE, "sub": subject, "iat": now, "exp": now + ttl, **claims}
+            {**ISSUER_AND_AUDIENCE, "sub": subject, "iat": now, "exp": now + ttl_seconds, **claims}
         )
 
-    def post(self, token=None, peer=None, tenant="tatra-invest", path="/revalue", request_id=None):
-        """Send a job over HTTP; return the answer."""
+    def post_job(
+        self, token=None, peer=None, tenant="tatra-invest", path="/revalue", request_id=None
+    ):
+        """Send a job over HTTP and return the answer; `peer` is a connection to use, if given."""
         headers = {"Authorization": f"Bearer {token}"} if token else {}
         request_id = request_id or f"{time.monotonic_ns():016x}"
         return exchange(
             self.http_port, job_request(request_id, path=path, Tenant=tenant, **headers), peer
         )
 
-    def start_worker(self, name="w"):
+    def start_worker(self, worker_id="w"):
         """Register a Gearman worker that completes each job with 17.5, in a thread."""
         peer = self.connect()
-        peer.send(PacketKind.OPTION_REQ, f"token:{self.token(f'worker/{name}', 3600)}")
-        peer.register_worker(name)
+        peer.send(PacketKind.OPTION_REQ, f"token:{self.issue_token(f'worker/{worker_id}', 3600)}")
+        peer.register_worker(worker_id)
         self.run_in_thread(peer.complete_jobs, "17.5")
 
 
-def challenge(answer):
-    """The status of an HTTP answer and its challenge (RFC 6750, 3)."""
+def status_and_challenge(answer):
+    """Return the status of an HTTP answer and its challenge (RFC 6750, 3)."""
     return answer.status, answer.headers.get("www-authenticate", "")
--- a/tests/identity/test_identity_node.py
+++ b/tests/identity/test_identity_node.py
@@ -1,4 +1,4 @@
-"""The running program with `[identity]`: tokens at every front, rotation and revocation of keys."""
+"""A dispatcher's process with `[identity]`: tokens at each front, key rotation and revocation."""
 
 import socket
 import threading
@@ -7,63 +7,67 @@
 from stepstream.gearman.codec import PacketKind
 from stepstream.http.codec import write_request
 from tests.http.scripted_server import exchange
-from tests.identity.program import challenge
+from tests.identity.program import status_and_challenge
 from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 
 def test_callers_are_served_within_their_permissions(program):
     program.start_worker()
-    portal = program.token()
-    assert program.post(portal).body == b"17.5"
-    assert program.post(portal, tenant=None).status == 200  # it belongs to one tenant alone
+    portal_token = program.issue_token()
+    assert program.post_job(portal_token).body == b"17.5"
+    # Without a tenant, the request gets the only tenant of its caller.
+    assert program.post_job(portal_token, tenant=None).status == 200
 
 
-def test_each_faulty_token_is_challenged_with_its_reason(program):
-    assert challenge(program.post()) == (401, 'Bearer realm="stepstream"')
+def test_a_missing_or_faulty_token_gets_a_challenge_that_names_the_reason(program):
+    assert status_and_challenge(program.post_job()) == (401, 'Bearer realm="stepstream"')
     for token, reason in (
-        (program.token(aud="another"), "wrong_audience"),
-        (program.token(exp=int(time.time()) - 60), "expired"),
-        (program.token()[:-6] + "AAAAAA", "bad_signature"),
+        (program.issue_token(aud="another"), "wrong_audience"),
+        (program.issue_token(exp=int(time.time()) - 60), "expired"),
+        (program.issue_token()[:-6] + "AAAAAA", "bad_signature"),
         ("x" * 5000, "too_long"),
     ):
-        status, header = challenge(program.post(token))
+        status, header = status_and_challenge(program.post_job(token))
         assert status == 401
         assert f'error_description="{reason}"' in header
 
 
-def test_a_request_beyond_the_permissions_is_forbidden_with_its_reason(program):
-    portal = program.token()
+def test_a_request_without_permission_gets_403_with_the_reason(program):
+    portal_token = program.issue_token()
     for answer, reason in (
-        (program.post(portal, tenant="nobody"), "tenant_contradicts"),
-        (program.post(portal, path="/nav-publish"), "class_not_allowed"),
-        (program.post(program.token("publisher"), path="/nav-publish"), "method_not_allowed"),
-        (program.post(program.token("stranger")), "unknown_caller"),
+        (program.post_job(portal_token, tenant="nobody"), "tenant_contradicts"),
+        (program.post_job(portal_token, path="/nav-publish"), "class_not_allowed"),
+        (
+            program.post_job(program.issue_token("publisher"), path="/nav-publish"),
+            "method_not_allowed",
+        ),
+        (program.post_job(program.issue_token("stranger")), "unknown_caller"),
     ):
-        status, header = challenge(answer)
+        status, header = status_and_challenge(answer)
         assert status == 403
         assert 'error="insufficient_scope"' in header
         assert reason in header
 
 
-def test_a_caller_over_its_rate_gets_a_retry_after(program):
+def test_a_caller_over_its_rate_gets_a_retry_after_header(program):
     program.start_worker()
-    slow = program.token("slow")
-    assert program.post(slow).status == 200
-    rejection = program.post(slow)
+    slow_token = program.issue_token("slow")
+    assert program.post_job(slow_token).status == 200
+    rejection = program.post_job(slow_token)
     assert rejection.status == 503
     assert float(rejection.headers["retry-after"]) > 1
 
 
-def test_the_connection_of_a_rejected_client_stays_open(program):
+def test_the_connection_stays_open_after_a_request_is_rejected_with_401(program):
     program.start_worker()
     with socket.create_connection(
         ("127.0.0.1", program.http_port), timeout=WAIT_TIMEOUT_SECONDS
     ) as peer:
-        statuses = [program.post(token, peer).status for token in (None, program.token())]
+        statuses = [program.post_job(token, peer).status for token in (None, program.issue_token())]
     assert statuses == [401, 200]
 
 
-def test_a_notification_needs_the_token_of_the_worker_that_it_names(program):
+def test_a_notification_is_accepted_only_with_the_token_of_its_worker(program):
     def notify(token):
         headers = {"Connection": "close"} | ({"Authorization": f"Bearer {token}"} if token else {})
         body = b'{"id":"0a","from":"s-1","state":"done","result":"forged"}'
@@ -71,14 +75,19 @@
             program.http_port, write_request("POST", "/_jobs/news", headers, body)
         ).status
 
-    tokens = (None, program.token(), program.token("worker/s-2"), program.token("worker/s-1"))
+    tokens = (
+        None,
+        program.issue_token(),
+        program.issue_token("worker/s-2"),
+        program.issue_token("worker/s-1"),
+    )
     assert [notify(token) for token in tokens] == [401, 403, 403, 200]
 
 
 def test_a_worker_registers_only_under_the_id_that_its_token_names(program):
     for token, expected in (
         (None, b"NOT_IDENTIFIED"),
-        (program.token("worker/other"), b"NOT_ALLOWED"),
+        (program.issue_token("worker/other"), b"NOT_ALLOWED"),
     ):
         peer = program.connect()
         if token:
@@ -94,10 +103,10 @@
         peer.send(PacketKind.SUBMIT_JOB, "revalue", "", "x").receive_until(PacketKind.ERROR).args[0]
         == b"NOT_IDENTIFIED"
     )
-    answer = peer.send(PacketKind.OPTION_REQ, f"token:{program.token()}").receive_until(
+    answer = peer.send(PacketKind.OPTION_REQ, f"token:{program.issue_token()}").receive_until(
         PacketKind.OPTION_RES
     )
-    assert answer.args == (b"token",)  # never the token itself
+    assert answer.args == (b"token",)  # the answer does not repeat the token
     handle = (
         peer.send(PacketKind.SUBMIT_JOB_BG, "revalue", "u", "x")
         .receive_until(PacketKind.JOB_CREATED)
@@ -113,7 +122,9 @@
         peer.send(PacketKind.GET_STATUS, handle).receive_until(PacketKind.STATUS_RES).args[1]
         == b"1"
     )
-    other = program.connect().send(PacketKind.OPTION_REQ, f"token:{program.token('publisher')}")
+    other = program.connect().send(
+        PacketKind.OPTION_REQ, f"token:{program.issue_token('publisher')}"
+    )
     for kind, name in (
         (PacketKind.GET_STATUS, handle),
         (PacketKind.GET_STATUS_UNIQUE, "u"),
@@ -127,66 +138,70 @@
     assert program.command("version").startswith("OK")
 
 
-def test_a_rotation_under_load_drops_no_good_request_and_ends_the_old_key(program):
+def test_a_rotation_under_load_rejects_no_valid_token_and_then_rejects_the_old_key(program):
     program.start_worker()
     statuses = []
     stop = threading.Event()
 
-    def load():
+    def send_jobs():
         with socket.create_connection(
             ("127.0.0.1", program.http_port), timeout=WAIT_TIMEOUT_SECONDS
         ) as peer:
             while not stop.is_set():
-                statuses.append(program.post(program.token(ttl=30), peer).status)
+                statuses.append(program.post_job(program.issue_token(ttl_seconds=30), peer).status)
 
-    threads = [threading.Thread(target=load) for _ in range(3)]
+    threads = [threading.Thread(target=send_jobs) for _ in range(3)]
     for thread in threads:
         thread.start()
-    old = program.token()
+    old_token = program.issue_token()
     wait_for(lambda: len(statuses) > 20)
     program.key_store.rotate(overlap_seconds=5, now=int(time.time()))
     count_at_rotation = len(statuses)
     wait_for(lambda: len(statuses) > count_at_rotation + 40)
     assert program.key_store.load_jwks()[0]["state"] == "retiring"
-    wait_for(lambda: program.post(old).status == 401)
-    assert "key_past" in challenge(program.post(old))[1]
+    wait_for(lambda: program.post_job(old_token).status == 401)
+    assert "key_past" in status_and_challenge(program.post_job(old_token))[1]
     stop.set()
     for thread in threads:
         thread.join()
-    # The policy may reject under load; nobody was rejected for the credential.
+    # The policy may reject jobs under load, but no request is rejected for its credential.
     assert 200 in statuses
     assert not set(statuses) & {401, 403}
 
 
-def test_a_revoked_key_ends_cached_tokens_on_open_connections(program):
+def test_a_cached_token_is_rejected_on_an_open_connection_after_its_key_is_revoked(program):
     program.start_worker()
-    token = program.token()
+    token = program.issue_token()
     with socket.create_connection(
         ("127.0.0.1", program.http_port), timeout=WAIT_TIMEOUT_SECONDS
     ) as peer:
-        assert program.post(token, peer).status == 200
+        assert program.post_job(token, peer).status == 200
         program.key_store.revoke("k1")
-        wait_for(lambda: program.post(token, peer).status == 401)
-        assert "key_revoked" in challenge(program.post(token, peer))[1]
+        wait_for(lambda: program.post_job(token, peer).status == 401)
+        assert "key_revoked" in status_and_challenge(program.post_job(token, peer))[1]
 
 
-def test_a_key_file_half_written_changes_nothing(program):
+def test_a_truncated_key_file_is_logged_and_the_previous_keys_stay_in_force(program):
     program.start_worker()
-    token = program.token()
+    token = program.issue_token()
     key_file = program.folder / "keys.json"
-    complete = key_file.read_bytes()
-    key_file.write_bytes(complete[: len(complete) // 2])
+    content = key_file.read_bytes()
+    key_file.write_bytes(content[: len(content) // 2])
     line = next(line for line in program.process.stderr if "keys_reload" in line)
     assert "keys_reload_failed" in line
     assert 'in_force="previous keys"' in line
-    assert program.post(token).status == 200
+    assert program.post_job(token).status == 200
 
 
-def test_no_token_and_no_key_is_written_to_the_log(program):
+def test_no_signature_of_a_token_is_written_to_the_log(program):
     program.start_worker()
-    tokens = [program.token(), program.token("stranger"), program.token(aud="another")]
+    tokens = [
+        program.issue_token(),
+        program.issue_token("stranger"),
+        program.issue_token(aud="another"),
+    ]
     for token in tokens:
-        program.post(token)
+        program.post_job(token)
     program.process.terminate()
     log = program.process.communicate(timeout=WAIT_TIMEOUT_SECONDS)[1]
     assert '"reason": "unknown_caller"' in log
--- a/tests/identity/test_identity_tls.py
+++ b/tests/identity/test_identity_tls.py
@@ -1,4 +1,4 @@
-"""The running program with `[identity.tls]`: client certificates, their end, revocation, handshakes."""
+"""A process with `[identity.tls]`: client certificates, expiry, revocation and handshakes."""
 
 import contextlib
 import datetime
@@ -15,12 +15,12 @@
 from stepstream.gearman.codec import PacketKind
 from tests.gearman.program import GearmanPeer
 from tests.http.messages import job_request
-from tests.identity.program import challenge
+from tests.identity.program import status_and_challenge
 from tests.runtime.waiting import WAIT_TIMEOUT_SECONDS, wait_for
 
 
 def client_context(tls_program, ca=None):
-    """What a client connects with: a certificate of the CA, or without one none."""
+    """Return a client's TLS context; with `ca`, it has a certificate of that CA."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     tls_program.ca.configure_trust(context)
     if ca is not None:
@@ -28,14 +28,14 @@
     return context
 
 
-def client_with_uri(tls_program, uri, seconds=600):
-    """A client certificate with one URI SAN, which trustme does not make."""
+def context_with_uri(tls_program, uri, lifetime_seconds=600):
+    """Return a context and its client certificate with one URI SAN, which trustme cannot issue."""
     names = x509.SubjectAlternativeName([x509.UniformResourceIdentifier(uri)])
-    return client_with_names(tls_program, names, seconds)
+    return context_with_names(tls_program, names, lifetime_seconds)
 
 
-def client_with_names(tls_program, names, seconds=600):
-    """A client certificate with this extension as its alternative names."""
+def context_with_names(tls_program, names, lifetime_seconds=600):
+    """Return a context and its client certificate with this extension as alternative names."""
     issuer = x509.load_pem_x509_certificate(tls_program.ca.cert_pem.bytes())
     signer = serialization.load_pem_private_key(tls_program.ca.private_key_pem.bytes(), None)
     key = ec.generate_private_key(ec.SECP256R1())
@@ -47,7 +47,7 @@
         .public_key(key.public_key())
         .serial_number(x509.random_serial_number())
         .not_valid_before(now - datetime.timedelta(seconds=60))
-        .not_valid_after(now + datetime.timedelta(seconds=seconds))
+        .not_valid_after(now + datetime.timedelta(seconds=lifetime_seconds))
         .add_extension(names, critical=True)
         .sign(signer, hashes.SHA256())
     )
@@ -66,24 +66,25 @@
 
 
 def connect_tls(port, context):
-    plain = socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_SECONDS)
-    return context.wrap_socket(plain, server_hostname="127.0.0.1")
+    sock = socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_SECONDS)
+    return context.wrap_socket(sock, server_hostname="127.0.0.1")
 
 
-def test_a_certificate_that_only_the_handshake_can_read_costs_one_line_and_its_connection(
+def test_a_certificate_that_cannot_be_parsed_closes_its_connection_with_one_log_line(
     tls_program,
 ):
-    # Guards against a reader thread that ends with an unforeseen fault.
+    # Guards against an uncaught error in the connection's thread. The handshake accepts this name,
+    # but the parser of certificates does not.
     x400_address = x509.UnrecognizedExtension(
         x509.OID_SUBJECT_ALTERNATIVE_NAME, b"\x30\x02\xa3\x00"
     )
-    context, _ = client_with_names(tls_program, x400_address)
+    context, _ = context_with_names(tls_program, x400_address)
     with connect_tls(tls_program.tls_port, context) as peer, contextlib.suppress(OSError):
         assert peer.recv(1) == b""
     tls_program.start_worker()
-    publisher, _ = client_with_uri(tls_program, "spiffe://danubia/publisher")
+    publisher, _ = context_with_uri(tls_program, "spiffe://danubia/publisher")
     with connect_tls(tls_program.tls_port, publisher) as peer:
-        assert tls_program.post(peer=peer, path="/nav-publish").body == b"17.5"
+        assert tls_program.post_job(peer=peer, path="/nav-publish").body == b"17.5"
     tls_program.process.terminate()
     log = tls_program.process.communicate(timeout=WAIT_TIMEOUT_SECONDS)[1]
     assert log.count("client_certificate_unreadable") == 1
@@ -92,70 +93,80 @@
 
 def test_a_certificate_identifies_its_caller_over_http_and_gearman(tls_program):
     tls_program.start_worker()
-    publisher, _ = client_with_uri(tls_program, "spiffe://danubia/publisher")
+    publisher, _ = context_with_uri(tls_program, "spiffe://danubia/publisher")
     with connect_tls(tls_program.tls_port, publisher) as peer:
         for _ in range(3):
-            assert tls_program.post(peer=peer, path="/nav-publish").body == b"17.5"
-        assert tls_program.post(tls_program.token("publisher"), peer).status == 200
-        assert "two_callers" in challenge(tls_program.post(tls_program.token("portal"), peer))[1]
-    portal, _ = client_with_uri(tls_program, "spiffe://danubia/portal")
+            assert tls_program.post_job(peer=peer, path="/nav-publish").body == b"17.5"
+        assert tls_program.post_job(tls_program.issue_token("publisher"), peer).status == 200
+        assert (
+            "two_callers"
+            in status_and_challenge(tls_program.post_job(tls_program.issue_token("portal"), peer))[
+                1
+            ]
+        )
+    portal, _ = context_with_uri(tls_program, "spiffe://danubia/portal")
     with connect_tls(tls_program.tls_port, portal) as peer:
-        assert tls_program.post(peer=peer).status == 200
-        assert tls_program.post(peer=peer, path="/nav-publish").status == 403
+        assert tls_program.post_job(peer=peer).status == 200
+        assert tls_program.post_job(peer=peer, path="/nav-publish").status == 403
     with connect_tls(tls_program.gearman_tls_port, publisher) as sock:
         peer = GearmanPeer(sock)
-        done = peer.send(PacketKind.SUBMIT_JOB, "tatra-invest/nav-publish", "k", "x").receive_until(
-            PacketKind.WORK_COMPLETE
-        )
-        assert done.args[1] == b"17.5"
+        completion = peer.send(
+            PacketKind.SUBMIT_JOB, "tatra-invest/nav-publish", "k", "x"
+        ).receive_until(PacketKind.WORK_COMPLETE)
+        assert completion.args[1] == b"17.5"
 
 
-def test_a_request_is_denied_once_the_certificate_has_expired_on_its_connection(tls_program):
+def test_a_request_gets_401_after_the_certificate_of_its_open_connection_has_expired(tls_program):
     tls_program.start_worker()
-    context, _ = client_with_uri(tls_program, "spiffe://danubia/portal", seconds=4)
+    context, _ = context_with_uri(tls_program, "spiffe://danubia/portal", lifetime_seconds=4)
     with connect_tls(tls_program.tls_port, context) as peer:
-        assert tls_program.post(peer=peer).status == 200
-        wait_for(lambda: tls_program.post(peer=peer).status == 401)
-        assert "certificate_expired" in challenge(tls_program.post(peer=peer))[1]
+        assert tls_program.post_job(peer=peer).status == 200
+        wait_for(lambda: tls_program.post_job(peer=peer).status == 401)
+        assert "certificate_expired" in status_and_challenge(tls_program.post_job(peer=peer))[1]
 
 
-def test_a_revoked_certificate_is_denied_on_its_open_connection_after_the_reload(tls_program):
+def test_a_request_gets_401_after_a_reload_has_revoked_the_certificate_of_its_connection(
+    tls_program,
+):
     tls_program.start_worker()
-    context, certificate = client_with_uri(tls_program, "spiffe://danubia/portal")
+    context, certificate = context_with_uri(tls_program, "spiffe://danubia/portal")
     with connect_tls(tls_program.tls_port, context) as peer:
-        assert tls_program.post(peer=peer).status == 200
+        assert tls_program.post_job(peer=peer).status == 200
         tls_program.write_revocation_list(certificate.serial_number)
         assert "configuration_reloaded" in tls_program.reload()
-        assert "certificate_revoked" in challenge(tls_program.post(peer=peer))[1]
-        assert tls_program.post(peer=peer, token=None).status == 401
+        assert "certificate_revoked" in status_and_challenge(tls_program.post_job(peer=peer))[1]
+        assert tls_program.post_job(peer=peer, token=None).status == 401
 
 
 def test_the_servers_certificate_is_replaced_without_closing_connections(tls_program):
     tls_program.start_worker()
-    context, _ = client_with_uri(tls_program, "spiffe://danubia/portal")
+    context, _ = context_with_uri(tls_program, "spiffe://danubia/portal")
     with connect_tls(tls_program.tls_port, context) as peer:
-        before = peer.getpeercert(binary_form=True)
+        certificate_before = peer.getpeercert(binary_form=True)
         tls_program.write_tls_files()
         assert "configuration_reloaded" in tls_program.reload()
-        with connect_tls(tls_program.tls_port, context) as new:
-            assert new.getpeercert(binary_form=True) != before
-            assert [tls_program.post(peer=p).status for p in (peer, new)] == [200, 200]
+        with connect_tls(tls_program.tls_port, context) as new_peer:
+            assert new_peer.getpeercert(binary_form=True) != certificate_before
+            assert [tls_program.post_job(peer=sock).status for sock in (peer, new_peer)] == [
+                200,
+                200,
+            ]
 
 
-def test_a_client_without_a_certificate_of_the_bundle_or_with_old_tls_is_not_served(tls_program):
-    of_another_ca = client_context(tls_program, trustme.CA())
+def test_a_client_without_a_certificate_of_the_ca_bundle_or_with_tls_1_2_is_not_served(tls_program):
+    with_another_ca = client_context(tls_program, trustme.CA())
     without_certificate = client_context(tls_program)
-    with_old_tls = client_context(tls_program, tls_program.ca)
-    with_old_tls.maximum_version = ssl.TLSVersion.TLSv1_2
-    for context in (of_another_ca, without_certificate, with_old_tls):
+    with_tls_1_2 = client_context(tls_program, tls_program.ca)
+    with_tls_1_2.maximum_version = ssl.TLSVersion.TLSv1_2
+    for context in (with_another_ca, without_certificate, with_tls_1_2):
         with (
             pytest.raises((ssl.SSLError, OSError, ConnectionError)),
             connect_tls(tls_program.tls_port, context) as peer,
         ):
-            tls_program.post(peer=peer)
+            tls_program.post_job(peer=peer)
 
 
-def test_the_wrong_protocol_on_either_port_and_a_stalled_handshake_end_in_time(tls_program):
+def test_connections_with_the_wrong_protocol_or_a_stalled_handshake_are_closed_in_time(tls_program):
     tls_program.start_worker()
     with socket.create_connection(
         ("127.0.0.1", tls_program.tls_port), timeout=WAIT_TIMEOUT_SECONDS
@@ -165,29 +176,29 @@
             pass
     with pytest.raises((ssl.SSLError, OSError)):
         connect_tls(tls_program.http_port, client_context(tls_program))
-    stalled = [
+    stalled_peers = [
         socket.create_connection(("127.0.0.1", tls_program.tls_port), timeout=WAIT_TIMEOUT_SECONDS)
         for _ in range(20)
     ]
-    for peer in stalled:
+    for peer in stalled_peers:
         peer.sendall(b"\x16\x03\x01")
-    context, _ = client_with_uri(tls_program, "spiffe://danubia/portal")
+    context, _ = context_with_uri(tls_program, "spiffe://danubia/portal")
     with connect_tls(tls_program.tls_port, context) as peer:
-        assert tls_program.post(peer=peer).status == 200
-    for peer in stalled:
+        assert tls_program.post_job(peer=peer).status == 200
+    for peer in stalled_peers:
         while peer.recv(4096):
             pass
         peer.close()
 
 
-def test_many_handshakes_at_once(tls_program):
+def test_100_concurrent_tls_clients_are_answered_without_401_or_403(tls_program):
     tls_program.start_worker()
-    context, _ = client_with_uri(tls_program, "spiffe://danubia/portal")
+    context, _ = context_with_uri(tls_program, "spiffe://danubia/portal")
     statuses = []
 
     def send_job():
         with connect_tls(tls_program.tls_port, context) as peer:
-            statuses.append(tls_program.post(peer=peer).status)
+            statuses.append(tls_program.post_job(peer=peer).status)
 
     threads = [threading.Thread(target=send_job) for _ in range(100)]
     for thread in threads:
@@ -199,8 +210,8 @@
     assert not set(statuses) & {401, 403}
 
 
-def test_no_session_is_resumed(tls_program):
-    context, _ = client_with_uri(tls_program, "spiffe://danubia/portal")
+def test_no_session_ticket_is_issued(tls_program):
+    context, _ = context_with_uri(tls_program, "spiffe://danubia/portal")
     with connect_tls(tls_program.tls_port, context) as peer:
-        tls_program.post(peer=peer, path="/nothing")
+        tls_program.post_job(peer=peer, path="/nothing")
         assert not peer.session or not peer.session.has_ticket
