--- a/tests/identity/test_identity_certificates.py
+++ b/tests/identity/test_identity_certificates.py
@@ -1,4 +1,4 @@
-"""Client certificates: which name identifies the caller, and when a certificate is good."""
+"""Client certificates: which name identifies the caller, and when a certificate is valid."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 ISSUER = b"issuer"
 
 
-def certificate(**names):
+def client_certificate(**names):
     return ClientCertificate(0xAB, ISSUER, NOW - 60, NOW + 60, names)
 
 
@@ -32,7 +32,7 @@
     ids=case_id,
 )
 def test_the_subject_is_the_first_name_of_the_first_kind_present(names, name_kinds, subject):
-    assert certificate(**names).subject(name_kinds) == subject
+    assert client_certificate(**names).subject(name_kinds) == subject
 
 
 @pytest.mark.parametrize(
@@ -44,11 +44,11 @@
     ],
     ids=case_id,
 )
-def test_a_certificate_without_one_usable_name_identifies_nobody(names, name_kinds, reason):
-    with pytest.raises(CertificateError) as fault:
-        certificate(**names).subject(name_kinds)
-    assert fault.value.reason == reason
-    assert fault.value.key_id == "ab"
+def test_a_certificate_without_a_name_or_with_two_spiffe_ids_is_rejected(names, name_kinds, reason):
+    with pytest.raises(CertificateError) as raised:
+        client_certificate(**names).subject(name_kinds)
+    assert raised.value.reason == reason
+    assert raised.value.key_id == "ab"
 
 
 @pytest.mark.parametrize(
@@ -64,19 +64,19 @@
     ],
     ids=case_id,
 )
-def test_a_certificate_is_good_within_its_times_unless_revoked(now, revoked, reason):
+def test_a_certificate_is_valid_between_its_times_unless_revoked(now, revoked, reason):
     revocation_list = RevocationList(frozenset(revoked))
     if reason is None:
-        check_validity(certificate(), revocation_list, now)
+        check_validity(client_certificate(), revocation_list, now)
         return
-    with pytest.raises(CertificateError) as fault:
-        check_validity(certificate(), revocation_list, now)
-    assert fault.value.reason == reason
+    with pytest.raises(CertificateError) as raised:
+        check_validity(client_certificate(), revocation_list, now)
+    assert raised.value.reason == reason
 
 
-def test_what_is_no_certificate_and_no_revocation_list_is_rejected():
-    with pytest.raises(CertificateError) as fault:
+def test_unreadable_certificates_and_revocation_lists_are_rejected():
+    with pytest.raises(CertificateError) as raised:
         parse_certificate(b"x")
-    assert fault.value.reason == "unreadable"
+    assert raised.value.reason == "unreadable"
     with pytest.raises(RevocationListError):
         parse_revocation_lists(b"-----BEGIN X509 CRL-----\nx\n-----END X509 CRL-----\n", [])
--- a/tests/identity/test_identity_permissions.py
+++ b/tests/identity/test_identity_permissions.py
@@ -1,4 +1,4 @@
-"""Permissions: each decision with the rule behind it, and rate limiters against a model."""
+"""Permissions: decisions with their reasons, rate limits against a model, and the audit log."""
 
 import io
 import json
@@ -24,12 +24,12 @@
     frozenset(("revalue", "price-check")),
 )
 ADMIN = Caller("admin", frozenset(("admin",)), frozenset(("*",)), frozenset(("*",)))
-OUT = Caller("out", frozenset(("out",)), frozenset(("*",)), frozenset(("*",)), suspended=True)
-METHODS = {"nav-publish": frozenset((AuthenticationMethod.CERTIFICATE,))}
+SUSPENDED = Caller("out", frozenset(("out",)), frozenset(("*",)), frozenset(("*",)), suspended=True)
+REQUIRED_METHODS = {"nav-publish": frozenset((AuthenticationMethod.CERTIFICATE,))}
 
 
-def permissions_with(*more):
-    return Permissions((PORTAL, ADMIN, OUT, *more), METHODS)
+def permissions_with(*callers):
+    return Permissions((PORTAL, ADMIN, SUSPENDED, *callers), REQUIRED_METHODS)
 
 
 def by_token(subject):
@@ -119,16 +119,18 @@
         "allowed by certificate",
     ],
 )
-def test_each_decision_says_why(principal, class_name, tenant, verdict, reason, rule):
-    found = permissions_with().decide(principal, class_name, tenant)
-    assert (found.verdict, found.reason, found.rule) == (verdict, reason, rule)
+def test_a_decision_has_its_verdict_reason_and_rule(
+    principal, class_name, tenant, verdict, reason, rule
+):
+    decision = permissions_with().decide(principal, class_name, tenant)
+    assert (decision.verdict, decision.reason, decision.rule) == (verdict, reason, rule)
 
 
-def test_a_caller_of_one_tenant_need_not_name_it():
+def test_a_request_without_a_tenant_gets_the_only_tenant_of_its_caller():
     assert permissions_with().decide(by_token("portal"), "revalue", None).tenant == "north"
 
 
-def test_over_its_rate_a_caller_gets_a_retry_after():
+def test_a_caller_over_its_rate_gets_a_retry_after():
     slow = Caller(
         "slow",
         frozenset(("slow",)),
@@ -137,38 +139,38 @@
         rate_per_second=2.0,
         burst=1,
     )
-    engine = permissions_with(slow)
-    assert engine.admit(by_token("slow"), "revalue", "north", 10.0).verdict is Verdict.ALLOWED
-    later = engine.admit(by_token("slow"), "revalue", "north", 10.1)
-    assert later.verdict is Verdict.RATE_LIMITED
-    assert later.retry_after_seconds == pytest.approx(0.4)
-    assert engine.admit(by_token("slow"), "revalue", "north", 10.5).verdict is Verdict.ALLOWED
-    # One caller's rate is not another's, and what is denied costs nothing.
-    assert engine.admit(by_token("admin"), "revalue", "north", 10.5).verdict is Verdict.ALLOWED
-
-
-def test_the_used_limits_outlive_a_reload():
-    few = Caller(
+    permissions = permissions_with(slow)
+    assert permissions.admit(by_token("slow"), "revalue", "north", 10.0).verdict is Verdict.ALLOWED
+    rejection = permissions.admit(by_token("slow"), "revalue", "north", 10.1)
+    assert rejection.verdict is Verdict.RATE_LIMITED
+    assert rejection.retry_after_seconds == pytest.approx(0.4)
+    assert permissions.admit(by_token("slow"), "revalue", "north", 10.5).verdict is Verdict.ALLOWED
+    # The rejected request took no token, and the rate of another caller is counted separately.
+    assert permissions.admit(by_token("admin"), "revalue", "north", 10.5).verdict is Verdict.ALLOWED
+
+
+def test_a_reload_keeps_the_used_limits():
+    limited = Caller(
         "few", frozenset(("few",)), frozenset(("*",)), frozenset(("*",)), max_open_requests=1
     )
-    old, new = permissions_with(few), permissions_with(few)
-    assert old.admit(by_token("few"), "revalue", "north", 1.0).verdict is Verdict.ALLOWED
-    new.adopt_usage(old)
-    assert new.admit(by_token("few"), "revalue", "north", 1.0).reason == "too_many_open"
-    new.release("few")
-    assert new.admit(by_token("few"), "revalue", "north", 1.0).verdict is Verdict.ALLOWED
+    previous, reloaded = permissions_with(limited), permissions_with(limited)
+    assert previous.admit(by_token("few"), "revalue", "north", 1.0).verdict is Verdict.ALLOWED
+    reloaded.adopt_usage(previous)
+    assert reloaded.admit(by_token("few"), "revalue", "north", 1.0).reason == "too_many_open"
+    reloaded.release("few")
+    assert reloaded.admit(by_token("few"), "revalue", "north", 1.0).verdict is Verdict.ALLOWED
 
 
 RATE_PER_SECOND = 4
 BURST = 3
 MAX_OPEN_REQUESTS = 2
-TOKEN = 1000  # what one request takes; a level counts in thousandths of a request
-# Quarters of a second and rates of four: sums that floats hold exactly.
+MILLITOKENS_PER_REQUEST = 1000
+# In eighths of a second, at a rate of 4 per second, floats hold all sums exactly.
 WAITS_MS = (125, 250, 500)
 
 
 class RateLimiterMachine(RuleBasedStateMachine):
-    """The model: exact arithmetic over whole milliseconds."""
+    """Compares rate limits with a model that computes in whole milliseconds and millitokens."""
 
     def __init__(self):
         super().__init__()
@@ -184,7 +186,7 @@
         self.permissions = Permissions((caller,), {})
         self.now_ms = 0
         self.refilled_at_ms = 0
-        self.level = BURST * TOKEN
+        self.millitokens = BURST * MILLITOKENS_PER_REQUEST
         self.open_requests = 0
 
     @rule(duration_ms=st.sampled_from(WAITS_MS))
@@ -199,58 +201,64 @@
             assert decision.reason == "too_many_open"
             return
         self.refill()
-        if self.level < TOKEN:
+        if self.millitokens < MILLITOKENS_PER_REQUEST:
             assert decision.reason == "over_rate"
-            missing_seconds = (TOKEN - self.level) / TOKEN / RATE_PER_SECOND
+            missing_seconds = (
+                (MILLITOKENS_PER_REQUEST - self.millitokens)
+                / MILLITOKENS_PER_REQUEST
+                / RATE_PER_SECOND
+            )
             assert decision.retry_after_seconds == pytest.approx(missing_seconds)
             return
         assert decision.verdict is Verdict.ALLOWED
-        self.level -= TOKEN
+        self.millitokens -= MILLITOKENS_PER_REQUEST
         self.open_requests += 1
 
     def refill(self):
-        refilled = (self.now_ms - self.refilled_at_ms) * RATE_PER_SECOND
-        self.level = min(self.level + refilled, BURST * TOKEN)
+        added = (self.now_ms - self.refilled_at_ms) * RATE_PER_SECOND
+        self.millitokens = min(self.millitokens + added, BURST * MILLITOKENS_PER_REQUEST)
         self.refilled_at_ms = self.now_ms
 
     @rule()
-    def end(self):
+    def release(self):
         self.permissions.release("c")
         self.open_requests = max(self.open_requests - 1, 0)
 
     @invariant()
-    def agrees_with_the_model(self):
+    def open_requests_agree_with_the_model(self):
         limiter = self.permissions.rate_limiters.get("c")
         assert limiter is None or limiter.open_requests == self.open_requests
 
 
-def test_rate_limiters_against_their_model(run_state_machine):
+def test_rate_limits_agree_with_the_model(run_state_machine):
     run_state_machine(RateLimiterMachine)
 
 
 # -- audit ------------------------------------------------------------------------------------------------
 
-DENIED = Decision(Verdict.DENIED, "suspended", "identity.caller out: state", "out")
+DENIAL = Decision(Verdict.DENIED, "suspended", "identity.caller out: state", "out")
 
 
-def lines(stream):
+def parse_lines(stream):
     return [json.loads(line) for line in stream.getvalue().splitlines()]
 
 
-def test_an_audit_line_says_who_what_and_why_and_denials_are_bounded():
-    clock, stream = [0.0], io.StringIO()
-    audit = AuditLog("json", 2, include_allowed=True, stream=stream, now=lambda: clock[0])
+def test_audit_lines_name_the_subject_operation_and_reason_and_denials_are_rate_limited():
+    now_seconds, stream = [0.0], io.StringIO()
+    audit_log = AuditLog("json", 2, include_allowed=True, stream=stream, now=lambda: now_seconds[0])
     for _ in range(5):
-        audit.record("http", "north/revalue", DENIED, "out", "k1")
-    clock[0] = 1.0
-    audit.record("http", "north/revalue", DENIED, "out", "k1")
-    audit.record(
+        audit_log.record("http", "north/revalue", DENIAL, "out", "k1")
+    now_seconds[0] = 1.0
+    audit_log.record("http", "north/revalue", DENIAL, "out", "k1")
+    audit_log.record(
         "http", "north/revalue", Decision(Verdict.ALLOWED, "allowed", "r", "portal"), "portal", "k1"
     )
-    found = lines(stream)
-    assert len(found) == 4
-    assert found[2]["left_out"] == 3
-    assert {k: found[0][k] for k in ("front", "what", "decision", "reason", "subject", "key")} == {
+    records = parse_lines(stream)
+    assert len(records) == 4
+    assert records[2]["left_out"] == 3
+    assert {
+        name: records[0][name] for name in ("front", "what", "decision", "reason", "subject", "key")
+    } == {
         "front": "http",
         "what": "north/revalue",
         "decision": "denied",
@@ -258,13 +266,13 @@
         "subject": "out",
         "key": "k1",
     }
-    assert found[3]["decision"] == "allowed"
+    assert records[3]["decision"] == "allowed"
 
 
-def test_allowed_requests_are_written_only_if_enabled_and_long_values_are_cut():
+def test_allowed_requests_are_written_only_if_enabled_and_long_values_are_truncated():
     stream = io.StringIO()
-    audit = AuditLog("json", 10, include_allowed=False, stream=stream)
-    audit.record("http", "x", Decision(Verdict.ALLOWED, "allowed", "r"))
-    audit.record("http", "w" * 1000, DENIED, "s" * 1000, "k" * 1000)
-    (line,) = lines(stream)
-    assert len(line["what"]) == len(line["subject"]) == len(line["key"]) == 128
+    audit_log = AuditLog("json", 10, include_allowed=False, stream=stream)
+    audit_log.record("http", "x", Decision(Verdict.ALLOWED, "allowed", "r"))
+    audit_log.record("http", "w" * 1000, DENIAL, "s" * 1000, "k" * 1000)
+    (record,) = parse_lines(stream)
+    assert len(record["what"]) == len(record["subject"]) == len(record["key"]) == 128
