--- a/tests/identity/test_identity_tokens.py
+++ b/tests/identity/test_identity_tokens.py
@@ -1,5 +1,7 @@
-"""Tokens: a table of forged and expired credentials, each rejected for its own reason, and mutations of good
-ones."""
+"""Tokens: forged and expired ones are rejected for the expected reason, valid ones accepted.
+
+Also the token cache, a rotation of keys, and faulty key sets.
+"""
 
 import base64
 import hashlib
@@ -35,7 +37,7 @@
 KEYS |= {
     kid: ("EdDSA", generate_private_key("EdDSA")) for kid in ("next", "soon", "old", "past", "gone")
 }
-STATES = {
+STATE_MEMBERS = {
     "next": {"state": "next", "not_before": NOW - 10},
     "soon": {"state": "next", "not_before": NOW + 10},
     "old": {"state": "retiring", "not_after": NOW + 10},
@@ -43,11 +45,11 @@
     "gone": {"state": "revoked"},
 }
 JWKS = [
-    {**public_jwk(alg, private), "kid": kid, **STATES.get(kid, {})}
-    for kid, (alg, private) in KEYS.items()
+    {**public_jwk(alg, private_key), "kid": kid, **STATE_MEMBERS.get(kid, {})}
+    for kid, (alg, private_key) in KEYS.items()
 ]
 KEY_SET = parse_key_set({"keys": JWKS})
-GOOD = {
+VALID_CLAIMS = {
     "iss": RULES.issuer,
     "aud": RULES.audience,
     "sub": "portal",
@@ -62,18 +64,25 @@
 
 
 def sign(kid="ed", header=None, payload=None, **claims):
-    """A token as a forger with the private key of `kid` would make it; None takes a claim out."""
-    alg, private = KEYS[kid]
-    members = {"alg": alg, "kid": kid, "typ": "JWT", **(header or {})}
-    members = {name: value for name, value in members.items() if value is not None}
-    body = {name: value for name, value in {**GOOD, **claims}.items() if value is not None}
-    data = json.dumps(body).encode() if payload is None else payload
-    signed = base64url(json.dumps(members).encode()) + b"." + base64url(data)
-    return signed + b"." + base64url(jwt.get_algorithm_by_name(alg).sign(signed, private))
-
-
-def raw(header, payload=None, signature=b"x"):
-    data = json.dumps(GOOD).encode() if payload is None else payload
+    """Return a token signed with the private key of `kid`; members that are None are left out."""
+    alg, private_key = KEYS[kid]
+    header_members = {"alg": alg, "kid": kid, "typ": "JWT", **(header or {})}
+    header_members = {name: value for name, value in header_members.items() if value is not None}
+    members = {
+        name: value for name, value in {**VALID_CLAIMS, **claims}.items() if value is not None
+    }
+    data = json.dumps(members).encode() if payload is None else payload
+    signing_input = base64url(json.dumps(header_members).encode()) + b"." + base64url(data)
+    return (
+        signing_input
+        + b"."
+        + base64url(jwt.get_algorithm_by_name(alg).sign(signing_input, private_key))
+    )
+
+
+def encode_token(header, payload=None, signature=b"x"):
+    """Return a token of these parts, which need not be valid."""
+    data = json.dumps(VALID_CLAIMS).encode() if payload is None else payload
     return base64url(header) + b"." + base64url(data) + b"." + base64url(signature)
 
 
@@ -83,24 +92,33 @@
 
 
 def hs256_with_the_public_key(kid):
-    signed = (
+    """Return a token signed with HS256, whose secret is the public key of `kid`."""
+    signing_input = (
         base64url(json.dumps({"alg": "HS256", "kid": kid}).encode())
         + b"."
-        + base64url(json.dumps(GOOD).encode())
+        + base64url(json.dumps(VALID_CLAIMS).encode())
+    )
+    return (
+        signing_input
+        + b"."
+        + base64url(hmac.new(public_pem(kid), signing_input, hashlib.sha256).digest())
     )
-    return signed + b"." + base64url(hmac.new(public_pem(kid), signed, hashlib.sha256).digest())
 
 
-def swapped(kid, other):
-    """Signed by one key in the name of another of the same algorithm."""
-    head, body, _ = sign(kid).split(b".")
-    alg, private = KEYS[other]
+def signed_by_other_key(kid, signer_kid):
+    """Return a token that names `kid`, signed with another key of the same algorithm."""
+    header, payload, _ = sign(kid).split(b".")
+    alg, private_key = KEYS[signer_kid]
     return b".".join(
-        (head, body, base64url(jwt.get_algorithm_by_name(alg).sign(head + b"." + body, private)))
+        (
+            header,
+            payload,
+            base64url(jwt.get_algorithm_by_name(alg).sign(header + b"." + payload, private_key)),
+        )
     )
 
 
-FORGED = {
+REJECTED_TOKENS = {
     "empty": (b"", "not_a_token"),
     "one part": (b"abc", "not_a_token"),
     "two parts": (b"abc.def", "not_a_token"),
@@ -108,112 +126,118 @@
     "no signature": (sign().rpartition(b".")[0] + b".", "not_a_token"),
     "padding": (sign() + b"==", "not_a_token"),
     "white space": (sign() + b"\n", "not_a_token"),
-    "standard alphabet": (b"+/+/." + sign().partition(b".")[2], "not_a_token"),
-    "a megabyte": (b"a" * 1_000_000, "too_long"),
-    "a byte too long": (b"a" * 4097, "too_long"),
-    "header no JSON": (raw(b"{"), "not_json"),
-    "header a list": (raw(b"[]"), "not_json"),
-    "header deep": (raw(b"[" * 2000), "not_json"),
-    "header twice alg": (raw(b'{"alg":"EdDSA","alg":"none","kid":"ed"}'), "duplicate_claim"),
-    "header twice kid": (raw(b'{"alg":"EdDSA","kid":"ed","kid":"es"}'), "duplicate_claim"),
+    "standard base64 alphabet": (b"+/+/." + sign().partition(b".")[2], "not_a_token"),
+    "one megabyte": (b"a" * 1_000_000, "too_long"),
+    "one byte too long": (b"a" * 4097, "too_long"),
+    "header that is not JSON": (encode_token(b"{"), "not_json"),
+    "header that is a list": (encode_token(b"[]"), "not_json"),
+    "deeply nested header": (encode_token(b"[" * 2000), "not_json"),
+    "alg twice in the header": (
+        encode_token(b'{"alg":"EdDSA","alg":"none","kid":"ed"}'),
+        "duplicate_claim",
+    ),
+    "kid twice in the header": (
+        encode_token(b'{"alg":"EdDSA","kid":"ed","kid":"es"}'),
+        "duplicate_claim",
+    ),
     "no kid": (sign(header={"kid": None}), "no_kid"),
-    "kid a number": (sign(header={"kid": 1}), "bad_kid"),
-    "kid a path": (sign(header={"kid": "../../keys/ed"}), "bad_kid"),
-    "kid a command": (sign(header={"kid": "ed;ls"}), "bad_kid"),
+    "kid that is a number": (sign(header={"kid": 1}), "bad_kid"),
+    "kid that is a path": (sign(header={"kid": "../../keys/ed"}), "bad_kid"),
+    "kid that is a command": (sign(header={"kid": "ed;ls"}), "bad_kid"),
     "kid too long": (sign(header={"kid": "k" * 65}), "bad_kid"),
     "kid empty": (sign(header={"kid": ""}), "bad_kid"),
     "kid unknown": (sign(header={"kid": "who"}), "unknown_kid"),
     "alg none": (sign(header={"alg": "none"}), "wrong_alg"),
     "alg None": (sign(header={"alg": "None"}), "wrong_alg"),
     "alg missing": (sign(header={"alg": None}), "wrong_alg"),
-    "alg a list": (sign(header={"alg": ["EdDSA"]}), "wrong_alg"),
+    "alg that is a list": (sign(header={"alg": ["EdDSA"]}), "wrong_alg"),
     "HS256 with the RSA public key": (hs256_with_the_public_key("rs"), "wrong_alg"),
     "HS256 with the EC public key": (hs256_with_the_public_key("es"), "wrong_alg"),
     "HS256 with the Ed25519 public key": (hs256_with_the_public_key("ed"), "wrong_alg"),
-    "ES256 named on an RSA key": (sign("rs", header={"alg": "ES256"}), "wrong_alg"),
-    "RS512 on an RS256 key": (sign("rs", header={"alg": "RS512"}), "wrong_alg"),
+    "ES256 with an RSA key": (sign("rs", header={"alg": "ES256"}), "wrong_alg"),
+    "RS512 with an RS256 key": (sign("rs", header={"alg": "RS512"}), "wrong_alg"),
     "crit": (sign(header={"crit": ["exp"]}), "crit"),
-    "b64 off": (sign(header={"b64": False}), "crit"),
-    "typ another": (sign(header={"typ": "JWE"}), "wrong_typ"),
-    "signed by another key": (swapped("ed", "next"), "bad_signature"),
-    "empty signature bytes": (
-        raw(json.dumps({"alg": "EdDSA", "kid": "ed"}).encode(), signature=b"\0"),
+    "b64 false": (sign(header={"b64": False}), "crit"),
+    "another typ": (sign(header={"typ": "JWE"}), "wrong_typ"),
+    "signed by another key": (signed_by_other_key("ed", "next"), "bad_signature"),
+    "signature of one byte": (
+        encode_token(json.dumps({"alg": "EdDSA", "kid": "ed"}).encode(), signature=b"\0"),
         "bad_signature",
     ),
     "signature of zeros, ES256": (
-        raw(json.dumps({"alg": "ES256", "kid": "es"}).encode(), signature=bytes(64)),
+        encode_token(json.dumps({"alg": "ES256", "kid": "es"}).encode(), signature=bytes(64)),
         "bad_signature",
     ),
     "key revoked": (sign("gone"), "key_revoked"),
-    "key not begun": (sign("soon"), "key_not_yet"),
+    "key not valid yet": (sign("soon"), "key_not_yet"),
     "key past its end": (sign("past"), "key_past"),
-    "payload no JSON": (sign(payload=b"{"), "not_json"),
-    "payload a string": (sign(payload=b'"x"'), "not_json"),
-    "payload NaN": (sign(payload=b'{"exp":NaN}'), "not_json"),
-    "claim twice": (
-        sign(payload=json.dumps(GOOD).encode()[:-1] + b',"sub":"admin"}'),
+    "payload that is not JSON": (sign(payload=b"{"), "not_json"),
+    "payload that is a string": (sign(payload=b'"x"'), "not_json"),
+    "NaN in the payload": (sign(payload=b'{"exp":NaN}'), "not_json"),
+    "sub twice": (
+        sign(payload=json.dumps(VALID_CLAIMS).encode()[:-1] + b',"sub":"admin"}'),
         "duplicate_claim",
     ),
     "no issuer": (sign(iss=None), "no_issuer"),
-    "issuer another": (sign(iss="https://issuer.test.evil"), "wrong_issuer"),
-    "issuer a list": (sign(iss=[RULES.issuer]), "wrong_issuer"),
+    "another issuer": (sign(iss="https://issuer.test.evil"), "wrong_issuer"),
+    "issuer that is a list": (sign(iss=[RULES.issuer]), "wrong_issuer"),
     "no audience": (sign(aud=None), "no_audience"),
-    "audience another": (sign(aud="somebody"), "wrong_audience"),
-    "audiences others": (sign(aud=["a", "b"]), "wrong_audience"),
-    "audience nested": (sign(aud=[[RULES.audience]]), "wrong_audience"),
+    "another audience": (sign(aud="somebody"), "wrong_audience"),
+    "list of other audiences": (sign(aud=["a", "b"]), "wrong_audience"),
+    "nested audience list": (sign(aud=[[RULES.audience]]), "wrong_audience"),
     "no subject": (sign(sub=None), "no_subject"),
-    "subject a number": (sign(sub=7), "bad_subject"),
-    "subject with a line": (sign(sub="portal\nadmin"), "bad_subject"),
+    "subject that is a number": (sign(sub=7), "bad_subject"),
+    "subject with a line break": (sign(sub="portal\nadmin"), "bad_subject"),
     "subject empty": (sign(sub=""), "bad_subject"),
     "no expiry": (sign(exp=None), "no_expiry"),
     "no issue time": (sign(iat=None), "no_issue_time"),
-    "expiry a text": (sign(exp=str(NOW + 60)), "bad_time"),
-    "expiry true": (sign(exp=True), "bad_time"),
-    "expiry negative": (sign(exp=-1), "bad_time"),
-    "expiry without end": (sign(exp=1e300), "bad_time"),
+    "expiry that is a string": (sign(exp=str(NOW + 60)), "bad_time"),
+    "expiry that is a boolean": (sign(exp=True), "bad_time"),
+    "negative expiry": (sign(exp=-1), "bad_time"),
+    "expiry beyond the bound": (sign(exp=1e300), "bad_time"),
     "expired": (sign(exp=NOW - 6), "expired"),
-    "expired at the leeway": (sign(exp=NOW - 5), "expired"),
-    "not yet": (sign(nbf=NOW + 6), "not_yet"),
-    "issued later": (sign(iat=NOW + 6, nbf=NOW), "issued_later"),
+    "expired at the end of the leeway": (sign(exp=NOW - 5), "expired"),
+    "not valid yet": (sign(nbf=NOW + 6), "not_yet"),
+    "issued in the future": (sign(iat=NOW + 6, nbf=NOW), "issued_later"),
     "lives too long": (sign(exp=NOW + 90_000), "too_long_lived"),
-    "id a number": (sign(jti=5), "bad_id"),
-    "id too long": (sign(jti="x" * 200), "bad_id"),
+    "token id that is a number": (sign(jti=5), "bad_id"),
+    "token id too long": (sign(jti="x" * 200), "bad_id"),
 }
 
 
-@pytest.mark.parametrize("name", FORGED)
-def test_each_forgery_is_rejected_for_its_own_reason(name):
-    token, reason = FORGED[name]
-    with pytest.raises(TokenError) as fault:
+@pytest.mark.parametrize("name", REJECTED_TOKENS)
+def test_a_faulty_token_is_rejected_with_the_expected_reason(name):
+    token, reason = REJECTED_TOKENS[name]
+    with pytest.raises(TokenError) as raised:
         verify_token(token, KEY_SET, RULES, NOW)
-    assert fault.value.reason == reason
+    assert raised.value.reason == reason
 
 
-@pytest.mark.parametrize("name", FORGED)
-def test_no_error_text_holds_a_part_of_the_token(name):
-    token, _ = FORGED[name]
-    with pytest.raises(TokenError) as fault:
+@pytest.mark.parametrize("name", REJECTED_TOKENS)
+def test_no_error_message_contains_a_part_of_the_token(name):
+    token, _ = REJECTED_TOKENS[name]
+    with pytest.raises(TokenError) as raised:
         verify_token(token, KEY_SET, RULES, NOW)
-    text = str(fault.value)
-    assert re.fullmatch(r"token( of [0-9A-Za-z_-]{1,64})?: [^\n]+", text)
-    assert not any(part.decode() in text for part in token.split(b".") if len(part) > 3)
-    assert fault.value.__suppress_context__ or fault.value.__cause__ is None
+    message = str(raised.value)
+    assert re.fullmatch(r"token( of [0-9A-Za-z_-]{1,64})?: [^\n]+", message)
+    assert not any(part.decode() in message for part in token.split(b".") if len(part) > 3)
+    assert raised.value.__suppress_context__ or raised.value.__cause__ is None
 
 
-def test_errors_have_one_base():
+def test_errors_derive_from_the_bases_that_callers_catch():
     for error in (CredentialError, KeySetError, IdentityCommandError):
         assert issubclass(error, IdentityError)
     for error in (TokenError, CertificateError):
         assert issubclass(error, CredentialError)
 
 
-def test_the_table_is_as_long_as_it_should_be():
-    assert len(FORGED) >= 40
-    assert len({token for token, _ in FORGED.values()}) == len(FORGED)
+def test_the_table_has_at_least_40_tokens_and_none_twice():
+    assert len(REJECTED_TOKENS) >= 40
+    assert len({token for token, _ in REJECTED_TOKENS.values()}) == len(REJECTED_TOKENS)
 
 
 @pytest.mark.parametrize("kid", ["ed", "es", "rs", "next", "old"])
-def test_good_tokens_of_each_algorithm_and_state_are_accepted(kid):
+def test_valid_tokens_of_each_algorithm_and_key_state_are_accepted(kid):
     claims = verify_token(sign(kid), KEY_SET, RULES, NOW)
     assert claims == Claims("portal", kid, NOW + 60, NOW - 5, NOW - 5, "1")
     assert (
@@ -227,104 +251,116 @@
     st.sampled_from(["ed", "es", "rs"]),
     st.integers(0, 2**16),
     st.integers(1, 255),
-    st.sampled_from("xid"),
+    st.sampled_from("xid"),  # xor, insert or delete
 )
-def test_no_mutation_of_a_good_token_is_accepted(kid, at, flip, how):
-    token = bytearray(TOKENS[kid])
-    at %= len(token)
-    if how == "x":
-        token[at] ^= flip
-    elif how == "i":
-        token.insert(at, flip)
+def test_no_mutation_of_a_valid_token_is_accepted(kid, position, byte, mutation):
+    token = bytearray(VALID_TOKENS[kid])
+    position %= len(token)
+    if mutation == "x":
+        token[position] ^= byte
+    elif mutation == "i":
+        token.insert(position, byte)
     else:
-        del token[at]
+        del token[position]
     try:
         claims = verify_token(bytes(token), KEY_SET, RULES, NOW)
     except TokenError:
         return
-    # Base64 leaves some bits of a last letter without meaning: those change nothing that is signed.
-    parts = bytes(token).split(b"."), TOKENS[kid].split(b".")
+    # Base64 ignores some bits of the signature's last character: only there a mutation may pass.
+    parts = bytes(token).split(b"."), VALID_TOKENS[kid].split(b".")
     assert parts[0][:2] == parts[1][:2]
     assert claims.subject == "portal"
 
 
-TOKENS = {kid: sign(kid) for kid in ("ed", "es", "rs")}
+VALID_TOKENS = {kid: sign(kid) for kid in ("ed", "es", "rs")}
 
 
 # -- the cache --------------------------------------------------------------------------------------------
 
 
-def reason_of(verifier, token, now):
+def rejection_reason(verifier, token, now):
+    """Return why the verifier rejects a token; None if it accepts the token."""
     try:
         verifier.verify(token, now)
-    except TokenError as fault:
-        return fault.reason
+    except TokenError as error:
+        return error.reason
     return None
 
 
-def test_a_cached_token_ends_with_its_time_and_with_its_key():
+def test_a_cached_token_is_rejected_after_its_expiry_or_the_end_of_its_key():
     verifier, token = CachingTokenVerifier(KEY_SET, RULES, 10), sign()
-    assert [reason_of(verifier, token, NOW + k) for k in (0, 1, 64, 65)] == [
+    assert [rejection_reason(verifier, token, NOW + seconds) for seconds in (0, 1, 64, 65)] == [
         None,
         None,
         None,
         "expired",
     ]
     verifier, token = CachingTokenVerifier(KEY_SET, RULES, 10), sign("old", exp=NOW + 600)
-    assert [reason_of(verifier, token, NOW + k) for k in (0, 9, 10)] == [None, None, "key_past"]
+    assert [rejection_reason(verifier, token, NOW + seconds) for seconds in (0, 9, 10)] == [
+        None,
+        None,
+        "key_past",
+    ]
     assert (verifier.hit_count, verifier.miss_count) == (2, 1)
 
 
-def test_a_revocation_ends_cached_tokens_at_once():
+def test_a_cached_token_is_rejected_after_its_key_is_revoked_or_removed():
     verifier, token = CachingTokenVerifier(KEY_SET, RULES, 10), sign()
-    assert reason_of(verifier, token, NOW) is None
+    assert rejection_reason(verifier, token, NOW) is None
     jwks = [{**jwk, "state": "revoked"} if jwk["kid"] == "ed" else jwk for jwk in JWKS]
     verifier = verifier.with_key_set(parse_key_set({"keys": jwks}), RULES, 10)
-    assert reason_of(verifier, token, NOW) == "key_revoked"
+    assert rejection_reason(verifier, token, NOW) == "key_revoked"
     verifier = verifier.with_key_set(parse_key_set({"keys": jwks[1:]}), RULES, 10)
-    assert reason_of(verifier, token, NOW) == "unknown_kid"
+    assert rejection_reason(verifier, token, NOW) == "unknown_kid"
 
 
 def test_an_expired_token_stays_expired_if_the_clock_steps_back():
     verifier, token = CachingTokenVerifier(KEY_SET, RULES, 10), sign()
-    assert reason_of(verifier, token, NOW + 70) == "expired"
-    assert reason_of(verifier, token, NOW) == "expired"
+    assert rejection_reason(verifier, token, NOW + 70) == "expired"
+    assert rejection_reason(verifier, token, NOW) == "expired"
 
 
-def test_the_cache_is_bounded_and_forgets_the_oldest():
+def test_a_full_cache_evicts_the_oldest_token():
     verifier = CachingTokenVerifier(KEY_SET, RULES, 2)
-    tokens = [sign(jti=str(k)) for k in range(3)]
+    tokens = [sign(jti=str(number)) for number in range(3)]
     for token in (*tokens, tokens[0]):
         verifier.verify(token, NOW)
     assert len(verifier.cached_claims) == 2
     assert verifier.miss_count == 4
 
 
-def test_a_rotation_rejects_no_good_token_and_accepts_none_past_its_end():
-    """Every second of a rotation, with a token of each key made when it signed."""
-    names, begun = ("a", "b"), NOW
-    pair = {name: generate_private_key("EdDSA") for name in names}
-    KEYS.update({name: ("EdDSA", pair[name]) for name in names})
+def test_a_rotation_rejects_no_valid_token_and_accepts_none_after_its_end():
+    """Verify the tokens of the last 80 s in each second; key b replaces key a after 100 s."""
+    kids, start = ("a", "b"), NOW
+    private_keys = {kid: generate_private_key("EdDSA") for kid in kids}
+    KEYS.update({kid: ("EdDSA", private_keys[kid]) for kid in kids})
 
-    def ring(second):
-        a = {**public_jwk("EdDSA", pair["a"]), "kid": "a"}
-        b = {**public_jwk("EdDSA", pair["b"]), "kid": "b", "not_before": begun}
+    def jwks_at(second):
+        key_a = {**public_jwk("EdDSA", private_keys["a"]), "kid": "a"}
+        key_b = {**public_jwk("EdDSA", private_keys["b"]), "kid": "b", "not_before": start}
         if second < 100:
-            return [{**a, "state": "active"}, {**b, "state": "next"}]
+            return [{**key_a, "state": "active"}, {**key_b, "state": "next"}]
         if second < 160:
-            return [{**a, "state": "retiring", "not_after": begun + 160}, {**b, "state": "active"}]
-        return [{**b, "state": "active"}]
+            return [
+                {**key_a, "state": "retiring", "not_after": start + 160},
+                {**key_b, "state": "active"},
+            ]
+        return [{**key_b, "state": "active"}]
 
-    verifier, held = CachingTokenVerifier(parse_key_set({"keys": ring(0)}), RULES, 100), []
+    verifier, issued = CachingTokenVerifier(parse_key_set({"keys": jwks_at(0)}), RULES, 100), []
     for second in range(300):
         if second in (100, 160):
-            verifier = verifier.with_key_set(parse_key_set({"keys": ring(second)}), RULES, 100)
-        now = begun + second
+            verifier = verifier.with_key_set(parse_key_set({"keys": jwks_at(second)}), RULES, 100)
+        now = start + second
         signer = "a" if second < 100 else "b"
-        held.append((signer, now, sign(signer, iat=now, exp=now + 30, jti=str(second))))
-        for name, issued, token in held[-80:]:
-            good = now < issued + 30 + RULES.leeway_seconds and (name == "b" or second < 160)
-            assert (reason_of(verifier, token, now) is None) == good, (second, name, issued - begun)
+        issued.append((signer, now, sign(signer, iat=now, exp=now + 30, jti=str(second))))
+        for kid, issued_at, token in issued[-80:]:
+            is_valid = now < issued_at + 30 + RULES.leeway_seconds and (kid == "b" or second < 160)
+            assert (rejection_reason(verifier, token, now) is None) == is_valid, (
+                second,
+                kid,
+                issued_at - start,
+            )
 
 
 # -- key sets ---------------------------------------------------------------------------------------------
@@ -335,7 +371,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "text"),
+    ("data", "expected_text"),
     [
         ([], "keys: not a list"),
         ({"keys": [1]}, "keys[0]: not an object"),
@@ -352,37 +388,37 @@
         ({"keys": [jwk(use="enc")]}, "keys[0].use"),
         ({"keys": [jwk(), jwk()]}, "keys[1].kid: ed comes twice"),
         ({"keys": [jwk(alg=["EdDSA"])]}, "keys[0].alg"),
-        ({"keys": [jwk(kid=f"k{n}") for n in range(65)]}, "more than 64"),
+        ({"keys": [jwk(kid=f"k{number}") for number in range(65)]}, "more than 64"),
     ],
     ids=[
-        "no object",
-        "no key object",
-        "key id",
+        "key set that is not an object",
+        "key that is not an object",
+        "faulty key id",
         "symmetric algorithm",
-        "no algorithm",
-        "type of another algorithm",
-        "symmetric type",
+        "algorithm none",
+        "key type of another algorithm",
+        "symmetric key type",
         "private member",
-        "short value",
+        "short public key",
         "unknown state",
-        "retiring without an end",
-        "start that is no time",
-        "use",
+        "retiring key without an end",
+        "not_before that is not a time",
+        "use other than sig",
         "key id twice",
-        "algorithm that is no text",
+        "algorithm that is not a string",
         "too many keys",
     ],
 )
-def test_a_faulty_key_set_names_the_member(data, text):
-    with pytest.raises(KeySetError) as fault:
+def test_the_error_of_a_faulty_key_set_names_the_member(data, expected_text):
+    with pytest.raises(KeySetError) as raised:
         parse_key_set(data)
-    assert text in str(fault.value)
+    assert expected_text in str(raised.value)
 
 
-def test_states_and_times_are_read():
+def test_key_states_and_times_are_parsed():
     assert KEY_SET.find("old").state is KeyState.RETIRING
     assert KEY_SET.find("old").not_after == NOW + 10
     assert KEY_SET.find("ed").state is KeyState.ACTIVE
-    with pytest.raises(TokenError) as fault:
+    with pytest.raises(TokenError) as raised:
         KEY_SET.find("nobody")
-    assert fault.value.reason == "unknown_kid"
+    assert raised.value.reason == "unknown_kid"
