--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -1,6 +1,7 @@
-"""Several real dispatchers, a relay between them, and faults: cuts, stops, kills, restarts, floods.
+"""Real dispatcher processes with a relay between them, and faults: cuts, stops, kills, restarts, floods.
 
-Waits end on what the admin listeners say, within generous bounds; no verdict rests on the machine's speed.
+Each wait ends when the admin listeners show the expected state, or after a generous timeout, so that
+the results do not depend on the machine's speed.
 """
 
 import contextlib
@@ -35,436 +36,520 @@
 from tests.config.configurations import CONFIGURATION as CONFIG
 from tests.node.dispatcher_process import ROOT
 
-# Shorter than the defaults, so that the whole of this file takes a minute and a half.
+# Shorter than the defaults, so that all tests of this file take 1.5 min.
 SHORT_INTERVALS = "period_ms = 200\ntimeout_ms = 90\nsync_ms = 1000\nreach_ms = 300\nyoung_s = 2\nhold_s = 2\nslack = 3\n"
 WAIT_TIMEOUT_SECONDS = 40.0
 
 
 @pytest.fixture(scope="module")
-def rig():
-    with DispatcherCluster(5, seed=1, fleet_settings=SHORT_INTERVALS) as made:
-        made.wait_for(lambda: made.has_converged(made.members), WAIT_TIMEOUT_SECONDS, "one view")
-        yield made
+def running_cluster():
+    with DispatcherCluster(5, seed=1, fleet_settings=SHORT_INTERVALS) as started:
+        started.wait_for(
+            lambda: started.has_converged(started.members), WAIT_TIMEOUT_SECONDS, "convergence"
+        )
+        yield started
 
 
 @pytest.fixture
-def fleet(rig):
-    """All up, linked and agreed before each test; what a test leaves behind must heal as well."""
-    rig.heal()
-    rig.relay.links.loss_probability = 0.0
-    rig.start([name for name, member in rig.members.items() if not member.is_running()])
-    rig.wait_for(lambda: rig.has_converged(rig.members), WAIT_TIMEOUT_SECONDS, "one view again")
-    return rig
+def cluster(running_cluster):
+    """Return the cluster with all members running, connected and in agreement.
+
+    So each test also checks that the cluster recovers from the state in which the test before left it.
+    """
+    running_cluster.heal()
+    running_cluster.relay.links.loss_probability = 0.0
+    running_cluster.start(
+        [name for name, member in running_cluster.members.items() if not member.is_running()]
+    )
+    running_cluster.wait_for(
+        lambda: running_cluster.has_converged(running_cluster.members),
+        WAIT_TIMEOUT_SECONDS,
+        "convergence before the test",
+    )
+    return running_cluster
 
 
-ALL = {f"n{k}" for k in range(5)}
+ALL_MEMBERS = {f"n{index}" for index in range(5)}
 
 
-def counted(rig, name):
-    answer = rig.members[name].membership_list()
+def dispatcher_count(cluster, name):
+    """Return how many dispatchers a member counts; None while it does not answer."""
+    answer = cluster.members[name].membership_list()
     return answer and answer["counted"]
 
 
-def test_a_crash_is_detected_and_the_count_follows_it_and_the_restart(
-    fleet,
-):
-    fleet.kill("n4")
-    rest = ALL - {"n4"}
-    fleet.wait_for(lambda: fleet.all_observe(rest, "n4", "dead"), WAIT_TIMEOUT_SECONDS, "the death")
-    fleet.wait_for(
-        lambda: {counted(fleet, n) for n in rest} == {4}, WAIT_TIMEOUT_SECONDS, "the count of four"
+def test_the_dispatcher_count_follows_a_crash_and_a_restart(cluster):
+    cluster.kill("n4")
+    rest = ALL_MEMBERS - {"n4"}
+    cluster.wait_for(
+        lambda: cluster.all_observe(rest, "n4", "dead"), WAIT_TIMEOUT_SECONDS, "the death"
     )
-    assert "dispatcher_count_changed dispatchers=4" in fleet.members["n0"].read_log()
-    fleet.start(["n4"])
-    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "the return")
-    fleet.wait_for(
-        lambda: {counted(fleet, n) for n in ALL} == {5}, WAIT_TIMEOUT_SECONDS, "the count of five"
+    cluster.wait_for(
+        lambda: {dispatcher_count(cluster, name) for name in rest} == {4},
+        WAIT_TIMEOUT_SECONDS,
+        "a count of four",
+    )
+    assert "dispatcher_count_changed dispatchers=4" in cluster.members["n0"].read_log()
+    cluster.start(["n4"])
+    cluster.wait_for(lambda: cluster.has_converged(ALL_MEMBERS), WAIT_TIMEOUT_SECONDS, "the return")
+    cluster.wait_for(
+        lambda: {dispatcher_count(cluster, name) for name in ALL_MEMBERS} == {5},
+        WAIT_TIMEOUT_SECONDS,
+        "a count of five",
     )
 
 
 @pytest.mark.parametrize("side", [("n0", "n1"), ("n3",)])
-def test_a_partition_heals_into_one_list_and_its_minority_never_takes_more(fleet, side):
-    rest = ALL - set(side)
-    fleet.cut(side, rest)
-    fleet.wait_for(
+def test_after_a_partition_all_members_agree_and_the_minority_keeps_its_count(cluster, side):
+    rest = ALL_MEMBERS - set(side)
+    cluster.cut(side, rest)
+    cluster.wait_for(
         lambda: (
-            all(fleet.all_observe(rest, s, "dead") for s in side)
-            and all(fleet.all_observe(side, r, "dead") for r in rest)
+            all(cluster.all_observe(rest, name, "dead") for name in side)
+            and all(cluster.all_observe(side, name, "dead") for name in rest)
         ),
         WAIT_TIMEOUT_SECONDS,
-        "the cut",
+        "deaths on both sides",
     )
-    fleet.wait_for(
-        lambda: {counted(fleet, n) for n in rest} == {len(rest)},
+    cluster.wait_for(
+        lambda: {dispatcher_count(cluster, name) for name in rest} == {len(rest)},
         WAIT_TIMEOUT_SECONDS,
         "the majority's count",
     )
-    assert {counted(fleet, name) for name in side} == {5}
-    fleet.heal()
-    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "the healing")
+    assert {dispatcher_count(cluster, name) for name in side} == {5}
+    cluster.heal()
+    cluster.wait_for(
+        lambda: cluster.has_converged(ALL_MEMBERS),
+        WAIT_TIMEOUT_SECONDS,
+        "convergence after the cut",
+    )
 
 
-def test_a_one_way_partition_is_bridged_by_indirect_probes(fleet):
-    before = {name: fleet.members[name].membership_list()["number"] for name in ALL}
-    fleet.cut(["n1"], ["n2"], both_ways=False)
-    sent = fleet.members["n2"].membership_list()["counts"]["probes"]
-    fleet.wait_for(
-        lambda: fleet.members["n2"].membership_list()["counts"]["probes"] >= sent + 15,
+def test_indirect_probes_prevent_deaths_in_a_one_way_partition(cluster):
+    last_event_numbers = {
+        name: cluster.members[name].membership_list()["number"] for name in ALL_MEMBERS
+    }
+    cluster.cut(["n1"], ["n2"], both_ways=False)
+    probes_before = cluster.members["n2"].membership_list()["counts"]["probes"]
+    cluster.wait_for(
+        lambda: cluster.members["n2"].membership_list()["counts"]["probes"] >= probes_before + 15,
         WAIT_TIMEOUT_SECONDS,
         "three rounds of probes",
     )
-    for name in ALL:
-        answer = fleet.members[name].call_admin(f"/fleet/changes?after={before[name]}")[1]
+    for name in ALL_MEMBERS:
+        answer = cluster.members[name].call_admin(
+            f"/fleet/changes?after={last_event_numbers[name]}"
+        )[1]
         assert not [change for change in answer["changes"] if change["after"] == "dead"]
 
 
-def test_three_partitions_heal_in_any_order(fleet):
-    fleet.cut(["n0", "n1"], ["n2", "n3", "n4"])
-    fleet.cut(["n2", "n3"], ["n4"])
-    fleet.wait_for(
+def test_three_partitions_that_heal_one_after_the_other_end_in_agreement(cluster):
+    cluster.cut(["n0", "n1"], ["n2", "n3", "n4"])
+    cluster.cut(["n2", "n3"], ["n4"])
+    cluster.wait_for(
         lambda: (
-            fleet.all_observe(["n0", "n4"], "n2", "dead")
-            and fleet.all_observe(["n2", "n4"], "n0", "dead")
+            cluster.all_observe(["n0", "n4"], "n2", "dead")
+            and cluster.all_observe(["n2", "n4"], "n0", "dead")
         ),
         WAIT_TIMEOUT_SECONDS,
-        "the islands",
+        "deaths in all three partitions",
+    )
+    # No partition has a majority.
+    assert dispatcher_count(cluster, "n4") == dispatcher_count(cluster, "n0") == 5
+    cluster.heal()
+    cluster.cut(["n0", "n1"], ["n2", "n3", "n4"])
+    cluster.wait_for(
+        lambda: cluster.has_converged_among(["n2", "n3", "n4"]),
+        WAIT_TIMEOUT_SECONDS,
+        "convergence of two partitions",
     )
-    assert counted(fleet, "n4") == counted(fleet, "n0") == 5  # no island is the greater part
-    fleet.heal()
-    fleet.cut(["n0", "n1"], ["n2", "n3", "n4"])
-    fleet.wait_for(
-        lambda: fleet.has_converged_among(["n2", "n3", "n4"]), WAIT_TIMEOUT_SECONDS, "two of them"
+    cluster.heal()
+    cluster.wait_for(
+        lambda: cluster.has_converged(ALL_MEMBERS), WAIT_TIMEOUT_SECONDS, "convergence of all"
     )
-    fleet.heal()
-    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "all of them")
 
 
-def test_links_that_flap_faster_than_a_suspicion_kill_nobody(fleet):
-    number = fleet.members["n0"].membership_list()["number"]
+def test_links_that_flap_faster_than_a_suspicion_expires_cause_no_death(cluster):
+    last_event_number = cluster.members["n0"].membership_list()["number"]
     for _ in range(12):
-        # Time is the subject: each half is shorter than a suspicion lasts.
-        fleet.cut(["n2"], ALL - {"n2"})
+        # Fixed pauses, because each must be shorter than a suspicion.
+        cluster.cut(["n2"], ALL_MEMBERS - {"n2"})
         time.sleep(0.1)
-        fleet.heal()
+        cluster.heal()
         time.sleep(0.1)
-    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "one view")
-    answer = fleet.members["n0"].call_admin(f"/fleet/changes?after={number}")[1]["changes"]
+    cluster.wait_for(
+        lambda: cluster.has_converged(ALL_MEMBERS), WAIT_TIMEOUT_SECONDS, "convergence"
+    )
+    answer = cluster.members["n0"].call_admin(f"/fleet/changes?after={last_event_number}")[1][
+        "changes"
+    ]
     assert not [change for change in answer if change["after"] == "dead"]
 
 
-def test_a_stopped_process_is_held_dead_and_holds_nobody_dead_once_it_continues(fleet):
-    number = fleet.members["n2"].membership_list()["number"]
-    fleet.suspend("n2")
-    fleet.wait_for(
-        lambda: fleet.all_observe(ALL - {"n2"}, "n2", "dead"), WAIT_TIMEOUT_SECONDS, "the death"
+def test_a_suspended_process_is_declared_dead_and_declares_nobody_dead_once_it_continues(cluster):
+    last_event_number = cluster.members["n2"].membership_list()["number"]
+    cluster.suspend("n2")
+    cluster.wait_for(
+        lambda: cluster.all_observe(ALL_MEMBERS - {"n2"}, "n2", "dead"),
+        WAIT_TIMEOUT_SECONDS,
+        "the death",
     )
-    fleet.resume("n2")
-    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "the return")
-    answer = fleet.members["n2"].call_admin(f"/fleet/changes?after={number}")[1]["changes"]
+    cluster.resume("n2")
+    cluster.wait_for(lambda: cluster.has_converged(ALL_MEMBERS), WAIT_TIMEOUT_SECONDS, "the return")
+    answer = cluster.members["n2"].call_admin(f"/fleet/changes?after={last_event_number}")[1][
+        "changes"
+    ]
     assert not [change for change in answer if change["after"] == "dead" and change["name"] != "n2"]
-    assert fleet.members["n2"].membership_list()["counts"]["stalls"] >= 1
+    assert cluster.members["n2"].membership_list()["counts"]["stalls"] >= 1
 
 
-def test_all_but_one_crash_at_once_and_restart(fleet):
-    rest = sorted(ALL - {"n3"})
+def test_a_lone_survivor_keeps_its_count_until_the_crashed_members_return(cluster):
+    rest = sorted(ALL_MEMBERS - {"n3"})
     for name in rest:
-        fleet.kill(name)
-    fleet.wait_for(
-        lambda: all(fleet.all_observe(["n3"], n, "dead") for n in rest),
+        cluster.kill(name)
+    cluster.wait_for(
+        lambda: all(cluster.all_observe(["n3"], name, "dead") for name in rest),
         WAIT_TIMEOUT_SECONDS,
         "the deaths",
     )
-    assert counted(fleet, "n3") == 5  # one of five takes no more than it had
-    fleet.start(rest)
-    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "the return")
+    assert dispatcher_count(cluster, "n3") == 5  # one of five is no majority: it keeps its share
+    cluster.start(rest)
+    cluster.wait_for(lambda: cluster.has_converged(ALL_MEMBERS), WAIT_TIMEOUT_SECONDS, "the return")
 
 
-def test_in_a_rolling_restart_each_leaves_and_nobody_is_held_dead(fleet):
-    numbers = {name: fleet.members[name].membership_list()["number"] for name in ALL}
+def test_in_a_rolling_restart_each_member_leaves_and_is_not_declared_dead(cluster):
+    last_event_numbers = {
+        name: cluster.members[name].membership_list()["number"] for name in ALL_MEMBERS
+    }
     for name in ("n0", "n1"):
-        assert fleet.stop(name) == 0
-        fleet.wait_for(
-            lambda name=name: fleet.all_observe(ALL - {name}, name, "left"),
+        assert cluster.stop(name) == 0
+        cluster.wait_for(
+            lambda name=name: cluster.all_observe(ALL_MEMBERS - {name}, name, "left"),
             WAIT_TIMEOUT_SECONDS,
             "the leave",
         )
-        fleet.start([name])
-        fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "the return")
-    answer = fleet.members["n4"].call_admin(f"/fleet/changes?after={numbers['n4']}")[1]["changes"]
-    # On a machine too busy to answer in 90 ms somebody may be suspected; who left is never held dead.
-    assert not [c for c in answer if c["name"] in ("n0", "n1") and c["after"] == "dead"]
-
-
-def test_members_agree_where_each_link_loses_thirty_percent(fleet):
-    fleet.relay.links.loss_probability = 0.3
-    fleet.kill("n1")
-    fleet.wait_for(
-        lambda: fleet.all_observe(ALL - {"n1"}, "n1", "dead"), WAIT_TIMEOUT_SECONDS, "the death"
+        cluster.start([name])
+        cluster.wait_for(
+            lambda: cluster.has_converged(ALL_MEMBERS), WAIT_TIMEOUT_SECONDS, "the return"
+        )
+    answer = cluster.members["n4"].call_admin(f"/fleet/changes?after={last_event_numbers['n4']}")[
+        1
+    ]["changes"]
+    # On a machine too busy to answer in 90 ms, a member may be suspected, but one that left must not be
+    # declared dead.
+    assert not [
+        change for change in answer if change["name"] in ("n0", "n1") and change["after"] == "dead"
+    ]
+
+
+def test_a_crash_is_detected_where_each_link_loses_thirty_percent(cluster):
+    cluster.relay.links.loss_probability = 0.3
+    cluster.kill("n1")
+    cluster.wait_for(
+        lambda: cluster.all_observe(ALL_MEMBERS - {"n1"}, "n1", "dead"),
+        WAIT_TIMEOUT_SECONDS,
+        "the death",
     )
-    fleet.relay.links.loss_probability = 0.0
-    fleet.start(["n1"])
-    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "the return")
+    cluster.relay.links.loss_probability = 0.0
+    cluster.start(["n1"])
+    cluster.wait_for(lambda: cluster.has_converged(ALL_MEMBERS), WAIT_TIMEOUT_SECONDS, "the return")
 
 
-def test_a_flood_of_damaged_and_foreign_datagrams_is_dropped_and_counted(fleet):
-    target = fleet.members["n0"]
+def test_a_flood_of_damaged_and_foreign_datagrams_is_dropped_and_counted(cluster):
+    target = cluster.members["n0"]
     record = MemberRecord("stranger", "127.0.0.1:9", 1, 0, MemberState.ALIVE)
-    whole = encode(Datagram(PROTOCOL_VERSION, "other", record, Ping(1, "n0")))
-    dice = random.Random(1)
+    foreign_datagram = encode(Datagram(PROTOCOL_VERSION, "other", record, Ping(1, "n0")))
+    rng = random.Random(1)
     with socket.socket(type=socket.SOCK_DGRAM) as sock:
-        for k in range(3000):
-            data = bytearray(whole)
-            data[dice.randrange(len(data))] ^= 1 << dice.randrange(8)
-            cut = bytes(data[: dice.randrange(len(data))]) if k % 2 else bytes(data)
+        for index in range(3000):
+            data = bytearray(foreign_datagram)
+            data[rng.randrange(len(data))] ^= 1 << rng.randrange(8)
+            damaged = bytes(data[: rng.randrange(len(data))]) if index % 2 else bytes(data)
             with contextlib.suppress(OSError):
-                sock.sendto(cut, (target.host, target.ports.membership))
-        sock.sendto(whole, (target.host, target.ports.membership))
-    fleet.wait_for(
-        lambda: "membership_datagram_dropped" in target.read_log(), WAIT_TIMEOUT_SECONDS, "the line"
+                sock.sendto(damaged, (target.host, target.ports.membership))
+        sock.sendto(foreign_datagram, (target.host, target.ports.membership))
+    cluster.wait_for(
+        lambda: "membership_datagram_dropped" in target.read_log(),
+        WAIT_TIMEOUT_SECONDS,
+        "the log line",
+    )
+    cluster.wait_for(
+        lambda: cluster.has_converged(ALL_MEMBERS), WAIT_TIMEOUT_SECONDS, "convergence"
     )
-    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "one view")
     assert "stranger" not in target.member_states()
-    assert (
-        target.read_log().count("membership_datagram_dropped") <= 40
-    )  # 10 lines in 10 s, whatever comes
+    # The log is limited to 10 lines in 10 s at any number of datagrams.
+    assert target.read_log().count("membership_datagram_dropped") <= 40
 
 
-def out_at(fleet, worker):
+def worker_maintenance_by_member(cluster, worker):
+    """Return, by name of each running member, whether it has the worker in maintenance."""
     return {
-        n: any(w["worker"] == worker and w["out"] for w in member.membership_list()["words"])
-        for n, member in fleet.members.items()
+        name: any(
+            record["worker"] == worker and record["out"]
+            for record in member.membership_list()["words"]
+        )
+        for name, member in cluster.members.items()
         if member.is_running()
     }
 
 
-def test_a_maintenance_record_reaches_partitioned_and_restarted_members(fleet):
-    """Only n0 lists the worker: the record holds whether or not others know it."""
-    listed = {
+def test_a_maintenance_record_reaches_partitioned_and_restarted_members(cluster):
+    """The endpoint list of n0 alone has the worker; the record must reach the other members, too."""
+    endpoints = {
         "version": 3,
         "full": True,
         "servers": [{"id": "s-1", "addr": "127.0.0.1:9", "state": "ready"}],
     }
-    fleet.kill("n0")
-    fleet.members["n0"].persisted_endpoints = listed
-    fleet.start(["n0"])
-    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "the return")
-    fleet.cut(["n4"], ALL - {"n4"})
-    assert fleet.members["n0"].call_admin("/workers/s-1/maint", "PUT")[0] == 200
-    fleet.wait_for(
-        lambda: all(v for n, v in out_at(fleet, "s-1").items() if n != "n4"),
+    cluster.kill("n0")
+    cluster.members["n0"].persisted_endpoints = endpoints
+    cluster.start(["n0"])
+    cluster.wait_for(lambda: cluster.has_converged(ALL_MEMBERS), WAIT_TIMEOUT_SECONDS, "the return")
+    cluster.cut(["n4"], ALL_MEMBERS - {"n4"})
+    assert cluster.members["n0"].call_admin("/workers/s-1/maint", "PUT")[0] == 200
+    cluster.wait_for(
+        lambda: all(
+            in_maintenance
+            for name, in_maintenance in worker_maintenance_by_member(cluster, "s-1").items()
+            if name != "n4"
+        ),
         WAIT_TIMEOUT_SECONDS,
-        "the ban",
+        "maintenance at the connected members",
     )
-    fleet.kill("n0")  # which took the operator's call
-    fleet.kill("n1")
-    fleet.start(["n1"])
-    fleet.heal()
-    fleet.wait_for(
-        lambda: all(out_at(fleet, "s-1").values()), WAIT_TIMEOUT_SECONDS, "the ban everywhere"
+    cluster.kill("n0")  # the member that took the operator's call
+    cluster.kill("n1")
+    cluster.start(["n1"])
+    cluster.heal()
+    cluster.wait_for(
+        lambda: all(worker_maintenance_by_member(cluster, "s-1").values()),
+        WAIT_TIMEOUT_SECONDS,
+        "maintenance at all members",
     )
-    fleet.wait_for(
-        lambda: "requested_at=n0" in fleet.members["n4"].read_log(),
+    cluster.wait_for(
+        lambda: "requested_at=n0" in cluster.members["n4"].read_log(),
         WAIT_TIMEOUT_SECONDS,
-        "its line",
+        "the log line of n4",
     )
-    # n4 never heard of the worker from discovery, yet it is out there, and can be let back from there.
-    assert fleet.members["n4"].call_admin("/workers/s-1/ready", "PUT")[0] == 200
-    fleet.start(["n0"])
-    fleet.wait_for(
-        lambda: not any(out_at(fleet, "s-1").values()), WAIT_TIMEOUT_SECONDS, "the return"
+    # n4 does not know the worker from discovery, but must have it in maintenance and be able to end that.
+    assert cluster.members["n4"].call_admin("/workers/s-1/ready", "PUT")[0] == 200
+    cluster.start(["n0"])
+    cluster.wait_for(
+        lambda: not any(worker_maintenance_by_member(cluster, "s-1").values()),
+        WAIT_TIMEOUT_SECONDS,
+        "the end of maintenance at all members",
     )
 
 
-def test_a_name_started_twice_goes_to_the_later_start_and_the_earlier_logs_what_to_do(
-    fleet, tmp_path
-):
-    host = cluster_host(len(ALL))
+def test_the_later_of_two_starts_keeps_the_name_and_the_earlier_logs_what_to_do(cluster, tmp_path):
+    host = cluster_host(len(ALL_MEMBERS))
     ports = MemberPorts.choose(host)
-    advertised_address = fleet.relay.add_member("twin", host, (host, ports.membership))
-    with ClusterMember("n3", host, ports, advertised_address, tmp_path) as twin:
-        fleet.spawn(twin)
-        fleet.wait_for(twin.membership_list, WAIT_TIMEOUT_SECONDS, "the later start")
-        read_log = fleet.members["n3"].read_log
-        fleet.wait_for(
-            lambda: "give each its own name" in read_log(), WAIT_TIMEOUT_SECONDS, "the line"
+    advertised_address = cluster.relay.add_member("later-n3", host, (host, ports.membership))
+    with ClusterMember("n3", host, ports, advertised_address, tmp_path) as later:
+        cluster.spawn(later)
+        cluster.wait_for(later.membership_list, WAIT_TIMEOUT_SECONDS, "the later start")
+        read_log = cluster.members["n3"].read_log
+        cluster.wait_for(
+            lambda: "give each its own name" in read_log(), WAIT_TIMEOUT_SECONDS, "the log line"
         )
         assert read_log().count("after=superseded") == 1
-        fleet.wait_for(
+        cluster.wait_for(
             lambda: (
                 {
-                    fleet.members[n].call_admin("/fleet/members/n3")[1]["address"]
-                    for n in ALL - {"n3"}
+                    cluster.members[name].call_admin("/fleet/members/n3")[1]["address"]
+                    for name in ALL_MEMBERS - {"n3"}
                 }
                 == {advertised_address}
             ),
             WAIT_TIMEOUT_SECONDS,
-            "one settled view",
+            "the later address at all members",
         )
-        assert twin.is_running()
-        assert fleet.members["n3"].is_running()
-    fleet.kill("n3")  # as the line says
+        assert later.is_running()
+        assert cluster.members["n3"].is_running()
+    cluster.kill("n3")  # as the log line advises
 
 
-def test_a_member_whose_seeds_are_all_dead_is_unsettled_until_one_is_back(fleet):
-    for name in ALL:
-        fleet.kill(name)
-    fleet.start(["n4"])
-    tried = fleet.members["n4"].membership_list()["counts"]
-    answer = fleet.members["n4"].membership_list()
+def test_a_member_whose_seeds_are_all_dead_is_unsettled_until_one_returns(cluster):
+    for name in ALL_MEMBERS:
+        cluster.kill(name)
+    cluster.start(["n4"])
+    counters = cluster.members["n4"].membership_list()["counts"]
+    answer = cluster.members["n4"].membership_list()
     assert not answer["settled"]
-    assert list(fleet.members["n4"].member_states()) == ["n4"]
-    assert tried["probes"] == 0
-    assert run(["fleet", "members", "--at", fleet.members["n4"].admin_address]) == 1
-    fleet.start(["n0"])
-    fleet.wait_for(lambda: fleet.has_converged(["n0", "n4"]), WAIT_TIMEOUT_SECONDS, "the two")
-    fleet.start(sorted(ALL - {"n0", "n4"}))
-    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "all")
-
-
-@pytest.mark.parametrize("back", [5.0, 3600.0])
-def test_a_restart_with_its_clock_set_back_takes_its_name_over(fleet, back):
-    member = fleet.members["n2"]
-    before = member.membership_list()["members"]
-    fleet.kill("n2")
-    fleet.spawn_with_shifted_clock(member, -back)
-    fleet.wait_for(
-        lambda: member.membership_list() and fleet.has_converged(ALL),
+    assert list(cluster.members["n4"].member_states()) == ["n4"]
+    assert counters["probes"] == 0
+    assert run(["fleet", "members", "--at", cluster.members["n4"].admin_address]) == 1
+    cluster.start(["n0"])
+    cluster.wait_for(
+        lambda: cluster.has_converged(["n0", "n4"]), WAIT_TIMEOUT_SECONDS, "convergence of two"
+    )
+    cluster.start(sorted(ALL_MEMBERS - {"n0", "n4"}))
+    cluster.wait_for(
+        lambda: cluster.has_converged(ALL_MEMBERS), WAIT_TIMEOUT_SECONDS, "convergence of all"
+    )
+
+
+@pytest.mark.parametrize("set_back_seconds", [5.0, 3600.0])
+def test_a_process_that_restarts_with_its_clock_set_back_takes_over_its_name(
+    cluster, set_back_seconds
+):
+    member = cluster.members["n2"]
+    members_before = member.membership_list()["members"]
+    cluster.kill("n2")
+    cluster.spawn_with_shifted_clock(member, -set_back_seconds)
+    cluster.wait_for(
+        lambda: member.membership_list() and cluster.has_converged(ALL_MEMBERS),
         WAIT_TIMEOUT_SECONDS,
         "the return",
     )
     assert "clock was ahead" in member.read_log()
     old, new = (
-        next(r for r in rows if r["name"] == "n2")
-        for rows in (before, member.membership_list()["members"])
+        next(row for row in rows if row["name"] == "n2")
+        for rows in (members_before, member.membership_list()["members"])
     )
     assert new["generation"] > old["generation"]
 
 
-def test_an_address_with_a_new_owner_is_distinguished_from_the_former(fleet):
-    fleet.kill("n3")
-    former = fleet.members["n3"]
+def test_a_new_member_at_a_dead_members_address_is_told_apart_from_it(cluster):
+    cluster.kill("n3")
+    former = cluster.members["n3"]
     with ClusterMember(
-        "heir", former.host, former.ports, former.advertised_address, former.folder
-    ) as heir:
-        fleet.spawn(heir)
-        rest = sorted(ALL - {"n3"})
-        fleet.wait_for(
-            lambda: fleet.all_observe(rest, "n3", "dead"), WAIT_TIMEOUT_SECONDS, "the death"
+        "newcomer", former.host, former.ports, former.advertised_address, former.folder
+    ) as newcomer:
+        cluster.spawn(newcomer)
+        rest = sorted(ALL_MEMBERS - {"n3"})
+        cluster.wait_for(
+            lambda: cluster.all_observe(rest, "n3", "dead"), WAIT_TIMEOUT_SECONDS, "the death"
         )
-        fleet.wait_for(
-            lambda: fleet.all_observe(rest, "heir", "alive"), WAIT_TIMEOUT_SECONDS, "the heir"
+        cluster.wait_for(
+            lambda: cluster.all_observe(rest, "newcomer", "alive"),
+            WAIT_TIMEOUT_SECONDS,
+            "the newcomer",
         )
-        fleet.wait_for(
-            lambda: {counted(fleet, n) for n in rest} == {5},
+        cluster.wait_for(
+            lambda: {dispatcher_count(cluster, name) for name in rest} == {5},
             WAIT_TIMEOUT_SECONDS,
-            "one for the other",
+            "the newcomer in the count in place of n3",
         )
 
 
-def test_a_reload_changes_intervals_and_seeds_and_rejects_a_new_address_by_its_key(fleet):
-    member = fleet.members["n2"]
-    fleet.write_files(
+def test_a_reload_changes_intervals_and_seeds_and_names_the_key_of_a_change_it_rejects(cluster):
+    member = cluster.members["n2"]
+    cluster.write_files(
         member, seeds=[member.advertised_address], fleet_settings=SHORT_INTERVALS + 'log = "json"\n'
     )
     member.send_signal(signal.SIGHUP)
-    fleet.wait_for(
+    cluster.wait_for(
         lambda: "configuration_reloaded dispatcher=n2" in member.read_log(),
         WAIT_TIMEOUT_SECONDS,
         "the reload",
     )
-    fleet.write_files(
+    cluster.write_files(
         member, fleet_settings=SHORT_INTERVALS.replace("timeout_ms = 90", "timeout_ms = 900")
     )
     member.send_signal(signal.SIGHUP)
-    fleet.wait_for(
+    cluster.wait_for(
         lambda: "fleet.timeout_ms=900 must be under period_ms" in member.read_log(),
         WAIT_TIMEOUT_SECONDS,
-        "its no",
+        "the rejection of the timeout",
     )
     kept_address = member.advertised_address
     member.advertised_address = "127.0.0.1:9"
-    fleet.write_files(member)
+    cluster.write_files(member)
     member.advertised_address = kept_address
     member.send_signal(signal.SIGHUP)
-    fleet.wait_for(
+    cluster.wait_for(
         lambda: "fleet.advertise=127.0.0.1:9 changes only" in member.read_log(),
         WAIT_TIMEOUT_SECONDS,
-        "its no",
+        "the rejection of the address",
+    )
+    cluster.wait_for(
+        lambda: cluster.has_converged(ALL_MEMBERS), WAIT_TIMEOUT_SECONDS, "convergence"
     )
-    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "one view")
 
 
-def hot_restart_during_a_partition(fleet):
-    """Hot-restart n1 while n4 is cut off, and heal; no member may have n1 dead or left meanwhile."""
-    fleet.cut(["n4"], ALL - {"n4"})
-    member, old = fleet.members["n1"], fleet.members["n1"].process
-    number = fleet.members["n0"].membership_list()["number"]
+def hot_restart_during_a_partition(cluster):
+    """Hot-restart n1 while n4 is cut off, and heal the cut; n0 must not see n1 as dead or left."""
+    cluster.cut(["n4"], ALL_MEMBERS - {"n4"})
+    member, old_process = cluster.members["n1"], cluster.members["n1"].process
+    last_event_number = cluster.members["n0"].membership_list()["number"]
     member.ports = replace(member.ports, admin=free_port(member.host))
-    new = fleet.spawn(member)
-    fleet.wait_for(
+    new_process = cluster.spawn(member)
+    cluster.wait_for(
         lambda: member.read_log().count("listener_started") >= 2 and member.membership_list(),
         WAIT_TIMEOUT_SECONDS,
-        "the new one",
+        "the new process",
     )
-    old.send_signal(signal.SIGTERM)
-    assert old.wait(WAIT_TIMEOUT_SECONDS) == 0
-    assert new.poll() is None
-    fleet.heal()
-    fleet.wait_for(lambda: fleet.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "one view")
-    answer = fleet.members["n0"].call_admin(f"/fleet/changes?after={number}")[1]["changes"]
-    assert not [c for c in answer if c["name"] == "n1" and c["after"] in ("dead", "left")]
-
-
-def test_a_hot_restart_during_a_partition_hands_the_name_on(fleet):
-    # Time is the subject: from then on any later start is a successor. The test below is of before.
+    old_process.send_signal(signal.SIGTERM)
+    assert old_process.wait(WAIT_TIMEOUT_SECONDS) == 0
+    assert new_process.poll() is None
+    cluster.heal()
+    cluster.wait_for(
+        lambda: cluster.has_converged(ALL_MEMBERS), WAIT_TIMEOUT_SECONDS, "convergence"
+    )
+    answer = cluster.members["n0"].call_admin(f"/fleet/changes?after={last_event_number}")[1][
+        "changes"
+    ]
+    assert not [
+        change
+        for change in answer
+        if change["name"] == "n1" and change["after"] in ("dead", "left")
+    ]
+
+
+def test_a_hot_restart_during_a_partition_passes_the_name_to_the_new_process(cluster):
+    # From this time after joining, a member yields its name to any later start. The next test covers the
+    # time before.
     time.sleep(NAME_TAKEOVER_SECONDS)
-    hot_restart_during_a_partition(fleet)
+    hot_restart_during_a_partition(cluster)
 
 
-def test_a_hot_restart_in_the_first_seconds_of_a_member_hands_the_name_on():
+def test_a_hot_restart_in_a_members_first_seconds_passes_the_name_to_the_new_process():
     with DispatcherCluster(5, seed=1, fleet_settings=SHORT_INTERVALS) as cluster:
-        cluster.wait_for(lambda: cluster.has_converged(ALL), WAIT_TIMEOUT_SECONDS, "one view")
+        cluster.wait_for(
+            lambda: cluster.has_converged(ALL_MEMBERS), WAIT_TIMEOUT_SECONDS, "convergence"
+        )
         hot_restart_during_a_partition(cluster)
 
 
-# -- the operators' commands ------------------------------------------------------------------------------
+# -- the operators' commands ------------------------------------------------------------------------
 
 
-def test_commands_print_members_and_exit_by_what_they_found(fleet, capsys):
-    at = fleet.members["n0"].admin_address
-    assert run(["fleet", "members", "--at", at]) == 0
-    shown = capsys.readouterr().out
-    assert "settled" in shown
-    assert all(name in shown for name in ALL)
-    assert "serving" in shown
-    assert run(["fleet", "members", "--at", at, "--json"]) == 0
+def test_commands_print_members_and_report_failures_by_exit_codes(cluster, capsys):
+    admin_address = cluster.members["n0"].admin_address
+    assert run(["fleet", "members", "--at", admin_address]) == 0
+    output = capsys.readouterr().out
+    assert "settled" in output
+    assert all(name in output for name in ALL_MEMBERS)
+    assert "serving" in output
+    assert run(["fleet", "members", "--at", admin_address, "--json"]) == 0
     answer = json.loads(capsys.readouterr().out)
     assert answer["self"] == "n0"
     assert answer["settled"]
-    assert len({r["facts"]["settings"] for r in answer["members"]}) == 1
-    assert run(["fleet", "explain", "n1", "--at", at]) == 0
+    assert len({row["facts"]["settings"] for row in answer["members"]}) == 1
+    assert run(["fleet", "explain", "n1", "--at", admin_address]) == 0
     assert "alive for" in capsys.readouterr().out
-    assert run(["fleet", "explain", "nobody", "--at", at]) == 1
+    assert run(["fleet", "explain", "nobody", "--at", admin_address]) == 1
     assert run(["fleet", "members", "--at", f"127.0.0.1:{free_port('127.0.0.1')}"]) == 2
     for path, status in (
         ("/fleet/changes?after=x", 400),
         ("/fleet/members/", 404),
         ("/fleet/leave", 405),
     ):
-        assert fleet.members["n0"].call_admin(path)[0] == status
-    fleet.kill("n4")
-    assert run(["fleet", "members", "--at", at]) in (0, 1)
-    fleet.wait_for(
-        lambda: run(["fleet", "members", "--at", at]) == 1, WAIT_TIMEOUT_SECONDS, "unsettled"
+        assert cluster.members["n0"].call_admin(path)[0] == status
+    cluster.kill("n4")
+    assert run(["fleet", "members", "--at", admin_address]) in (0, 1)
+    cluster.wait_for(
+        lambda: run(["fleet", "members", "--at", admin_address]) == 1,
+        WAIT_TIMEOUT_SECONDS,
+        "an unsettled list",
     )
-    assert run(["fleet", "leave", "--at", fleet.members["n3"].admin_address]) == 0
-    assert fleet.members["n3"].process.wait(WAIT_TIMEOUT_SECONDS) == 0
-    fleet.wait_for(
-        lambda: fleet.all_observe(["n0"], "n3", "left"), WAIT_TIMEOUT_SECONDS, "the leave"
+    assert run(["fleet", "leave", "--at", cluster.members["n3"].admin_address]) == 0
+    assert cluster.members["n3"].process.wait(WAIT_TIMEOUT_SECONDS) == 0
+    cluster.wait_for(
+        lambda: cluster.all_observe(["n0"], "n3", "left"), WAIT_TIMEOUT_SECONDS, "the leave"
     )
 
 
-BASE = 'listen = "127.0.0.1:7946"\ncluster = "lab"\n'
+REQUIRED_KEYS = 'listen = "127.0.0.1:7946"\ncluster = "lab"\n'
 
 
 @pytest.mark.parametrize(
@@ -474,19 +559,19 @@
         ('listen = "localhost:7946"\ncluster = "lab"\n', "fleet.listen"),
         ('listen = "127.0.0.1:70000"\ncluster = "lab"\n', "fleet.listen"),
         ('listen = "0.0.0.0:7946"\ncluster = "lab"\n', "fleet.advertise"),
-        (BASE + 'seeds = ["127.0.0.1:1", "x"]\n', "fleet.seeds[1]"),
-        (BASE + "period_ms = 0\n", "fleet.period_ms"),
-        (BASE + "timeout_ms = 500\n", "fleet.timeout_ms"),
-        (BASE + "share_maintenance = true\n", "fleet.share_maintenance"),
-        (BASE + "colour = 1\n", "colour"),
+        (REQUIRED_KEYS + 'seeds = ["127.0.0.1:1", "x"]\n', "fleet.seeds[1]"),
+        (REQUIRED_KEYS + "period_ms = 0\n", "fleet.period_ms"),
+        (REQUIRED_KEYS + "timeout_ms = 500\n", "fleet.timeout_ms"),
+        (REQUIRED_KEYS + "share_maintenance = true\n", "fleet.share_maintenance"),
+        (REQUIRED_KEYS + "colour = 1\n", "colour"),
     ],
 )
-def test_an_invalid_key_is_one_line_that_names_it(tmp_path, section, key):
+def test_an_invalid_key_is_reported_in_one_line_that_names_it(tmp_path, section, key):
     (tmp_path / "operator.toml").write_text("[fleet]\n" + section)
     (tmp_path / "config.json").write_text(
         json.dumps({**CONFIG, "listen": f"127.0.0.1:{free_port('127.0.0.1')}"})
     )
-    done = subprocess.run(
+    completed = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -501,28 +586,28 @@
         text=True,
         timeout=WAIT_TIMEOUT_SECONDS,
     )
-    assert done.returncode == 2
-    assert key in done.stderr
-    assert len(done.stderr.splitlines()) == 1
+    assert completed.returncode == 2
+    assert key in completed.stderr
+    assert len(completed.stderr.splitlines()) == 1
 
 
-def test_the_lab_plays_a_schedule_and_leaves_a_table_and_a_chart(tmp_path, capsys):
+def test_the_lab_plays_a_schedule_of_faults_and_writes_a_table_and_a_chart(tmp_path, capsys):
     faults = tmp_path / "faults.toml"
     faults.write_text('[[fault]]\nkind = "restart"\nat = 0.5\nwho = ["n1"]\n')
-    words = ["lab", "fleet", "--members", "3", "--faults", str(faults), "--seconds", "2"]
-    assert main([*words, "--out", str(tmp_path)]) == 0
+    arguments = ["lab", "fleet", "--members", "3", "--faults", str(faults), "--seconds", "2"]
+    assert main([*arguments, "--out", str(tmp_path)]) == 0
     answer = json.loads((tmp_path / "fleet.json").read_text())
     assert answer["broken"] == []
     assert answer["settled_s"] is not None
     assert {span["state"] for span in answer["spans"]} >= {"alive"}
     assert (tmp_path / "fleet.png").read_bytes().startswith(b"\x89PNG")
     faults.write_text('[[fault]]\nkind = "restart"\nat = 0.5\nwho = ["n9"]\n')
-    assert main(words) == 2
+    assert main(arguments) == 2
     assert "fault[0].who: no member n9" in capsys.readouterr().err
     assert main(["lab", "fleet", "--members", "1"]) == 2
 
 
-def test_the_lab_notices_a_record_that_goes_back():
+def test_the_lab_detects_a_record_that_goes_back_to_an_earlier_claim():
     monitor = InvariantMonitor(0.0)
     row = {"name": "a", "state": "dead", "generation": 5, "incarnation": 1, "facts": {"count": 4}}
     for change in ({}, {"state": "alive"}, {"incarnation": 0}, {"generation": 4}):
@@ -533,7 +618,7 @@
 
 
 def status_row(generation, started_ms, count):
-    """A member's row as `GET /fleet` shows it: its record, and the status of one start."""
+    """Return a member's row as in `GET /fleet`: its record, and the status of one process start."""
     return {
         "name": "a",
         "state": "alive",
@@ -543,14 +628,14 @@
     }
 
 
-def test_the_lab_takes_no_status_of_the_old_process_beside_the_new_record_for_one_that_goes_back():
+def test_the_lab_accepts_a_status_of_the_old_process_beside_a_record_of_the_new_one():
     monitor = InvariantMonitor(0.0)
     for row in (status_row(1, 100, 7), status_row(2, 100, 7), status_row(2, 200, 0)):
         monitor.record(1.0, "n0@1", "n0", row)
     assert monitor.violations == []
 
 
-def test_the_lab_notices_a_status_of_an_earlier_start_that_comes_back():
+def test_the_lab_detects_a_status_of_an_earlier_start_after_one_of_a_later_start():
     monitor = InvariantMonitor(0.0)
     for row in (status_row(1, 100, 7), status_row(2, 200, 0), status_row(2, 100, 8)):
         monitor.record(1.0, "n0@1", "n0", row)
@@ -558,8 +643,8 @@
     assert "the counter of a went back" in monitor.violations[0]
 
 
-@pytest.mark.parametrize("viewed", [False, True])
-def test_a_day_on_which_two_of_four_dispatchers_crash_keeps_the_rules(viewed):
-    answer = play_crash_run(CrashRun(seed=3, shares_membership=viewed, seconds=3))
+@pytest.mark.parametrize("shares_membership", [False, True])
+def test_a_run_in_which_two_of_four_dispatchers_crash_breaks_no_rule(shares_membership):
+    answer = play_crash_run(CrashRun(seed=3, shares_membership=shares_membership, seconds=3))
     assert answer["breaches"] == []
     assert answer["finals"]["served"] > 100
