--- a/stepstream/lab/processes/cluster_load_test.py
+++ b/stepstream/lab/processes/cluster_load_test.py
@@ -1,7 +1,7 @@
-"""Load test of several dispatchers behind one front, with workers that they share.
+"""Load test of several dispatchers behind one front proxy, with shared workers.
 
-A `ClusterLoadTest` plays its scenario while a disturbance of the caller's happens to dispatchers;
-`cluster_scenarios` has the ones that are measured.
+A `ClusterLoadTest` plays its scenario while the caller's disturbance stops or suspends dispatchers.
+`cluster_scenarios` defines the measured disturbances.
 """
 
 import asyncio
@@ -27,15 +27,15 @@
 """Last byte of the first dispatcher's address; the workers have the load test's own address."""
 
 RANDOM_SEEDS_PER_TEST = 16
-"""Dispatchers of one test, at most: each has a random seed of its own."""
+"""Most dispatchers of one test; each gets a random seed that no other test's dispatcher has."""
 
 MEMBER_COUNT_HOLD_SECONDS = 3
-"""`fleet.hold_s`, shorter than its default, as the test is short."""
+"""`fleet.hold_s`; shorter than the default because the test is short."""
 
 CONVERGENCE_SECONDS = 2.0
-"""After the start, for the dispatchers to agree on one membership list."""
+"""Time after the start in which the dispatchers agree on one membership list."""
 
-SEED_MEMBERS = 2
+SEED_MEMBER_COUNT = 2
 LEASES_SECTION = """\
 [leases]
 voters = ["n0", "n1", "n2"]
@@ -44,25 +44,26 @@
 probe_sweep = {probe_sweep}
 """
 
-ClientsKind = TypeVar("ClientsKind", bound=RoundRobinClients)
+ClientsType = TypeVar("ClientsType", bound=RoundRobinClients)
 
 Disturbance = Callable[[RoundRobinClients], Awaitable[None]]
-"""What happens to the dispatchers meanwhile; the clients' front has to know of failed ones."""
+"""Disturbs the dispatchers during a run, and tells the clients' front proxy which have failed."""
 
 
 @dataclass(eq=False)
 class ClusterLoadTest(LoadTest):
     """Dispatchers n0, n1, ... with shared workers.
 
-    Without `shares_membership` they have no `[fleet]`, and only their settings say how many they
-    are. `delegates_health_checks` says whether one of them checks the workers for all; None: they
-    have no `[leases]`.
+    Without `shares_membership` they have no `[fleet]` section, and only their settings say how many
+    dispatchers there are. `delegates_health_checks` says whether one of them checks the workers for
+    all; with None they have no `[leases]` section.
     """
 
     dispatcher_count: int = 4
     shares_membership: bool = True
     delegates_health_checks: bool | None = None
-    late_ms: float = 0.0  # the longest delay by which the lab itself sent a request late
+    # Greatest delay of a request behind its planned time; the lab itself causes it.
+    late_ms: float = 0.0
 
     def __post_init__(self) -> None:
         super().__post_init__()
@@ -86,7 +87,7 @@
         )
 
     async def publish(self, worker: HttpWorker, state: str) -> None:
-        """Change the worker's state in the discovery of each dispatcher, with its own listener."""
+        """Change the worker's state in each dispatcher's discovery, with that one's listener."""
         assert isinstance(worker, MultiListenerWorker)
         for discovery, port in zip(self.discovery, worker.ports, strict=True):
             await discovery.update(self.endpoint_entry(worker, state, port))
@@ -107,12 +108,12 @@
         }
 
     def operator_text(self, index: int) -> str | None:
-        """Return the content of a dispatcher's operator's file; None if it gets no such file."""
+        """Return the content of a dispatcher's operator's file; None if it gets no file."""
         if not self.shares_membership:
             return None
         section = FleetSection(
             listen=self.member_addresses[index],
-            seeds=self.member_addresses[:SEED_MEMBERS],
+            seeds=self.member_addresses[:SEED_MEMBER_COUNT],
             cluster=CLUSTER_NAME,
             further_lines=f"hold_s = {MEMBER_COUNT_HOLD_SECONDS}",
         )
@@ -122,29 +123,29 @@
         return section.render() + LEASES_SECTION.format(probe_sweep=probe_sweep)
 
     async def wait_for_ready(self) -> None:
-        """Wait until each dispatcher accepts connections, then until they know each other."""
+        """Wait until each dispatcher accepts connections, then `CONVERGENCE_SECONDS` more."""
         await super().wait_for_ready()
         await asyncio.sleep(CONVERGENCE_SECONDS)
 
     async def shut_down_dispatchers(self) -> None:
-        """Do nothing: the dispatchers are killed, as the test's outcome is known."""
+        """Do nothing: the test's result is known, so `stop` may kill the dispatchers."""
 
     # -- run --------------------------------------------------------------------------------------
 
     async def play_with(self, disturbance: Disturbance) -> Figures:
-        """Play the schedules of requests and faults beside a disturbance; return the figures."""
+        """Play the schedules of requests and faults during a disturbance; return the figures."""
         clients = self.create_clients(RoundRobinClients)
         self.fault_injector.schedule()
-        disturbing = asyncio.ensure_future(disturbance(clients))
+        disturbance_task = asyncio.ensure_future(disturbance(clients))
         await clients.run()
         self.fault_injector.cancel()
-        disturbing.cancel()
+        disturbance_task.cancel()
         self.late_ms = clients.max_start_delay_us / US_PER_MS
         return self.verifier.figures()
 
-    def create_clients(self, kind: type[ClientsKind]) -> ClientsKind:
-        """Build the clients of this test's load."""
-        return kind(
+    def create_clients(self, clients_class: type[ClientsType]) -> ClientsType:
+        """Create the clients that send this test's load."""
+        return clients_class(
             self.scenario,
             self.clock,
             self.verifier,
@@ -158,8 +159,11 @@
         self.dispatchers[index].send_signal(signal.SIGKILL)
 
     def health_check_leaders(self) -> list[int]:
-        """Return which dispatchers held the lease on health checks, in order, by their logs."""
-        acquired: list[tuple[str, int]] = []  # time of the log line, dispatcher
+        """Return the indexes of the dispatchers that acquired the health-check lease, in order.
+
+        The dispatchers' logs say when each of them acquired it.
+        """
+        acquired: list[tuple[str, int]] = []  # time of the log line, dispatcher's index
         for index, dispatcher in enumerate(self.dispatchers):
             for line in dispatcher.read_log().splitlines():
                 if is_health_check_lease_acquired(line):
--- a/stepstream/lab/processes/cluster_member.py
+++ b/stepstream/lab/processes/cluster_member.py
@@ -17,14 +17,14 @@
 
 
 class MemberStatus(TypedDict, total=False):
-    """What a member reports of itself: `facts` of a row, as far as the lab reads them."""
+    """What a member reports of itself: the `facts` of its row; only the keys that the lab reads."""
 
     started_ms: int
     count: int  # revision of the status
 
 
 class MemberRow(TypedDict):
-    """A member in the answer to `GET /fleet`, as far as the lab reads it."""
+    """A member in the response to `GET /fleet`; only the keys that the lab reads."""
 
     name: str
     state: str
@@ -34,14 +34,14 @@
 
 
 class MembershipList(TypedDict):
-    """The answer to `GET /fleet`, as far as the lab reads it."""
+    """The response to `GET /fleet`; only the keys that the lab reads."""
 
     self_generation: int
     settled: bool
     digest: str
     members: list[MemberRow]
-    number: NotRequired[int]  # of the latest change
-    counted: NotRequired[int]  # dispatchers that share the workers
+    number: NotRequired[int]  # number of the latest change
+    counted: NotRequired[int]  # number of dispatchers that share the workers
     counts: NotRequired[dict[str, Any]]
     words: NotRequired[list[dict[str, Any]]]  # maintenance records
 
@@ -69,7 +69,10 @@
 
 
 class ClusterMember(DispatcherProcess):
-    """A dispatcher with all its listeners on `host`; `advertised_address` is the relay's for it."""
+    """A dispatcher with all its listeners on `host`.
+
+    `advertised_address` is the address of the relay's socket for it.
+    """
 
     def __init__(
         self, name: str, host: str, ports: MemberPorts, advertised_address: str, folder: Path
@@ -78,7 +81,7 @@
         self.host = host
         self.ports = ports
         self.advertised_address = advertised_address
-        # The endpoint list that it starts with, in the form of discovery's answers.
+        # The endpoint list that it starts with, in the form of discovery's responses.
         self.persisted_endpoints: dict[str, Any] = {}
 
     @property
@@ -87,7 +90,7 @@
         return f"{self.host}:{self.ports.admin}"
 
     def spawn_program(self, program: MemberProgram) -> subprocess.Popen[bytes]:
-        """Start a process with a $TMPDIR of this member's own, which a hot restart shares."""
+        """Start a process; the member has a $TMPDIR of its own, which a hot restart uses again."""
         private_folder = self.folder / f"{self.name}.tmp"
         private_folder.mkdir(exist_ok=True)
         variables = {**program.environment, "TMPDIR": str(private_folder)}
@@ -96,28 +99,28 @@
     # -- admin listener ---------------------------------------------------------------------------
 
     def call_admin(self, path: str, method: str = "GET") -> tuple[int, Any]:
-        """Return the status and the body of an answer, decoded if it is JSON.
+        """Call the admin listener; return the status and the body, decoded if it is JSON.
 
-        Raise ConnectionError if there is no answer.
+        Raise ConnectionError if there is no response.
         """
         connection = http.client.HTTPConnection(
             self.host, self.ports.admin, timeout=ADMIN_TIMEOUT_SECONDS
         )
         try:
             connection.request(method, path)
-            answer = connection.getresponse()
-            body = answer.read()
+            response = connection.getresponse()
+            body = response.read()
         except (OSError, http.client.HTTPException) as error:
             raise ConnectionError(f"{self.name}: {error}") from None
         finally:
             connection.close()
         try:
-            return answer.status, ujson.loads(body)
+            return response.status, ujson.loads(body)
         except ValueError:
-            return answer.status, body.decode()
+            return response.status, body.decode()
 
     def membership_list(self) -> MembershipList | None:
-        """Return the member's own membership list; None if it does not answer with one."""
+        """Return the member's own membership list; None if it returns none."""
         try:
             status, body = self.call_admin("/fleet")
         except ConnectionError:
@@ -128,7 +131,7 @@
         return membership_list
 
     def member_states(self) -> dict[str, str]:
-        """Return the state of each member by name as this one has it; empty without an answer."""
+        """Return the states, by name, in this member's list; empty if it returns no list."""
         membership_list = self.membership_list()
         if membership_list is None:
             return {}
--- a/stepstream/lab/processes/cluster_scenarios.py
+++ b/stepstream/lab/processes/cluster_scenarios.py
@@ -1,6 +1,6 @@
 """The measured scenarios of a `ClusterLoadTest`: crashes, and health checks by a leader.
 
-Each function that plays one runs an event loop of its own, so a pool of processes can call it.
+Each `play_` function runs an event loop of its own, so a pool of processes can call it.
 """
 
 import asyncio
@@ -18,19 +18,21 @@
 from stepstream.lab.processes.round_robin_clients import RoundRobinClients
 from stepstream.lab.verification.score import Figures
 
-LOAD = 0.6  # requested work as a fraction of what the workers can do
+LOAD = 0.6  # ratio of the requested work to the workers' capacity
 CRASH_WORKERS = 12
-CRASHED_WORKERS_DIVISOR = 4  # one in four crashes
-CRASHED_DISPATCHERS = (1, 3)
+CRASHED_WORKERS_DIVISOR = 4  # one worker in four crashes
+CRASHED_DISPATCHER_INDEXES = (1, 3)
 LEADER_WORKERS = 8
-FAULT_BEGIN = 0.4  # fractions of the scenario's time
-CRASH_END = 0.6
-SUSPENSION = 0.25
+
+# Fractions of the scenario's duration.
+FAULT_BEGIN_FRACTION = 0.4
+CRASH_END_FRACTION = 0.6
+SUSPENSION_FRACTION = 0.25
 
 
 @dataclass(frozen=True)
 class CrashRun:
-    """A run in which two of four dispatchers, and a quarter of the workers, crash together."""
+    """A run in which two of four dispatchers and a quarter of the workers crash together."""
 
     seed: int
     shares_membership: bool
@@ -60,10 +62,10 @@
 
 @dataclass(frozen=True)
 class HealthCheckRun:
-    """A run in which one dispatcher checks the workers for all, or each does it itself."""
+    """A run in which one dispatcher checks the workers for all, or each dispatcher checks them."""
 
     seed: int
-    is_delegated: bool
+    delegates_health_checks: bool
     dispatcher_count: int
     seconds: int
     leader_fault: LeaderFault = LeaderFault.NONE
@@ -89,7 +91,10 @@
 
 
 def crash_scenario(seed: int, seconds: int) -> Scenario:
-    """Draw the small site with more workers, of which a quarter crashes and comes back cold."""
+    """Draw a run of the small site with `CRASH_WORKERS` workers.
+
+    A quarter of them crashes and restarts in slow start.
+    """
     site = msgspec.structs.replace(read_site(), worker_count=CRASH_WORKERS, faults=(), load=LOAD)
     scenario = generate_scenario(site, seed, seconds, "http")
     crashed = scenario.streams["faults"].choice(
@@ -97,8 +102,8 @@
     )
     crash = WorkerFault(
         WorkerFaultKind.CRASH,
-        int(FAULT_BEGIN * US_PER_SECOND * seconds),
-        int(CRASH_END * US_PER_SECOND * seconds),
+        int(FAULT_BEGIN_FRACTION * US_PER_SECOND * seconds),
+        int(CRASH_END_FRACTION * US_PER_SECOND * seconds),
         tuple(int(index) for index in crashed),
         1.0,
     )
@@ -106,11 +111,11 @@
 
 
 def crash_dispatchers(test: ClusterLoadTest) -> Disturbance:
-    """Return the disturbance that kills two dispatchers when the workers crash."""
+    """Return a disturbance that kills two dispatchers at the time of the workers' crash."""
 
     async def disturb(clients: RoundRobinClients) -> None:
-        await asyncio.sleep(FAULT_BEGIN * test.scenario.seconds)
-        for index in CRASHED_DISPATCHERS:
+        await asyncio.sleep(FAULT_BEGIN_FRACTION * test.scenario.seconds)
+        for index in CRASHED_DISPATCHER_INDEXES:
             clients.record_failure(index)
             test.kill_dispatcher(index)
 
@@ -118,7 +123,7 @@
 
 
 async def run_crash_test(test: ClusterLoadTest) -> Figures:
-    """Start the test, play its scenario with the crashes of dispatchers, and stop it."""
+    """Start the test, play its scenario with the dispatchers' crashes, and stop the test."""
     async with test:
         return await test.play_with(crash_dispatchers(test))
 
@@ -144,26 +149,26 @@
 
 
 def disturb_leader(test: ClusterLoadTest, fault: LeaderFault) -> Disturbance:
-    """Return the disturbance that kills or suspends the present health-check leader."""
+    """Return a disturbance that kills or suspends the present health-check leader."""
 
     async def disturb(clients: RoundRobinClients) -> None:
         if fault is LeaderFault.NONE:
             return
-        await asyncio.sleep(FAULT_BEGIN * test.scenario.seconds)
+        await asyncio.sleep(FAULT_BEGIN_FRACTION * test.scenario.seconds)
         leader = (test.health_check_leaders() or [0])[-1]
         clients.record_failure(leader)
         if fault is LeaderFault.KILL:
             test.kill_dispatcher(leader)
             return
         test.dispatchers[leader].suspend()
-        await asyncio.sleep(SUSPENSION * test.scenario.seconds)
+        await asyncio.sleep(SUSPENSION_FRACTION * test.scenario.seconds)
         test.dispatchers[leader].resume()
 
     return disturb
 
 
-def health_checks_answered(test: ClusterLoadTest) -> int:
-    """Return how many health checks the workers have answered so far."""
+def count_answered_health_checks(test: ClusterLoadTest) -> int:
+    """Return the number of health checks that the workers have answered so far."""
     return sum(
         worker.health_check_count
         for worker in test.workers
@@ -172,19 +177,19 @@
 
 
 async def run_health_check_test(test: ClusterLoadTest, run: HealthCheckRun) -> HealthCheckRunResult:
-    """Start the test, play its scenario with the fault of the leader, and stop it."""
+    """Start the test, play its scenario with the leader's fault, and stop the test."""
     async with test:
-        answered_before = health_checks_answered(test)
+        count_before = count_answered_health_checks(test)
         figures = await test.play_with(disturb_leader(test, run.leader_fault))
-        health_checks = health_checks_answered(test) - answered_before
+        health_check_count = count_answered_health_checks(test) - count_before
         return {
             "seed": run.seed,
-            "sweep": run.is_delegated,
+            "sweep": run.delegates_health_checks,
             "dispatchers": run.dispatcher_count,
             "harm": run.leader_fault.value,
             "sweepers": test.health_check_leaders(),
-            "probes_a_worker_s": health_checks / len(test.workers) / run.seconds,
-            "probes_a_request": health_checks / max(len(test.scenario.requests), 1),
+            "probes_a_worker_s": health_check_count / len(test.workers) / run.seconds,
+            "probes_a_request": health_check_count / max(len(test.scenario.requests), 1),
             "score": figures.score,
             "whole": figures.whole,
             "breaches": figures.breaches,
@@ -201,6 +206,6 @@
         generate_scenario(site, run.seed, run.seconds, "http"),
         run.seed,
         dispatcher_count=run.dispatcher_count,
-        delegates_health_checks=run.is_delegated,
+        delegates_health_checks=run.delegates_health_checks,
     )
     return asyncio.run(run_health_check_test(test, run))
--- a/stepstream/lab/processes/dispatcher_cluster.py
+++ b/stepstream/lab/processes/dispatcher_cluster.py
@@ -25,12 +25,12 @@
 
 START_TIMEOUT_SECONDS = 30.0
 POLL_INTERVAL_SECONDS = 0.05
-SEED_MEMBERS = 2
-"""The first members, whose addresses are the seeds of all."""
+SEED_MEMBER_COUNT = 2
+"""How many of the first members are the seeds of all members."""
 
 CLUSTER_NAME = "lab"
 DISCOVERY_PORT = 9
-"""Nothing listens there: the endpoint list comes from the configuration, if at all."""
+"""No process listens there: the members get an endpoint list only from their configuration."""
 
 SETTINGS: dict[str, Any] = {
     "services": [
@@ -42,15 +42,15 @@
 
 
 class ConditionTimeoutError(AssertionError):
-    """A condition of the cluster did not hold within the time for it."""
+    """A condition of the cluster did not become true in time."""
 
 
 class DispatcherCluster:
-    """Members n0, n1, ... that run from the context's begin to its end.
+    """Members n0, n1, ... that run from entering the context to leaving it.
 
-    `fleet_settings` are further lines of every member's `[fleet]`, and sections after it.
-    `program` may be replaced before the context begins. `folder` and `members` are there from the
-    begin on.
+    `fleet_settings` holds further lines of every member's `[fleet]` section, and sections after it.
+    `program` may be replaced before the context is entered. `folder` and `members` are set when it
+    is entered.
     """
 
     folder: Path
@@ -67,7 +67,7 @@
         self._resources = ExitStack()
 
     def __enter__(self) -> Self:
-        with ExitStack() as stack:  # ends what was begun if a step fails
+        with ExitStack() as stack:  # releases what was acquired if a step fails
             self.acquire_resources(stack)
             self.start(self.members)
             self._resources = stack.pop_all()
@@ -77,7 +77,7 @@
         self._resources.close()
 
     def acquire_resources(self, stack: ExitStack) -> None:
-        """Make all that the members need before they start; `stack` ends it."""
+        """Create everything that the members need before they start; `stack` releases it."""
         self.folder = Path(
             stack.enter_context(tempfile.TemporaryDirectory(prefix="stepstream-fleet-"))
         )
@@ -85,7 +85,9 @@
         for index in range(self.member_count):
             member = self._create_member(f"n{index}", cluster_host(index))
             self.members[member.name] = stack.enter_context(member)
-        self.seeds = [member.advertised_address for member in self.members.values()][:SEED_MEMBERS]
+        self.seeds = [member.advertised_address for member in self.members.values()][
+            :SEED_MEMBER_COUNT
+        ]
 
     def _create_member(self, name: str, host: str) -> ClusterMember:
         ports = MemberPorts.choose(host)
@@ -95,7 +97,7 @@
     # -- processes --------------------------------------------------------------------------------
 
     def start(self, names: Iterable[str]) -> None:
-        """Start members and wait until each of them answers.
+        """Start members and wait until each of them answers at its admin listener.
 
         Raise DispatcherProcessError if a process ends before that, and ConditionTimeoutError after
         `START_TIMEOUT_SECONDS`.
@@ -103,7 +105,7 @@
         members = [self.members[name] for name in names]
         for member in members:
             self.spawn(member)
-        self.wait_for(lambda: all_ready(members), START_TIMEOUT_SECONDS, "a start")
+        self.wait_for(lambda: all_ready(members), START_TIMEOUT_SECONDS, "start of the members")
 
     def spawn(self, member: ClusterMember) -> subprocess.Popen[bytes]:
         """Write a member's files and start its process, without waiting until it answers."""
@@ -111,7 +113,7 @@
         return member.spawn_program(self.program)
 
     def spawn_with_shifted_clock(self, member: ClusterMember, offset_seconds: float) -> None:
-        """Start a member whose time of day is off, and whose monotonic clock is not."""
+        """Start a member whose Unix time is shifted; its monotonic clock is unchanged."""
         self.write_files(member)
         module = "stepstream.lab.processes.shifted_clock"
         arguments = ("-m", module, str(offset_seconds), "stepstream")
@@ -123,9 +125,10 @@
         seeds: list[str] | None = None,
         fleet_settings: str | None = None,
     ) -> None:
-        """Write a member's configuration and operator's file, with the cluster's values or these.
+        """Write a member's configuration and operator's file.
 
-        The next start or reload reads them.
+        `seeds` and `fleet_settings` replace the cluster's values. The member reads the files at its
+        next start or reload.
         """
         configuration: NodeConfiguration = {
             "name": member.name,
@@ -175,14 +178,15 @@
         with self.relay.lock:
             self.relay.links.heal()
 
-    # -- what the members answer ------------------------------------------------------------------
+    # -- state of the members ---------------------------------------------------------------------
 
     def wait_for(
         self, condition: Callable[[], object], timeout_seconds: float, description: str
     ) -> float:
-        """Wait until a condition holds and return how many seconds that took.
+        """Wait until a condition is true and return how many seconds that took.
 
-        Raise ConditionTimeoutError, with the running members' lists, if it does not hold in time.
+        Raise ConditionTimeoutError after `timeout_seconds`. Its message names the awaited condition
+        by `description` and shows the membership lists of the running members.
         """
         begun_at_seconds = time.monotonic()
         while not condition():
@@ -192,25 +196,28 @@
                     for name, member in self.members.items()
                     if member.is_running()
                 }
-                text = f"{description} did not come in {timeout_seconds} s: {states}"
-                raise ConditionTimeoutError(text)
+                message = f"{description}: timed out after {timeout_seconds} s; states: {states}"
+                raise ConditionTimeoutError(message)
             time.sleep(POLL_INTERVAL_SECONDS)
         return time.monotonic() - begun_at_seconds
 
     def has_converged(self, names: Iterable[str]) -> bool:
-        """Return whether these members share one settled list that has just them alive."""
+        """Return whether these members agree on one settled list in which only they are alive."""
         expected = set(names)
         lists = self._converged_lists(expected)
         return bool(lists) and all(alive_names(found) == expected for found in lists)
 
     def has_converged_among(self, names: Iterable[str]) -> bool:
-        """Return whether these members share one settled list that has them, and maybe others."""
+        """Return whether these members agree on one settled list in which all of them are alive.
+
+        Others may be alive in it, too.
+        """
         expected = set(names)
         lists = self._converged_lists(expected)
         return bool(lists) and all(expected <= alive_names(found) for found in lists)
 
     def _converged_lists(self, names: Iterable[str]) -> list[MembershipList]:
-        """Return these members' lists; none if one is missing or unsettled, or two differ."""
+        """Return these members' lists; no list if one is missing or unsettled, or if two differ."""
         lists: list[MembershipList] = []
         for name in names:
             found = self.members[name].membership_list()
@@ -222,19 +229,19 @@
         return lists
 
     def all_observe(self, observers: Iterable[str], name: str, state: str) -> bool:
-        """Return whether each of these members has `name` in this state."""
+        """Return whether each of the observers has the member `name` in this state."""
         return all(
             self.members[observer].member_states().get(name) == state for observer in observers
         )
 
 
 def all_ready(members: Sequence[ClusterMember]) -> bool:
-    """Return whether each member answers; raise DispatcherProcessError if a process has ended."""
+    """Return whether each member answers; raise DispatcherProcessError if one has ended."""
     for member in members:
         member.require_running()
     return all(member.membership_list() is not None for member in members)
 
 
 def alive_names(membership_list: MembershipList) -> set[str]:
-    """Return the names of the members that a list has alive."""
+    """Return the names of the members that are alive in a list."""
     return {row["name"] for row in membership_list["members"] if row["state"] == "alive"}
--- a/stepstream/lab/processes/lease_member.py
+++ b/stepstream/lab/processes/lease_member.py
@@ -1,9 +1,9 @@
-"""Run a dispatcher whose leases subsystem has a task inside that contends for a lease.
+"""Run a dispatcher whose leases subsystem runs a task that contends for a lease.
 
     python -m stepstream.lab.processes.lease_member serve --operator FILE
 
-EDGE_CONFIG names the platform's configuration file, as for `stepstream serve`; `lease_task` says
-which variable configures the task.
+EDGE_CONFIG names the platform's configuration file, as for `stepstream serve`. The environment
+variable `LAB_LEASE_TASK` configures the task, which `lease_task` defines.
 """
 
 import argparse
@@ -21,7 +21,7 @@
 def serve(operator_path: str) -> int:
     """Run the dispatcher until SIGTERM; return its exit code.
 
-    Raise ConfigurationError if a file is at fault, and OSError if an address cannot be bound.
+    Raise ConfigurationError if a file is invalid, and OSError if an address cannot be bound.
     """
     SUBSYSTEM_MODULES[LEASES] = "stepstream.lab.processes.lease_task"
     config = read_config()
@@ -30,7 +30,9 @@
 
 def main() -> int:
     """Read the command line and run its command."""
-    parser = argparse.ArgumentParser(description="Run a dispatcher with a task inside.")
+    parser = argparse.ArgumentParser(
+        description="Run a dispatcher with a task that contends for a lease."
+    )
     parser.add_argument("command", choices=["serve"])
     parser.add_argument("--operator", required=True)
     return serve(parser.parse_args().operator)
--- a/stepstream/lab/processes/multi_listener_worker.py
+++ b/stepstream/lab/processes/multi_listener_worker.py
@@ -1,6 +1,6 @@
-"""Emulate a worker that several dispatchers share, each of them by a listener of its own.
+"""Emulate a worker that several dispatchers share, with one listener for each dispatcher.
 
-The listener that a job came by says which dispatcher gets the job's notifications. A worker
+The listener that received a job tells which dispatcher gets the job's notifications. A worker
 belongs to the event loop that starts it.
 """
 
@@ -28,16 +28,16 @@
 class MultiListenerWorker(HttpWorker):
     """A worker with a listener for each of `dispatchers`, in their order.
 
-    A task's `handle` holds the number of its dispatcher in one byte.
+    A task's `handle` is one byte with the index of its dispatcher.
     """
 
     dispatchers: list[Address] = field(default_factory=list)
     ports: list[int] = field(default_factory=list)  # of the listeners; 0 before the first start
     listeners: list[asyncio.Server] = field(default_factory=list)
-    queues: list[asyncio.Queue[Notification]] = field(default_factory=list)  # one a dispatcher
+    queues: list[asyncio.Queue[Notification]] = field(default_factory=list)  # one per dispatcher
 
     async def start(self) -> None:
-        """Open the listeners; start to play the model and to deliver notifications."""
+        """Open the listeners; start to run the model and to deliver notifications."""
         self.ports = [0] * len(self.dispatchers)
         self.queues = [asyncio.Queue() for _ in self.dispatchers]
         await self.open_listener()
@@ -46,15 +46,15 @@
             self.run_in_background(self.deliver_notifications_to(index))
 
     async def open_listener(self) -> None:
-        """Open the listeners, after a restart on the same ports."""
+        """Open the listeners; a restart opens them on the same ports again."""
         self.listeners = [
             await asyncio.start_server(partial(self.serve, listener_index=index), self.host, port)
             for index, port in enumerate(self.ports)
         ]
         self.ports = [listener.sockets[0].getsockname()[1] for listener in self.listeners]
 
-    def submit(self, task_id: str, body: bytes, handle: bytes = b"") -> SubmissionResult:  # noqa: ARG002  the listener's number is the handle
-        """Offer a received job to the model, with the number of the listener it came by."""
+    def submit(self, task_id: str, body: bytes, handle: bytes = b"") -> SubmissionResult:  # noqa: ARG002  the listener's index is the handle
+        """Offer a received job to the model, with the index of its listener as the handle."""
         return super().submit(task_id, body, bytes([self.listener_index]))
 
     def notify(self, event: TaskEvent) -> None:
@@ -74,10 +74,10 @@
             await send_notification(self.dispatchers[dispatcher_index], notification)
 
     def crash(self) -> None:
-        """Close the listeners and every connection; lose the tasks and notify of each."""
+        """Close the listeners and every connection; queue a notification of each lost task."""
         self.close_listeners()
-        for peer in list(self.connections):
-            peer.transport.abort()
+        for connection in list(self.connections):
+            connection.transport.abort()
         for task in self.terminate():
             self.queue_notification(task, {"id": task.id, "from": self.name, "state": "lost"})
 
@@ -93,9 +93,9 @@
 
 
 async def send_notification(address: Address, notification: Notification) -> None:
-    """Send a notification until it is acknowledged, each time on a connection of its own.
+    """Send a notification until it is acknowledged, each time on a new connection.
 
-    Drop it after `NOTIFICATION_ATTEMPTS`: the dispatcher may have been killed for good.
+    Drop it after `NOTIFICATION_ATTEMPTS`: the dispatcher may have been killed and not restarted.
     """
     headers = {"Host": "d", "Connection": "close"}
     body = ujson.dumps(notification).encode()
--- a/stepstream/lab/processes/persistent_clients.py
+++ b/stepstream/lab/processes/persistent_clients.py
@@ -1,4 +1,4 @@
-"""Clients that keep their connections, and use them until the dispatcher closes them or ends."""
+"""Clients that use a connection until the dispatcher closes it or ends."""
 
 import asyncio
 import time
@@ -14,21 +14,24 @@
 from stepstream.lab.processes.round_robin_clients import RoundRobinClients
 from stepstream.lab.verification.observations import FinalOutcome, RequestKey
 
-FRONT_NOTICE_SECONDS = 0.3  # the front opens no new connection so long after SIGTERM
-# A dispatcher that runs has read a request by then. Sooner, its close may have crossed it unread.
-READ_WITHIN_SECONDS = 0.2
-MAX_SENDS = 6  # of one request: each crossed a close and was sent elsewhere
-RETRY_SECONDS = 0.1  # while no dispatcher takes a connection
+# How long after SIGTERM the front proxy still opens new connections to a dispatcher.
+STOP_DETECTION_SECONDS = 0.3
+# A running dispatcher reads a request within this time. If the connection ends sooner, it may have
+# been closed before the dispatcher read the request.
+MAX_READ_DELAY_SECONDS = 0.2
+MAX_SENDS = 6  # of one request: again if the connection closed before the request was read
+RETRY_SECONDS = 0.1  # while no dispatcher accepts a connection
 
 ClientConnection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
 @dataclass(eq=False)
 class PersistentClients(RoundRobinClients):
-    """Clients of several dispatchers, each with connections that stay open.
+    """Clients of several dispatchers that keep their connections open.
 
-    `stopping_since` is when SIGTERM was sent, in monotonic seconds by dispatcher: the front opens
-    no new connection to it, and its clients go on to use those that are open.
+    `stopping_since` holds the monotonic time of the SIGTERM of each dispatcher that is stopping, by
+    index. After `STOP_DETECTION_SECONDS` the front proxy opens no new connection to it; the clients
+    go on using the open ones.
     """
 
     idle_by_dispatcher: dict[int, list[ClientConnection]] = field(
@@ -41,7 +44,7 @@
     async def send_attempt(
         self, planned: PlannedRequest, attempt_number: int, remaining_us: int
     ) -> ReceivedResponse:
-        """Send a job until a dispatcher has read it, and await the outcome."""
+        """Send a job, again until a dispatcher has read it, and await the outcome."""
         key = RequestKey(planned.number, attempt_number)
         body = Workload(planned.number, attempt_number, planned.work_us, planned.slots).serialize()
         job_class = self.scenario.site.job_classes[planned.class_index]
@@ -58,16 +61,16 @@
     async def exchange(
         self, key: RequestKey, data: bytes, remaining_us: int
     ) -> ReceivedResponse | None:
-        """Send a request once; return None if its connection closed before it was read."""
+        """Send a request once; return None if the connection closed before the request was read."""
         index, connection = await self.take_connection(remaining_us)
         reader, writer = connection
-        sent_at = time.monotonic()
+        sent_at_seconds = time.monotonic()
         try:
             writer.write(data)
             message = await read_response(reader)
         except (OSError, EOFError):
             writer.close()
-            was_read = time.monotonic() - sent_at > READ_WITHIN_SECONDS
+            was_read = time.monotonic() - sent_at_seconds > MAX_READ_DELAY_SECONDS
             request = self.verifier.requests.get(key)
             if was_read or (request is not None and request.attempts):
                 return ReceivedResponse(FinalOutcome.LOST)
@@ -79,8 +82,11 @@
         return response_from_http(message)
 
     async def take_connection(self, remaining_us: int) -> tuple[int, ClientConnection]:
-        """Return a dispatcher's open connection, or a new one to a dispatcher that takes them."""
-        deadline = time.monotonic() + remaining_us / US_PER_MS / 1000
+        """Return an open or new connection to the first dispatcher that has one, and its index.
+
+        Raise TimeoutError if none has one within `remaining_us`.
+        """
+        deadline_seconds = time.monotonic() + remaining_us / US_PER_MS / 1000
         while True:
             self.request_count += 1
             for offset in range(len(self.dispatchers)):
@@ -88,19 +94,22 @@
                 connection = await self.connect_to(index)
                 if connection is not None:
                     return index, connection
-            if time.monotonic() > deadline:
-                raise TimeoutError("no dispatcher takes a connection")
+            if time.monotonic() > deadline_seconds:
+                raise TimeoutError("no dispatcher accepts a connection")
             await asyncio.sleep(RETRY_SECONDS)
 
     async def connect_to(self, index: int) -> ClientConnection | None:
-        """Return an open connection to a dispatcher, or a new one; None if there can be none."""
+        """Return an open or new connection to a dispatcher; None if it accepts none."""
         while self.idle_by_dispatcher[index]:
             reader, writer = self.idle_by_dispatcher[index].pop(0)
             if not reader.at_eof():
                 return reader, writer
             writer.close()
-        since = self.stopping_since.get(index)
-        if since is not None and time.monotonic() - since > FRONT_NOTICE_SECONDS:
+        sigterm_at_seconds = self.stopping_since.get(index)
+        if (
+            sigterm_at_seconds is not None
+            and time.monotonic() - sigterm_at_seconds > STOP_DETECTION_SECONDS
+        ):
             return None
         try:
             return await asyncio.open_connection(*self.dispatchers[index])
--- a/stepstream/lab/processes/round_robin_clients.py
+++ b/stepstream/lab/processes/round_robin_clients.py
@@ -1,4 +1,4 @@
-"""Clients behind a plain front that sends to each of several dispatchers in turn."""
+"""Clients behind a front proxy that sends requests to several dispatchers in turn."""
 
 import asyncio
 import secrets
@@ -15,31 +15,32 @@
 from stepstream.lab.processes.addresses import Address
 from stepstream.lab.verification.observations import FinalOutcome
 
-FAILURE_NOTICE_SECONDS = 1.0
-"""How long the front goes on sending to a dispatcher that has failed."""
+FAILURE_DETECTION_SECONDS = 1.0
+"""How long the front proxy goes on sending to a dispatcher that has failed."""
 
 REQUEST_ID_BYTES = 8
 
 
 @dataclass(eq=False)
 class RoundRobinClients(Clients):
-    """Clients whose front knows of a failed dispatcher after `FAILURE_NOTICE_SECONDS`."""
+    """Clients whose front proxy detects a failed dispatcher after `FAILURE_DETECTION_SECONDS`."""
 
     dispatchers: list[Address] = field(default_factory=list)
     failed_at_seconds: dict[int, float] = field(default_factory=dict)  # monotonic, by dispatcher
     request_count: int = 0
 
     def record_failure(self, dispatcher_index: int) -> None:
-        """Note that a dispatcher has failed just now."""
+        """Record that a dispatcher has failed just now."""
         self.failed_at_seconds[dispatcher_index] = time.monotonic()
 
     def next_dispatcher(self) -> int:
-        """Return the number of the dispatcher that gets the next request."""
+        """Return the index of the dispatcher that gets the next request."""
         now_seconds = time.monotonic()
         usable = [
             index
             for index in range(len(self.dispatchers))
-            if now_seconds - self.failed_at_seconds.get(index, now_seconds) < FAILURE_NOTICE_SECONDS
+            if now_seconds - self.failed_at_seconds.get(index, now_seconds)
+            < FAILURE_DETECTION_SECONDS
         ]
         self.request_count += 1
         return usable[self.request_count % len(usable)]
@@ -52,7 +53,7 @@
         *,
         is_retry: bool,  # noqa: ARG002  the front marks no retries
     ) -> ReceivedResponse:
-        """Send a job to the next dispatcher on a connection of its own, and await the outcome."""
+        """Send a job to the next dispatcher on a new connection, and await the outcome."""
         dispatcher_index = self.next_dispatcher()
         job_class = self.scenario.site.job_classes[planned.class_index]
         data = write_request(
@@ -66,8 +67,8 @@
             writer.close()
             return response_from_http(message)
         except (OSError, EOFError):
-            # Nothing is known of what a failed dispatcher had accepted. With one that runs, the
-            # answer is lost.
+            # If the dispatcher has failed, it is unknown whether it had accepted the job. If the
+            # dispatcher runs, it has lost the response.
             if dispatcher_index in self.failed_at_seconds:
                 return ReceivedResponse(FinalOutcome.FAILED)
             return ReceivedResponse(FinalOutcome.LOST)
--- a/stepstream/lab/processes/stop_soak.py
+++ b/stepstream/lab/processes/stop_soak.py
@@ -1,7 +1,8 @@
-"""A soak of stops: dispatchers under load that are stopped in every way, one after the other.
+"""A stop soak: stop dispatchers under load in every way, one after the other.
 
-A `StopSoak` plays the plan of a seed while clients keep using their open connections until a
-dispatcher is killed, which is at the platform's earliest. The lab's verifier decides.
+A `StopSoak` plays the plan of a seed. Clients keep using their open connections until a dispatcher
+has ended. A dispatcher that runs on is killed as early as the platform might kill it. The lab's
+verifier decides whether a request was lost.
 """
 
 import asyncio
@@ -25,19 +26,19 @@
 from stepstream.lab.processes.persistent_clients import PersistentClients
 from stepstream.lab.verification.score import Figures
 
-MAX_DEADLINE_SECONDS = 3.0  # the platform's bound of what a kill waits for
+MAX_DEADLINE_SECONDS = 3.0  # longest deadline for which the platform puts off a kill
 KILL_AFTER_DEADLINE_SECONDS = 0.7
 READY_TIMEOUT_SECONDS = 6.0
 READY_POLL_SECONDS = 0.05
 DRAIN_SECONDS = 1.5
 MAINTENANCE_SECONDS = 1.0
-CROWD_CONNECTIONS = 40  # a dispatcher
+EXTRA_CONNECTIONS_PER_DISPATCHER = 40
 HTTP_OK = 200
 UNFINISHED_REQUEST = b"POST /revalue HTTP/1.1\r\nContent-Le"
 
 
 class SoakError(Exception):
-    """A dispatcher of the soak did not become ready."""
+    """The soak cannot go on: a dispatcher is not ready, or discovery was not started."""
 
 
 @dataclass(eq=False)
@@ -45,7 +46,7 @@
     """Dispatchers without membership, each with an admin listener and a folder for its state."""
 
     plan: StopPlan = field(default_factory=lambda: StopPlan((), has_extra_connections=False))
-    killed_count: int = 0  # stops that the platform's kill had to end
+    killed_count: int = 0  # stops that ended with a kill
     # Requests sent again because a dispatcher closed the connection before it read them.
     unread_request_count: int = 0
 
@@ -57,11 +58,11 @@
         ]
         self.stop_locks = [asyncio.Lock() for _ in self.http_addresses]
         self.maintenance_lock = asyncio.Lock()
-        self.crowd: list[asyncio.StreamWriter] = []
+        self.extra_connections: list[asyncio.StreamWriter] = []
 
     @property
     def kill_after_seconds(self) -> float:
-        """How long after SIGTERM the platform kills a process."""
+        """How long after SIGTERM the platform kills a process that still runs."""
         deadlines = [table.deadline_ms / 1000 for table in self.scenario.site.job_classes]
         return min(max(deadlines), MAX_DEADLINE_SECONDS) + KILL_AFTER_DEADLINE_SECONDS
 
@@ -74,14 +75,14 @@
         return {**configuration, "operator": f"{host}:{port}"}
 
     def start_dispatcher(self, index: int, discovery_address: str) -> None:
-        """Write a dispatcher's files, make its folder and start its process."""
+        """Write a dispatcher's files, create its temporary folder and start its process."""
         dispatcher = DispatcherProcess(self.dispatcher_name(index), self.folder)
         self.dispatchers.append(dispatcher)
         (self.folder / f"tmp-{index}").mkdir()
         self.spawn(index, discovery_address)
 
     def spawn(self, index: int, discovery_address: str) -> None:
-        """Start a process of a dispatcher with the present addresses."""
+        """Start another process of a dispatcher, with its present addresses."""
         dispatcher = self.dispatchers[index]
         dispatcher.write_files(self.node_configuration(index, discovery_address), None)
         dispatcher.spawn(self.program, environment={"TMPDIR": str(self.folder / f"tmp-{index}")})
@@ -95,61 +96,64 @@
         return f"{host}:{port}"
 
     async def wait_until_healthy(self, index: int) -> None:
-        """Wait until the latest process takes clients; raise SoakError if it does not in time."""
-        deadline = time.monotonic() + READY_TIMEOUT_SECONDS
+        """Wait until a dispatcher's latest process is healthy.
+
+        Raise SoakError after `READY_TIMEOUT_SECONDS`.
+        """
+        deadline_seconds = time.monotonic() + READY_TIMEOUT_SECONDS
         while await self.call_admin(index, "GET", "/healthcheck") != HTTP_OK:
-            if time.monotonic() > deadline:
-                tail = self.dispatchers[index].log_tail()
-                raise SoakError(f"{self.dispatcher_name(index)} is not ready: {tail}")
+            if time.monotonic() > deadline_seconds:
+                log_tail = self.dispatchers[index].log_tail()
+                raise SoakError(f"{self.dispatcher_name(index)} is not ready: {log_tail}")
             await asyncio.sleep(READY_POLL_SECONDS)
 
     async def call_admin(self, index: int, method: str, path: str) -> int | None:
-        """Make an operator's call; return its status, None if there was no answer."""
+        """Call a dispatcher's admin listener; return the status, or None without a response."""
         try:
             reader, writer = await asyncio.open_connection(*self.admin_addresses[index])
             writer.write(write_request(method, path, {"Host": "admin"}))
-            message = await read_response(reader)
+            response = await read_response(reader)
             writer.close()
         except (OSError, EOFError):
             return None
-        return message.status
+        return response.status
 
     # -- run --------------------------------------------------------------------------------------
 
     async def play_plan(self) -> Figures:
-        """Play the load and the plan; return the figures, with each breach."""
+        """Play the load and the plan; return the figures, which include the breaches."""
         clients = self.create_clients(PersistentClients)
         self.fault_injector.schedule()
         if self.plan.has_extra_connections:
-            await self.open_crowd()
+            await self.open_extra_connections()
         stops = [asyncio.ensure_future(self.play_stop(stop, clients)) for stop in self.plan.stops]
         await clients.run()
         await asyncio.gather(*stops)
         self.fault_injector.cancel()
         self.unread_request_count = clients.unread_request_count
         self.check_logs()
-        for writer in self.crowd:
+        for writer in self.extra_connections:
             writer.close()
         return self.verifier.figures()
 
     def check_logs(self) -> None:
-        """Record a breach for each fault that a dispatcher has logged."""
+        """Record a breach for each internal fault that a dispatcher has logged."""
         for dispatcher in self.dispatchers:
             for line in dispatcher.read_log().splitlines():
                 if "internal_fault" in line or "accept_failed" in line:
                     self.verifier.breach(self.clock.now_us(), f"{dispatcher.name}: {line}")
 
-    async def open_crowd(self) -> None:
-        """Open connections that stay idle, or never finish their first request."""
+    async def open_extra_connections(self) -> None:
+        """Open connections that stay idle or never finish their first request."""
         for address in self.http_addresses:
-            for number in range(CROWD_CONNECTIONS):
+            for number in range(EXTRA_CONNECTIONS_PER_DISPATCHER):
                 _, writer = await asyncio.open_connection(*address)
                 if number % 2:
                     writer.write(UNFINISHED_REQUEST)
-                self.crowd.append(writer)
+                self.extra_connections.append(writer)
 
     async def play_stop(self, stop: PlannedStop, clients: PersistentClients) -> None:
-        """Wait for the time of a stop, and play it once the dispatcher is not stopping already."""
+        """Play a stop at its planned time, or when an earlier stop of the dispatcher has ended."""
         await asyncio.sleep(stop.at_seconds)
         maintenance = None
         if stop.with_maintenance:
@@ -169,7 +173,7 @@
             await maintenance
 
     async def play_drain(self, index: int, clients: PersistentClients) -> None:
-        """Drain a dispatcher for a while, and end the drain."""
+        """Drain a dispatcher for `DRAIN_SECONDS`, then end the drain."""
         clients.stopping_since[index] = time.monotonic()
         await self.call_admin(index, "PUT", "/healthcheck/fail")
         await asyncio.sleep(DRAIN_SECONDS)
@@ -177,7 +181,10 @@
         clients.stopping_since.pop(index, None)
 
     async def play_maintenance(self) -> None:
-        """Take a worker out of service at every dispatcher for a while, if all of them answer."""
+        """Put a worker into maintenance at each dispatcher for `MAINTENANCE_SECONDS`.
+
+        A dispatcher that does not answer is skipped.
+        """
         worker = self.workers[0].name
         async with self.maintenance_lock:
             await self.set_maintenance(worker, "maint")
@@ -185,12 +192,12 @@
             await self.set_maintenance(worker, "ready")
 
     async def set_maintenance(self, worker: str, state: str) -> None:
-        """Make an operator's call on a worker at each dispatcher."""
+        """Set a worker's maintenance state at each dispatcher, as an operator does."""
         for index in range(len(self.dispatchers)):
             await self.call_admin(index, "PUT", f"/workers/{worker}/{state}")
 
     async def restart(self, stop: PlannedStop, clients: PersistentClients) -> None:
-        """End a dispatcher by its series of signals, and start it again."""
+        """Stop a dispatcher with the signals of the stop's kind, and start it again."""
         index = stop.dispatcher_index
         dispatcher = self.dispatchers[index]
         if stop.kind is StopKind.RELOADS_THEN_SIGTERM:
@@ -208,15 +215,18 @@
         clients.stopping_since.pop(index, None)
 
     async def send_reloads(self, dispatcher: DispatcherProcess, count: int) -> None:
-        """Send SIGHUP in a burst."""
+        """Send SIGHUP `count` times, at short intervals."""
         for _ in range(count):
             dispatcher.send_signal(signal.SIGHUP)
             await asyncio.sleep(RELOAD_INTERVAL_SECONDS)
 
-    async def wait_for_end(self, dispatcher: DispatcherProcess, stopped_at: float) -> None:
-        """Wait for the process's end, and kill it when the platform would."""
+    async def wait_for_end(self, dispatcher: DispatcherProcess, sigterm_at_seconds: float) -> None:
+        """Wait for the process's end; kill it when the platform would, `kill_after_seconds` later.
+
+        `sigterm_at_seconds` is the monotonic time at which SIGTERM was sent.
+        """
         process = dispatcher.started_process()
-        remaining_seconds = stopped_at + self.kill_after_seconds - time.monotonic()
+        remaining_seconds = sigterm_at_seconds + self.kill_after_seconds - time.monotonic()
         try:
             await asyncio.wait_for(wait_for_exit(dispatcher), max(remaining_seconds, 0.0))
         except TimeoutError:
@@ -224,18 +234,18 @@
             dispatcher.kill()
             return
         if process.returncode != 0:
-            text = f"{dispatcher.name} ended with {process.returncode}: {dispatcher.log_tail()}"
-            self.verifier.breach(self.clock.now_us(), text)
+            message = f"{dispatcher.name} ended with {process.returncode}: {dispatcher.log_tail()}"
+            self.verifier.breach(self.clock.now_us(), message)
 
     async def hot_restart(self, stop: PlannedStop) -> None:
-        """Start a successor beside a dispatcher, then end the dispatcher."""
+        """Start a dispatcher's new process beside the old one, then stop the old one."""
         index = stop.dispatcher_index
-        old = DispatcherProcess(self.dispatcher_name(index), self.folder)
-        old.process = self.dispatchers[index].started_process()
+        old_dispatcher = DispatcherProcess(self.dispatcher_name(index), self.folder)
+        old_dispatcher.process = self.dispatchers[index].started_process()
         host, _ = self.admin_addresses[index]
         self.admin_addresses[index] = (host, free_port(host))
         self.spawn(index, self.discovery_address(index))
         await self.wait_until_healthy(index)
         await asyncio.sleep(stop.pause_seconds)
-        old.terminate()
-        await self.wait_for_end(old, time.monotonic())
+        old_dispatcher.terminate()
+        await self.wait_for_end(old_dispatcher, time.monotonic())
--- a/stepstream/lab/processes/worker_faults.py
+++ b/stepstream/lab/processes/worker_faults.py
@@ -1,4 +1,4 @@
-"""Faults of emulated workers during a load test: slow, failing, crashed and draining ones.
+"""Inject faults into emulated workers during a load test: slowness, errors, crashes and drains.
 
 A `WorkerFaultInjector` belongs to the event loop of its load test.
 """
@@ -20,9 +20,9 @@
 
 
 class WorkerFaultInjector:
-    """The fault schedule of a scenario, applied to its workers.
+    """Apply the worker faults of a scenario to its workers.
 
-    `announce` changes a worker's state in discovery, with the site's delay.
+    `announce` changes a worker's state in discovery after the site's delay.
     """
 
     def __init__(
@@ -41,11 +41,11 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     def schedule(self) -> None:
-        """Start a task for each fault of the scenario, from now on; `cancel` ends them."""
+        """Start a task for each fault of the scenario; the times of the faults count from now."""
         self.tasks = [asyncio.ensure_future(self.apply(fault)) for fault in self.scenario.faults]
 
     def cancel(self) -> None:
-        """End all tasks; the workers stay as they are."""
+        """Cancel all tasks; faults in force are not ended."""
         for task in self.tasks:
             task.cancel()
 
@@ -57,11 +57,11 @@
         )
 
     async def inject(self, fault: WorkerFault, worker: EmulatedWorker) -> None:
-        """Put one worker at fault, and back in order when the fault's time is over."""
+        """Begin a fault of one worker, and end it when its time is over."""
         duration_seconds = (fault.end_us - fault.at_us) / US_PER_SECOND
         match fault.kind:
             case WorkerFaultKind.SLOW:
-                # Work done so far counts at the speed that it was done with.
+                # Compute the work done so far with the speed that applied until now.
                 worker.model.advance(self.clock.now_us())
                 worker.model.slowdown_factor = fault.size
                 await asyncio.sleep(duration_seconds)
@@ -76,11 +76,11 @@
                 worker.crash()
                 await self.announce(worker, "gone")
                 await asyncio.sleep(duration_seconds)
-                await self.bring_back(worker)
+                await self.restart_worker(worker)
             case WorkerFaultKind.DRAIN:
                 await self.drain(worker)
                 await asyncio.sleep(duration_seconds)
-                await self.bring_back(worker)
+                await self.restart_worker(worker)
 
     async def drain(self, worker: EmulatedWorker) -> None:
         """Announce that the worker drains, let it finish its work, then end its process."""
@@ -89,15 +89,15 @@
         else:
             await self.announce(worker, "draining")
         await wait_until_idle(worker)
-        # Jobs may still be sent within the drain grace: the process waits that long.
+        # The dispatcher may still send jobs within the drain grace: the process waits that long.
         grace_seconds = self.scenario.site.drain_grace_ms / MS_PER_SECOND
         await asyncio.sleep(grace_seconds + DRAIN_MARGIN_SECONDS)
         await wait_until_idle(worker)
         worker.crash()
         await self.announce(worker, "gone")
 
-    async def bring_back(self, worker: EmulatedWorker) -> None:
-        """Start the worker's process anew and announce it."""
+    async def restart_worker(self, worker: EmulatedWorker) -> None:
+        """Restart the worker's process and announce that it is ready."""
         await worker.restart()
         self.verifier.on_worker_ready(worker.name)
         await self.announce(worker, "ready")
--- a/tests/lab/processes/test_process_cleanup.py
+++ b/tests/lab/processes/test_process_cleanup.py
@@ -76,7 +76,10 @@
     monkeypatch.setattr("stepstream.lab.processes.dispatcher_cluster.START_TIMEOUT_SECONDS", 0.5)
     cluster = DispatcherCluster(1, seed=1)
     cluster.program = MemberProgram(ONLY_N0_RUNS)
-    with pytest.raises(AssertionError, match=r"a start did not come in 0\.5 s"), cluster:
+    with (
+        pytest.raises(AssertionError, match=r"start of the members: timed out after 0\.5 s"),
+        cluster,
+    ):
         pytest.fail("the cluster started")
 
 
