--- a/stepstream/membership/dissemination.py
+++ b/stepstream/membership/dissemination.py
@@ -98,10 +98,10 @@
 
 
 def notifies_recipient(recipient: MemberRecord | None) -> bool:
-    """Return whether a datagram carries its recipient's own record; None if none is known.
+    """Return whether a datagram to this recipient carries the recipient's own record.
 
-    A suspect or dead member receives its own record, so that it can refute it (Lifeguard, Buddy
-    System).
+    `recipient` is None if no record of it is known. A suspect or dead member receives its own
+    record, so that it can refute the claim (Lifeguard, Buddy System).
     """
     return recipient is not None and recipient.state in (MemberState.SUSPECT, MemberState.DEAD)
 
--- a/stepstream/membership/failure_detector.py
+++ b/stepstream/membership/failure_detector.py
@@ -92,7 +92,7 @@
         self.probe_order = probe_order
         self.outbox = outbox
         self.probe: Probe | None = None
-        self._relayed: dict[int, RelayedProbe] = {}  # by this member's sequence number
+        self._relayed: dict[int, RelayedProbe] = {}  # by the local member's sequence number
         self._last_sequence = context.rng.randrange(FIRST_SEQUENCE_RANGE)
         # The first probe is at a random time: members that start together must not probe together.
         interval_seconds = context.settings.probe_interval_seconds
@@ -186,7 +186,7 @@
             return False
         if probe is not None and not probe.is_acked:
             self._fail_probe(probe)
-        # The local health multiplier stretches the interval and the timeout by the same factor.
+        # The local health multiplier lengthens the interval and the timeout by the same factor.
         multiplier = self.context.local_health.multiplier
         self.probe = self._start_probe(multiplier)
         self.next_probe_at = now + self.context.settings.probe_interval_seconds * multiplier
--- a/stepstream/membership/protocol.py
+++ b/stepstream/membership/protocol.py
@@ -66,7 +66,8 @@
         self.merger = RecordMerger(
             self.context, self.members, self.statuses, probe_order, self.outbox
         )
-        # The detector draws from `rng` before anti-entropy does: seeded simulations rely on it.
+        # The detector must draw from `rng` before anti-entropy does: seeded simulations rely on the
+        # order.
         self.detector = FailureDetector(
             self.context, self.members, self.merger, probe_order, self.outbox
         )
--- a/stepstream/membership/record_merge.py
+++ b/stepstream/membership/record_merge.py
@@ -123,7 +123,7 @@
         self._consider_probing_suspect(member, present_count)
 
     def _consider_probing_suspect(self, member: Member, present_count: int) -> None:
-        """Probe the suspect next, with the probability by which some members do so.
+        """Probe the suspect next, with a probability by which about SUSPECT_NOTIFIERS members do.
 
         Their probes confirm the suspicion or let the suspect refute it. The member that raised the
         suspicion has already probed the suspect.
