--- a/tests/leases/lease_builders.py
+++ b/tests/leases/lease_builders.py
@@ -1,4 +1,4 @@
-"""Configurations, participants and simulated clusters, as the lease tests start with them."""
+"""Configurations, participants and simulated clusters for the lease tests."""
 
 import random
 
@@ -10,17 +10,17 @@
 
 ACCEPTORS = ("n0", "n1", "n2")
 CONFIGURATION = LeaseConfiguration(ACCEPTORS, max_ttl_seconds=6.0)
-FAULT_SECONDS = 25.0  # within which the random faults begin
+FAULT_SECONDS = 25.0  # the random faults begin within this time
 MAX_RECOVERY_SECONDS = 60.0
-ALL_MEMBERS = 1.0  # fraction of the members that one fault may affect
+MAX_AFFECTED_FRACTION = 1.0  # one fault may affect all members
 
 
-def member_names(members):
-    return [f"n{number}" for number in range(members)]
+def member_names(count):
+    return [f"n{number}" for number in range(count)]
 
 
 def recovered_cluster(seed=1, members=5, tasks=()):
-    """A cluster whose acceptors have just begun to answer; `tasks`: members and what they want."""
+    """A cluster whose acceptors have just recovered; `tasks` are pairs of a member and its task."""
     cluster = LeaseCluster(seed, member_names(members), CONFIGURATION)
     for name, task in tasks:
         cluster.tasks[name].append(task)
@@ -32,7 +32,7 @@
 def cluster_after_faults(seed, max_clock_drift=0.01):
     """A random cluster that has recovered from a random schedule of faults."""
     cluster = generate_lease_cluster(seed, max_clock_drift)
-    schedule = generate_schedule(seed, cluster.names, FAULT_SECONDS, ALL_MEMBERS)
+    schedule = generate_schedule(seed, cluster.names, FAULT_SECONDS, MAX_AFFECTED_FRACTION)
     cluster.play(schedule, MAX_RECOVERY_SECONDS)
     return cluster
 
--- a/tests/leases/planted_lease_faults.py
+++ b/tests/leases/planted_lease_faults.py
@@ -1,6 +1,6 @@
-"""Faults of the program, planted on purpose: a check that catches none of them proves nothing.
+"""Faults that tests put into the program, to show that the checks detect them.
 
-Each function plants one fault for the rest of a test.
+Each function replaces correct code by faulty code for the rest of a test.
 """
 
 from stepstream.leases.acceptor import Acceptor
@@ -24,15 +24,15 @@
 def quorum_off_by_one(monkeypatch):
     def is_quorum(configuration, names):
         sets = configuration.acceptor_sets
-        return all(2 * len(one & frozenset(names)) + 2 > len(one) for one in sets)
+        return all(2 * len(each & frozenset(names)) + 2 > len(each) for each in sets)
 
     monkeypatch.setattr(LeaseConfiguration, "is_quorum", is_quorum)
 
 
 def acceptance_without_a_promise(monkeypatch):
     def on_propose(acceptor, now, proposal):
-        fresh = LeaseRecord(WaitQueue(acceptor.configuration))
-        record = acceptor.records.setdefault(proposal.lease, fresh)
+        new_record = LeaseRecord(WaitQueue(acceptor.configuration))
+        record = acceptor.records.setdefault(proposal.lease, new_record)
         expires_at = now + acceptor.configuration.acceptor_ttl_seconds(proposal.ttl_ms / 1000)
         record.grant = Grant(proposal.ballot, proposal.token, expires_at)
         acceptor.next_tick_at = min(acceptor.next_tick_at, expires_at)
--- a/tests/leases/test_health_reports.py
+++ b/tests/leases/test_health_reports.py
@@ -1,4 +1,4 @@
-"""Health reports of the health-check leader, in pages and as a member learns them."""
+"""Health reports of the health-check leader: their pages, and how a member receives them."""
 
 import pytest
 
@@ -28,15 +28,15 @@
     return receiver, receiver.receive(page, COLUMNS, 10.0)
 
 
-def test_a_member_learns_fresh_reports_with_known_columns_only():
+def test_a_member_receives_only_fresh_reports_with_known_columns():
     _, received = receiver_after_one_page()
-    assert [(one.worker_id, one.load_report) for one in received] == [
+    assert [(each.worker_id, each.load_report) for each in received] == [
         ("s-1", LOAD_REPORT),
         ("s-4", {"queue": 3.0}),
     ]
 
 
-def test_a_reported_worker_is_left_to_the_leader_until_nothing_more_comes():
+def test_a_worker_is_left_to_the_leader_until_its_reports_stop():
     receiver, _ = receiver_after_one_page()
     workers = ("s-1", "s-2", "s-3", "s-4")
     delegated = [receiver.is_delegated(worker_id, 11.5) for worker_id in workers]
@@ -44,22 +44,22 @@
     assert not receiver.is_delegated("s-1", 11.7)
 
 
-def test_a_page_of_an_overtaken_leader_is_fenced_off():
+def test_a_page_with_an_older_token_is_rejected_and_counted():
     receiver, _ = receiver_after_one_page()
     assert receiver.receive(encode_pages(6, [report("s-5")])[0], COLUMNS, 11.0) == []
     assert receiver.fenced_count == 1
 
 
 @pytest.mark.parametrize("data", [b"\xc1", ENCODER.encode(ReportPage(9, 1, ()))])
-def test_data_that_is_no_page_is_refused(data):
+def test_a_malformed_page_is_rejected(data):
     receiver, _ = receiver_after_one_page()
     with pytest.raises(ReportPageError):
         receiver.receive(data, COLUMNS, 11.0)
 
 
-def test_reports_of_many_workers_go_in_pages_that_fit():
-    many = [report(f"worker-{k:060}", queue=float(k)) for k in range(200)]
-    pages = encode_pages(1, many)
+def test_many_reports_are_split_into_pages_of_bounded_size():
+    reports = [report(f"worker-{number:060}", queue=float(number)) for number in range(200)]
+    pages = encode_pages(1, reports)
     assert all(len(page) <= 1_080 for page in pages)
     assert len(pages) < 40
     receiver = HealthReportReceiver()
--- a/tests/leases/test_lease_cluster.py
+++ b/tests/leases/test_lease_cluster.py
@@ -1,4 +1,4 @@
-"""Hard cases of several members in simulated time."""
+"""Leases of several members in simulated time: clock drift, restarts, waiters, reconfiguration."""
 
 import pytest
 
@@ -28,20 +28,20 @@
     return cluster
 
 
-def test_a_slow_clock_among_fast_ones_hands_over_safely():
+def test_a_holder_with_a_slow_clock_loses_the_lease_before_the_next_one_gets_it():
     cluster = cluster_with_a_slow_holder()
     cluster.run(12.0)
     assert cluster.holders("x") == ["n4@1.1"]
 
 
-def test_a_slow_clock_among_fast_ones_needs_the_drift_margin(monkeypatch):
+def test_without_the_drift_margin_a_slow_clock_leads_to_two_holders(monkeypatch):
     no_drift_margin(monkeypatch)
     cluster = cluster_with_a_slow_holder()
     with pytest.raises(TwoHoldersError):
         cluster.run(12.0)
 
 
-def test_a_healthy_holder_keeps_lease_and_token_through_the_restart_of_each_acceptor_in_turn():
+def test_a_holder_keeps_lease_and_token_while_the_acceptors_restart_one_by_one():
     cluster = recovered_cluster(tasks=[("n4", Task("x", hold_seconds=FOREVER_SECONDS))])
     cluster.run(3.0)
     cluster.start_task("n3", Task("x"))
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("clock_change_seconds", [-3600.0, 0.0])
-def test_tokens_grow_past_a_restart_of_all_members_with_clocks_set_back(clock_change_seconds):
+def test_tokens_grow_after_a_restart_of_all_members_even_with_clocks_set_back(clock_change_seconds):
     cluster = recovered_cluster(tasks=[(name, Task("x")) for name in member_names(5)])
     cluster.run(5.0)
     token_before = cluster.resources["x"].guard.highest_token
@@ -85,11 +85,12 @@
     assert cluster.run(
         30.0, lambda: operations[-1].token > token_before and operations[-1].is_completed
     )
-    # It costs a rejection by the guard and another ballot, never safety.
+    # With clocks set back, the guard rejects a lower token, and the holder needs another ballot.
+    # Safety is kept.
     assert (cluster.fenced_operations > 0) == (clock_change_seconds < 0)
 
 
-def test_a_release_lets_the_next_waiter_in_at_once_and_a_hundred_waiters_all_get_the_lease():
+def test_a_hundred_waiters_all_get_the_lease_each_soon_after_the_previous_release():
     task = Task("x", max_operation_seconds=0.3, hold_seconds=0.1, think_seconds=1e5)
     tasks = [(f"n{number % 10}", task) for number in range(100)]
     cluster = recovered_cluster(members=10, tasks=tasks)
@@ -108,20 +109,23 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_two_proposers_in_step_get_out_of_it(seed):
+def test_one_of_two_proposers_that_start_together_gets_the_lease(seed):
     task = Task("x", hold_seconds=FOREVER_SECONDS)
     cluster = recovered_cluster(seed, tasks=[("n3", task), ("n4", task)])
     assert cluster.run(CONFIGURATION.recovery_seconds + 5.0, lambda: bool(cluster.holders("x")))
 
 
-OLD, NEW = ACCEPTORS, ("n3", "n4", "n5")
-OLD_ONLY = LeaseConfiguration(OLD, max_ttl_seconds=2.0)
-BOTH = LeaseConfiguration(NEW, OLD, max_ttl_seconds=2.0)
-NEW_ONLY = LeaseConfiguration(NEW, max_ttl_seconds=2.0)
+OLD_ACCEPTORS, NEW_ACCEPTORS = ACCEPTORS, ("n3", "n4", "n5")
+OLD_ONLY = LeaseConfiguration(OLD_ACCEPTORS, max_ttl_seconds=2.0)
+BOTH_SETS = LeaseConfiguration(NEW_ACCEPTORS, OLD_ACCEPTORS, max_ttl_seconds=2.0)
+NEW_ONLY = LeaseConfiguration(NEW_ACCEPTORS, max_ttl_seconds=2.0)
 
 
 def cluster_after_reconfiguration(configurations):
-    """Every member takes one configuration, acceptors first, before any goes on to the next."""
+    """A cluster that has gone through these configurations.
+
+    All members restart with one configuration, its acceptors first, before the next one is used.
+    """
     cluster = LeaseCluster(3, member_names(8), configurations[0])
     task = Task(
         "x",
@@ -146,12 +150,12 @@
     return cluster
 
 
-def test_acceptors_are_changed_by_way_of_both_sets():
-    cluster = cluster_after_reconfiguration([OLD_ONLY, BOTH, NEW_ONLY])
+def test_acceptors_can_be_changed_through_a_configuration_with_both_sets():
+    cluster = cluster_after_reconfiguration([OLD_ONLY, BOTH_SETS, NEW_ONLY])
     assert cluster.holders("x")
     assert cluster.grants[-1].observed_at > cluster.now - 30
 
 
-def test_a_change_of_acceptors_without_the_step_of_both_sets_is_caught():
+def test_a_direct_change_of_acceptors_leads_to_two_holders():
     with pytest.raises(TwoHoldersError):
         cluster_after_reconfiguration([OLD_ONLY, NEW_ONLY])
--- a/tests/leases/test_lease_configuration.py
+++ b/tests/leases/test_lease_configuration.py
@@ -1,4 +1,4 @@
-"""The bounds on a lease's times."""
+"""The bounds on a lease's time to live and operation time."""
 
 import pytest
 
@@ -15,12 +15,12 @@
         (4.0, 0.0, "act_ms"),
     ],
 )
-def test_times_out_of_bounds_are_named(ttl_seconds, operation_seconds, key):
+def test_a_time_out_of_bounds_is_rejected_with_its_key(ttl_seconds, operation_seconds, key):
     with pytest.raises(LeaseTimesError) as rejection:
         check_lease_times(CONFIGURATION, ttl_seconds, operation_seconds)
     assert str(rejection.value).startswith(key)
     assert isinstance(rejection.value, ValueError)
 
 
-def test_times_within_bounds_are_taken():
+def test_times_within_bounds_are_accepted():
     check_lease_times(CONFIGURATION, 4.0, 1.0)
--- a/tests/leases/test_lease_messages.py
+++ b/tests/leases/test_lease_messages.py
@@ -1,4 +1,4 @@
-"""Envelopes from the network, good and bad."""
+"""The decoding of envelopes, valid and malformed."""
 
 import pytest
 from hypothesis import given, settings
@@ -20,17 +20,19 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.data())
-def test_bytes_from_anywhere_are_an_envelope_or_dropped(data):
+def test_a_corrupted_envelope_is_rejected_or_handled_without_an_error(data):
     ballot = Ballot(200, "b.1")
     messages = (Prepare("x", ballot, 3000, 5), Propose("x", ballot, 1, 200, 3000))
-    whole = encode(Envelope(PROTOCOL_VERSION, CONFIGURATION.digests, messages))
-    part = bytearray(whole[: data.draw(st.integers(0, len(whole)))])
+    encoded = encode(Envelope(PROTOCOL_VERSION, CONFIGURATION.digests, messages))
+    corrupted = bytearray(encoded[: data.draw(st.integers(0, len(encoded)))])
     for _ in range(data.draw(st.integers(0, 3))):
-        if part:
-            part[data.draw(st.integers(0, len(part) - 1))] = data.draw(st.integers(0, 255))
+        if corrupted:
+            corrupted[data.draw(st.integers(0, len(corrupted) - 1))] = data.draw(
+                st.integers(0, 255)
+            )
     participant = recovered_participant()
     try:
-        envelope = decode(bytes(part))
+        envelope = decode(bytes(corrupted))
     except EnvelopeError:
         return
     participant.handle(1.0, "n1", envelope)
@@ -48,6 +50,6 @@
         (encode(Envelope(1, (1, 2, 3), ())), "unreadable"),
     ],
 )
-def test_data_that_is_no_envelope_is_dropped_with_its_reason(data, reason):
+def test_a_malformed_envelope_is_rejected_with_the_reason(data, reason):
     with pytest.raises(EnvelopeError, match=reason):
         decode(data)
--- a/tests/leases/test_lease_orders.py
+++ b/tests/leases/test_lease_orders.py
@@ -1,4 +1,7 @@
-"""A small configuration of leases in every order of events; larger ones are in benchmarks/leases.py."""
+"""A search through all orders of events in a small configuration of leases.
+
+benchmarks/leases.py searches larger configurations.
+"""
 
 import pytest
 
--- a/tests/leases/test_lease_participant.py
+++ b/tests/leases/test_lease_participant.py
@@ -1,4 +1,4 @@
-"""The participant: configurations that do not match."""
+"""The participant: members with different configurations."""
 
 import random
 
@@ -8,7 +8,7 @@
 from tests.leases.lease_builders import recovered_participant
 
 
-def test_a_member_with_another_configuration_is_told_so_and_gets_no_promise():
+def test_a_member_with_another_configuration_gets_a_mismatch_answer_and_no_promise():
     participant = recovered_participant()
     configuration = LeaseConfiguration(("n1", "n8", "n9"), max_ttl_seconds=6.0)
     other = Participant("n1", "n1@1", configuration, 1, random.Random(2), 0.0)
--- a/tests/leases/test_lease_proposer.py
+++ b/tests/leases/test_lease_proposer.py
@@ -1,4 +1,4 @@
-"""The proposer: from asking for a lease to its end."""
+"""The proposer: from its request for a lease to the lease's end."""
 
 import random
 
@@ -28,21 +28,21 @@
     return proposer, proposal
 
 
-def test_acceptances_of_one_acceptor_and_of_a_stranger_grant_nothing():
+def test_an_acceptance_of_a_member_that_is_no_acceptor_does_not_count():
     proposer, proposal = promised_proposer()
     accepted = Accepted("x", proposal.ballot, proposal.round)
     proposer.handle(0.3, "n1", accepted)
-    proposer.handle(0.4, "stranger", accepted)
+    proposer.handle(0.4, "not-an-acceptor", accepted)
     assert proposer.state(0.4) is LeaseState.ACQUIRING
 
 
-def test_a_lease_counts_from_the_sending_of_its_proposal():
+def test_a_lease_expires_one_time_to_live_after_its_proposal_was_sent():
     proposer, _ = holding_proposer()
     assert proposer.expires_at == 3.2
     assert proposer.token == 8
 
 
-def test_a_held_lease_is_too_late_for_operations_before_it_expires():
+def test_a_lease_is_expiring_once_an_operation_could_outlast_it():
     proposer, _ = holding_proposer()
     states = [proposer.state(at) for at in (1.0, 2.19, 2.21, 3.19, 3.21)]
     held, expiring = LeaseState.HELD, LeaseState.EXPIRING
@@ -56,7 +56,7 @@
     assert proposer.state(1.3) is LeaseState.RENEWING
 
 
-def test_an_acceptance_after_the_expiry_comes_too_late_and_the_lease_stays_lost():
+def test_an_acceptance_after_the_expiry_does_not_restore_the_lease():
     proposer, proposal = holding_proposer()
     proposer.tick(1.3)
     proposer.handle(3.3, "n0", Accepted("x", proposal.ballot, 2))
--- a/tests/leases/test_lease_rules.py
+++ b/tests/leases/test_lease_rules.py
@@ -1,4 +1,4 @@
-"""Rules of acceptors, proposers, waiters, sessions and commands, one by one."""
+"""The pure rules of acceptors, proposers, waiters, sessions and commands."""
 
 import random
 
@@ -82,20 +82,20 @@
 
 def test_a_release_covers_its_proposers_ballots_up_to_its_own():
     released = [Ballot(4, "a.1"), BALLOT, Ballot(6, "b.1")]
-    assert [is_covered_by_release(BALLOT, one) for one in released] == [False, True, False]
+    assert [is_covered_by_release(BALLOT, each) for each in released] == [False, True, False]
 
 
-def test_a_record_is_forgotten_only_if_nobody_holds_or_wants_the_lease():
-    waited_for = lease_record()
-    waited_for.waiters.add_or_refresh(0.0, "b", Prepare("x", BALLOT, 3000, 0))
-    records = [lease_record(), lease_record(grant=GRANT), waited_for]
+def test_a_record_may_be_dropped_only_if_nobody_holds_or_waits_for_its_lease():
+    record_with_waiter = lease_record()
+    record_with_waiter.waiters.add_or_refresh(0.0, "b", Prepare("x", BALLOT, 3000, 0))
+    records = [lease_record(), lease_record(grant=GRANT), record_with_waiter]
     assert [may_forget(record) for record in records] == [True, False, False]
 
 
 # -- waiters --------------------------------------------------------------------------------------
 
 
-def test_waiters_become_eligible_one_head_start_apart_and_silent_ones_are_forgotten():
+def test_waiters_become_eligible_one_head_start_apart_and_silent_ones_are_dropped():
     queue = WaitQueue(CONFIGURATION)
     for waited_ms, name in ((0, "a.1"), (900, "b.1"), (500, "c.1")):
         queue.add_or_refresh(1.0, name, Prepare("x", Ballot(5, name), 3000, waited_ms))
@@ -119,7 +119,7 @@
     assert not gives_up_proposal(9, is_held=True)
 
 
-def test_a_renewal_is_due_in_the_common_slot_of_a_third_of_the_time_to_live():
+def test_a_renewal_is_due_after_a_third_of_the_time_to_live_rounded_down_to_a_slot():
     due = [renewal_due_at(sent_at, 3.0) for sent_at in (0.02, 0.06, 0.12)]
     assert due == [pytest.approx(1.0), pytest.approx(1.0), pytest.approx(1.1)]
 
@@ -136,13 +136,13 @@
     assert longest_backoff_seconds(0.3, 5, has_lease=True) == 0.3
 
 
-def test_a_waiter_rests_for_the_announced_time_or_until_its_refresh():
+def test_a_waiter_waits_for_the_announced_time_or_until_its_refresh():
     refresh_seconds = CONFIGURATION.waiter_refresh_seconds()
     assert retry_wait_seconds(0.5, 0.1, 1.0, CONFIGURATION) == pytest.approx(0.53)
     assert retry_wait_seconds(60.0, 0.1, 0.6, CONFIGURATION) == pytest.approx(0.6 * refresh_seconds)
 
 
-def test_a_ballot_is_given_up_once_no_quorum_can_promise_it():
+def test_a_quorum_is_impossible_after_rejections_by_a_majority():
     assert is_quorum_possible({"n0"}, CONFIGURATION)
     assert not is_quorum_possible({"n0", "n1"}, CONFIGURATION)
 
@@ -156,7 +156,7 @@
         (1.0, {"n0", "n1"}, 3.0, False),
     ],
 )
-def test_a_round_extends_a_lease_by_a_quorum_in_time(
+def test_a_round_extends_a_lease_only_with_a_quorum_and_before_the_expiry(
     now, accepted_by, current_expires_at, expected
 ):
     assert extends_lease(now, accepted_by, 3.0, current_expires_at, CONFIGURATION) == expected
@@ -165,7 +165,7 @@
 # -- sessions, commands and health checks ---------------------------------------------------------
 
 
-def test_a_session_is_silent_after_half_a_time_to_live_and_forgotten_after_a_whole_one():
+def test_a_session_is_silent_after_half_a_time_to_live_and_dropped_after_a_whole_one():
     ballots = BallotSequence(7)
     proposer = Proposer(CONFIGURATION, "x", "a.1", 4.0, 1.0, ballots, random.Random(1), 0.0)
     session = Session("s", proposer, last_heartbeat_at=10.0)
@@ -175,7 +175,7 @@
     assert [is_forgettable(session, now) for now in (14.0, 14.1)] == [False, True]
 
 
-def test_a_command_is_ended_before_its_lease_can_be_anothers():
+def test_a_command_is_ended_before_another_process_can_hold_its_lease():
     assert [term_margin_seconds(ttl) for ttl in (1.0, 8.0)] == [0.5, 2.0]
     assert [is_term_due(now, 10.0, 2.0) for now in (7.9, 8.0)] == [False, True]
     assert [has_time_to_run(now, 10.0, 2.0) for now in (7.9, 8.0)] == [True, False]
@@ -183,7 +183,7 @@
     assert exclusive_seconds(10.1, 0.01) == pytest.approx(9.9)
 
 
-def test_calls_of_a_command_are_bounded_in_time_and_rate():
+def test_calls_of_lease_run_are_bounded_in_time_and_rate():
     timeouts = [call_timeout_seconds(4.0, until_term) for until_term in (None, 0.7, -1.0)]
     assert timeouts == [1.0, 0.7, 0.05]
     assert call_timeout_seconds(60.0, None) == 2.0
--- a/tests/leases/test_lease_schedules.py
+++ b/tests/leases/test_lease_schedules.py
@@ -1,4 +1,7 @@
-"""Leases in simulated time, under random schedules of faults; thousands are in benchmarks/leases.py."""
+"""Leases in simulated time under random schedules of faults.
+
+benchmarks/leases.py runs thousands of schedules.
+"""
 
 import pytest
 
@@ -8,10 +11,10 @@
 from tests.leases.lease_builders import cluster_after_faults
 
 SEEDS = 40
-SEEDS_OF_A_PLANTED_FAULT = 120  # within which it must be caught
+SEEDS_PER_PLANTED_FAULT = 120  # one of them must reveal the fault
 
 
-def test_under_any_faults_a_lease_has_one_holder_and_is_held_again_afterwards():
+def test_under_random_faults_a_lease_has_one_holder_and_is_held_again_afterwards():
     operations = 0
     for seed in range(SEEDS):
         try:
@@ -22,14 +25,14 @@
     assert operations > 500
 
 
-def test_one_seed_replays_everything():
+def test_the_same_seed_gives_the_same_run():
     first, second = cluster_after_faults(5), cluster_after_faults(5)
     assert first.packets_sent == second.packets_sent > 0
     assert first.grants == second.grants
 
 
 def play_seeds(max_clock_drift):
-    for seed in range(SEEDS_OF_A_PLANTED_FAULT):
+    for seed in range(SEEDS_PER_PLANTED_FAULT):
         cluster_after_faults(seed, max_clock_drift)
 
 
--- a/tests/leases/test_lease_sessions.py
+++ b/tests/leases/test_lease_sessions.py
@@ -1,4 +1,4 @@
-"""The sessions of programs outside: what their service releases."""
+"""The session service: which leases of external programs it releases."""
 
 import threading
 
@@ -18,7 +18,7 @@
         self.released = []
 
     def acquire(self, lease, ttl_seconds, operation_seconds):
-        """Begin an attempt at time 0."""
+        """Begin an attempt at 0.0 s."""
         proposer, _ = self.participant.acquire(0.0, lease, ttl_seconds, operation_seconds)
         return proposer
 
@@ -27,8 +27,8 @@
         self.released.append(proposer)
 
 
-def test_a_silent_session_that_makes_room_for_another_is_withdrawn_at_the_acceptors():
-    # Guards against a lease that is granted to a program which has gone.
+def test_a_silent_waiting_session_is_released_when_another_one_needs_its_place():
+    # Otherwise the lease could be granted to a program that has already ended.
     driver = RecordingDriver(recovered_participant())
     service = SessionService(driver, SessionTable(max_sessions=1))
     waiting = service.open(0.0, "first", "nightly", TTL_SECONDS, 0.1)
