--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -190,7 +190,7 @@
     return {
         "depth": SEARCH_DEPTH,
         "states": search.states,
-        "settled": search.converged,
+        "settled": search.converged_count,
         "s": round(time.monotonic() - started_seconds, 1),
     }
 
--- a/stepstream/lab/processes/load_test.py
+++ b/stepstream/lab/processes/load_test.py
@@ -279,7 +279,7 @@
             run.result()  # raises an error of the lab's own, which is not the dispatcher's
         else:
             text = f"the dispatcher ended: {self.dispatcher().log_tail()}"
-            self.verifier.breach(self.clock.now_us(), text)
+            self.verifier.record_breach(self.clock.now_us(), text)
         after = self.cost()
         cost = ProcessCost(after.cpu_s - before.cpu_s, after.rss_mb)
         return LoadTestResult(self.verifier.figures(), cost, clients.max_start_delay_us / US_PER_MS)
--- a/stepstream/lab/processes/stop_soak.py
+++ b/stepstream/lab/processes/stop_soak.py
@@ -141,7 +141,7 @@
         for dispatcher in self.dispatchers:
             for line in dispatcher.read_log().splitlines():
                 if "internal_fault" in line or "accept_failed" in line:
-                    self.verifier.breach(self.clock.now_us(), f"{dispatcher.name}: {line}")
+                    self.verifier.record_breach(self.clock.now_us(), f"{dispatcher.name}: {line}")
 
     async def open_extra_connections(self) -> None:
         """Open connections that stay idle or never finish their first request."""
@@ -235,7 +235,7 @@
             return
         if process.returncode != 0:
             message = f"{dispatcher.name} ended with {process.returncode}: {dispatcher.log_tail()}"
-            self.verifier.breach(self.clock.now_us(), message)
+            self.verifier.record_breach(self.clock.now_us(), message)
 
     async def hot_restart(self, stop: PlannedStop) -> None:
         """Start a dispatcher's new process beside the old one, then stop the old one."""
--- a/stepstream/lab/search/membership_search.py
+++ b/stepstream/lab/search/membership_search.py
@@ -21,7 +21,7 @@
         max_restarts: how many a path may hold.
         step_seconds: by which time advances.
         convergence_interval: one of this many new states is continued until all agree.
-        converged: how many were, and did.
+        converged_count: how many of the continued states reached agreement.
 
     """
 
@@ -29,7 +29,7 @@
     max_restarts: int = 1
     step_seconds: float = 0.25
     convergence_interval: int = 50
-    converged: int = field(default=0, init=False)
+    converged_count: int = field(default=0, init=False)
 
     def first(self) -> MembershipState:
         """Return the state in which all members have just started."""
@@ -41,7 +41,7 @@
             return False
         if self.states % self.convergence_interval == 0:
             check_converges(node)
-            self.converged += 1
+            self.converged_count += 1
         return True
 
     def expand(self, node: Node[MembershipState]) -> Iterator[Node[MembershipState]]:
--- a/stepstream/lab/verification/verifier.py
+++ b/stepstream/lab/verification/verifier.py
@@ -51,7 +51,7 @@
         self.breaches: list[str] = []
         self.attempt_count = 0  # arrivals at workers
 
-    def breach(self, now_us: int, text: str) -> None:
+    def record_breach(self, now_us: int, text: str) -> None:
         """Record a breach with its time since the start of the run, up to `MAX_BREACHES`."""
         if len(self.breaches) < MAX_BREACHES:
             elapsed_seconds = (now_us - self.started_at_us) / US_PER_SECOND
@@ -135,7 +135,7 @@
         for rule in rules:
             text = rule(observation)
             if text is not None:
-                self.breach(now_us, text)
+                self.record_breach(now_us, text)
 
     def _job_class(self, key: RequestKey) -> JobClassTable:
         """Return the job class of a request."""
--- a/tests/lab/verification/test_verifier.py
+++ b/tests/lab/verification/test_verifier.py
@@ -6,13 +6,13 @@
 
 def test_a_breach_states_the_time_since_the_start_of_the_run(verifier):
     verifier.started_at_us = 2_000_000
-    verifier.breach(3_500_000, "text")
+    verifier.record_breach(3_500_000, "text")
     assert verifier.breaches == ["1.500 s: text"]
 
 
 def test_breaches_beyond_the_limit_are_dropped(verifier):
     for _ in range(MAX_BREACHES + 1):
-        verifier.breach(1, "text")
+        verifier.record_breach(1, "text")
     assert len(verifier.breaches) == MAX_BREACHES
 
 
--- a/tests/membership/test_membership_simulation.py
+++ b/tests/membership/test_membership_simulation.py
@@ -78,7 +78,7 @@
     search = MembershipSearch(max_depth=4)
     search.run()
     assert search.states > 1000
-    assert search.converged >= 20
+    assert search.converged_count >= 20
 
 
 def test_the_search_detects_a_planted_fault(monkeypatch):
