--- a/stepstream/membership/commands.py
+++ b/stepstream/membership/commands.py
@@ -208,5 +208,5 @@
 
 
 def styled_state(state: str) -> str:
-    """Return a state in its colour, as console markup."""
+    """Return a state with its colour, as console markup."""
     return f"[{STATE_STYLES.get(state, 'white')}]{state}[/]"
--- a/stepstream/membership/member_list.py
+++ b/stepstream/membership/member_list.py
@@ -30,7 +30,7 @@
         self.events = EventHistory()
         # When the first datagram of another member arrived, in monotonic seconds; None before that.
         self.joined_at: float | None = None
-        # The address of a later start under the local name; once set, this one is passive.
+        # The address of a later start under the local name; once set, this process is passive.
         self.superseded_by: str | None = None
         self._rejected_names: set[str] = set()  # those with a recorded event
 
--- a/stepstream/membership/probe_order.py
+++ b/stepstream/membership/probe_order.py
@@ -16,7 +16,7 @@
         self.context = context
         self.members = members
         self._round: list[str] = []  # taken from the end
-        self._priority_target = ""  # one suspect at most, so that suspects do not delay the round
+        self._priority_target = ""  # the latest suspect only, so that suspects do not delay rounds
 
     def insert(self, name: str) -> None:
         """Add a member that has become present at a random place of the current round."""
