--- a/stepstream/membership/commands.py
+++ b/stepstream/membership/commands.py
@@ -10,15 +10,15 @@
 Commands:
   members       Print the members with their states and status.
   watch         Print changes as they happen, until interrupted.
-  explain       Print why and since when a member is in its state, and who reported it.
-  leave         Shut the dispatcher down gracefully: it answers all requests, then leaves.
+  explain       Print why a member is in its state, the source and the time of that.
+  leave         Shut the dispatcher down gracefully; it answers all requests, then leaves.
 
 Options:
   --at ADDRESS  HOST:PORT of the dispatcher's admin listener (`operator` in its configuration).
   --json        Print JSON.
 
-Exit codes: 0 success; 1 the members do not agree yet (members) or no such member (explain); 2 the
-request failed.
+Exit codes: 0; 1 the members do not agree yet (members) or no such member (explain); 2 the request
+failed.
 """
 
 import sys
