--- a/stepstream/lab/search/__init__.py
+++ b/stepstream/lab/search/__init__.py
@@ -1,4 +1,4 @@
-"""Exhaustive search of the orders of events of membership and leases, to a stated depth.
+"""Exhaustive search of all orders of events of membership and leases, within bounds.
 
 - `explorer`: depth-first search of all paths, for any protocol.
 - `membership_search`, `membership_state`: three members in every order of events.
--- a/stepstream/lab/search/explorer.py
+++ b/stepstream/lab/search/explorer.py
@@ -1,9 +1,9 @@
 """Explore every order of events of a small configuration, depth first.
 
 A state is a node of a graph, an event an edge. `Search.run` starts at one state and follows every
-event from every state that it has not explored yet. A state is recognized by the hash of its key,
-so two paths that lead to one state are continued once. A violated invariant ends the search; its
-error names the path of events that led there.
+event from every state that it has not explored yet. A state is recognized by the hash of its key.
+If two paths lead to the same state, only the first one is continued. A violated invariant ends the
+search; its error names the path of events that led to the violation.
 
 A `Search` owns all its states; only the thread that runs it may touch them.
 """
@@ -20,11 +20,11 @@
 class Path:
     """The events that led to a state: the last one, and the path before it.
 
-    Linked, so that a longer path costs one object and shares the rest.
+    Paths are linked lists: a path that is longer by one event shares the rest with the shorter one.
     """
 
     event: str
-    before: "Path | None" = None
+    previous: "Path | None" = None
 
     def events(self) -> list[str]:
         """Return the names of all events, first to last."""
@@ -32,7 +32,7 @@
         path: Path | None = self
         while path is not None:
             names.append(path.event)
-            path = path.before
+            path = path.previous
         return names[::-1]
 
     def __str__(self) -> str:
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Node(Generic[StateT]):
-    """A state, the path to it (None for the first one) and the number of events on it."""
+    """A state, the path to it (None for the initial state) and the number of events on the path."""
 
     state: StateT
     path: Path | None = None
@@ -52,8 +52,8 @@
 class Search(ABC, Generic[StateT]):
     """Explore all paths; a subclass says which states follow which.
 
-    `explored` has the hashes of the states' keys. `max_states` bounds it: the search gives up,
-    unfinished, when it is reached; None for no bound.
+    `explored` has the hashes of the states' keys. The search stops unfinished when it has
+    `max_states` of them; None sets no bound.
     """
 
     explored: set[int] = field(default_factory=set, init=False)
@@ -61,7 +61,7 @@
 
     @property
     def states(self) -> int:
-        """How many different states were explored."""
+        """The number of different states that were explored."""
         return len(self.explored)
 
     @property
@@ -70,32 +70,37 @@
         return self.max_states is not None and len(self.explored) >= self.max_states
 
     @abstractmethod
-    def first(self) -> StateT:
+    def initial_state(self) -> StateT:
         """Return the state at which every path begins."""
 
     @abstractmethod
     def expand(self, node: Node[StateT]) -> Iterator[Node[StateT]]:
-        """Yield the nodes after this one; InvariantError with the path if one is wrong."""
+        """Yield the nodes after this one.
+
+        Raises:
+            InvariantError: a node violates an invariant; the text names the path to it.
+
+        """
 
     def visit(self, _node: Node[StateT]) -> bool:
-        """Return whether to expand a node; checks of whole states belong here."""
+        """Return whether to expand a node. A subclass checks whole states here."""
         return True
 
     def add_explored(self, key: int) -> bool:
-        """Return whether a state's key is new, and remember it."""
+        """Add a state's key to `explored`; return whether it is new."""
         if key in self.explored:
             return False
         self.explored.add(key)
         return True
 
     def run(self) -> bool:
-        """Search depth first; return whether everything was explored.
+        """Search depth first; return whether every reachable state was explored.
 
         Raises:
             InvariantError: an invariant does not hold; the text names the path to that state.
 
         """
-        pending: list[Iterator[Node[StateT]]] = [iter([Node(self.first())])]
+        pending: list[Iterator[Node[StateT]]] = [iter([Node(self.initial_state())])]
         while pending and not self.is_exhausted:
             node = next(pending[-1], None)
             if node is None:
--- a/stepstream/lab/search/lease_model.py
+++ b/stepstream/lab/search/lease_model.py
@@ -2,16 +2,16 @@
 
 The acceptors and proposers are the program's own. An event is one of these:
 
-- a delivery: every message ever sent may arrive at any later time, any number of times, or never;
-  that covers loss, unbounded delay, duplicates and every order;
-- a step of time, at which leases expire on either side;
+- a delivery: every message ever sent may arrive at any later time, any number of times, or never,
+  which covers loss, unbounded delay, duplicates and every order;
+- a step of time, after which leases expire at acceptors and proposers;
 - the restart of an acceptor, which loses all state;
-- a proposer that prepares (with the next ballot number or one that skips a number), proposes again
-  or releases, whenever it could, however early or late.
+- a proposer that prepares (with the next ballot number or with one that skips a number), proposes
+  again or releases: whenever the protocol allows it, however early or late.
 
-`Bounds` limits ballots, renewals, restarts and time. Answers that only move a proposer's next
-attempt (Busy, StaleBallot, Recovering, LeaseAvailable) are left out, as every attempt is tried
-anyhow.
+`Bounds` limits ballots, renewals, restarts and time. Answers that only change the time of a
+proposer's next attempt (Busy, StaleBallot, Recovering, LeaseAvailable) are left out, because the
+search tries an attempt at every time anyway.
 """
 
 import random
@@ -47,26 +47,27 @@
 PROPOSERS = ("a", "b")
 
 CLOCK_ERRORS = {"a": -1, "b": 0}
-"""Error of the rate of each proposer's clock, in units of the drift.
+"""Error of the rate of each proposer's clock, in units of `Bounds.max_clock_drift`.
 
-The acceptors' is 1: a holder whose clock runs slow among acceptors whose clocks run fast is the
-dangerous case.
+The error of the acceptors' clocks is 1. The dangerous case is a holder whose clock runs slow
+while the acceptors' clocks run fast: for the acceptors the lease expires before it does for the
+holder.
 """
 
 ACCEPTORS_STARTED_AT = -1e6
-"""Local time of the acceptors' start: so long ago that they answer at once."""
+"""Local time of the acceptors' start: they have recovered long ago and answer at once."""
 
-SEARCHED_ANSWERS = (Promise, Accepted)  # as a tuple, quicker than a union
+SEARCHED_ANSWERS = (Promise, Accepted)  # isinstance is faster with a tuple than with a union
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """Bound what a path may hold.
+    """Bound the events of a path.
 
     Attributes:
-        ballots: by proposer, in the order of `PROPOSERS`.
+        ballots: number of ballots of each proposer, in the order of `PROPOSERS`.
         renewals: proposals after the first one, of both proposers together.
-        restarts: of acceptors.
+        restarts: restarts of acceptors, all together.
         time_steps: how long a path may last, in steps of `TIME_STEP_SECONDS`.
         max_clock_drift: largest error of a clock's rate, as a fraction.
         releases: whether proposers may release.
@@ -89,11 +90,11 @@
 
 
 class LeaseModel:
-    """Say which states follow which, within the bounds.
+    """Generate the events of a state and the states after them, within the bounds.
 
     Attributes:
-        bounds: of every path.
-        messages: every message ever sent, in both directions; states hold indexes of it.
+        bounds: what bounds every path.
+        messages: every message ever sent, in both directions; states hold indexes into this list.
 
     """
 
@@ -102,8 +103,8 @@
         self.messages: list[RoutedMessage] = []
         self._message_numbers: dict[RoutedMessage, int] = {}  # indexes of `messages`
 
-    def first(self) -> LeaseState:
-        """Return the state in which nothing was sent yet."""
+    def initial_state(self) -> LeaseState:
+        """Return the state in which no message has been sent."""
         configuration = LeaseConfiguration(
             ACCEPTORS,
             max_clock_drift=self.bounds.max_clock_drift,
@@ -151,8 +152,8 @@
         if state.now < self.bounds.time_steps:
             yield "time", self.after_time_step(state)
         for acceptor_name in ACCEPTORS:
-            for number in state.mailboxes[acceptor_name]:
-                proposer_index, message = self.messages[number]
+            for message_number in state.mailboxes[acceptor_name]:
+                proposer_index, message = self.messages[message_number]
                 successor = self.after_delivery(state, acceptor_name, proposer_index, message)
                 if successor is not None:
                     yield (
@@ -168,13 +169,15 @@
     def proposer_events(
         self, state: LeaseState, proposer_index: int, proposer: Proposer
     ) -> Iterator[tuple[str, LeaseState]]:
-        """Yield what a proposer may do next of its own accord, and the state after it."""
+        """Yield each event that a proposer may start without a message, and the state after it."""
         bounds = self.bounds
         name = PROPOSERS[proposer_index]
         if state.ballots_begun[proposer_index] < bounds.ballots[proposer_index]:
             for skipped_numbers in (0, 1):
-                number, successor = self.after_prepare(state, proposer_index, skipped_numbers)
-                yield f"{name} prepares {number}", successor
+                ballot_number, successor = self.after_prepare(
+                    state, proposer_index, skipped_numbers
+                )
+                yield f"{name} prepares {ballot_number}", successor
         may_propose = proposer.rounds and proposer.configuration.is_quorum(proposer.promised_by)
         if may_propose and state.renewals < bounds.renewals:
             yield f"{name} proposes again", self.after_renewal(state, proposer_index)
@@ -185,18 +188,18 @@
         self, state: LeaseState, proposer_index: int, skipped_numbers: int
     ) -> tuple[int, LeaseState]:
         """Return the number of a proposer's next ballot, and the state after it was prepared."""
-        successor, changed = self.with_own_proposer(state, proposer_index)
+        successor, changed = self.with_copied_proposer(state, proposer_index)
         changed.ballots.highest += skipped_numbers
-        begun = list(state.ballots_begun)
-        begun[proposer_index] += 1
-        successor.ballots_begun = tuple(begun)
+        ballots_begun = list(state.ballots_begun)
+        ballots_begun[proposer_index] += 1
+        successor.ballots_begun = tuple(ballots_begun)
         now = self.proposer_clock(successor, proposer_index)
         self.send(successor, proposer_index, changed.begin_ballot(now))
         return changed.current_ballot().number, successor
 
     def after_renewal(self, state: LeaseState, proposer_index: int) -> LeaseState:
         """Return the state after a proposer proposed once more in its ballot."""
-        successor, changed = self.with_own_proposer(state, proposer_index)
+        successor, changed = self.with_copied_proposer(state, proposer_index)
         successor.renewals += 1
         self.send(
             successor,
@@ -207,14 +210,14 @@
 
     def after_release(self, state: LeaseState, proposer_index: int) -> LeaseState:
         """Return the state after a proposer released the lease."""
-        successor, changed = self.with_own_proposer(state, proposer_index)
+        successor, changed = self.with_copied_proposer(state, proposer_index)
         self.send(successor, proposer_index, changed.release())
         return successor
 
-    def with_own_proposer(
+    def with_copied_proposer(
         self, state: LeaseState, proposer_index: int
     ) -> tuple[LeaseState, Proposer]:
-        """Return a copy of a state, and the one proposer in it that may be changed."""
+        """Return a copy of a state, and a proposer in it that is copied too and may be changed."""
         successor = state.copy()
         changed = copy_proposer(state.proposers[proposer_index])
         proposers = list(state.proposers)
@@ -223,14 +226,14 @@
         return successor, changed
 
     def after_time_step(self, state: LeaseState) -> LeaseState:
-        """Return the state a step of time later: leases expire on either side."""
+        """Return the state a step of time later; leases expire at acceptors and proposers."""
         successor = state.copy()
         successor.now += TIME_STEP_SECONDS
         for proposer_index in range(len(PROPOSERS)):
             proposer = successor.proposers[proposer_index]
             now = self.proposer_clock(successor, proposer_index)
             if proposer.token and not proposer.is_over and now >= proposer.expires_at:
-                successor, changed = self.with_own_proposer(successor, proposer_index)
+                successor, changed = self.with_copied_proposer(successor, proposer_index)
                 self.send(successor, proposer_index, changed.tick(now))
         successor.acceptors = {
             name: copy_acceptor(acceptor) for name, acceptor in successor.acceptors.items()
@@ -255,7 +258,7 @@
     ) -> LeaseState | None:
         """Return the state after a message between an acceptor and a proposer was delivered.
 
-        None if it changes nothing.
+        Return None if the delivery changes nothing.
         """
         if isinstance(message, SEARCHED_ANSWERS):
             return self.after_answer(state, acceptor_name, proposer_index, message)
@@ -292,7 +295,7 @@
             return None
         if isinstance(answer, Promise) and acceptor_name in proposer.promised_by:
             return None
-        successor, changed = self.with_own_proposer(state, proposer_index)
+        successor, changed = self.with_copied_proposer(state, proposer_index)
         now = self.proposer_clock(successor, proposer_index)
         self.send(successor, proposer_index, changed.handle(now, acceptor_name, answer))
         return successor
@@ -317,7 +320,10 @@
 
 
 def without_wait(message: ProposerMessage) -> ProposerMessage:
-    """Return a message without the time waited: that serves fairness, and would split states."""
+    """Return a message without the time that its proposer has waited.
+
+    That time only affects fairness, and would multiply the number of different states.
+    """
     if isinstance(message, Prepare):
         return Prepare(message.lease, message.ballot, message.ttl_ms, 0)
     return message
--- a/stepstream/lab/search/lease_search.py
+++ b/stepstream/lab/search/lease_search.py
@@ -1,6 +1,7 @@
 """Search every order of events of three acceptors and two proposers of leases, within bounds.
 
-`lease_model` has the events and the bounds. Every state is checked for two holders.
+`lease_model` has the events and the bounds. In every state it is checked that the lease has one
+holder at most.
 """
 
 from collections.abc import Iterator
@@ -17,9 +18,9 @@
     """Search all paths within the bounds.
 
     Attributes:
-        bounds: of every path.
-        model: which states follow which.
-        states_with_holder: states in which a proposer holds the lease.
+        bounds: what bounds every path.
+        model: the events of a state and the states after them.
+        states_with_holder: the number of states in which a proposer holds the lease.
 
     """
 
@@ -31,14 +32,14 @@
     def __post_init__(self) -> None:
         self.model = LeaseModel(self.bounds)
 
-    def first(self) -> LeaseState:
-        """Return the state in which nothing was sent yet."""
-        return self.model.first()
+    def initial_state(self) -> LeaseState:
+        """Return the state in which no message has been sent."""
+        return self.model.initial_state()
 
     def expand(self, node: Node[LeaseState]) -> Iterator[Node[LeaseState]]:
         """Return the new states after each event, the last one first.
 
-        All of them are marked and checked before the first is expanded.
+        All of them are added to `explored` and checked before the first one is expanded.
         """
         new_nodes: list[Node[LeaseState]] = []
         for name, successor in self.model.successors(node.state):
@@ -56,7 +57,7 @@
 
 
 def check_one_holder(holders: list[str], path: Path) -> None:
-    """Check that a lease has one holder at most; TwoHoldersError with the path if it has two.
+    """Check that a lease has one holder at most; TwoHoldersError with the path if it has more.
 
     This guards against quorums that share no acceptor, and against a grant that an acceptor forgets
     before its holder does.
--- a/stepstream/lab/search/lease_state.py
+++ b/stepstream/lab/search/lease_state.py
@@ -1,8 +1,8 @@
 """One state of a small configuration of leases, and how such states are compared and copied.
 
 `lease_search` makes hundreds of thousands of them: copies are shallow, and two states are compared
-by the parts that decide what may follow. Whoever made a `LeaseState` owns it; nothing changes one
-once its successors have been made from it.
+by the parts that decide which events may follow. The code that creates a `LeaseState` owns it. A
+state is not changed any more once its successors were created from it.
 """
 
 from dataclasses import dataclass
@@ -25,11 +25,12 @@
 
     Attributes:
         now: seconds since the first state.
-        acceptors: by name.
+        acceptors: the acceptors, by name.
         mailboxes: by acceptor, the numbers of all messages ever sent between it and the proposers.
         proposers: in the order of `lease_model.PROPOSERS`.
-        renewals: on the path to this state; so are `restarts` of acceptors and `ballots_begun`,
-            by proposer.
+        renewals: number of renewals on the path to this state.
+        restarts: number of restarts of acceptors on that path.
+        ballots_begun: number of ballots on that path, by proposer.
 
     """
 
@@ -50,7 +51,8 @@
     def key(self) -> int:
         """Return a hash that is equal for states that differ only in the acceptors' names.
 
-        All acceptors start alike and have the same clock, so such states have like successors.
+        All acceptors start alike and have the same clock, so the successors of such states
+        differ only in the names as well.
         """
         acceptors = sorted(
             hash((self.acceptor_key(name), self.mailboxes[name])) for name in ACCEPTORS
@@ -68,7 +70,7 @@
         )
 
     def acceptor_key(self, name: str) -> object:
-        """Return an acceptor's state and which answers of it the proposers have counted."""
+        """Return an acceptor's state, and which of its answers the proposers have counted."""
         counted = tuple(
             (
                 name in proposer.promised_by,
@@ -84,7 +86,7 @@
 
 
 def acceptor_state(acceptor: Acceptor) -> object:
-    """Return what tells an acceptor's state from others, as a hashable value."""
+    """Return what distinguishes an acceptor's state from other states, as a hashable value."""
     record = acceptor.records.get(LEASE)
     if record is None:
         return acceptor.recovering_until
@@ -100,9 +102,9 @@
 
 
 def proposer_key(proposer: Proposer) -> object:
-    """Return what tells a proposer's state from others, as a hashable value.
+    """Return what distinguishes a proposer's state from other states, as a hashable value.
 
-    Of the acceptors that answered it has the number alone; `LeaseState.acceptor_key` says which.
+    It has only the number of acceptors that answered; `LeaseState.acceptor_key` says which ones.
     """
     rounds = tuple(
         (number, proposal.sent_at, len(proposal.accepted_by))
@@ -121,7 +123,7 @@
 
 
 def copy_acceptor(acceptor: Acceptor) -> Acceptor:
-    """Return a copy that may be changed; its wait queue is empty, as waiting is not searched."""
+    """Return a copy that may be changed; its wait queue is empty, because it is not searched."""
     copied = Acceptor.__new__(Acceptor)
     copied.__dict__.update(acceptor.__dict__)
     copied.records = {}
@@ -138,7 +140,7 @@
 
 
 def copy_proposer(proposer: Proposer) -> Proposer:
-    """Return a copy that may be changed; it has no rejections, as those are not searched."""
+    """Return a copy that may be changed; it has no rejections, because they are not searched."""
     copied = Proposer.__new__(Proposer)
     copied.__dict__.update(proposer.__dict__)
     copied.ballots = BallotSequence(proposer.ballots.highest)
--- a/stepstream/lab/search/membership_search.py
+++ b/stepstream/lab/search/membership_search.py
@@ -1,7 +1,8 @@
 """Search every order of events of three membership protocols, to a stated depth.
 
-`membership_state` has the events. Every state is checked for records that returned after their end;
-a sample of the states is continued on working links until all members agree.
+`membership_state` has the events. In every state it is checked that no member which was
+dead or had left is present again with the same record (`EndedVersions`). A sample of the states is
+continued on working links until all members agree.
 """
 
 import pickle
@@ -18,9 +19,9 @@
     """Search all paths of up to `max_depth` events.
 
     Attributes:
-        max_restarts: how many a path may hold.
-        step_seconds: by which time advances.
-        convergence_interval: one of this many new states is continued until all agree.
+        max_restarts: the greatest number of restarts on a path.
+        step_seconds: by how much an event of time advances the clock.
+        convergence_interval: one in this many new states is continued until all members agree.
         converged_count: how many of the continued states reached agreement.
 
     """
@@ -31,12 +32,12 @@
     convergence_interval: int = 50
     converged_count: int = field(default=0, init=False)
 
-    def first(self) -> MembershipState:
+    def initial_state(self) -> MembershipState:
         """Return the state in which all members have just started."""
-        return MembershipState.first()
+        return MembershipState.initial()
 
     def visit(self, node: Node[MembershipState]) -> bool:
-        """Return whether a state is new at its depth; continue one in some until all agree."""
+        """Return whether a state is new at its depth; check a sample of states for convergence."""
         if not self.add_explored(hash((node.state.key(), node.depth))):
             return False
         if self.states % self.convergence_interval == 0:
@@ -45,7 +46,7 @@
         return True
 
     def expand(self, node: Node[MembershipState]) -> Iterator[Node[MembershipState]]:
-        """Yield the state after each event; InvariantError with the path if one is wrong."""
+        """Yield the state after each event; InvariantError with the path if it is violated."""
         if node.depth == self.max_depth:
             return
         pickled = pickle.dumps(node.state)
@@ -62,7 +63,7 @@
 def check_converges(node: Node[MembershipState]) -> None:
     """Check that all members agree once links work again; NotRecoveredError if they do not.
 
-    This guards against an order of events after which the members can't come to agree any more.
+    This guards against an order of events after which the members can never agree again.
     """
     if not node.state.copy().converges():
-        raise NotRecoveredError(f"not agreed after {node.path or 'no event'}")
+        raise NotRecoveredError(f"members do not agree after {node.path or 'no event'}")
--- a/stepstream/lab/search/membership_state.py
+++ b/stepstream/lab/search/membership_state.py
@@ -1,4 +1,4 @@
-"""One state of three membership protocols and the datagrams between them, and what may follow.
+"""One state of three membership protocols and the datagrams between them, and its possible events.
 
 Events are deliveries, losses and duplicates of datagrams, steps of time, and restarts. The random
 numbers inside a protocol come from one fixed seed. States are copied by `pickle`, as an event may
@@ -43,13 +43,13 @@
 """How many of the oldest datagrams in flight may be the next to arrive."""
 
 MAX_IN_FLIGHT = 2 * MAX_REORDERED
-"""Datagrams in flight; the oldest beyond that are lost."""
+"""Greatest number of datagrams in flight; when there are more, the oldest are lost."""
 
-FAIR_ROUNDS = 80
-"""Rounds of time and full delivery within which all members must agree."""
+CONVERGENCE_ROUNDS = 80
+"""Rounds within which all members must agree: each is a step of time, then every delivery."""
 
-FAIR_STEP_SECONDS = 0.25
-TIME_DIGITS = 3  # to which the time until a tick is compared
+CONVERGENCE_STEP_SECONDS = 0.25
+TIME_DIGITS = 3  # decimals of the seconds until a tick in a state's key
 
 Event = Callable[["MembershipState"], None]
 
@@ -60,10 +60,10 @@
 
     Attributes:
         now: seconds since the first state.
-        protocols: by address.
-        in_flight: address and datagram, oldest first.
-        restarts: on the path to this state.
-        ended_versions: what each observer saw end.
+        protocols: the members' protocols, by address.
+        in_flight: the receiver's address and the datagram, oldest first.
+        restarts: the number of restarts on the path to this state.
+        ended_versions: the records that each observer saw end.
 
     """
 
@@ -74,7 +74,7 @@
     ended_versions: EndedVersions = field(default_factory=EndedVersions)
 
     @classmethod
-    def first(cls) -> "MembershipState":
+    def initial(cls) -> "MembershipState":
         """Return the state in which all members have just started."""
         state = cls(0.0, {}, [])
         for number in range(MEMBERS):
@@ -95,7 +95,7 @@
         return copied
 
     def key(self) -> object:
-        """Return what tells this state from others, as a hashable value."""
+        """Return what distinguishes this state from other states, as a hashable value."""
         protocols = tuple(
             (
                 protocol.digest,
@@ -110,7 +110,7 @@
     # -- events -----------------------------------------------------------------------------------
 
     def events(self, max_restarts: int, step_seconds: float) -> Iterator[tuple[str, Event]]:
-        """Yield each event that may come next: its name, and what applies it to a state."""
+        """Yield each event that may come next: its name and the function that applies it."""
         yield "time", methodcaller("advance_time", step_seconds)
         for index in range(min(len(self.in_flight), MAX_REORDERED)):
             yield f"deliver {index}", methodcaller("deliver", index)
@@ -125,7 +125,7 @@
         self.now += step_seconds
         for protocol in self.protocols.values():
             if protocol.next_tick_at() <= self.now:
-                # The step is the search's: the protocol must not take it for a stall of its own.
+                # Otherwise the protocol takes the search's time step for a stall of its process.
                 protocol.ticked_at = self.now
                 self.send(protocol.tick(self.now))
             self.check_no_return_of_ended_records(protocol)
@@ -145,7 +145,7 @@
         del self.in_flight[index]
 
     def restart(self, address: str) -> None:
-        """Restart a member with the next generation; what it observed is forgotten."""
+        """Restart a member with the next generation, and forget what it observed."""
         record = self.protocols[address].members.local
         self.restarts += 1
         self.ended_versions.forget_observer(record.name)
@@ -178,9 +178,9 @@
             self.ended_versions.observe(self.now, observer, member.record)
 
     def converges(self) -> bool:
-        """Return whether all agree within `FAIR_ROUNDS` once no datagram is lost or late."""
-        for _ in range(FAIR_ROUNDS):
-            self.advance_time(FAIR_STEP_SECONDS)
+        """Return whether all agree within `CONVERGENCE_ROUNDS` if no datagram is lost or late."""
+        for _ in range(CONVERGENCE_ROUNDS):
+            self.advance_time(CONVERGENCE_STEP_SECONDS)
             while self.in_flight:
                 self.deliver(0)
             if self.has_converged():
@@ -188,7 +188,7 @@
         return False
 
     def has_converged(self) -> bool:
-        """Return whether all members hold one list, in which all are present."""
+        """Return whether all members hold the same list, in which all are present."""
         protocols = self.protocols.values()
         if len({protocol.digest for protocol in protocols}) != 1:
             return False
--- a/tests/lab/search/test_explorer.py
+++ b/tests/lab/search/test_explorer.py
@@ -1,4 +1,4 @@
-"""The depth-first search: every state once, in order, and the path to a violated invariant."""
+"""The depth-first search: it explores every state once and reports the path to a violation."""
 
 from dataclasses import dataclass, field
 
@@ -10,13 +10,16 @@
 
 @dataclass
 class GridSearch(Search[tuple[int, int]]):
-    """Steps to the right and upwards in a square, in which one place may be forbidden."""
+    """Search a square grid whose events are a step right and a step up.
+
+    Entering the forbidden cell violates the invariant.
+    """
 
     size: int
-    forbidden: tuple[int, int] | None = None
+    forbidden_cell: tuple[int, int] | None = None
     visited: list[tuple[int, int]] = field(default_factory=list)
 
-    def first(self):
+    def initial_state(self):
         return (0, 0)
 
     def visit(self, node):
@@ -29,7 +32,7 @@
         column, row = node.state
         for event, state in (("right", (column + 1, row)), ("up", (column, row + 1))):
             path = Path(event, node.path)
-            if state == self.forbidden:
+            if state == self.forbidden_cell:
                 raise InvariantError(str(path))
             if max(state) < self.size:
                 yield Node(state, path, node.depth + 1)
@@ -41,18 +44,18 @@
     assert search.states == len(search.visited) == 9
 
 
-def test_the_search_is_depth_first():
+def test_states_are_visited_depth_first():
     search = GridSearch(2)
     search.run()
     assert search.visited == [(0, 0), (1, 0), (1, 1), (0, 1)]
 
 
-def test_a_violation_names_the_path_to_it():
+def test_the_error_of_a_violation_names_the_path_of_events():
     with pytest.raises(InvariantError, match="^right / up$"):
-        GridSearch(3, forbidden=(1, 1)).run()
+        GridSearch(3, forbidden_cell=(1, 1)).run()
 
 
-def test_a_search_that_reaches_its_bound_gives_up_unfinished():
+def test_a_search_stops_unfinished_at_its_bound_of_states():
     search = GridSearch(3, max_states=4)
     assert not search.run()
     assert search.states == 4
