--- a/stepstream/lab/processes/__init__.py
+++ b/stepstream/lab/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Real dispatchers in processes of their own: started, loaded, disturbed and stopped."""
+"""Start, load, disturb and stop real dispatchers, each in a process of its own."""
--- a/stepstream/lab/processes/addresses.py
+++ b/stepstream/lab/processes/addresses.py
@@ -6,11 +6,14 @@
 Address = tuple[str, int]
 """Host and port."""
 
-LOAD_TEST_HOSTS = 2**16
-"""Addresses in 127.77.0.0/16, from which a load test takes one by its process id."""
+LOAD_TEST_HOST_COUNT = 2**16
+"""How many addresses 127.77.0.0/16 has; a load test takes one of them by its process id."""
 
-CLUSTER_NETWORKS = 2**14
-"""Networks 127.64.0.0/24 to 127.127.255.0/24, of which a cluster takes one by its process id."""
+CLUSTER_NETWORK_COUNT = 2**14
+"""How many networks there are from 127.64.0.0/24 to 127.127.255.0/24.
+
+A cluster takes one of them by its process id.
+"""
 
 BYTE_BITS = 8
 BYTE_MASK = 255
@@ -19,19 +22,20 @@
 def load_test_host() -> str:
     """Return a loopback address that no other load test uses.
 
-    Connections leave from 127.0.0.1, so none of them takes a port of this address between the
-    choice of the port and its use.
+    Outgoing connections use 127.0.0.1 as their source, so none of them can take a port of this
+    address between the choice of the port and its use.
     """
-    number = os.getpid() % LOAD_TEST_HOSTS
+    number = os.getpid() % LOAD_TEST_HOST_COUNT
     return f"127.77.{number >> BYTE_BITS}.{number & BYTE_MASK}"
 
 
 def cluster_host(member_index: int) -> str:
-    """Return a loopback address for one member, from the network of this process.
+    """Return a loopback address for one member, in the network of this process.
 
-    Each member has an address of its own, so no port is taken by another's outgoing connection.
+    Each member has an address of its own, so no outgoing connection of another member can take one
+    of its ports.
     """
-    network = os.getpid() % CLUSTER_NETWORKS
+    network = os.getpid() % CLUSTER_NETWORK_COUNT
     return f"127.{64 + (network >> BYTE_BITS)}.{network & BYTE_MASK}.{member_index + 1}"
 
 
--- a/stepstream/lab/processes/configuration_files.py
+++ b/stepstream/lab/processes/configuration_files.py
@@ -1,4 +1,4 @@
-"""Content of a dispatcher's two configuration files: the platform's JSON and the operator's TOML.
+"""The content of a dispatcher's configuration files: the platform's JSON, the operator's TOML.
 
 The keys are those that `stepstream serve` reads, so their spelling is fixed.
 """
@@ -11,7 +11,7 @@
 
 
 class NodeConfiguration(TypedDict):
-    """The platform's file, which EDGE_CONFIG names."""
+    """The platform's file; the environment variable EDGE_CONFIG holds its path."""
 
     name: str
     listen: str
@@ -20,12 +20,12 @@
     operator: NotRequired[str]  # address of the admin listener
     seed: NotRequired[str]  # hexadecimal
     limits: NotRequired[dict[str, float]]
-    known: NotRequired[dict[str, Any]]  # the endpoint list that it starts with
+    known: NotRequired[dict[str, Any]]  # the endpoint list that the dispatcher starts with
 
 
 @dataclass(frozen=True)
 class FleetSection:
-    """Section `[fleet]` of the operator's file; `further_lines` follow as they are."""
+    """Section `[fleet]` of the operator's file; `further_lines` are added unchanged."""
 
     listen: str
     seeds: Sequence[str]
@@ -35,7 +35,7 @@
 
     def render(self) -> str:
         """Return the section as TOML."""
-        # A JSON list of strings is one of TOML, as long as slashes are not escaped.
+        # A JSON list of strings is valid TOML, as long as slashes are not escaped.
         seeds = ujson.dumps(list(self.seeds), escape_forward_slashes=False)
         lines = [
             "[fleet]",
--- a/stepstream/lab/processes/dispatcher_process.py
+++ b/stepstream/lab/processes/dispatcher_process.py
@@ -1,7 +1,7 @@
-"""One dispatcher in a process of its own: its files, its log, its signals and its end.
+"""One dispatcher in a process of its own, with its files and its log.
 
-A `DispatcherProcess` belongs to one thread. As a context manager it ends every process that it
-started.
+A `DispatcherProcess` belongs to one thread. As a context manager it kills every process that it
+has started.
 """
 
 import os
@@ -18,7 +18,7 @@
 from stepstream.lab.processes.configuration_files import NodeConfiguration
 
 STEPSTREAM_PROGRAM = ("-m", "stepstream")
-"""Arguments of the Python interpreter that run the real program."""
+"""Arguments with which the Python interpreter runs the real program."""
 
 SHUTDOWN_TIMEOUT_SECONDS = 30.0
 LOG_TAIL_CHARACTERS = 2000
@@ -29,14 +29,14 @@
 
 
 def end_process(process: subprocess.Popen[bytes]) -> None:
-    """Kill a process, even a suspended one, and wait for it; do nothing if it has ended."""
+    """Kill a process, even a suspended one, and wait for its end; do nothing if it has ended."""
     process.kill()
     process.wait()
 
 
 @contextmanager
 def child_process(arguments: Sequence[str]) -> Iterator[subprocess.Popen[bytes]]:
-    """Run the Python interpreter with these arguments; end the process at the block's end."""
+    """Run the Python interpreter with these arguments; kill it at the end of the block."""
     process = subprocess.Popen([sys.executable, *arguments])
     try:
         yield process
@@ -50,7 +50,7 @@
     def __init__(self, name: str, folder: Path) -> None:
         self.name = name
         self.folder = folder
-        self.process: subprocess.Popen[bytes] | None = None  # the latest that was started
+        self.process: subprocess.Popen[bytes] | None = None  # the latest one that was started
         self._started_processes = ExitStack()
 
     def __enter__(self) -> Self:
@@ -68,16 +68,16 @@
 
     @property
     def operator_path(self) -> Path:
-        """The operator's file; the dispatcher runs without one if it does not exist."""
+        """The operator's file; if it does not exist, the dispatcher runs without one."""
         return self.folder / f"{self.name}.toml"
 
     @property
     def log_path(self) -> Path:
-        """What the processes wrote to standard error, one after the other."""
+        """The log: the standard error of all processes that were started."""
         return self.folder / f"{self.name}.log"
 
     def write_files(self, configuration: NodeConfiguration, operator_text: str | None) -> None:
-        """Write the configuration and, if there is a text for it, the operator's file."""
+        """Write the configuration and, unless its text is None, the operator's file."""
         self.configuration_path.write_text(ujson.dumps(configuration))
         if operator_text is not None:
             self.operator_path.write_text(operator_text)
@@ -102,7 +102,7 @@
         """Start a process and return it, without waiting until it is ready.
 
         `program` holds the interpreter's arguments before the command `serve`. `environment` is
-        added to this process's own. An earlier process that still runs goes on beside the new one.
+        added to this process's own. An earlier process that still runs is not stopped.
         """
         arguments = [sys.executable, *program, "serve"]
         if self.operator_path.exists():
@@ -119,7 +119,7 @@
         return process
 
     def is_running(self) -> bool:
-        """Return whether the latest process was started and has not ended; a suspended one runs."""
+        """Return whether the latest process exists and has not ended; it may be suspended."""
         return self.process is not None and self.process.poll() is None
 
     def started_process(self) -> subprocess.Popen[bytes]:
@@ -132,8 +132,8 @@
         """Raise DispatcherProcessError with the end of the log if the process has ended."""
         exit_code = self.started_process().poll()
         if exit_code is not None:
-            text = f"{self.name} did not start, exit code {exit_code}: {self.log_tail()}"
-            raise DispatcherProcessError(text)
+            message = f"{self.name} did not start, exit code {exit_code}: {self.log_tail()}"
+            raise DispatcherProcessError(message)
 
     def send_signal(self, number: signal.Signals) -> None:
         """Send a signal to the latest process; do nothing if it has ended."""
@@ -144,7 +144,7 @@
         self.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Resume a suspended process; nothing changes for another."""
+        """Resume the process; do nothing if it is not suspended."""
         self.send_signal(signal.SIGCONT)
 
     def kill(self) -> None:
--- a/stepstream/lab/processes/lease_cluster.py
+++ b/stepstream/lab/processes/lease_cluster.py
@@ -1,7 +1,7 @@
-"""Dispatchers that contend for one lease, and a ledger that records who operated on it.
+"""Dispatchers that contend for a lease, and a ledger that records their operations.
 
-A `LeaseDispatcherCluster` owns the process of the ledger beside those of the dispatchers. All calls
-come from one thread, of the test or benchmark.
+A `LeaseDispatcherCluster` owns the processes of the dispatchers and of the ledger. All calls come
+from the one thread of the test or benchmark.
 """
 
 import contextlib
@@ -27,7 +27,7 @@
 """The longest operation as a fraction of the time to live."""
 
 HOLD_SECONDS = 1.5
-"""How long a holder operates before it releases the lease."""
+"""How long a holder operates on the ledger before it releases the lease."""
 
 MEMBER_MODULE = "stepstream.lab.processes.lease_member"
 LEDGER_MODULE = "stepstream.lab.verification.ledger"
@@ -58,10 +58,10 @@
 
 @dataclass(frozen=True)
 class LeaseWorkload:
-    """What the members contend for.
+    """The leases for which the members contend.
 
-    `contenders` names the members that do; all of them if it is empty. With a `lease_count` each of
-    them holds that many leases at once and does not operate.
+    `contenders` names the members that contend; if it is empty, all do. With a `lease_count` each
+    of them holds that many leases at once and does not operate on the ledger.
     """
 
     ttl_seconds: float = TTL_SECONDS
@@ -73,9 +73,9 @@
 
 
 class LeaseDispatcherCluster(DispatcherCluster):
-    """A cluster n0, n1, ... of which the first `acceptor_count` are acceptors, with a ledger."""
+    """Members n0, n1, ... with a ledger; the first `acceptor_count` members are acceptors."""
 
-    ledger_process: subprocess.Popen[bytes]  # from the context's begin on
+    ledger_process: subprocess.Popen[bytes]  # set when the context is entered
 
     def __init__(
         self,
@@ -113,23 +113,23 @@
 
     @property
     def ledger_path(self) -> Path:
-        """The file that the ledger records operations in."""
+        """The file in which the ledger records operations."""
         return self.folder / "ledger.jsonl"
 
     def signal_ledger(self, number: signal.Signals) -> None:
         """Send a signal to the ledger's process."""
         self.ledger_process.send_signal(number)
 
-    # -- what the ledger recorded -----------------------------------------------------------------
+    # -- records of the ledger --------------------------------------------------------------------
 
     def ledger_rows(self) -> list[ledger_record.LedgerEntry]:
         """Read the operations that the ledger recorded."""
         return ledger_record.read_entries(self.ledger_path)
 
     def holder(self) -> str | None:
-        """Return the member whose operation was admitted last.
+        """Return the member whose operation the ledger admitted last.
 
-        None if that was longer ago than `TTL_SECONDS`.
+        Return None if that was more than `TTL_SECONDS` ago.
         """
         recent = self.ledger_rows()[-RECENT_ROWS:]
         admitted = [row for row in recent if not ledger_record.is_rejected(row)]
@@ -150,7 +150,7 @@
         return [name for name in self.members if name not in names]
 
     def set_links(self, **values: float) -> None:
-        """Set fields of the relay's `Links` together."""
+        """Set fields of the relay's `Links`, all at once."""
         with self.relay.lock:
             for name, value in values.items():
                 setattr(self.relay.links, name, value)
@@ -161,10 +161,10 @@
         self.members[name].call_admin("/healthcheck/fail", "PUT")
 
     def end_all_faults(self) -> None:
-        """Restore links, end drains, resume the suspended and start the members that ended."""
+        """Restore links, end drains, resume suspended processes and start ended members."""
         self.heal()
         for name in self.drained:
-            with contextlib.suppress(ConnectionError):  # a restart ends a drain as well
+            with contextlib.suppress(ConnectionError):  # a restart ends a drain, too
                 self.members[name].call_admin("/healthcheck/ok", "PUT")
         self.drained.clear()
         self.set_links(loss_probability=0.0, reorder_probability=0.0, duplicate_probability=0.0)
--- a/stepstream/lab/processes/lease_faults.py
+++ b/stepstream/lab/processes/lease_faults.py
@@ -1,4 +1,4 @@
-"""Faults that the lease of a `LeaseDispatcherCluster` must survive, and how to inject one.
+"""Inject faults into a `LeaseDispatcherCluster`, whose lease must work during and after them.
 
 The module owns no state. The cluster's thread makes all calls.
 """
@@ -19,34 +19,37 @@
 class LeaseFault:
     """One fault to inject.
 
-    It lasts for `lifetimes` times the lease's time to live; `begin` gets the cluster and the member
-    that held the lease a moment ago.
+    It lasts for `duration_in_ttls` times the lease's time to live. `begin` gets the cluster and the
+    member that held the lease a moment ago.
     """
 
     name: str
-    lifetimes: float
+    duration_in_ttls: float
     begin: Callable[[LeaseDispatcherCluster, str], None]
 
 
 @dataclass(frozen=True)
 class LeaseFaultOutcome:
-    """What happened around one fault; the times are monotonic, in seconds."""
+    """The times of one fault, on the monotonic clock, and the recovery from it."""
 
     fault_name: str
-    holder: str  # at the fault's begin
+    holder: str  # when the fault began
     begun_at_seconds: float
     ended_at_seconds: float
     recovery_seconds: float  # from the fault's end to the next completed operation
 
 
 def majority_without(cluster: LeaseDispatcherCluster, holder: str) -> list[str]:
-    """Return a majority of the acceptors without the holder, as far as enough others exist."""
+    """Return a majority of the acceptors that excludes the holder.
+
+    If too few acceptors are left, return all acceptors but the holder.
+    """
     acceptors = [name for name in cluster.acceptors if name != holder]
     return acceptors[: len(cluster.acceptors) // 2 + 1]
 
 
 def kill(cluster: LeaseDispatcherCluster, *names: str) -> None:
-    """Kill the named members that are running."""
+    """Kill those of the named members that are running."""
     for name in names:
         if cluster.members[name].is_running():
             cluster.kill(name)
@@ -77,17 +80,17 @@
 
 
 def drop_sent_messages(cluster: LeaseDispatcherCluster, holder: str) -> None:
-    """Cut the links from the holder to all other members, but not back."""
+    """Cut the links from the holder to all other members, but not those to the holder."""
     cluster.cut([holder], cluster.other_members(holder), both_ways=False)
 
 
 def drop_received_messages(cluster: LeaseDispatcherCluster, holder: str) -> None:
-    """Cut the links from all other members to the holder, but not back."""
+    """Cut the links from all other members to the holder, but not those from the holder."""
     cluster.cut(cluster.other_members(holder), [holder], both_ways=False)
 
 
 def isolate_with_one_acceptor(cluster: LeaseDispatcherCluster, holder: str) -> None:
-    """Cut the holder and one acceptor, which may be the holder itself, from all other members."""
+    """Cut the holder and an acceptor from all others; if the holder is one, cut only the holder."""
     side = {holder}
     if holder not in cluster.acceptors:
         side.add(cluster.acceptors[0])
@@ -101,7 +104,7 @@
 
 
 def delay_and_double_messages(cluster: LeaseDispatcherCluster, _holder: str) -> None:
-    """Deliver two in five messages later than a lease lasts, and three in ten twice."""
+    """Delay two in five messages longer than a lease lasts, and duplicate three in ten."""
     cluster.set_links(
         reorder_probability=0.4, reorder_delay_seconds=2 * TTL_SECONDS, duplicate_probability=0.3
     )
@@ -152,7 +155,7 @@
     ),
     LeaseFault("two members stopped", 2.0, suspend_two),
 )
-"""Every fault that the lease must survive."""
+"""Every fault that the lease must survive: never two holders, and a holder after the fault."""
 
 
 def inject(
@@ -160,22 +163,22 @@
 ) -> LeaseFaultOutcome:
     """Inject one fault, end it, and measure how long until an operation completes after that.
 
-    The wait for a holder before and for an operation afterwards is limited by `timeout_seconds`:
-    ConditionTimeoutError with the members' lists if it is exceeded.
+    Raise ConditionTimeoutError if, within `timeout_seconds`, no member holds the lease before the
+    fault, or no operation completes after it.
     """
     cluster.wait_for(cluster.holder, timeout_seconds, "a holder")
-    # The fault begins before, in or after an operation.
+    # After a random time, so that the fault begins before, during or after an operation.
     time.sleep(cluster.rng.uniform(0.0, LONGEST_OPERATION_FRACTION * TTL_SECONDS))
     holder = cluster.holder() or cluster.acceptors[0]
     begun_at_seconds = time.monotonic()
     fault.begin(cluster, holder)
-    time.sleep(fault.lifetimes * TTL_SECONDS)
+    time.sleep(fault.duration_in_ttls * TTL_SECONDS)
     cluster.end_all_faults()
     ended_at_seconds = time.monotonic()
     recovery_seconds = cluster.wait_for(
         lambda: cluster.has_operated_since(ended_at_seconds),
         timeout_seconds,
-        f"an operation after: {fault.name}",
+        f"an operation after the fault: {fault.name}",
     )
     return LeaseFaultOutcome(
         fault.name, holder, begun_at_seconds, ended_at_seconds, recovery_seconds
--- a/stepstream/lab/processes/lease_task.py
+++ b/stepstream/lab/processes/lease_task.py
@@ -1,6 +1,6 @@
-"""A task inside a dispatcher that contends for a lease and operates on a ledger.
+"""A task that runs in a dispatcher, contends for a lease and operates on a ledger.
 
-`lease_member` runs a dispatcher with it. The environment variable `LAB_LEASE_TASK` holds a
+`lease_member` runs a dispatcher with this task. The environment variable `LAB_LEASE_TASK` holds a
 `LeaseTaskConfiguration` as JSON. The task has one thread, which owns all of its state.
 """
 
@@ -24,30 +24,30 @@
 GRANT_CHECK_SECONDS = 0.5
 RENEWAL_CHECK_SECONDS = 1.0
 LONGEST_PAUSE_SECONDS = 0.2
-"""Longest pause after a release, so that another member may acquire the lease."""
+"""Longest pause after a release, in which another member may acquire the lease."""
 
 MIN_OPERATION_FRACTION = 0.1
 MAX_OPERATION_FRACTION = 0.5
-"""Bounds of an operation's drawn length as fractions of the longest operation."""
+"""Bounds of an operation's random duration, as fractions of the longest operation."""
 
 
 class LeaseTaskConfiguration(msgspec.Struct, frozen=True):
-    """What the task of each member does; `lease_count` leases are held without operating."""
+    """What the task of each member does."""
 
     ledger_address: str
     ttl_seconds: float
     operation_seconds: float  # the longest operation
     hold_seconds: float  # how long to operate before the lease is released
     contenders: tuple[str, ...] = ()  # the members that run the task; all of them if empty
-    lease_count: int | None = None  # None: operate under one lease
+    lease_count: int | None = None  # hold this many without operating; None: operate under one
 
     def environment(self) -> dict[str, str]:
-        """Return the variable that configures the task of a process."""
+        """Return the environment variable that configures the task of a process."""
         return {CONFIGURATION_VARIABLE: msgspec.json.encode(self).decode()}
 
     @classmethod
     def from_environment(cls) -> "LeaseTaskConfiguration":
-        """Read the variable of this process; raise KeyError if it is missing."""
+        """Read this process's environment variable; raise KeyError if it is not set."""
         return msgspec.json.decode(os.environ[CONFIGURATION_VARIABLE], type=cls)
 
     def is_contender(self, member: str) -> bool:
@@ -56,7 +56,7 @@
 
 
 class LeaseTask:
-    """Acquire a lease again and again, operate on the ledger while it lasts, and release it."""
+    """Repeatedly acquire a lease, operate on the ledger while holding it, and release it."""
 
     def __init__(self, leases: LeaseClient, configuration: LeaseTaskConfiguration) -> None:
         self.leases = leases
@@ -72,7 +72,7 @@
             self.hold_many(self.configuration.lease_count)
 
     def hold_repeatedly(self) -> None:
-        """Hold the lease again and again."""
+        """Acquire, use and release the lease in an endless loop."""
         while True:
             try:
                 self.hold_once()
@@ -114,24 +114,26 @@
         Raise LeaseLostError if the ledger rejects the token.
         """
         with lease.operation() as token:
-            answer = client.request(do="begin", token=token, holder=lease.proposer.proposer_id)
-            if "act" in answer:
+            response = client.request(do="begin", token=token, holder=lease.proposer.proposer_id)
+            if "act" in response:
                 fraction = self.rng.uniform(MIN_OPERATION_FRACTION, MAX_OPERATION_FRACTION)
                 time.sleep(fraction * self.configuration.operation_seconds)
-                answer = client.request(do="end", act=answer["act"])
-        if "fenced" in answer:
-            lease.on_fenced(answer["fenced"])
-            raise LeaseLostError(f"{lease.proposer.proposer_id} was fenced off")
+                response = client.request(do="end", act=response["act"])
+        if "fenced" in response:
+            lease.on_fenced(response["fenced"])
+            raise LeaseLostError(
+                f"{lease.proposer.proposer_id} was fenced off: a newer fencing token is in use"
+            )
 
     def _acquire(self, name: str) -> Lease:
-        """Start to acquire a lease with the task's times."""
+        """Start to acquire a lease with the configured times."""
         return self.leases.acquire(
             name, self.configuration.ttl_seconds, self.configuration.operation_seconds
         )
 
 
 class LeaseTaskSubsystem(LeasesSubsystem):
-    """The leases subsystem with the task on a thread that lasts as long as the process."""
+    """The leases subsystem, which also runs the task on a thread until the process ends."""
 
     def start(self) -> None:
         """Start the subsystem, and the task if this member is to run it."""
@@ -142,5 +144,5 @@
 
 
 def create_subsystem(context: SubsystemContext) -> LeaseTaskSubsystem:
-    """Make the subsystem; the node calls this in place of the leases package's own function."""
+    """Create the subsystem; the node calls this instead of the leases package's own function."""
     return LeaseTaskSubsystem(context)
--- a/stepstream/lab/processes/load_test.py
+++ b/stepstream/lab/processes/load_test.py
@@ -1,9 +1,9 @@
-"""Load test on loopback: emulated workers, discovery, clients and the real dispatcher.
+"""Load test on loopback: emulated workers, discovery and clients with the real dispatcher.
 
-`LoadTest` starts emulated workers and a discovery service in this process, the dispatcher in a
-process of its own, plays the request and fault schedules of a `Scenario`, and measures what the
-dispatcher used. It owns the child process, its log and a temporary folder; all of its state
-belongs to the event loop's thread.
+`LoadTest` starts emulated workers and a discovery service in this process and the dispatcher in a
+process of its own. It plays the request and fault schedules of a `Scenario` and measures the CPU
+time and memory of the dispatcher. It owns the child process, its log and a temporary folder; all
+of its state belongs to the event loop's thread.
 """
 
 import asyncio
@@ -37,35 +37,35 @@
 
 START_TIMEOUT_SECONDS = 20.0
 SHUTDOWN_TIMEOUT_SECONDS = 20.0
-POLL_INTERVAL_SECONDS = 0.02  # until a dispatcher accepts connections, or has ended
+POLL_INTERVAL_SECONDS = 0.02  # while it waits for a dispatcher to listen or to end
 PROGRESS_INTERVAL_SECONDS = 0.5
-LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}  # of the dispatcher's process
+DISPATCHER_LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 DISCOVERY_HOST = "127.0.0.1"
 
 EndpointEntry = dict[str, Any]
-"""A worker in the form of the discovery service's JSON."""
+"""A worker in the discovery service's JSON form."""
 
 
 class LoadTestError(DispatcherProcessError):
-    """A dispatcher of a load test did not start, or is not there."""
+    """A dispatcher of a load test did not become ready, or was never started."""
 
 
 @dataclass(slots=True)
 class LoadTestResult:
-    """Outcome of a run."""
+    """The outcome of a run."""
 
     figures: Figures
     cost: ProcessCost
-    late_ms: float  # the longest delay by which the lab itself sent a request late
+    late_ms: float  # greatest delay of a request behind its planned time, caused by the lab
 
 
 @dataclass(eq=False)
 class LoadTest:
-    """A dispatcher process with emulated workers, discovery and clients around it.
+    """A dispatcher process together with emulated workers, discovery and clients.
 
-    As an asynchronous context manager it starts and ends all of them; `play` may be called once
-    meanwhile. `with_gearman` says whether the dispatcher gets an operator's file with a Gearman
-    listener; without it, it runs as on the platform.
+    As an asynchronous context manager it starts and stops all of them; `play` may be called once
+    in between. `with_gearman` says whether the dispatcher gets an operator's file with a Gearman
+    listener; without that file it runs as on the platform.
     """
 
     scenario: Scenario
@@ -73,15 +73,15 @@
     with_gearman: bool = True
     clock: Clock = field(default_factory=Clock)
     workers: list[EmulatedWorker] = field(default_factory=list)
-    dispatchers: list[DispatcherProcess] = field(default_factory=list)  # once started
-    program: Sequence[str] = STEPSTREAM_PROGRAM  # that each dispatcher's process runs
+    dispatchers: list[DispatcherProcess] = field(default_factory=list)  # filled by `start`
+    program: Sequence[str] = STEPSTREAM_PROGRAM  # interpreter's arguments
 
     def __post_init__(self) -> None:
         self.verifier = Verifier(self.scenario)
         self.host = load_test_host()
-        self.http_addresses = [(self.host, free_port(self.host))]  # one a dispatcher
+        self.http_addresses = [(self.host, free_port(self.host))]  # one per dispatcher
         self.gearman_address = (self.host, free_port(self.host))
-        self.discovery = [DiscoveryEmulator(self.clock, self.verifier)]  # one a dispatcher
+        self.discovery = [DiscoveryEmulator(self.clock, self.verifier)]  # one per dispatcher
         self.temporary_folder = tempfile.TemporaryDirectory(prefix="stepstream-lab-")
         self.folder = Path(self.temporary_folder.name)
         self.fault_injector = WorkerFaultInjector(
@@ -100,8 +100,8 @@
     async def start(self) -> None:
         """Start discovery, HTTP workers, dispatchers and Gearman workers, in this order.
 
-        Raise LoadTestError with the end of the log if a dispatcher does not listen in time; nothing
-        runs after that.
+        If a dispatcher does not listen in time, stop everything and raise LoadTestError with the
+        end of its log.
         """
         try:
             await self._start_all()
@@ -126,18 +126,18 @@
                 await worker.start()
 
     def create_worker(self, index: int) -> EmulatedWorker:
-        """Build the emulated worker with this index; it does not run yet."""
+        """Create the emulated worker with this index; the caller starts it."""
         seeds = self.scenario.streams["nodes"].spawn(1)
         model = WorkerModel(self.scenario.worker_specs[index], seeds[0], self.clock.now_us())
         if self.scenario.worker_protocols[index] is WireProtocol.HTTP:
             return self.create_http_worker(model)
-        names = tuple(job_class.name for job_class in self.scenario.site.job_classes)
+        functions = tuple(job_class.name for job_class in self.scenario.site.job_classes)
         return GearmanWorker(
-            model, self.clock, self.verifier, address=self.gearman_address, functions=names
+            model, self.clock, self.verifier, address=self.gearman_address, functions=functions
         )
 
     def create_http_worker(self, model: WorkerModel) -> HttpWorker:
-        """Build an HTTP worker with this model."""
+        """Create an HTTP worker with this model."""
         return HttpWorker(
             model,
             self.clock,
@@ -165,9 +165,10 @@
         await self.discovery[0].update(self.endpoint_entry(worker, state, worker.port))
 
     async def announce(self, worker: EmulatedWorker, state: str) -> None:
-        """Change the worker's state in discovery, with the site's delay.
+        """Change the worker's state in discovery after the site's delay.
 
-        Discovery does not list Gearman workers: their connection says that they are there.
+        Do nothing for a Gearman worker: discovery does not list it, and the dispatcher knows it by
+        its connection.
         """
         if isinstance(worker, HttpWorker):
             delays_ms = self.scenario.site.discovery_delay_ms
@@ -195,12 +196,12 @@
             "listen": f"{host}:{port}",
             "discovery": discovery_address,
             "seed": f"{self.seed:x}",
-            "limits": LIMITS,
+            "limits": DISPATCHER_LIMITS,
             "settings": dispatcher_settings(self.scenario),
         }
 
     def operator_text(self, index: int) -> str | None:  # noqa: ARG002  there is one dispatcher
-        """Return the content of a dispatcher's operator's file; None if it gets no such file."""
+        """Return the content of a dispatcher's operator's file; None if it gets no file."""
         if not self.with_gearman:
             return None
         host, port = self.gearman_address
@@ -215,12 +216,12 @@
         for dispatcher, address in zip(self.dispatchers, self.http_addresses, strict=True):
             await wait_for_listener(dispatcher, address, deadline_seconds)
         if self.with_gearman:
-            await wait_for_listener(self.dispatcher(), self.gearman_address, deadline_seconds)
+            await wait_for_listener(self.first_dispatcher(), self.gearman_address, deadline_seconds)
 
-    def dispatcher(self) -> DispatcherProcess:
+    def first_dispatcher(self) -> DispatcherProcess:
         """Return the first dispatcher; raise LoadTestError if `start` has not started it."""
         if not self.dispatchers:
-            raise LoadTestError("the dispatcher's process is not started: call LoadTest.start")
+            raise LoadTestError("no dispatcher is started: call LoadTest.start first")
         return self.dispatchers[0]
 
     async def stop(self) -> None:
@@ -252,8 +253,8 @@
     async def play(self, on_progress: Callable[[Clients], None] | None = None) -> LoadTestResult:
         """Play the request schedule with its faults and return the outcome.
 
-        `on_progress` is called twice a second. An end of the dispatcher before that of the
-        schedule is a breach in the result; an error of the lab's own is raised.
+        `on_progress` is called every `PROGRESS_INTERVAL_SECONDS`. If the dispatcher ends before the
+        schedule does, the result has a breach; an error of the lab itself is raised.
         """
         clients = Clients(
             self.scenario,
@@ -262,26 +263,26 @@
             self.http_addresses[0],
             self.gearman_address,
         )
-        before = self.cost()
+        cost_before = self.cost()
         self.fault_injector.schedule()
-        reporting = None
+        progress_task = None
         if on_progress:
-            reporting = asyncio.ensure_future(self.report_progress(clients, on_progress))
-        run = asyncio.ensure_future(clients.run())
-        ended = asyncio.ensure_future(wait_for_exit(self.dispatcher()))
+            progress_task = asyncio.ensure_future(self.report_progress(clients, on_progress))
+        clients_task = asyncio.ensure_future(clients.run())
+        exit_task = asyncio.ensure_future(wait_for_exit(self.first_dispatcher()))
         try:
-            await asyncio.wait((run, ended), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((clients_task, exit_task), return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for task in (run, ended, reporting):
+            for task in (clients_task, exit_task, progress_task):
                 if task is not None and not task.done():
                     task.cancel()
-        if run.done():
-            run.result()  # raises an error of the lab's own, which is not the dispatcher's
+        if clients_task.done():
+            clients_task.result()  # raises an error of the lab itself
         else:
-            text = f"the dispatcher ended: {self.dispatcher().log_tail()}"
-            self.verifier.record_breach(self.clock.now_us(), text)
-        after = self.cost()
-        cost = ProcessCost(after.cpu_s - before.cpu_s, after.rss_mb)
+            message = f"the dispatcher ended: {self.first_dispatcher().log_tail()}"
+            self.verifier.record_breach(self.clock.now_us(), message)
+        cost_after = self.cost()
+        cost = ProcessCost(cost_after.cpu_s - cost_before.cpu_s, cost_after.rss_mb)
         return LoadTestResult(self.verifier.figures(), cost, clients.max_start_delay_us / US_PER_MS)
 
     async def report_progress(
@@ -293,8 +294,8 @@
             await asyncio.sleep(PROGRESS_INTERVAL_SECONDS)
 
     def cost(self) -> ProcessCost:
-        """Return what the dispatcher's process used so far; zeros if it has gone."""
-        return read_cost(self.dispatcher().started_process().pid)
+        """Return what the dispatcher's process has used so far; zeros if it has ended."""
+        return read_cost(self.first_dispatcher().started_process().pid)
 
 
 async def wait_for_listener(
@@ -302,7 +303,7 @@
 ) -> None:
     """Wait until a dispatcher accepts connections at an address.
 
-    Raise LoadTestError if its process ends, or at this monotonic time.
+    Raise LoadTestError if its process ends, or at the monotonic time `deadline_seconds`.
     """
     while True:
         try:
@@ -329,7 +330,7 @@
     if isinstance(worker, HttpWorker):
         if worker.server is not None:
             worker.server.close()
-        for peer in list(worker.connections):
-            peer.close()
+        for connection in list(worker.connections):
+            connection.close()
     elif worker.writer is not None:
         worker.writer.close()
--- a/stepstream/lab/processes/process_controller.py
+++ b/stepstream/lab/processes/process_controller.py
@@ -5,7 +5,7 @@
 
 
 class ProcessController:
-    """A cluster of processes as the `FaultTarget` of a schedule."""
+    """The `FaultTarget` of a schedule that is a cluster of processes."""
 
     def __init__(self, cluster: DispatcherCluster) -> None:
         self.cluster = cluster
@@ -17,7 +17,7 @@
         return tuple(self.cluster.members)
 
     def is_running(self, name: str) -> bool:
-        """Return whether the member's process exists; a suspended one does."""
+        """Return whether the member's process exists, even if it is suspended."""
         return self.cluster.members[name].is_running()
 
     def start(self, name: str) -> None:
@@ -46,7 +46,7 @@
             self.cluster.resume(name)
 
     def set_link_faults(self, cut_pairs: set[LinkPair], loss_probability: float) -> None:
-        """Replace the cut links (sender, receiver) and the fraction of datagrams that is lost."""
+        """Replace the cut links (sender, receiver) and the probability that a datagram is lost."""
         with self.cluster.relay.lock:
             self.cluster.relay.links.cut_pairs = cut_pairs
             self.cluster.relay.links.loss_probability = loss_probability
--- a/stepstream/lab/processes/shifted_clock.py
+++ b/stepstream/lab/processes/shifted_clock.py
@@ -1,4 +1,4 @@
-"""Run a module as a program whose time of day is off; its monotonic clock is not.
+"""Run a module as a program with a shifted Unix time; its monotonic clock is unchanged.
 
     python -m stepstream.lab.processes.shifted_clock OFFSET_SECONDS MODULE ARGUMENT...
 
@@ -9,20 +9,20 @@
 import sys
 import time
 
-NANOSECONDS = 1_000_000_000
+NS_PER_SECOND = 1_000_000_000
 
 
-def shift_time_of_day(offset_seconds: float) -> None:
+def shift_unix_time(offset_seconds: float) -> None:
     """Add an offset to `time.time` and `time.time_ns` of this process."""
-    offset_ns = int(offset_seconds * NANOSECONDS)
+    offset_ns = int(offset_seconds * NS_PER_SECOND)
     real_time = time.time
     real_time_ns = time.time_ns
-    time.time = lambda: real_time() + offset_ns / NANOSECONDS
+    time.time = lambda: real_time() + offset_ns / NS_PER_SECOND
     time.time_ns = lambda: real_time_ns() + offset_ns
 
 
 if __name__ == "__main__":
     offset_text, module = sys.argv[1:3]
-    shift_time_of_day(float(offset_text))
+    shift_unix_time(float(offset_text))
     sys.argv = sys.argv[2:]
     runpy.run_module(module, run_name="__main__", alter_sys=True)
--- a/tests/lab/processes/test_process_cleanup.py
+++ b/tests/lab/processes/test_process_cleanup.py
@@ -16,7 +16,7 @@
 from stepstream.lab.processes.lease_cluster import LeaseDispatcherCluster
 from stepstream.lab.processes.load_test import LoadTest, LoadTestError
 
-# n0 runs on without an answer; every other dispatcher ends at once.
+# With this program, n0 runs but never answers, and every other dispatcher ends at once.
 ONLY_N0_RUNS = (
     "-c",
     "import os, sys, time\n"
@@ -28,24 +28,24 @@
 
 
 def child_processes():
-    """The children of all threads of this process, those included that have ended unreaped."""
+    """The ids of the child processes of all threads, including those not yet waited for."""
     tasks = Path("/proc/self/task").iterdir()
     return {pid for task in tasks for pid in (task / "children").read_text().split()}
 
 
 def open_sockets():
-    targets = set()
+    link_targets = set()
     for descriptor in Path("/proc/self/fd").iterdir():
         try:
-            targets.add(os.readlink(descriptor))
+            link_targets.add(os.readlink(descriptor))
         except FileNotFoundError:
-            continue  # the listing's own
-    return {target for target in targets if target.startswith("socket:")}
+            continue  # the descriptor of this listing, which is closed by now
+    return {target for target in link_targets if target.startswith("socket:")}
 
 
 @pytest.fixture
-def leaves_nothing(tmp_path, monkeypatch):
-    """Compare processes, threads, sockets and temporary folders before and after the test."""
+def check_nothing_left(tmp_path, monkeypatch):
+    """Check that the test leaves no additional process, thread, socket or temporary file."""
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
     before = (child_processes(), set(threading.enumerate()), open_sockets())
     yield
@@ -54,7 +54,7 @@
     assert list(tmp_path.iterdir()) == []
 
 
-@pytest.mark.usefixtures("leaves_nothing")
+@pytest.mark.usefixtures("check_nothing_left")
 def test_a_cluster_that_fails_to_start_leaves_nothing_behind():
     cluster = DispatcherCluster(2, seed=1)
     cluster.program = MemberProgram(ONLY_N0_RUNS)
@@ -62,7 +62,7 @@
         pytest.fail("the cluster started")
 
 
-@pytest.mark.usefixtures("leaves_nothing")
+@pytest.mark.usefixtures("check_nothing_left")
 def test_a_lease_cluster_that_fails_to_start_leaves_nothing_behind(monkeypatch):
     # A module that does not exist ends the interpreter at once, after the ledger was started.
     monkeypatch.setattr("stepstream.lab.processes.lease_cluster.MEMBER_MODULE", "no_such_module")
@@ -71,8 +71,8 @@
         pytest.fail("the cluster started")
 
 
-@pytest.mark.usefixtures("leaves_nothing")
-def test_a_cluster_whose_members_do_not_answer_in_time_leaves_nothing_behind(monkeypatch):
+@pytest.mark.usefixtures("check_nothing_left")
+def test_a_cluster_whose_start_times_out_leaves_nothing_behind(monkeypatch):
     monkeypatch.setattr("stepstream.lab.processes.dispatcher_cluster.START_TIMEOUT_SECONDS", 0.5)
     cluster = DispatcherCluster(1, seed=1)
     cluster.program = MemberProgram(ONLY_N0_RUNS)
@@ -83,22 +83,22 @@
         pytest.fail("the cluster started")
 
 
-async def start(test):
+async def expect_start_to_fail(test):
     await test.start()
     pytest.fail("the load test started")
 
 
-@pytest.mark.usefixtures("leaves_nothing")
+@pytest.mark.usefixtures("check_nothing_left")
 def test_a_load_test_that_fails_to_start_leaves_nothing_behind():
     scenario = generate_scenario(read_site(), 1, 1, "mixed")
     test = LoadTest(scenario, 1, program=ENDS_AT_ONCE)
     with pytest.raises(LoadTestError, match="this dispatcher ends at once"):
-        asyncio.run(start(test))
+        asyncio.run(expect_start_to_fail(test))
 
 
-@pytest.mark.usefixtures("leaves_nothing")
+@pytest.mark.usefixtures("check_nothing_left")
 def test_a_cluster_load_test_that_fails_to_start_leaves_nothing_behind():
     scenario = generate_scenario(read_site(), 1, 1, "http")
     test = ClusterLoadTest(scenario, 1, dispatcher_count=2, program=ENDS_AT_ONCE)
     with pytest.raises(LoadTestError, match="this dispatcher ends at once"):
-        asyncio.run(start(test))
+        asyncio.run(expect_start_to_fail(test))
--- a/tests/lab/processes/test_stop_soak.py
+++ b/tests/lab/processes/test_stop_soak.py
@@ -1,4 +1,4 @@
-"""The soak of stops: one seed draws one plan, two short soaks hold, and an early kill is found."""
+"""The stop soak: equal seeds give equal plans, no request is lost, and a lost one is reported."""
 
 import asyncio
 
@@ -10,14 +10,14 @@
 from stepstream.lab.processes.stop_soak import StopSoak
 from stepstream.lab.reports.stop_soak import play_seed
 
-SECONDS = 8
-EARLY_KILL = StopPlan(
+SOAK_SECONDS = 8
+TWO_SIGTERMS = StopPlan(
     tuple(PlannedStop(1.0 + index, index, StopKind.SIGTERM, 0, False, 0.0) for index in range(2)),
     has_extra_connections=False,
 )
 
 
-def test_a_seed_draws_one_plan():
+def test_the_same_seed_draws_the_same_plan_and_some_seeds_draw_each_kind_of_stop():
     assert generate_stop_plan(5, 3, 10.0) == generate_stop_plan(5, 3, 10.0)
     plans = [generate_stop_plan(seed, 3, 10.0) for seed in range(20)]
     assert {stop.kind for plan in plans for stop in plan.stops} == set(StopKind)
@@ -25,26 +25,26 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_no_request_is_lost_in_a_soak_of_stops(seed, tmp_path):
-    result = play_seed(seed, SECONDS, tmp_path)
+def test_a_stop_soak_loses_no_request(seed, tmp_path):
+    result = play_seed(seed, SOAK_SECONDS, tmp_path)
     assert result.breaches == ()
     assert result.requests > 0
 
 
 class EarlyKillSoak(StopSoak):
-    """A platform that kills a process as soon as it has sent SIGTERM."""
+    """A soak whose platform kills a process immediately after SIGTERM."""
 
     kill_after_seconds = 0.0
 
 
-def test_a_soak_finds_the_requests_that_an_early_kill_loses():
-    # Guards against a harness that cannot see what it is there for.
+def test_a_stop_soak_reports_requests_that_are_lost_by_a_kill_right_after_sigterm():
+    # Guards against a soak that always passes because it does not notice lost requests.
     scenario = generate_scenario(read_site(), 1, 4, "http")
 
-    async def play():
-        soak = EarlyKillSoak(scenario, 1, dispatcher_count=2, plan=EARLY_KILL)
+    async def play_soak():
+        soak = EarlyKillSoak(scenario, 1, dispatcher_count=2, plan=TWO_SIGTERMS)
         async with soak:
             await soak.play_plan()
         return soak.verifier.breaches
 
-    assert any("lost: " in breach for breach in asyncio.run(play()))
+    assert any("lost: " in breach for breach in asyncio.run(play_soak()))
