--- a/stepstream/lab/verification/__init__.py
+++ b/stepstream/lab/verification/__init__.py
@@ -1,1 +1,1 @@
-"""Verification of runs: the delivery invariants and their score, and the ledger behind a lease."""
+"""Verification of runs: the delivery rules, the score, and the ledger that leases guard."""
--- a/stepstream/lab/verification/ledger.py
+++ b/stepstream/lab/verification/ledger.py
@@ -8,8 +8,8 @@
 `{"error": TEXT}`. FILE gets one JSON object a line for each operation, with the ledger's own
 monotonic time, before the response is sent.
 
-Every connection has a thread of the server's; the `Ledger` that they share has a lock.
-`ledger_record.py` holds the record and its check.
+The server runs a thread for each connection; the `Ledger` that the threads share has a lock.
+`ledger_record.py` has the record and its verification.
 """
 
 import json
@@ -56,17 +56,17 @@
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.socket = socket.create_connection(address, timeout=TIMEOUT_SECONDS)
-        self.lines = self.socket.makefile("rb")
+        self.response_lines = self.socket.makefile("rb")
 
     def request(self, **members: object) -> JsonObject:
-        """Send a request with these members and return the ledger's response."""
+        """Send a JSON object with these members and return the ledger's response."""
         self.socket.sendall(json.dumps(members).encode() + b"\n")
-        response: JsonObject = json.loads(self.lines.readline())
+        response: JsonObject = json.loads(self.response_lines.readline())
         return response
 
     def close(self) -> None:
         """Close the connection."""
-        self.lines.close()
+        self.response_lines.close()
         self.socket.close()
 
 
--- a/stepstream/lab/verification/ledger_record.py
+++ b/stepstream/lab/verification/ledger_record.py
@@ -37,8 +37,8 @@
     holder: str
 
 
-class Span(NamedTuple):
-    """A completed operation, from begin to end by the ledger's monotonic time in seconds."""
+class CompletedOperation(NamedTuple):
+    """A completed operation: its begin and end by the ledger's monotonic time in seconds."""
 
     begin: float
     end: float
@@ -49,15 +49,15 @@
     """Admit operations by their fencing tokens and append each one to a file."""
 
     def __init__(self, path: Path) -> None:
-        self.lock = threading.Lock()  # guards all below, and the order of the lines in the file
+        self.lock = threading.Lock()  # guards all below and the order of the lines in the file
         self.guard = FencingGuard()
         self.file = path.open("a", encoding="utf-8")
-        self.operations: list[Operation] = []  # by number
+        self.operations: list[Operation] = []  # index: the operation's number
 
     def admit(self, request: JsonObject) -> JsonObject:
         """Admit or reject the begin or end of an operation, record it and return the response.
 
-        Raise KeyError, IndexError or TypeError if a member of the request is missing or wrong.
+        Raise KeyError, IndexError or TypeError if a member of the request is missing or invalid.
         """
         with self.lock:
             step = request["do"]
@@ -105,17 +105,17 @@
 
 
 def find_breaches(entries: list[LedgerEntry]) -> list[str]:
-    """Verify a ledger's entries: return a sentence for each breach of mutual exclusion.
+    """Return a description of each breach of mutual exclusion in a ledger's entries.
 
-    Tokens never fall, no two holders share a token, and the operations of two holders, from begin
-    to end, do not overlap. Rejected operations had no effect and do not count.
+    Tokens must never decrease, no two holders may share a token, and the operations of two holders,
+    from begin to end, must not overlap. Rejected operations had no effect and do not count.
     """
     admitted = [entry for entry in entries if not is_rejected(entry)]
     return _token_breaches(admitted) + _overlap_breaches(admitted)
 
 
 def _token_breaches(admitted: list[LedgerEntry]) -> list[str]:
-    """Return the tokens that fell or that two holders used."""
+    """Describe each token that is smaller than an earlier one or that two holders used."""
     breaches = []
     highest = 0
     owners: dict[int, str] = {}
@@ -123,7 +123,7 @@
         token = entry["token"]
         holder = entry["holder"]
         if token < highest:
-            breaches.append(f"token {token} taken after {highest} at {entry['at']:.3f}")
+            breaches.append(f"token {token} admitted after {highest} at {entry['at']:.3f}")
         highest = max(highest, token)
         owner = owners.setdefault(token, holder)
         if owner != holder:
@@ -132,17 +132,19 @@
 
 
 def _overlap_breaches(admitted: list[LedgerEntry]) -> list[str]:
-    """Return the operations that overlap the next one, by time of begin, of another holder."""
+    """Describe each overlap of an operation with the next one to begin, of another holder."""
     begun_at: dict[int, float] = {}
-    spans: list[Span] = []
+    completed: list[CompletedOperation] = []
     for entry in admitted:
         if entry["what"] == "begin":
             begun_at[entry["act"]] = entry["at"]
         else:
-            spans.append(Span(begun_at[entry["act"]], entry["at"], entry["holder"]))
-    spans.sort()
+            completed.append(
+                CompletedOperation(begun_at[entry["act"]], entry["at"], entry["holder"])
+            )
+    completed.sort()
     return [
-        f"acts of {span.holder} and {following.holder} overlap at {following.begin:.3f}"
-        for span, following in pairwise(spans)
-        if following.begin < span.end and span.holder != following.holder
+        f"operations of {earlier.holder} and {following.holder} overlap at {following.begin:.3f}"
+        for earlier, following in pairwise(completed)
+        if following.begin < earlier.end and earlier.holder != following.holder
     ]
--- a/stepstream/lab/verification/observations.py
+++ b/stepstream/lab/verification/observations.py
@@ -1,4 +1,4 @@
-"""Record what emulated workers and clients observe in a run: the input of the rules and the score.
+"""Records of what emulated workers and clients observe: the input of the rules and the score.
 
 All times are in microseconds on the lab's clock unless a name or comment says otherwise.
 """
@@ -50,7 +50,7 @@
     """One request of a client, with all attempts of the dispatcher to serve it."""
 
     attempts: list[Attempt] = field(default_factory=list)
-    results: set[str] = field(default_factory=set)  # those that workers produced for this request
+    results: set[str] = field(default_factory=set)  # the results that workers produced for it
     outcomes: list[FinalOutcome] = field(default_factory=list)  # more than one is a breach
 
     def may_have_run(self) -> list[Attempt]:
--- a/stepstream/lab/verification/score.py
+++ b/stepstream/lab/verification/score.py
@@ -1,9 +1,9 @@
 """Score a run by the jobs that were served within their latency objective.
 
-Each part of the score is a fraction from 0 to 1: the priority weight of the jobs served in time
-over that of the jobs submitted. The score is the weighted sum of four parts, each computed by one
-function: the whole run, its worst window, its worst job class and its worst tenant. To add a part,
-write its function, give it a weight and add both to `score_run`.
+Each part of the score is a fraction from 0 to 1: the priority weight of the jobs served in time,
+divided by that of the jobs submitted. The score is the weighted sum of four parts, each computed by
+one function: the whole run, its worst window, its worst job class and its worst tenant. To add a
+part, write its function, choose its weight and add both to `score_run`.
 """
 
 from collections import Counter
@@ -16,7 +16,7 @@
 from stepstream.lab.verification.observations import FinalOutcome, JobRecord
 
 WINDOW_US = 10_000_000
-"""Length of the sliding windows of which the worst one enters the score."""
+"""Length of a sliding window; the worst window is a part of the score."""
 
 WINDOW_STEP_US = 1_000_000
 """Time between the starts of two windows."""
@@ -116,7 +116,10 @@
 
 
 def latency_objective_us(site: Site, planned: PlannedRequest) -> float:
-    """Return a job's latency objective: its class's, stretched by its work, up to the deadline."""
+    """Return a job's latency objective: that of its class plus `stretch` times the job's work.
+
+    The objective is never longer than the deadline.
+    """
     job_class = site.job_classes[planned.class_index]
     objective_us = job_class.latency_objective_ms * US_PER_MS + job_class.stretch * planned.work_us
     return min(objective_us, job_class.deadline_ms * US_PER_MS)
@@ -130,7 +133,7 @@
 
 
 def priority_weight(site: Site, planned: PlannedRequest) -> float:
-    """Return a job's weight: its class's, times the job's work if the site says so."""
+    """Return a job's weight: that of its class, times the job's work if the site weighs by work."""
     weight = site.job_classes[planned.class_index].priority_weight
     if site.weight_by is WeightBasis.WORK:
         return weight * planned.work_us * planned.slots
@@ -138,7 +141,7 @@
 
 
 def in_time_fraction(site: Site, records: list[JobRecord]) -> float:
-    """Return the weight served in time over the weight submitted; 1 where nothing was submitted."""
+    """Return the weight served in time over the weight submitted; 1 if nothing was submitted."""
     if not records:
         return 1.0
     weights = [priority_weight(site, record.planned) for record in records]
@@ -194,7 +197,7 @@
 
 
 def quantile(ordered: list[float], fraction: float) -> float:
-    """Return the value at the given fraction of an ordered list; 0 where it is empty."""
+    """Return the value at the given fraction of an ordered list; 0 if the list is empty."""
     if not ordered:
         return 0.0
     return ordered[min(int(fraction * len(ordered)), len(ordered) - 1)]
--- a/stepstream/lab/verification/verifier.py
+++ b/stepstream/lab/verification/verifier.py
@@ -43,33 +43,33 @@
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
-        self.started_at_us = 0  # start of the run; set by whoever plays it
+        self.started_at_us = 0  # set by the caller when the run starts
         self.requests: dict[RequestKey, ClientRequest] = {}
         self.records: dict[int, JobRecord] = {}  # by job number
-        # By worker: since when the dispatcher knows that it drains or is gone.
+        # By worker: since when the dispatcher knows that the worker drains or is gone.
         self.drain_known_since_us: dict[str, int] = {}
         self.breaches: list[str] = []
         self.attempt_count = 0  # arrivals at workers
 
-    def record_breach(self, now_us: int, text: str) -> None:
+    def record_breach(self, now_us: int, description: str) -> None:
         """Record a breach with its time since the start of the run, up to `MAX_BREACHES`."""
         if len(self.breaches) < MAX_BREACHES:
             elapsed_seconds = (now_us - self.started_at_us) / US_PER_SECOND
-            self.breaches.append(f"{elapsed_seconds:.3f} s: {text}")
+            self.breaches.append(f"{elapsed_seconds:.3f} s: {description}")
 
     def figures(self) -> Figures:
-        """Score the run so far."""
+        """Return the figures of the run so far."""
         records = list(self.records.values())
         return score_run(self.scenario, records, self.attempt_count, self.breaches)
 
     # -- at the workers ---------------------------------------------------------------------------
 
     def on_drain_known(self, now_us: int, worker: str) -> None:
-        """Note that the dispatcher knows from now on that the worker drains or is gone."""
+        """Record that the dispatcher knows from now on that the worker drains or is gone."""
         self.drain_known_since_us.setdefault(worker, now_us)
 
     def on_worker_ready(self, worker: str) -> None:
-        """Note that the worker accepts new work again."""
+        """Record that the worker accepts new work again."""
         self.drain_known_since_us.pop(worker, None)
 
     def on_arrival(self, now_us: int, key: RequestKey, worker: str, cell: int) -> Attempt:
@@ -89,7 +89,7 @@
             job_class=job_class,
             drain_known_since_us=self.drain_known_since_us.get(worker),
             drain_grace_us=self.scenario.site.drain_grace_ms * US_PER_MS,
-            label=f"{_label(key, job_class)} at {worker}",
+            description=f"{_describe_request(key, job_class)} at {worker}",
         )
         self._apply(ARRIVAL_RULES, arrival, now_us)
         request.attempts.append(attempt)
@@ -120,7 +120,7 @@
         record.outcome = outcome
         record.elapsed_us = now_us - self.started_at_us - record.planned.at_us
         job_class = self._job_class(key)
-        response = Response(outcome, result, request, job_class, _label(key, job_class))
+        response = Response(outcome, result, request, job_class, _describe_request(key, job_class))
         self._apply(RESPONSE_RULES, response, now_us)
 
     # -- common -----------------------------------------------------------------------------------
@@ -133,9 +133,9 @@
     ) -> None:
         """Apply each rule to the observation and record the breaches."""
         for rule in rules:
-            text = rule(observation)
-            if text is not None:
-                self.record_breach(now_us, text)
+            breach = rule(observation)
+            if breach is not None:
+                self.record_breach(now_us, breach)
 
     def _job_class(self, key: RequestKey) -> JobClassTable:
         """Return the job class of a request."""
@@ -143,6 +143,6 @@
         return self.scenario.site.job_classes[planned.class_index]
 
 
-def _label(key: RequestKey, job_class: JobClassTable) -> str:
-    """Return the name of a request in the texts of breaches."""
+def _describe_request(key: RequestKey, job_class: JobClassTable) -> str:
+    """Return the words that identify a request in the texts of breaches."""
     return f"{job_class.name} {key.job_number} try {key.client_attempt}"
--- a/tests/lab/verification/test_delivery_rules.py
+++ b/tests/lab/verification/test_delivery_rules.py
@@ -1,8 +1,8 @@
-"""The rules of delivery: each breach is found, and what the rules allow is no breach.
+"""The rules of delivery: every rule finds its breach, and permitted runs have no breach.
 
-A case of `BREACHES` plays one job of the class `nav-publish`, which is idempotent with a key for
-6 s within a cell, at a site with 500 ms of drain grace. To test a new rule, add a function and its
-case.
+A case of `BREACHES` plays one job of the class `nav-publish` at a site whose drain grace is 500 ms.
+The class is idempotent with a key: a job may be repeated for 6 s within one cell. To test a new
+rule, add a function that breaks it, and its case.
 """
 
 import pytest
@@ -41,7 +41,7 @@
     verifier.on_arrival(1, key, "b", 1)
 
 
-def repeat_after_the_window(verifier, key):
+def repeat_after_the_idempotency_window(verifier, key):
     verifier.on_arrival(1, key, "a", 0)
     verifier.on_arrival(10_000_000, key, "b", 0)
 
@@ -56,28 +56,34 @@
 
 
 BREACHES = [
-    pytest.param(serve_unknown_result, "served with what no node made", id="unknown-result"),
+    pytest.param(serve_unknown_result, "no worker produced", id="unknown-result"),
     pytest.param(lose_connection, "lost", id="lost-connection"),
-    pytest.param(respond_twice, "second final answer", id="second-response"),
+    pytest.param(respond_twice, "second final response", id="second-response"),
     pytest.param(
         reject_after_arrival, "refused though it may have run", id="rejected-after-arrival"
     ),
-    pytest.param(arrive_twice_at_one_worker, "a second open call", id="second-open-attempt"),
-    pytest.param(repeat_in_another_cell, "outside its cell", id="repeated-in-another-cell"),
-    pytest.param(repeat_after_the_window, "past its window", id="repeated-after-the-window"),
+    pytest.param(arrive_twice_at_one_worker, "second open attempt", id="second-open-attempt"),
+    pytest.param(repeat_in_another_cell, "outside the cell", id="repeated-in-another-cell"),
+    pytest.param(
+        repeat_after_the_idempotency_window,
+        "after its idempotency window",
+        id="repeated-after-the-window",
+    ),
     pytest.param(arrive_after_the_drain_grace, "new work after the drain", id="after-drain"),
-    pytest.param(overload_a_worker_in_slow_start, "pushed over", id="overload-in-slow-start"),
+    pytest.param(
+        overload_a_worker_in_slow_start, "overloaded until it failed", id="overload-in-slow-start"
+    ),
 ]
 
 
-@pytest.mark.parametrize(("play", "text"), BREACHES)
-def test_a_breach_is_recorded_once(verifier, submit, play, text):
-    play(verifier, submit("nav-publish"))
+@pytest.mark.parametrize(("break_rule", "expected_text"), BREACHES)
+def test_a_broken_rule_records_exactly_one_breach(verifier, submit, break_rule, expected_text):
+    break_rule(verifier, submit("nav-publish"))
     (breach,) = verifier.breaches
-    assert text in breach
+    assert expected_text in breach
 
 
-def test_a_request_served_by_its_worker_is_no_breach(verifier, submit):
+def test_a_result_that_the_worker_produced_is_no_breach(verifier, submit):
     key = submit("nav-publish")
     verifier.on_arrival(10, key, "s-1", 0).open = False
     verifier.on_result(key, "r")
@@ -102,7 +108,7 @@
     assert not verifier.breaches
 
 
-def test_an_idempotent_job_may_run_twice_and_be_rejected(verifier, submit):
+def test_an_idempotent_job_may_run_twice_and_then_be_rejected(verifier, submit):
     key = submit("revalue")
     verifier.on_arrival(5, key, "a", 0)
     verifier.on_arrival(5, key, "b", 0)
@@ -110,16 +116,16 @@
     assert not verifier.breaches
 
 
-def test_a_repetition_without_idempotency_is_a_breach():
+def test_a_repetition_of_a_job_that_is_not_idempotent_is_a_breach():
     scenario = generate_scenario(read_site(name="probed"), seed=1, seconds=5, mix="http")
     effects = [job_class.effect for job_class in scenario.site.job_classes]
-    number = next(
+    job_number = next(
         request.number
         for request in scenario.requests
         if effects[request.class_index] is JobEffect.NOT_IDEMPOTENT
     )
     verifier = Verifier(scenario)
-    verifier.on_arrival(1, RequestKey(number, 0), "a", 0)
-    verifier.on_arrival(2, RequestKey(number, 0), "b", 0)
+    verifier.on_arrival(1, RequestKey(job_number, 0), "a", 0)
+    verifier.on_arrival(2, RequestKey(job_number, 0), "b", 0)
     (breach,) = verifier.breaches
     assert "sent again though it may have run" in breach
--- a/tests/lab/verification/test_score.py
+++ b/tests/lab/verification/test_score.py
@@ -1,4 +1,4 @@
-"""The score: which jobs count as served in time."""
+"""Which jobs the score counts as served in time."""
 
 from stepstream.lab.verification.observations import FinalOutcome
 from stepstream.lab.verification.score import is_in_time
--- a/tests/lab/verification/test_verifier.py
+++ b/tests/lab/verification/test_verifier.py
@@ -1,4 +1,4 @@
-"""The verifier: how it records breaches, and which attempts it verifies."""
+"""The verifier: how it records breaches, and which attempts it checks."""
 
 from stepstream.lab.verification.observations import RequestKey
 from stepstream.lab.verification.verifier import MAX_BREACHES
@@ -6,13 +6,13 @@
 
 def test_a_breach_states_the_time_since_the_start_of_the_run(verifier):
     verifier.started_at_us = 2_000_000
-    verifier.record_breach(3_500_000, "text")
-    assert verifier.breaches == ["1.500 s: text"]
+    verifier.record_breach(3_500_000, "description")
+    assert verifier.breaches == ["1.500 s: description"]
 
 
-def test_breaches_beyond_the_limit_are_dropped(verifier):
+def test_at_most_max_breaches_are_recorded(verifier):
     for _ in range(MAX_BREACHES + 1):
-        verifier.record_breach(1, "text")
+        verifier.record_breach(1, "description")
     assert len(verifier.breaches) == MAX_BREACHES
 
 
@@ -23,7 +23,7 @@
     assert not verifier.breaches
 
 
-def test_a_worker_that_is_ready_again_takes_new_work(verifier, submit):
+def test_new_work_for_a_worker_that_is_ready_again_is_no_breach(verifier, submit):
     verifier.on_drain_known(1, "a")
     verifier.on_worker_ready("a")
     verifier.on_arrival(10_000_000, submit("nav-publish"), "a", 0)
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -86,7 +86,7 @@
         {"at": 5.0, "what": "begin", "token": 7, "holder": "c", "act": 2},
     ]
     found = " / ".join(ledger_record.find_breaches(rows))
-    assert "token 5 taken after 7" in found
+    assert "token 5 admitted after 7" in found
     assert "of b and of c" in found
     assert "a and b overlap" in found
     sequential_rows = [
