--- a/stepstream/lab/simulation/cluster.py
+++ b/stepstream/lab/simulation/cluster.py
@@ -1,15 +1,15 @@
 """Simulate the processes of a cluster and the links between them, for any protocol.
 
-`SimulatedCluster` is what the clusters of membership and of leases have in common. A cluster owns
-the only random generator of its run, so a seed replays a whole run as long as the order of the
-random numbers stays.
+`SimulatedCluster` is the common base of the clusters of membership and of leases. A cluster owns
+the only random generator of its run, so a seed replays a whole run as long as the code draws the
+random numbers in the same order.
 
 A process is in one of three states:
 
 - stopped: it has no protocol, and packets to it are lost.
 - running: it receives packets and ticks when its protocol requests it.
-- stalled: as after SIGSTOP. Packets wait in its socket's queue, up to what that holds, and its
-  tick waits. When it resumes, it works off both.
+- stalled: as after SIGSTOP. Packets wait in its socket's queue until the queue is full, and its
+  tick waits. When the process resumes, it handles both.
 
 `start` leads to running; `kill` and `leave` to stopped; `stall` and `resume` from running to
 stalled and back. A process may be killed while it is stalled.
@@ -32,10 +32,10 @@
 
 STALL_FOREVER_SECONDS = 1e9
 MAX_TICK_AT_SECONDS = 1e12
-"""Bounds the time of a tick that is never due, which a protocol gives as infinity."""
+"""Replaces infinity, which a protocol returns as the time of a tick that is never due."""
 
 SOCKET_QUEUE_PACKETS = 256
-"""What the socket of a stalled process holds; the rest is lost."""
+"""Capacity of the socket queue of a stalled process; further packets are lost."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,13 +53,13 @@
 
     name: str
     stalled_until: float = 0.0
-    tick_number: int = 0  # of the scheduled tick that counts; earlier ones are void
+    tick_number: int = 0  # of the newest scheduled tick; earlier ones do nothing
     socket_queue: list[Packet] = field(default_factory=list)  # received while stalled
 
     @property
     @abstractmethod
     def is_running(self) -> bool:
-        """Whether the process exists; a stalled one does."""
+        """Whether the process exists; true for a stalled process as well."""
 
     @abstractmethod
     def discard_state(self) -> None:
@@ -70,19 +70,19 @@
 
 
 class SimulatedCluster(Timeline, ABC, Generic[ProcessT]):
-    """Simulate a cluster; a subclass plugs in the protocol. It is a `FaultTarget`.
+    """Simulate a cluster; a subclass adds the protocol. It implements `FaultTarget`.
 
     Attributes:
         rng: the source of every random number of the run.
         links: the properties of all links; they may change while the cluster runs.
         processes: all processes by member name, running or not.
-        packets_sent: packets that processes sent, also those that were lost.
-        bytes_sent: the sum of their lengths.
+        packets_sent: number of packets that processes sent, lost ones included.
+        bytes_sent: the sum of the lengths of these packets.
 
     """
 
     tick_margin_seconds: ClassVar[float] = 0.0
-    """Delay of a tick past its time, where the rounding of clocks could make it too early."""
+    """Added to the time of each tick, so that rounding of clocks does not make the tick early."""
 
     def __init__(
         self, seed: int, processes: Iterable[ProcessT], links: Links | None = None
@@ -94,7 +94,7 @@
         self.packets_sent = 0
         self.bytes_sent = 0
 
-    # -- what a protocol plugs in -----------------------------------------------------------------
+    # -- implemented by the protocol's cluster ----------------------------------------------------
 
     @abstractmethod
     def start(self, name: str) -> None:
@@ -110,7 +110,7 @@
 
     @abstractmethod
     def tick_protocol(self, process: ProcessT) -> None:
-        """Let a process do what is due now, and send what follows."""
+        """Let a process do what is due now, and send the packets that result."""
 
     @abstractmethod
     def handle_packet(self, process: ProcessT, packet: Packet) -> None:
@@ -120,8 +120,8 @@
         """
 
     @abstractmethod
-    def work_off_stall(self, process: ProcessT) -> None:
-        """Let a process that has just resumed do what it missed."""
+    def catch_up_after_stall(self, process: ProcessT) -> None:
+        """Let a process that has just resumed do what waited during its stall."""
 
     @abstractmethod
     def process_at(self, address: str) -> ProcessT | None:
@@ -133,12 +133,12 @@
 
     @abstractmethod
     def has_recovered(self) -> bool:
-        """Return whether the cluster is as it must be some time after the last fault."""
+        """Return whether the cluster has reached the state that must follow the last fault."""
 
     def after_fault_step(self) -> None:
         """Do what a protocol needs right after a fault begins or ends; nothing by default."""
 
-    # -- faults.injector.FaultTarget --------------------------------------------------------------
+    # -- FaultTarget of faults.injector -----------------------------------------------------------
 
     @property
     def names(self) -> tuple[str, ...]:
@@ -146,7 +146,7 @@
         return tuple(self.processes)
 
     def is_running(self, name: str) -> bool:
-        """Return whether a member's process exists; a stalled one does."""
+        """Return whether a member's process exists; true for a stalled process as well."""
         return self.processes[name].is_running
 
     def start_all(self) -> None:
@@ -161,12 +161,12 @@
         process.tick_number += 1
 
     def leave(self, name: str) -> None:
-        """End a member's process as SIGTERM does, after it has announced that."""
+        """End a member's process as SIGTERM does, after it has announced that it leaves."""
         self.announce_leave(self.processes[name])
         self.kill(name)
 
     def stall(self, name: str, seconds: float = STALL_FOREVER_SECONDS) -> None:
-        """Suspend a process as SIGSTOP does, and resume it after `seconds` unless it is forever."""
+        """Suspend a process as SIGSTOP does, for `seconds` or by default until `resume`."""
         process = self.processes[name]
         process.stalled_until = self.now + seconds
         if seconds < STALL_FOREVER_SECONDS:
@@ -187,10 +187,10 @@
     def play(self, schedule: Schedule, max_recovery_seconds: float) -> float:
         """Play a fault schedule from now on, then end all faults.
 
-        Return the seconds from there until the cluster has recovered.
+        Return the seconds from the end of all faults until the cluster has recovered.
 
         Raises:
-            NotRecoveredError: it has not recovered after `max_recovery_seconds`.
+            NotRecoveredError: the cluster has not recovered after `max_recovery_seconds`.
             InvariantError: an invariant did not hold meanwhile.
 
         """
@@ -215,15 +215,15 @@
         return self.now < process.stalled_until
 
     def schedule_tick(self, process: ProcessT) -> None:
-        """Schedule a process's next tick; it replaces the one that was scheduled before."""
+        """Schedule a process's next tick, which replaces the tick that was scheduled before."""
         process.tick_number += 1
         requested_at = max(self.next_tick_at(process), self.now, process.stalled_until)
         due_at = min(requested_at, MAX_TICK_AT_SECONDS) + self.tick_margin_seconds
         self.call_at(due_at, partial(self._tick_if_current, process, process.tick_number))
 
-    def _tick_if_current(self, process: ProcessT, number: int) -> None:
-        """Tick a process unless this tick was replaced, or the process ended or stalls."""
-        is_current = process.tick_number == number
+    def _tick_if_current(self, process: ProcessT, tick_number: int) -> None:
+        """Tick a process unless this tick was replaced or the process has ended or is stalled."""
+        is_current = process.tick_number == tick_number
         if process.is_running and is_current and not self.is_stalled(process):
             self.tick(process)
 
@@ -234,14 +234,14 @@
         self.schedule_tick(process)
 
     def _end_stall(self, process: ProcessT) -> None:
-        """Resume a process, unless it ended meanwhile or was stalled for longer."""
+        """Resume a process, unless it has ended meanwhile or a later stall still lasts."""
         if process.is_running and not self.is_stalled(process):
-            self.work_off_stall(process)
+            self.catch_up_after_stall(process)
 
     # -- links ------------------------------------------------------------------------------------
 
     def transmit(self, sender: ProcessT, address: str, data: bytes) -> None:
-        """Put a packet on the link to an address; it arrives never, once or twice."""
+        """Send a packet over the link to an address; the packet arrives never, once or twice."""
         self.packets_sent += 1
         self.bytes_sent += len(data)
         receiver = self.process_at(address)
@@ -252,7 +252,7 @@
             self.call_later(delay_seconds, partial(self.deliver, packet))
 
     def deliver(self, packet: Packet) -> None:
-        """Deliver a packet to the process at its address; queue it while that stalls."""
+        """Deliver a packet to the process at its address; queue it while the process is stalled."""
         process = self.process_at(packet.address)
         if process is None or not process.is_running:
             return
--- a/stepstream/lab/simulation/errors.py
+++ b/stepstream/lab/simulation/errors.py
@@ -2,23 +2,23 @@
 
 
 class InvariantError(Exception):
-    """Report an invariant that does not hold: which one, at what time and for which members."""
+    """An invariant does not hold: the text says which one, when and for which members."""
 
 
 class TwoHoldersError(InvariantError):
-    """Report two proposers that hold one lease at one instant."""
+    """Two proposers hold the same lease at the same time."""
 
 
 class OperationOrderError(InvariantError):
-    """Report operations that a guarded resource admitted in an order that leases rule out."""
+    """A guarded resource admitted operations in an order that leases must prevent."""
 
 
 class NotRecoveredError(InvariantError):
-    """Report a cluster that did not recover in time after the last fault."""
+    """A cluster did not recover in time after the last fault."""
 
 
 class NotRunningError(Exception):
-    """Report a call that needs a running process, on one that does not run."""
+    """A call needs a running process, but the process does not run."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"member {name} is not running")
--- a/stepstream/lab/simulation/guarded_resource.py
+++ b/stepstream/lab/simulation/guarded_resource.py
@@ -1,4 +1,4 @@
-"""Simulate the resource that a lease guards, and check from its side what leases promise.
+"""Simulate the resource that a lease guards, and check there what the lease must ensure.
 
 The resource admits the beginning and the end of an operation only with a fencing token that its
 guard accepts. Times are in seconds of the timeline.
@@ -11,12 +11,12 @@
 from stepstream.leases.fencing import FencingGuard
 
 CLOCK_TOLERANCE_SECONDS = 1e-9
-"""By how much the float sums of two clocks may differ."""
+"""Allowed difference of two clocks through the rounding of float sums."""
 
 
 @dataclass
 class Operation:
-    """One operation on a resource; `is_completed` if the resource admitted both its ends."""
+    """One operation on a resource; `is_completed` if its beginning and its end were admitted."""
 
     token: int
     proposer_id: str
@@ -27,7 +27,7 @@
 
 @dataclass
 class GuardedResource:
-    """A resource and all operations that it admitted; those not completed changed nothing."""
+    """A resource and all operations that it admitted; only completed ones changed the resource."""
 
     guard: FencingGuard = field(default_factory=FencingGuard)
     operations: list[Operation] = field(default_factory=list)
@@ -37,11 +37,11 @@
 
         Raises:
             FencedError: the guard rejects the token.
-            OperationOrderError: the guard admits a smaller token than before.
+            OperationOrderError: the guard admitted a token that is smaller than the one before.
 
         """
         self.guard.admit(token)
-        self.check_tokens_never_fall(now, token)
+        self.check_tokens_never_decrease(now, token)
         operation = Operation(token, proposer_id, now)
         self.operations.append(operation)
         return operation
@@ -50,8 +50,8 @@
         """Admit the end of an operation.
 
         Raises:
-            FencedError: the guard rejects its token.
-            OperationOrderError: it overlaps a completed operation of another proposer.
+            FencedError: the guard rejects the operation's token.
+            OperationOrderError: the operation overlaps a completed one of another proposer.
 
         """
         self.guard.admit(operation.token)
@@ -63,7 +63,7 @@
         """Return how many operations were completed."""
         return sum(operation.is_completed for operation in self.operations)
 
-    def check_tokens_never_fall(self, now: float, token: int) -> None:
+    def check_tokens_never_decrease(self, now: float, token: int) -> None:
         """Check that a new operation's token is not below that of the operation before it.
 
         This guards against a guard that lets an earlier holder write after a later one.
@@ -76,7 +76,8 @@
     def check_no_overlap(self, now: float, operation: Operation) -> None:
         """Check that a completed operation overlaps none that another proposer completed.
 
-        This guards against two holders that both change the resource, each by its own clock.
+        This guards against two proposers that both change the resource because each holds the lease
+        by its own clock.
         """
         for other in self.operations:
             if (
--- a/stepstream/lab/simulation/lease_cluster.py
+++ b/stepstream/lab/simulation/lease_cluster.py
@@ -1,9 +1,9 @@
 """Simulate members that contend for leases: every member runs the program's own `Participant`.
 
-`cluster` has the states of a process and the links. Each process has a monotonic clock of its own
-rate and a time of day. After a stall, the operating system may run its tick, its tasks and its
-received envelopes in any order, so that order is random. After every step of a process,
-`lease_invariants` checks what must hold.
+`cluster` has the states of a process and the links. Each process has a monotonic clock with its own
+rate, and a time of day. After a stall, the operating system may run the tick, the tasks and the
+received envelopes of a process in any order; here the order is random. After every step of a
+process, `lease_invariants` checks what must hold.
 """
 
 import random
@@ -40,16 +40,16 @@
     Each clock has a random rate, within the configuration's bound on clock drift.
 
     Attributes:
-        configuration: of the leases, for every process that starts from now on.
-        tasks: by member, what its process wants once it starts.
-        resources: by lease.
-        messages_sent: messages in the envelopes that were sent.
-        fenced_operations: operations that the guard rejected.
-        invariants: what is checked, and the grants that were observed.
+        configuration: of the leases; changes apply to processes that start afterwards.
+        tasks: by member, the tasks that its process runs from each start on.
+        resources: the guarded resources, by lease.
+        messages_sent: number of messages in the envelopes that were sent.
+        fenced_operations: number of operations that a guard rejected.
+        invariants: the checks of every step, and the grants that were observed.
 
     """
 
-    # So that the rounding of a clock never makes a tick too early.
+    # Longer than the rounding error of a process's clock, which could make a tick too early.
     tick_margin_seconds: ClassVar[float] = 1e-6
 
     def __init__(
@@ -100,7 +100,7 @@
             self.send(process, participant.release(now, proposer))
 
     def process_at(self, address: str) -> LeaseProcess | None:
-        """Return the process of a member; its address is its name."""
+        """Return the process of a member, whose address is its name."""
         return self.processes.get(address)
 
     # -- the protocol's steps ---------------------------------------------------------------------
@@ -110,7 +110,7 @@
         return process.to_timeline(process.running_participant.next_tick_at())
 
     def tick_protocol(self, process: LeaseProcess) -> None:
-        """Let a process do what is due now, and send what follows."""
+        """Let a process do what is due now, and send the envelopes that result."""
         now = process.to_local_time(self.now)
         self.send(process, process.running_participant.tick(now))
 
@@ -122,7 +122,7 @@
         self.check_invariants(process)
         self.schedule_tick(process)
 
-    def work_off_stall(self, process: LeaseProcess) -> None:
+    def catch_up_after_stall(self, process: LeaseProcess) -> None:
         """Run the tick, the envelopes and the tasks that waited, in a random order."""
         steps: list[Step] = [partial(self.tick, process)]
         steps += [partial(self.deliver, packet) for packet in process.socket_queue]
@@ -151,7 +151,7 @@
     def call_in_process(self, process: LeaseProcess, delay_seconds: float, step: Step) -> None:
         """Run a step of a task later, unless the process ends or is restarted before.
 
-        A step that comes due during a stall waits for its end.
+        A step that comes due during a stall waits for the end of the stall.
         """
         start_number = process.starts
 
@@ -183,7 +183,7 @@
         return self.invariants.grants
 
     def holders(self, lease: str) -> list[str]:
-        """Return the proposers that would find now, by their own clocks, that they hold it."""
+        """Return the proposers that hold a lease now by their own clocks."""
         return [holder.proposer_id for holder in self.invariants.holders(self.now, lease)]
 
     def has_recovered(self) -> bool:
--- a/stepstream/lab/simulation/lease_invariants.py
+++ b/stepstream/lab/simulation/lease_invariants.py
@@ -2,8 +2,8 @@
 
 - At most one proposer holds a lease: `check`, after every step of a process.
 - A holder is rejected only for a later token: `check_fenced_by_a_later_token`, called by the tasks.
-- Tokens never fall, and operations of two holders do not overlap: `guarded_resource`, from the
-  resource's side.
+- Tokens never decrease, and operations of two holders do not overlap: `guarded_resource`, which
+  checks both at the resource.
 """
 
 from collections.abc import Iterable, Iterator
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class ObservedGrant:
-    """A proposer that was first seen to hold a lease, in seconds of the timeline."""
+    """A proposer, and the time in seconds of the timeline when it was first seen with a lease."""
 
     lease: str
     proposer_id: str
@@ -42,9 +42,10 @@
                     yield process, proposer
 
     def holders(self, now: float, lease: str) -> list[Proposer]:
-        """Return the proposers that would find now, by their own clocks, that they hold it.
+        """Return the proposers that hold a lease now by their own clocks.
 
-        Those of stalled processes count: such a process may resume in the middle of an operation.
+        Proposers of stalled processes are included: such a process may resume in the middle of an
+        operation.
         """
         expired_at = now + CLOCK_TOLERANCE_SECONDS
         return [
@@ -85,9 +86,9 @@
 
 
 def check_fenced_by_a_later_token(now: float, proposer_id: str, error: FencedError) -> None:
-    """Check that the resource fenced off an operation for a greater token than its own.
+    """Check that an operation was rejected because of a greater token than its own.
 
-    This guards against a guard that rejects the present holder.
+    This detects a guard that rejects the present holder.
     """
     if error.highest_token == error.token:
         raise OperationOrderError(f"{now:.3f} s: {proposer_id} was rejected for its own token")
--- a/stepstream/lab/simulation/lease_process.py
+++ b/stepstream/lab/simulation/lease_process.py
@@ -16,11 +16,11 @@
     """The simulated process of one member.
 
     Attributes:
-        clock_rate: local seconds per second of the timeline, of its monotonic clock.
-        clock_offset_seconds: by how much its time of day is ahead.
+        clock_rate: seconds of its monotonic clock per second of the timeline.
+        clock_offset_seconds: by how much its time of day is ahead of the timeline's.
         clock_origin: the time of the timeline at which its monotonic clock showed zero.
-        participant: None while the process does not run.
-        starts: how often it was started.
+        participant: the program's own; None while the process does not run.
+        starts: how often the process was started.
         stalled_steps: steps of its tasks that came due during a stall.
 
     """
@@ -34,7 +34,7 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process exists; a stalled one does."""
+        """Whether the process exists; true for a stalled process as well."""
         return self.participant is not None
 
     @property
--- a/stepstream/lab/simulation/lease_tasks.py
+++ b/stepstream/lab/simulation/lease_tasks.py
@@ -1,13 +1,16 @@
-"""Tasks that contend for leases: each acquires one again and again and operates while it holds it.
+"""Tasks that contend for leases: each repeatedly acquires a lease and operates while it holds it.
 
 A `TaskRun` is in one of these states; `LeaseCluster.call_in_process` runs its steps:
 
-- thinking: it does not want the lease. A random pause leads to waiting.
-- waiting: its proposer tries to acquire the lease. It polls until it may begin an operation.
-- operating: it checks the lease, begins an operation on the resource and ends it, all with random
-  pauses between, so that anything may happen to the process in the middle. Then it waits again.
-- From waiting it goes back to thinking, after a release, once it has held the lease for long enough
-  or an operation was fenced off.
+- thinking: the task does not want the lease. After a random pause it is waiting.
+- waiting: the task's proposer tries to acquire the lease. The task polls the lease until it may
+  begin an operation.
+- operating: the task checks the lease, begins an operation on the resource and ends it, with a
+  random pause before each step, so that faults also fall between two steps. Afterwards the task is
+  waiting again.
+
+After it has held the lease for long enough, or after the resource rejected its token, a waiting
+task releases the lease and is thinking again.
 """
 
 import random
@@ -28,16 +31,16 @@
 """Pause between two operations of one task."""
 
 POLL_SECONDS = (0.02, 0.1)
-"""Least and greatest pause between two polls of a task that may not operate."""
+"""Shortest and longest pause between two polls of a task that may not operate."""
 
 THINK_FACTOR = (0.5, 1.5)
-"""Least and greatest pause before a task wants its lease again, by the mean one."""
+"""Shortest and longest pause before a task wants its lease again, as factors of the mean pause."""
 
 OPERATION_FRACTION = (0.2, 1.0)
-"""Least and greatest length of an operation, by the longest one."""
+"""Shortest and longest operation, as fractions of `Task.max_operation_seconds`."""
 
 CHECK_FRACTION = 0.3
-"""The part of an operation's time that passes between the check and the beginning."""
+"""The fraction of an operation's time between the check of the lease and the beginning."""
 
 
 @dataclass(frozen=True)
@@ -48,8 +51,8 @@
         lease: the name of the lease and of the resource.
         ttl_seconds: the lease's time to live.
         max_operation_seconds: the longest operation.
-        hold_seconds: after which a task with a lease releases it.
-        think_seconds: the mean pause until it wants the lease again.
+        hold_seconds: the time after which the task releases the lease.
+        think_seconds: the mean pause until the task wants the lease again.
 
     """
 
@@ -70,7 +73,7 @@
     fenced_operations: int
 
     def call_in_process(self, process: LeaseProcess, delay_seconds: float, step: Step) -> None:
-        """Run a step later, as long as the process was not restarted."""
+        """Run a step later, unless the process ends or is restarted before."""
 
     def send(self, process: LeaseProcess, envelopes: list[OutgoingEnvelope]) -> None:
         """Put a process's envelopes on the links."""
@@ -83,7 +86,7 @@
         self._host = host
         self._process = process
         self._task = task
-        # Local time of the first operation under the present lease, infinity before that.
+        # Local time of the first operation with the present lease; infinity before it.
         self._first_operation_at = inf
 
     def acquire(self) -> None:
@@ -103,7 +106,7 @@
         self._host.call_in_process(self._process, delay_seconds, step)
 
     def _poll(self, proposer: Proposer) -> None:
-        """Look at the lease, and operate if the task may."""
+        """Check the lease, and begin an operation if the task may."""
         now = self._local_now()
         if proposer.is_over:
             factor = self._host.rng.uniform(*THINK_FACTOR)
@@ -118,9 +121,10 @@
             self._call_later(pause_seconds, lambda: self._poll(proposer))
 
     def _prepare_operation(self, proposer: Proposer) -> None:
-        """Begin an operation a moment after the check that the task may.
+        """Schedule the beginning of an operation, a moment after the check of the lease.
 
-        The longest operation is in local seconds, and so shorter by the drift on the timeline.
+        `max_operation_seconds` counts on the process's own clock, which may run fast by the drift.
+        So on the timeline the operation is shorter by this drift.
         """
         max_seconds = self._task.max_operation_seconds
         factor = self._host.rng.uniform(*OPERATION_FRACTION)
@@ -150,7 +154,7 @@
         self._call_later(OPERATION_GAP_SECONDS, lambda: self._poll(proposer))
 
     def _on_fenced(self, proposer: Proposer, error: FencedError) -> None:
-        """Give up a lease whose token is behind one that the resource has seen."""
+        """Release a lease whose token is smaller than one that the resource has seen."""
         self._host.fenced_operations += 1
         check_fenced_by_a_later_token(self._host.now, proposer.proposer_id, error)
         self._process.running_participant.advance_ballots_past(error.highest_token)
--- a/stepstream/lab/simulation/membership_cluster.py
+++ b/stepstream/lab/simulation/membership_cluster.py
@@ -1,8 +1,8 @@
 """Simulate a membership cluster: every member runs the program's own `MembershipProtocol`.
 
-`cluster` has the states of a process and the links. After a stall, a member first does what is due,
-then handles what waits in its socket: it can notice by the late tick that it stalled. After every
-step of a member, `membership_invariants` checks what must hold.
+`cluster` has the states of a process and the links. After a stall, a member first ticks and
+then handles the packets in its socket queue, so that it can notice the stall by the late tick.
+After every step of a member, `membership_invariants` checks what must hold.
 """
 
 import random
@@ -43,10 +43,10 @@
     """Simulate members `n0`, `n1`, ... and the links between them.
 
     Attributes:
-        settings: the protocol's, for every member.
+        settings: the protocol settings of every member.
         seeds: addresses of the members that a new one contacts first.
-        process_by_address: who listens where.
-        invariants: what is checked, and the deaths that members declared.
+        process_by_address: the process that listens at each address.
+        invariants: the checks of every step, and the deaths that members declared.
 
     """
 
@@ -66,9 +66,9 @@
     # -- processes --------------------------------------------------------------------------------
 
     def add_process(self, key: str, process: MembershipProcess) -> None:
-        """Add a process that does not run; it takes over its address if another had it.
+        """Add a process that does not run; packets to its address go to it from now on.
 
-        `key` is its key in `processes`: its name, unless it contends for that of another.
+        `key` is its key in `processes`: its name, unless another process already has that name.
         """
         self.processes[key] = process
         self.process_by_address[process.address] = process
@@ -76,7 +76,7 @@
     def start(
         self, name: str, seeds: tuple[str, ...] | None = None, generation: int | None = None
     ) -> None:
-        """Start a member's process; its generation is by default its time of day in ms."""
+        """Start a member's process; the default generation is its time of day in ms."""
         process = self.processes[name]
         if generation is None:
             generation = self.generation_now(process)
@@ -100,7 +100,7 @@
         self.schedule_tick(process)
 
     def generation_now(self, process: MembershipProcess) -> int:
-        """Return the generation of a start at this moment, by the process's own clock."""
+        """Return the generation of a start now, by the process's own time of day."""
         time_of_day = FIRST_START_SECONDS + self.now + process.clock_offset_seconds
         return int(time_of_day * MILLISECONDS)
 
@@ -123,7 +123,7 @@
         return process.running_protocol.next_tick_at()
 
     def tick_protocol(self, process: MembershipProcess) -> None:
-        """Let a member do what is due now, and send what follows."""
+        """Let a member do what is due now, and send the datagrams that result."""
         self.send(process, process.running_protocol.tick(self.now))
 
     def handle_packet(self, process: MembershipProcess, packet: Packet) -> None:
@@ -135,8 +135,8 @@
         if protocol.next_tick_at() < tick_at_before:
             self.schedule_tick(process)
 
-    def work_off_stall(self, process: MembershipProcess) -> None:
-        """Tick a member, then hand it what waited in its socket."""
+    def catch_up_after_stall(self, process: MembershipProcess) -> None:
+        """Tick a member, then hand it the packets of its socket queue."""
         self.tick(process)
         queued = process.socket_queue
         process.socket_queue = []
@@ -168,7 +168,7 @@
     def start_counting(self, hold_seconds: float) -> None:
         """Let each member count the members and confirm deaths from now on.
 
-        `membership.subsystem` does so in the program. `hold_seconds` is `MemberCount`'s.
+        In the program, `membership.subsystem` does this. `hold_seconds` is passed to `MemberCount`.
         """
         for process in self.processes.values():
             delay_seconds = self.rng.uniform(0, COUNT_INTERVAL_SECONDS)
@@ -197,7 +197,7 @@
         process.member_count.update(observed, confirmations)
 
     def counted_members(self, name: str) -> int:
-        """Return how many members this one counts; 0 if it does not count."""
+        """Return how many members this member counts; 0 if it does not count."""
         member_count = self.processes[name].member_count
         return len(member_count.counted_names) if member_count is not None else 0
 
@@ -208,7 +208,7 @@
         return self.has_converged()
 
     def has_converged(self) -> bool:
-        """Return whether all running members hold one list: each other alive, and nobody else."""
+        """Return whether all running members hold the same list, with exactly them alive."""
         running = self.running()
         protocols = [process.running_protocol for process in running]
         if len({protocol.digest for protocol in protocols}) != 1:
@@ -221,7 +221,7 @@
         return alive == {process.name for process in running}
 
     def is_known_as(self, name: str, states: tuple[MemberState, ...]) -> bool:
-        """Return whether all other running members hold this one in one of these states."""
+        """Return whether all other running members hold this member in one of these states."""
         for process in self.running():
             if process.name == name:
                 continue
--- a/stepstream/lab/simulation/membership_invariants.py
+++ b/stepstream/lab/simulation/membership_invariants.py
@@ -1,7 +1,7 @@
 """Invariants of the membership protocol, checked after every step of a simulated member.
 
-Each invariant is one function or method that says what it guards against. What has to be remembered
-between two checks is kept here and not in the processes, as it outlives them.
+Each invariant is one function or method that says what it guards against. The state between
+two checks is kept here and not in the processes, because it outlives them.
 """
 
 from collections import defaultdict
@@ -18,15 +18,15 @@
 from stepstream.membership.protocol_settings import ProtocolSettings
 
 FALSE_DEATH_CHECK_SECONDS = 0.1
-"""Time between two checks of one member for false deaths."""
+"""Time between two checks of one observer for false deaths."""
 
 MAX_FALSE_DEATH_PERIODS = 40
-"""Probe intervals for which a reachable member may be believed dead."""
+"""Number of probe intervals for which a reachable member may be believed dead."""
 
 MAX_BROADCASTS_PER_MEMBER = 3
 
 RecordVersion = tuple[int, str, int]
-"""What orders the records of one member, its state left out: generation, address, incarnation."""
+"""The fields that order a member's records, without the state: generation, address, incarnation."""
 
 
 def version_of(record: MemberRecord) -> RecordVersion:
@@ -35,19 +35,19 @@
 
 
 class EndedVersions:
-    """The invariant that no member returns on a record that an observer saw end.
+    """The invariant that no member is present again with a record that an observer saw end.
 
-    A member that was dead or had left may be present again only with a greater generation, address
-    or incarnation. This guards against old records that overtake newer ones, and against members
-    that flicker between dead and alive without having refuted their death.
+    A member that was dead or had left may be present again only with a greater version: generation,
+    address or incarnation. This guards against old records that replace newer ones, and against
+    members that alternate between dead and alive without having refuted their death.
     """
 
     def __init__(self) -> None:
-        # By observing process and member: the greatest version that it saw end.
+        # By observing process and member: the greatest version that the process saw end.
         self._ended: dict[tuple[str, str], RecordVersion] = {}
 
     def observe(self, now: float, observer: str, record: MemberRecord) -> bool:
-        """Check a record that an observer holds; InvariantError if it returned on an ended one.
+        """Check a record that an observer holds; InvariantError if it is present after its end.
 
         Return whether the observer sees this version end for the first time.
         """
@@ -66,13 +66,13 @@
         return True
 
     def forget_observer(self, observer: str) -> None:
-        """Forget what an observer saw: a restart of it begins anew."""
+        """Forget what an observer saw, because it restarts."""
         self._ended = {key: version for key, version in self._ended.items() if key[0] != observer}
 
 
 @dataclass(frozen=True)
 class DeclaredDeath:
-    """An observer that came to believe a member dead, in seconds of the timeline.
+    """An observer, a member that it declared dead, and the time in seconds of the timeline.
 
     `was_running` says whether the member's process existed at that moment.
     """
@@ -85,7 +85,7 @@
 
 @dataclass
 class ObserverState:
-    """What is remembered of one observing process between two checks."""
+    """The state of one observing process between two checks."""
 
     checked_event: int = 0  # number of the newest membership event that was checked
     false_deaths_checked_at: float = -1.0
@@ -94,7 +94,7 @@
 
 
 class ObservedCluster(Protocol):
-    """What the checks read of a cluster."""
+    """The parts of a cluster that the checks read."""
 
     now: float
     links: Links
@@ -115,17 +115,17 @@
         self._observers: defaultdict[MembershipProcess, ObserverState] = defaultdict(ObserverState)
 
     def on_start(self, process: MembershipProcess) -> None:
-        """Forget what was remembered of the process that ran before."""
+        """Discard what the member's earlier process observed."""
         observer = self._observers[process]
         observer.checked_event = 0
         observer.false_deaths = {}
 
     def on_stall_ended(self, process: MembershipProcess) -> None:
-        """Restart the clocks of false deaths: a stalled process could not correct any."""
+        """Forget since when deaths are false: a stalled process could not correct them."""
         self._observers[process].false_deaths = {}
 
     def check(self, process: MembershipProcess) -> None:
-        """Check every invariant after a step of a running member; InvariantError if one broke."""
+        """Check every invariant after a step of a running member; InvariantError if one fails."""
         protocol = process.running_protocol
         self.check_no_lasting_false_death(process, protocol)
         self.check_state_is_bounded(process, protocol)
@@ -134,10 +134,10 @@
     def check_no_lasting_false_death(
         self, process: MembershipProcess, protocol: MembershipProtocol
     ) -> None:
-        """Check that a member believes no running and reachable one dead for too long.
+        """Check that a member does not believe a running, reachable member dead for too long.
 
-        This guards against a death that nobody tells the dead member of, so that it never refutes
-        it, and against members that are never contacted again after a partition.
+        This guards against a member that is never told that it was declared dead and so cannot
+        refute it, and against members that are never contacted again after a partition.
         """
         now = self._cluster.now
         observer = self._observers[process]
@@ -172,7 +172,7 @@
         return found
 
     def _is_linked(self, one: str, other: str) -> bool:
-        """Return whether the link between two members is cut in neither direction."""
+        """Return whether the link between two members is intact in both directions."""
         cut_pairs = self._cluster.links.cut_pairs
         return (one, other) not in cut_pairs and (other, one) not in cut_pairs
 
@@ -181,7 +181,7 @@
     ) -> None:
         """Check that a member's list and its queue of updates stay within their bounds.
 
-        This guards against a memory leak by names that come and go.
+        This guards against memory that grows with the number of member names ever seen.
         """
         max_members = self._cluster.settings.max_members
         max_broadcasts = MAX_BROADCASTS_PER_MEMBER * max_members
@@ -209,7 +209,7 @@
                 self._check_record(process, member.record)
 
     def _check_record(self, process: MembershipProcess, record: MemberRecord) -> None:
-        """Check a changed record, and note a death that is new to its observer."""
+        """Check a changed record, and record a death that is new to its observer."""
         now = self._cluster.now
         observer = f"{process.name}@{process.started_at}"
         is_new_end = self._ended_versions.observe(now, observer, record)
--- a/stepstream/lab/simulation/membership_process.py
+++ b/stepstream/lab/simulation/membership_process.py
@@ -16,10 +16,10 @@
     """The simulated process of one member; times are in seconds of the timeline.
 
     Attributes:
-        address: where it listens.
-        protocol: None while the process does not run.
-        started_at: when its process started last.
-        clock_offset_seconds: by how much its time of day is ahead.
+        address: the address at which it listens.
+        protocol: the program's own; None while the process does not run.
+        started_at: when the process was last started.
+        clock_offset_seconds: by how much its time of day is ahead of the timeline's.
         member_count: its count of the members; None if it does not count.
 
     """
@@ -32,7 +32,7 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process exists; a stalled one does."""
+        """Whether the process exists; true for a stalled process as well."""
         return self.protocol is not None
 
     @property
--- a/stepstream/lab/simulation/random_lease_cluster.py
+++ b/stepstream/lab/simulation/random_lease_cluster.py
@@ -12,25 +12,25 @@
 START_SECONDS = 3.0
 """How long a new cluster runs before it is returned."""
 
-SIZES = ((3, 5), (5, 7), (3, 10), (5, 10))
-"""Acceptors and members of the clusters; the seed chooses in turn."""
+CLUSTER_SIZES = ((3, 5), (5, 7), (3, 10), (5, 10))
+"""Numbers of acceptors and of members; the seed selects one pair."""
 
 DUPLICATE_PROBABILITY = 0.05
 MIN_DELAY_SECONDS = 0.0005
 MAX_DELAYS_SECONDS = (0.005, 0.12)
 REORDER_PROBABILITIES = (0.0, 0.03, 0.1)
-REORDER_DELAYS_SECONDS = (0.4, 7.0)  # within and beyond the time to live
-HOLDS_SECONDS = (3.0, 3.0, 1e6)
+REORDER_DELAYS_SECONDS = (0.4, 7.0)  # shorter and longer than the time to live
+HOLD_TIMES_SECONDS = (3.0, 3.0, 1e6)
 CLOCK_OFFSETS_SECONDS = (0.0, 0.0, -500.0, 300.0)
 
 
 def generate_lease_cluster(seed: int, max_clock_drift: float = 0.01) -> LeaseCluster:
     """Return a cluster that was started and has one lease that every member wants.
 
-    Its clocks, links and tasks follow from the seed, as long as the order of the random numbers
-    stays.
+    The seed determines its clocks, links and tasks, as long as the code draws the random numbers in
+    the same order.
     """
-    acceptors, members = SIZES[seed % len(SIZES)]
+    acceptors, members = CLUSTER_SIZES[seed % len(CLUSTER_SIZES)]
     names = [f"n{number}" for number in range(members)]
     configuration = LeaseConfiguration(
         tuple(names[:acceptors]),
@@ -46,8 +46,8 @@
         delay_seconds=(MIN_DELAY_SECONDS, choice(MAX_DELAYS_SECONDS)),
     )
     for name, process in cluster.processes.items():
-        cluster.tasks[name] = [Task(LEASE, hold_seconds=choice(HOLDS_SECONDS))]
-        # Members disagree on the time of day, from which their first ballots follow.
+        cluster.tasks[name] = [Task(LEASE, hold_seconds=choice(HOLD_TIMES_SECONDS))]
+        # The members' times of day differ, and the number of a first ballot comes from it.
         process.clock_offset_seconds = choice(CLOCK_OFFSETS_SECONDS)
     cluster.start_all()
     cluster.run(START_SECONDS)
--- a/stepstream/lab/simulation/timeline.py
+++ b/stepstream/lab/simulation/timeline.py
@@ -1,6 +1,7 @@
 """A discrete-event clock: scheduled steps run in the order of their times.
 
-Steps of one instant run in the order in which they were scheduled, so that a seed replays exactly.
+Steps with the same time run in the order in which they were scheduled, so that a run with the same
+seed is repeated exactly.
 A `Timeline` owns its queue and its clock and belongs to one thread. All times are in seconds.
 """
 
@@ -12,7 +13,7 @@
 Step = Callable[[], None]
 
 CHECK_INTERVAL_SECONDS = 0.1
-"""Least simulated time between two evaluations of the condition that ends a run."""
+"""Shortest simulated time between two evaluations of the condition that ends a run."""
 
 
 class ScheduledStep(NamedTuple):
@@ -42,8 +43,8 @@
     def run(self, seconds: float, until: Callable[[], bool] | None = None) -> bool:
         """Run the steps that are due within `seconds`, or until a condition holds.
 
-        The condition is evaluated after a step, once in `CHECK_INTERVAL_SECONDS` at most, and at
-        the end. Return whether it came true; False where there is none.
+        The condition is evaluated after a step, at most once in `CHECK_INTERVAL_SECONDS`, and at
+        the end. Return whether the condition became true; False if there is no condition.
         """
         end = self.now + seconds
         next_check = self.now
--- a/tests/lab/simulation/test_invariants.py
+++ b/tests/lab/simulation/test_invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of the simulated clusters, each on its own."""
+"""The invariants of the simulated clusters, each tested alone."""
 
 from math import inf
 
@@ -21,7 +21,7 @@
 OBSERVER = "n0@1"
 
 
-def record(state, generation=1, incarnation=0):
+def member_record(state, generation=1, incarnation=0):
     return MemberRecord("n1", "127.0.0.1:1", generation, incarnation, state)
 
 
@@ -30,40 +30,44 @@
 
 @pytest.mark.parametrize("ended_state", [MemberState.DEAD, MemberState.LEFT])
 @pytest.mark.parametrize("present_state", [MemberState.ALIVE, MemberState.SUSPECT])
-def test_a_member_may_not_return_on_an_ended_record(ended_state, present_state):
-    versions = EndedVersions()
-    versions.observe(1.0, OBSERVER, record(ended_state))
+def test_a_dead_or_left_member_that_is_present_again_with_the_same_record_is_a_violation(
+    ended_state, present_state
+):
+    ended_versions = EndedVersions()
+    ended_versions.observe(1.0, OBSERVER, member_record(ended_state))
     with pytest.raises(InvariantError, match="n0@1 has n1 back"):
-        versions.observe(2.0, OBSERVER, record(present_state))
+        ended_versions.observe(2.0, OBSERVER, member_record(present_state))
 
 
-@pytest.mark.parametrize("newer", [{"generation": 2}, {"incarnation": 1}], ids=str)
-def test_a_member_may_return_on_a_newer_record(newer):
-    versions = EndedVersions()
-    versions.observe(1.0, OBSERVER, record(MemberState.DEAD))
-    assert not versions.observe(2.0, OBSERVER, record(MemberState.ALIVE, **newer))
+@pytest.mark.parametrize("newer_fields", [{"generation": 2}, {"incarnation": 1}], ids=str)
+def test_a_dead_member_may_be_present_again_with_a_newer_record(newer_fields):
+    ended_versions = EndedVersions()
+    ended_versions.observe(1.0, OBSERVER, member_record(MemberState.DEAD))
+    assert not ended_versions.observe(
+        2.0, OBSERVER, member_record(MemberState.ALIVE, **newer_fields)
+    )
 
 
-def test_an_end_is_new_once():
-    versions = EndedVersions()
-    assert versions.observe(1.0, OBSERVER, record(MemberState.DEAD))
-    assert not versions.observe(2.0, OBSERVER, record(MemberState.DEAD))
+def test_only_the_first_observation_of_a_death_is_new():
+    ended_versions = EndedVersions()
+    assert ended_versions.observe(1.0, OBSERVER, member_record(MemberState.DEAD))
+    assert not ended_versions.observe(2.0, OBSERVER, member_record(MemberState.DEAD))
 
 
-def test_what_one_observer_saw_end_does_not_bind_another():
-    versions = EndedVersions()
-    versions.observe(1.0, OBSERVER, record(MemberState.DEAD))
-    assert not versions.observe(2.0, "n2@1", record(MemberState.ALIVE))
+def test_a_death_that_one_observer_saw_does_not_restrict_another_observer():
+    ended_versions = EndedVersions()
+    ended_versions.observe(1.0, OBSERVER, member_record(MemberState.DEAD))
+    assert not ended_versions.observe(2.0, "n2@1", member_record(MemberState.ALIVE))
 
 
-def test_an_observer_that_restarted_begins_anew():
-    versions = EndedVersions()
-    versions.observe(1.0, OBSERVER, record(MemberState.DEAD))
-    versions.forget_observer(OBSERVER)
-    assert not versions.observe(2.0, OBSERVER, record(MemberState.ALIVE))
+def test_a_restarted_observer_forgets_the_deaths_that_it_saw():
+    ended_versions = EndedVersions()
+    ended_versions.observe(1.0, OBSERVER, member_record(MemberState.DEAD))
+    ended_versions.forget_observer(OBSERVER)
+    assert not ended_versions.observe(2.0, OBSERVER, member_record(MemberState.ALIVE))
 
 
-def test_a_member_may_not_hold_more_members_than_its_bound():
+def test_a_member_list_longer_than_max_members_is_a_violation():
     cluster = MembershipCluster(1, 3, ProtocolSettings())
     cluster.start_all()
     cluster.settings = ProtocolSettings(max_members=2)
@@ -74,7 +78,7 @@
 # -- leases ---------------------------------------------------------------------------------------
 
 
-def test_a_lease_may_not_have_two_holders():
+def test_two_holders_of_a_lease_are_a_violation():
     configuration = LeaseConfiguration(("n0", "n1", "n2"), max_ttl_seconds=6.0)
     cluster = LeaseCluster(1, ["n0", "n1", "n2"], configuration)
     cluster.start_all()
@@ -86,23 +90,23 @@
         check_one_holder(1.0, "x", proposers[:2])
 
 
-def test_a_guard_may_reject_a_token_for_a_later_one():
+def test_a_guard_may_reject_a_token_because_of_a_greater_one():
     check_fenced_by_a_later_token(1.0, "n0@1.1", FencedError(4, 5))
 
 
-def test_a_guard_may_not_reject_a_token_for_itself():
+def test_a_guard_that_rejects_the_greatest_token_is_a_violation():
     with pytest.raises(OperationOrderError, match="its own token"):
         check_fenced_by_a_later_token(1.0, "n0@1.1", FencedError(5, 5))
 
 
-def test_tokens_of_operations_may_not_fall():
+def test_an_operation_with_a_smaller_token_than_the_one_before_is_a_violation():
     resource = GuardedResource()
     resource.begin(1.0, 5, "a")
     with pytest.raises(OperationOrderError, match="token 4 after 5"):
-        resource.check_tokens_never_fall(2.0, 4)
+        resource.check_tokens_never_decrease(2.0, 4)
 
 
-def test_completed_operations_of_two_proposers_may_not_overlap():
+def test_overlapping_completed_operations_of_two_proposers_are_a_violation():
     resource = GuardedResource()
     first = resource.begin(1.0, 5, "a")
     second = resource.begin(2.0, 5, "b")
@@ -111,11 +115,11 @@
         resource.end(4.0, second)
 
 
-def test_an_operation_that_was_not_completed_overlaps_none():
+def test_an_operation_that_was_not_completed_may_overlap_others():
     resource = GuardedResource()
-    unfinished = resource.begin(1.0, 5, "a")
+    incomplete = resource.begin(1.0, 5, "a")
     resource.end(3.0, resource.begin(2.0, 5, "b"))
-    assert unfinished.ended_at == inf
+    assert incomplete.ended_at == inf
     assert resource.completed_operations() == 1
 
 
--- a/tests/lab/simulation/test_simulated_cluster.py
+++ b/tests/lab/simulation/test_simulated_cluster.py
@@ -1,4 +1,4 @@
-"""Simulated time and what all simulated clusters share: stalls, ticks and links."""
+"""Simulated time, and the parts that all simulated clusters share: stalls, ticks and links."""
 
 from dataclasses import dataclass, field
 
@@ -18,7 +18,7 @@
 
 
 @dataclass(eq=False)
-class EchoProcess(SimulatedProcess):
+class RecordingProcess(SimulatedProcess):
     received: list = field(default_factory=list)
     ticks: list = field(default_factory=list)
     tick_at: float = NEVER
@@ -32,8 +32,8 @@
         self.running = False
 
 
-class EchoCluster(SimulatedCluster[EchoProcess]):
-    """Processes that note when they tick and what they receive; their addresses are their names."""
+class RecordingCluster(SimulatedCluster[RecordingProcess]):
+    """Processes that record their ticks and packets; the address of each is its name."""
 
     recovered = True
 
@@ -54,7 +54,7 @@
     def handle_packet(self, process, packet):
         process.received.append((self.now, packet.data))
 
-    def work_off_stall(self, process):
+    def catch_up_after_stall(self, process):
         queued, process.socket_queue = process.socket_queue, []
         for packet in queued:
             self.deliver(packet)
@@ -71,25 +71,25 @@
 
 @pytest.fixture
 def cluster():
-    """Two running processes, a and b; packets take a tenth of a second."""
+    """A cluster of two running processes, a and b; packets take 0.1 s."""
     links = Links(delay_seconds=(0.1, 0.1))
-    echo = EchoCluster(1, [EchoProcess("a"), EchoProcess("b")], links)
-    echo.start_all()
-    return echo
+    simulated = RecordingCluster(1, [RecordingProcess("a"), RecordingProcess("b")], links)
+    simulated.start_all()
+    return simulated
 
 
-def test_steps_of_one_instant_run_in_the_order_of_their_scheduling():
+def test_steps_with_the_same_time_run_in_the_order_of_scheduling():
     timeline = Timeline()
-    order = []
-    timeline.call_later(1.0, lambda: order.append("first"))
-    timeline.call_later(1.0, lambda: order.append("second"))
-    timeline.call_later(0.5, lambda: order.append("earlier"))
+    run_steps = []
+    timeline.call_later(1.0, lambda: run_steps.append("first"))
+    timeline.call_later(1.0, lambda: run_steps.append("second"))
+    timeline.call_later(0.5, lambda: run_steps.append("earlier"))
     timeline.run(2.0)
-    assert order == ["earlier", "first", "second"]
+    assert run_steps == ["earlier", "first", "second"]
     assert timeline.now == 2.0
 
 
-def test_a_run_ends_once_its_condition_holds():
+def test_a_run_ends_when_its_condition_holds():
     timeline = Timeline()
     for second in range(1, 10):
         timeline.call_later(second, lambda: None)
@@ -97,7 +97,7 @@
     assert timeline.now == 3.0
 
 
-def test_a_run_whose_condition_never_holds_takes_all_its_time():
+def test_a_run_whose_condition_never_holds_ends_after_its_full_time():
     timeline = Timeline()
     assert not timeline.run(10.0, lambda: False)
     assert timeline.now == 10.0
@@ -125,21 +125,21 @@
     assert not cluster.processes["b"].received
 
 
-def test_a_process_that_leaves_announces_it(cluster):
+def test_a_process_announces_that_it_leaves_and_stops(cluster):
     cluster.leave("a")
     cluster.run(1.0)
     assert not cluster.is_running("a")
     assert cluster.processes["b"].received == [(0.1, b"leaving")]
 
 
-def test_a_stalled_process_receives_after_its_stall(cluster):
+def test_a_stalled_process_receives_packets_after_its_stall(cluster):
     cluster.stall("b", 5.0)
     cluster.transmit(cluster.processes["a"], "b", b"hello")
     cluster.run(10.0)
     assert cluster.processes["b"].received == [(5.0, b"hello")]
 
 
-def test_a_process_that_is_resumed_receives_at_once(cluster):
+def test_a_resumed_process_receives_queued_packets_at_once(cluster):
     cluster.stall("b")
     cluster.transmit(cluster.processes["a"], "b", b"hello")
     cluster.run(2.0)
@@ -147,7 +147,7 @@
     assert cluster.processes["b"].received == [(2.0, b"hello")]
 
 
-def test_the_socket_of_a_stalled_process_holds_a_bounded_number_of_packets(cluster):
+def test_packets_to_a_stalled_process_beyond_its_socket_queue_are_lost(cluster):
     cluster.stall("b", 5.0)
     for _ in range(SOCKET_QUEUE_PACKETS + 10):
         cluster.transmit(cluster.processes["a"], "b", b"hello")
@@ -163,7 +163,7 @@
     assert process.ticks == [3.0]
 
 
-def test_a_rescheduled_tick_replaces_the_one_before(cluster):
+def test_a_rescheduled_tick_replaces_the_earlier_schedule(cluster):
     process = cluster.processes["a"]
     for tick_at in (3.0, 2.0):
         process.tick_at = tick_at
@@ -181,14 +181,14 @@
     assert not process.ticks
 
 
-def test_a_cluster_that_does_not_recover_from_a_schedule_is_an_error(cluster):
+def test_a_cluster_that_does_not_recover_after_a_fault_schedule_raises_an_error(cluster):
     cluster.recovered = False
     fault = Fault(kind=FaultKind.CRASH, begin_seconds=1.0, duration_seconds=1.0, members=("a",))
     with pytest.raises(NotRecoveredError, match=r"5\.0 s after the last fault"):
         cluster.play(Schedule((fault,)), 5.0)
 
 
-def test_every_process_runs_after_a_schedule(cluster):
+def test_a_crashed_process_runs_again_after_the_fault_schedule(cluster):
     fault = Fault(kind=FaultKind.CRASH, begin_seconds=1.0, duration_seconds=1.0, members=("a",))
     cluster.play(Schedule((fault,)), 5.0)
     assert cluster.is_running("a")
