--- a/tests/hot_restart/conftest.py
+++ b/tests/hot_restart/conftest.py
@@ -4,5 +4,5 @@
 
 
 @pytest.fixture(autouse=True)
-def end_threads(threads_end):
+def check_no_thread_left(threads_end):
     """Check after each test that no thread is left."""
