--- a/tests/golden/decision_codec.py
+++ b/tests/golden/decision_codec.py
@@ -1,8 +1,9 @@
-"""The one place where recorded decision streams meet the names of the program's types.
+"""Convert between the plain data of recorded decision streams and the program's types.
 
 A recorded stream holds plain data only: settings as the wire's dotted keys, enum values as the
 program spells them ("connect_failed", "persisted"), kinds of events and actions as lower-case
-words. After a rename in the program only this file changes; the recordings stay as they are.
+words. No other module of the recorded streams uses the names of the program's types: a rename in
+the program changes this file, and the recordings stay as they are.
 """
 
 import importlib
@@ -38,7 +39,7 @@
 )
 from stepstream.policy.load_balancer import LoadBalancer
 
-# The modules whose every line the recorded streams have to reach.
+# The recorded streams have to run every line of the functions in these modules.
 DECISION_MODULES = (
     "stepstream.model.actions",
     "stepstream.model.endpoints",
@@ -79,34 +80,35 @@
 )
 
 
-Policy = LoadBalancer  # what the streams are played against
+Policy = LoadBalancer  # the policy that decides on the events of the streams
 
 
 def decision_modules() -> list[ModuleType]:
-    """The modules that hold the decision code."""
+    """Return the modules that hold the decision code."""
     return [importlib.import_module(name) for name in DECISION_MODULES]
 
 
-def settings_from(pairs: dict[str, str]):
-    """The program's settings, from the wire's dotted keys."""
+def settings_from_pairs(pairs: dict[str, str]):
+    """Return the program's settings, read from the wire's dotted keys."""
     return read_settings(SettingsFields.from_pairs(pairs))
 
 
 def new_policy(settings: dict[str, str], seed: int, start_us: int) -> Policy:
-    """A policy that has been told nothing yet."""
-    return LoadBalancer(settings_from(settings), seed, start_us)
+    """Return a policy that has received no events yet."""
+    return LoadBalancer(settings_from_pairs(settings), seed, start_us)
 
 
 def decide(policy: Policy, now_us: int, events: list[dict]) -> list[dict]:
-    """Hand one round of plain events to the policy; its actions as plain data, in their order."""
-    actions = policy.handle(now_us, [event_from(event) for event in events])
+    """Give the policy the events of one round; return its actions as plain data, in their order."""
+    actions = policy.handle(now_us, [event_from_data(event) for event in events])
     return [action_to_data(action) for action in actions]
 
 
-def learned(policy: Policy) -> dict[str, list]:
-    """What the policy has drawn and averaged so far, by topic; floats to the last bit.
+def learned_state(policy: Policy) -> dict[str, list]:
+    """Return the policy's random state and its averages by topic, with floats in full precision.
 
-    Actions alone would not show a changed order of float sums, or not for long.
+    A changed order of float additions alters the last bits of an average; it may alter an action
+    only many rounds later, or never. So the actions alone do not show such a change.
     """
     state = policy.state
     measurements = state.measurements
@@ -137,12 +139,14 @@
         "runs": [runs.served_interval_us, list(runs.mean_elapsed_us), list(runs.mean_log_run_us)],
         "report age": list(measurements.report_lag.errors),
         "share": [state.pools.worker_cap, list(slot_counts)],
-        "workers": [worker_learned(state, workers.by_id[name]) for name in sorted(workers.by_id)],
+        "workers": [
+            learned_worker_state(state, workers.by_id[name]) for name in sorted(workers.by_id)
+        ],
     }
 
 
-def worker_learned(state, worker) -> list:
-    """What the policy has learned of one worker."""
+def learned_worker_state(state, worker) -> list:
+    """Return what the policy has learned about one worker."""
     return [
         worker.endpoint.worker_id,
         worker.pool is state.pools.high_set,
@@ -160,8 +164,8 @@
     ]
 
 
-def entry_from(data: dict) -> Endpoint:
-    """One line of a worker list."""
+def endpoint_from_data(data: dict) -> Endpoint:
+    """Return the endpoint of one entry of a list, from plain data."""
     return Endpoint(
         worker_id=data["worker"],
         zone=data["zone"],
@@ -174,8 +178,8 @@
     )
 
 
-def event_from(data: dict):
-    """The program's event, from plain data."""
+def event_from_data(data: dict):
+    """Return the program's event, from plain data."""
     match data["event"]:
         case "job":
             return JobSubmitted(
@@ -202,15 +206,15 @@
             return AttemptStarted(data["job"], data["attempt"], data["worker"])
         case "probed":
             return HealthChecked(data["worker"], data["ok"], data["spent_us"], data["report"])
-    return platform_event_from(data)
+    return other_event_from_data(data)
 
 
-def platform_event_from(data: dict):
-    """The program's event that is not of one attempt or health check, from plain data."""
+def other_event_from_data(data: dict):
+    """Return the program's event of any other kind than `event_from_data` reads itself."""
     match data["event"]:
         case "list":
             return EndpointList(
-                EndpointListKind(data["kind"]), tuple(map(entry_from, data["entries"]))
+                EndpointListKind(data["kind"]), tuple(map(endpoint_from_data, data["entries"]))
             )
         case "left":
             return JobAbandoned(data["job"])
@@ -225,12 +229,12 @@
         case "timer":
             return TimerFired(data["token"])
         case "settings":
-            return SettingsChanged(settings_from(data["settings"]))
-    raise ValueError(f"no event is called {data['event']}")
+            return SettingsChanged(settings_from_pairs(data["settings"]))
+    raise ValueError(f"unknown kind of event: {data['event']}")
 
 
 def action_to_data(action) -> dict:
-    """Plain data, from the program's action."""
+    """Return the program's action as plain data."""
     match action:
         case StartAttempt():
             return {
@@ -255,4 +259,4 @@
             return {"action": "fetch"}
         case WriteLog():
             return {"action": "log", "text": action.text}
-    raise ValueError(f"no plain form of {action!r}")
+    raise ValueError(f"action has no plain form: {action!r}")
--- a/tests/golden/decision_streams.py
+++ b/tests/golden/decision_streams.py
@@ -1,4 +1,7 @@
-"""Recorded decision streams: what the policy decided, round by round, when they were recorded.
+"""Record decision streams, and compare the present policy's decisions with the recorded ones.
+
+A stream holds the rounds of one scenario: the events that the policy received and the actions that
+it returned.
 
 Usage:
   python tests/golden/decision_streams.py record   write decisions/*.json.gz with the present policy
@@ -13,7 +16,8 @@
 import sys
 from pathlib import Path
 
-sys.path.insert(0, str(Path(__file__).resolve().parents[1]))  # `golden`, and below the program
+# The folder of the package `golden`, and the repository's root with the program.
+sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 sys.path.insert(0, str(Path(__file__).resolve().parents[2]))
 
 from golden import decision_codec as codec
@@ -22,34 +26,34 @@
 from golden.decision_scenarios import SCENARIOS
 from golden.decision_simulation import START_US, SimulatedPlatform
 
-LEARNED_EVERY = 40  # rounds between two digests of what the policy has learned
+ROUNDS_BETWEEN_DIGESTS = 40  # of the policy's learned state
 DIGEST_CHARACTERS = 12
-RECORDED = Path(__file__).resolve().parent / "decisions"
-SUFFIX = ".json.gz"
+FOLDER = Path(__file__).resolve().parent / "decisions"
+STREAM_SUFFIX = ".json.gz"
 
 
 def as_json(data: object) -> str:
-    """The one JSON form that is compared: keys sorted, floats by repr."""
+    """Return the JSON form in which data is compared: keys sorted, floats by repr."""
     return json.dumps(data, sort_keys=True, separators=(",", ":"))
 
 
 def digests(policy: codec.Policy) -> dict[str, str]:
-    """Short digests of what the policy has learned, by topic."""
+    """Return short digests of what the policy has learned, by topic."""
     return {
         topic: hashlib.sha256(as_json(values).encode()).hexdigest()[:DIGEST_CHARACTERS]
-        for topic, values in codec.learned(policy).items()
+        for topic, values in codec.learned_state(policy).items()
     }
 
 
-def play(scenario: Scenario) -> dict:
-    """A scenario played against the present policy, as a stream."""
+def play_scenario(scenario: Scenario) -> dict:
+    """Play a scenario against the present policy; return the stream of its rounds."""
     policy = codec.new_policy(scenario.settings, scenario.seed, START_US)
     rounds = []
 
     def decide(now_us: int, events: list[dict]) -> list[dict]:
         actions = codec.decide(policy, now_us, events)
         played = {"now_us": now_us, "events": events, "actions": actions}
-        if len(rounds) % LEARNED_EVERY == 0:
+        if len(rounds) % ROUNDS_BETWEEN_DIGESTS == 0:
             played["learned"] = digests(policy)
         rounds.append(played)
         return actions
@@ -66,17 +70,17 @@
 
 
 def stream_files() -> list[Path]:
-    """The recorded streams, by name."""
-    return sorted(RECORDED.glob(f"*{SUFFIX}"), key=stream_name)
+    """Return the files of the recorded streams, sorted by name."""
+    return sorted(FOLDER.glob(f"*{STREAM_SUFFIX}"), key=stream_name)
 
 
 def stream_name(path: Path) -> str:
-    """What the stream in this file is called."""
-    return path.name.removesuffix(SUFFIX)
+    """Return the name of the stream in this file."""
+    return path.name.removesuffix(STREAM_SUFFIX)
 
 
 def write_stream(stream: dict, path: Path) -> None:
-    """One JSON object, with a line for each round; the same stream gives the same bytes."""
+    """Write one JSON object with a line for each round; the same stream gives the same bytes."""
     head = as_json({name: value for name, value in stream.items() if name != "rounds"})
     rounds = ",\n".join(map(as_json, stream["rounds"]))
     text = f'{head[:-1]},"rounds":[\n{rounds}\n]}}\n'
@@ -84,12 +88,12 @@
 
 
 def read_stream(path: Path) -> dict:
-    """The stream of one file."""
+    """Return the stream of one file."""
     return json.loads(gzip.decompress(path.read_bytes()))
 
 
 def first_difference(stream: dict) -> str | None:
-    """None if the present policy decides the same, else the first round that differs."""
+    """Describe the first round that the present policy decides otherwise; None if there is none."""
     policy = codec.new_policy(stream["settings"], stream["seed"], stream["start_us"])
     for number, recorded in enumerate(stream["rounds"]):
         actions = codec.decide(policy, recorded["now_us"], recorded["events"])
@@ -108,10 +112,10 @@
 
 def record() -> None:
     """Write the stream of each scenario with the present policy."""
-    RECORDED.mkdir(exist_ok=True)
+    FOLDER.mkdir(exist_ok=True)
     for scenario in SCENARIOS:
-        path = RECORDED / f"{scenario.name}{SUFFIX}"
-        stream = play(scenario)
+        path = FOLDER / f"{scenario.name}{STREAM_SUFFIX}"
+        stream = play_scenario(scenario)
         write_stream(stream, path)
         actions = sum(len(played["actions"]) for played in stream["rounds"])
         rounds, size = len(stream["rounds"]), path.stat().st_size
@@ -122,7 +126,7 @@
     """Compare the present policy with the files; return the exit code."""
     found = [first_difference(read_stream(path)) for path in stream_files()]
     differences = [difference for difference in found if difference is not None]
-    print("\n\n".join(differences) or f"{len(found)} streams are decided the same")
+    print("\n\n".join(differences) or f"{len(found)} streams without a difference")
     return 1 if differences else 0
 
 
--- a/tests/golden/line_reach.py
+++ b/tests/golden/line_reach.py
@@ -1,4 +1,4 @@
-"""Which lines of some modules' functions a piece of code runs, by the interpreter's trace hook."""
+"""Find the lines of modules' functions that a call does not run, by the interpreter's trace hook."""
 
 import sys
 from collections.abc import Callable, Iterable
@@ -6,16 +6,18 @@
 from types import CodeType, FrameType, ModuleType
 
 
-def reached_by(play: Callable[[], None], modules: Iterable[ModuleType]) -> list[str]:
-    """Run `play`; the lines of the modules' functions that it missed, as "module:line: text"."""
+def missed_lines(play: Callable[[], None], modules: Iterable[ModuleType]) -> list[str]:
+    """Run `play`; return the function lines that it did not run, as "module:line: text"."""
     sources = {module.__file__: (module.__name__, source_of(module)) for module in modules}
-    left = {path: function_lines(path, text) for path, (_, text) in sources.items()}
-    trace_lines(play, left)
+    unreached = {path: function_lines(path, text) for path, (_, text) in sources.items()}
+    trace_lines(play, unreached)
     missed = []
-    for path, lines in left.items():
+    for path, lines in unreached.items():
         name, text = sources[path]
-        texts = text.splitlines()
-        missed += [f"{name}:{number}: {texts[number - 1].strip()}" for number in sorted(lines)]
+        source_lines = text.splitlines()
+        missed += [
+            f"{name}:{number}: {source_lines[number - 1].strip()}" for number in sorted(lines)
+        ]
     return missed
 
 
@@ -25,7 +27,7 @@
 
 
 def function_lines(path: str, text: str) -> set[int]:
-    """Numbers of the lines that belong to functions, comprehensions in them included."""
+    """Return the numbers of the lines of functions, with the comprehensions in them."""
     lines: set[int] = set()
     for code in functions_in(compile(text, path, "exec")):
         lines |= lines_of(code)
@@ -37,7 +39,7 @@
 
 
 def functions_in(code: CodeType) -> list[CodeType]:
-    """All functions at any depth; what stands in a module or class itself runs at import."""
+    """Return the code of functions at any depth; code of a module or class body runs at import."""
     found = []
     in_function = bool(code.co_flags & CO_NEWLOCALS)
     for inner in code.co_consts:
@@ -49,26 +51,29 @@
     return found
 
 
-def trace_lines(play: Callable[[], None], left: dict[str, set[int]]) -> None:
-    """Run `play` and strike the lines it reaches; functions without lines left run untraced."""
-    open_codes: dict[CodeType, set[int]] = {}
+def trace_lines(play: Callable[[], None], unreached: dict[str, set[int]]) -> None:
+    """Run `play` and remove the lines that it runs from `unreached`.
+
+    A function of which every line has been run is not traced any more.
+    """
+    unreached_by_code: dict[CodeType, set[int]] = {}
 
     def on_call(frame: FrameType, event: str, argument: object) -> Callable | None:
         code = frame.f_code
-        if code.co_filename not in left:
+        if code.co_filename not in unreached:
             return None
-        if code not in open_codes:
-            open_codes[code] = lines_of(code)
-        struck, wanted = left[code.co_filename], open_codes[code]
-        struck.discard(code.co_firstlineno)
-        wanted.discard(code.co_firstlineno)
-        if not wanted:
+        if code not in unreached_by_code:
+            unreached_by_code[code] = lines_of(code)
+        module_lines, code_lines = unreached[code.co_filename], unreached_by_code[code]
+        module_lines.discard(code.co_firstlineno)
+        code_lines.discard(code.co_firstlineno)
+        if not code_lines:
             return None
 
         def on_line(frame: FrameType, event: str, argument: object) -> Callable:
             if event == "line":
-                struck.discard(frame.f_lineno)
-                wanted.discard(frame.f_lineno)
+                module_lines.discard(frame.f_lineno)
+                code_lines.discard(frame.f_lineno)
             return on_line
 
         return on_line
