--- a/tests/admin/conftest.py
+++ b/tests/admin/conftest.py
@@ -4,5 +4,5 @@
 
 
 @pytest.fixture(autouse=True)
-def check_no_thread_left(threads_end):
+def check_no_thread_left(fail_on_remaining_threads):
     """Check after each test that no thread is left."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -32,7 +32,7 @@
 
 
 @pytest.fixture
-def threads_end():
+def fail_on_remaining_threads():
     """Fail a test that leaves a thread in the test process."""
     with no_thread_left():
         yield
--- a/tests/gearman/conftest.py
+++ b/tests/gearman/conftest.py
@@ -8,7 +8,7 @@
 
 
 @pytest.fixture(autouse=True)
-def require_threads_to_end(threads_end):
+def require_threads_to_end(fail_on_remaining_threads):
     """Fail a test that leaves a thread."""
 
 
--- a/tests/http/conftest.py
+++ b/tests/http/conftest.py
@@ -9,7 +9,7 @@
 
 
 @pytest.fixture(autouse=True)
-def check_threads_end(threads_end):
+def check_threads_end(fail_on_remaining_threads):
     """Check after each test that no thread is left."""
 
 
--- a/tests/identity/conftest.py
+++ b/tests/identity/conftest.py
@@ -8,7 +8,7 @@
 
 
 @pytest.fixture(autouse=True)
-def check_threads_end(threads_end):
+def check_threads_end(fail_on_remaining_threads):
     """Check after each test that it has left no thread."""
 
 
