--- a/stepstream/lab/processes/cluster_load_test.py
+++ b/stepstream/lab/processes/cluster_load_test.py
@@ -27,7 +27,7 @@
 """Last byte of the first dispatcher's address; the workers have the load test's own address."""
 
 RANDOM_SEEDS_PER_TEST = 16
-"""Most dispatchers of one test; each gets a random seed that no other test's dispatcher has."""
+"""Greatest number of dispatchers of one test; each of them has a random seed of its own."""
 
 MEMBER_COUNT_HOLD_SECONDS = 3
 """`fleet.hold_s`; shorter than the default because the test is short."""
@@ -47,7 +47,7 @@
 ClientsType = TypeVar("ClientsType", bound=RoundRobinClients)
 
 Disturbance = Callable[[RoundRobinClients], Awaitable[None]]
-"""Disturbs the dispatchers during a run, and tells the clients' front proxy which have failed."""
+"""Disturb the dispatchers during a run; tell the clients' front proxy which ones have failed."""
 
 
 @dataclass(eq=False)
--- a/stepstream/lab/processes/dispatcher_cluster.py
+++ b/stepstream/lab/processes/dispatcher_cluster.py
@@ -105,7 +105,7 @@
         members = [self.members[name] for name in names]
         for member in members:
             self.spawn(member)
-        self.wait_for(lambda: all_ready(members), START_TIMEOUT_SECONDS, "start of the members")
+        self.wait_for(lambda: all_answer(members), START_TIMEOUT_SECONDS, "start of the members")
 
     def spawn(self, member: ClusterMember) -> subprocess.Popen[bytes]:
         """Write a member's files and start its process, without waiting until it answers."""
@@ -235,7 +235,7 @@
         )
 
 
-def all_ready(members: Sequence[ClusterMember]) -> bool:
+def all_answer(members: Sequence[ClusterMember]) -> bool:
     """Return whether each member answers; raise DispatcherProcessError if one has ended."""
     for member in members:
         member.require_running()
--- a/stepstream/lab/processes/lease_task.py
+++ b/stepstream/lab/processes/lease_task.py
@@ -69,18 +69,18 @@
         if self.configuration.lease_count is None:
             self.hold_repeatedly()
         else:
-            self.hold_many(self.configuration.lease_count)
+            self.hold_without_operating(self.configuration.lease_count)
 
     def hold_repeatedly(self) -> None:
         """Acquire, use and release the lease in an endless loop."""
         while True:
             try:
-                self.hold_once()
+                self.hold_and_release()
             except (OSError, ValueError, LeaseLostError, OperationOverranError):
                 # The ledger does not answer, or the lease is lost: try again.
                 time.sleep(RETRY_SECONDS)
 
-    def hold_many(self, lease_count: int) -> None:
+    def hold_without_operating(self, lease_count: int) -> None:
         """Hold `lease_count` leases at once, without operating."""
         names = [f"{LEASE_NAME}{number}" for number in range(lease_count)]
         leases = {name: self._acquire(name) for name in names}
@@ -90,7 +90,7 @@
                 if lease.proposer.is_over:
                     leases[name] = self._acquire(name)
 
-    def hold_once(self) -> None:
+    def hold_and_release(self) -> None:
         """Acquire the lease, operate for the configured time, release it and pause.
 
         Raise OSError or ValueError if the ledger does not answer, and LeaseLostError or
@@ -103,12 +103,12 @@
                     pass
                 release_at_seconds = time.monotonic() + self.configuration.hold_seconds
                 while time.monotonic() < release_at_seconds:
-                    self.operate_once(client, lease)
+                    self.operate(client, lease)
         finally:
             lease.release()
         time.sleep(self.rng.uniform(0.0, LONGEST_PAUSE_SECONDS))
 
-    def operate_once(self, client: Client, lease: Lease) -> None:
+    def operate(self, client: Client, lease: Lease) -> None:
         """Perform one operation on the ledger under the lease's fencing token.
 
         Raise LeaseLostError if the ledger rejects the token.
--- a/stepstream/lab/processes/load_test.py
+++ b/stepstream/lab/processes/load_test.py
@@ -263,7 +263,7 @@
             self.http_addresses[0],
             self.gearman_address,
         )
-        cost_before = self.cost()
+        cost_before = self.measure_cost()
         self.fault_injector.schedule()
         progress_task = None
         if on_progress:
@@ -281,7 +281,7 @@
         else:
             message = f"the dispatcher ended: {self.first_dispatcher().log_tail()}"
             self.verifier.record_breach(self.clock.now_us(), message)
-        cost_after = self.cost()
+        cost_after = self.measure_cost()
         cost = ProcessCost(cost_after.cpu_s - cost_before.cpu_s, cost_after.rss_mb)
         return LoadTestResult(self.verifier.figures(), cost, clients.max_start_delay_us / US_PER_MS)
 
@@ -293,7 +293,7 @@
             on_progress(clients)
             await asyncio.sleep(PROGRESS_INTERVAL_SECONDS)
 
-    def cost(self) -> ProcessCost:
+    def measure_cost(self) -> ProcessCost:
         """Return what the dispatcher's process has used so far; zeros if it has ended."""
         return read_cost(self.first_dispatcher().started_process().pid)
 
--- a/stepstream/lab/processes/stop_soak.py
+++ b/stepstream/lab/processes/stop_soak.py
@@ -46,7 +46,7 @@
     """Dispatchers without membership, each with an admin listener and a folder for its state."""
 
     plan: StopPlan = field(default_factory=lambda: StopPlan((), has_extra_connections=False))
-    killed_count: int = 0  # stops that ended with a kill
+    killed_count: int = 0  # processes that did not end in time and were killed
     # Requests sent again because a dispatcher closed the connection before it read them.
     unread_request_count: int = 0
 
