--- a/stepstream/leases/admin_api.py
+++ b/stepstream/leases/admin_api.py
@@ -51,7 +51,7 @@
 
 
 class BadRequestError(LeaseError):
-    """A call's path or parameter does not fit; the text is the answer's `error`."""
+    """A call's path or parameter is invalid; the text is the answer's `error`."""
 
 
 class LeaseAdminApi:
@@ -103,7 +103,7 @@
     def open_session(
         self, now: float, lease: str, session_name: str, query: Mapping[str, str]
     ) -> AdminResponse:
-        """Open a session, if there is capacity; `BadRequestError` if its times do not fit."""
+        """Open a session if there is capacity; raise `BadRequestError` if a time is invalid."""
         configuration = self.client.configuration
         has_capacity = self.sessions.has_capacity(now)
         ttl_seconds = seconds_from_milliseconds(query.get("ttl_ms", ""))
@@ -228,11 +228,11 @@
 
     Return "" if the lease is held or can be granted.
     """
-    recent_seconds = MAX_ANSWER_AGE_REFRESHES * configuration.waiter_refresh_seconds()
-    answered = {name for name, at in proposer.answered_at.items() if now - at <= recent_seconds}
+    max_age_seconds = MAX_ANSWER_AGE_REFRESHES * configuration.waiter_refresh_seconds()
+    answered = {name for name, at in proposer.answered_at.items() if now - at <= max_age_seconds}
     first_rounds_seconds = FIRST_ANSWER_ROUNDS * configuration.round_timeout_seconds
-    is_early = now - proposer.requested_at < first_rounds_seconds
-    if proposer.is_held(now) or configuration.is_quorum(answered) or is_early:
+    awaits_first_answers = now - proposer.requested_at < first_rounds_seconds
+    if proposer.is_held(now) or configuration.is_quorum(answered) or awaits_first_answers:
         return ""
     acceptors = configuration.all_acceptors
     missing = ", ".join(sorted(acceptors - answered))
--- a/stepstream/leases/command_deadlines.py
+++ b/stepstream/leases/command_deadlines.py
@@ -33,7 +33,7 @@
 
 
 def has_time_to_run(now: float, expires_at: float, term_seconds: float) -> bool:
-    """Return whether the lease lasts longer than until SIGTERM would be due."""
+    """Return whether a command may start: the lease's end is further away than SIGTERM's margin."""
     return expires_at - now > term_seconds
 
 
--- a/stepstream/leases/command_runner.py
+++ b/stepstream/leases/command_runner.py
@@ -1,13 +1,13 @@
 """`stepstream lease run`: run a command under a lease; end it before another can hold the lease.
 
-    acquiring -> running    the dispatcher answers that the lease lasts until SIGTERM would be due
+    acquiring -> running    the dispatcher grants the lease, and SIGTERM would not be due yet
     acquiring -> ended      the call is invalid, `--wait` has passed, or a signal came
     running   -> ending     the lease ends soon, is lost or is revoked, or a signal came: SIGTERM
     ending    -> ended      the command has ended, or SIGKILL shortly before the lease's end
 
-Each call is a heartbeat of the program's session (`session_table`). The remaining
-time in the dispatcher's answer counts from the start of the call. `command_deadlines` has the
-times of calls and signals.
+Each call is a heartbeat of the program's session (`session_table`). The remaining time in the
+dispatcher's answer counts from the start of the call. `command_deadlines` has the times of calls
+and signals.
 
 One thread; a signal handler only sets `stop_signal`. All times are seconds of the machine's
 boot-time clock.
--- a/stepstream/leases/commands.py
+++ b/stepstream/leases/commands.py
@@ -67,9 +67,9 @@
     if arguments["run"]:
         return run_under_lease(arguments)
     console = console or Console(width=None if sys.stdout.isatty() else COLUMNS_WITHOUT_TERMINAL)
-    at = arguments["--at"]
+    address = arguments["--at"]
     try:
-        answer = request_json(at, *path_and_method(arguments))
+        answer = request_json(address, *path_and_method(arguments))
     except AdminCallError as error:
         print(f"stepstream: {error}", file=sys.stderr)
         return exit_code_of(error)
@@ -86,9 +86,11 @@
 
 
 def exit_code_of(error: AdminCallError) -> int:
-    """Return the exit code for a call that was not answered with a success."""
-    is_unknown = error.status == HTTPStatus.NOT_FOUND and not error.reason.startswith(UNKNOWN_PATH)
-    return EXIT_NO_SUCH_LEASE if is_unknown else EXIT_REQUEST_FAILED
+    """Return the exit code for a call that failed."""
+    is_unknown_lease = error.status == HTTPStatus.NOT_FOUND and not error.reason.startswith(
+        UNKNOWN_PATH
+    )
+    return EXIT_NO_SUCH_LEASE if is_unknown_lease else EXIT_REQUEST_FAILED
 
 
 def print_answer(arguments: Arguments, answer: Any, console: Console) -> None:  # noqa: ANN401  parsed JSON
@@ -104,9 +106,9 @@
         console.print(lease_table(rows, arguments["--at"]))
 
 
-def lease_table(rows: list[Row], at: str) -> Table:
+def lease_table(rows: list[Row], address: str) -> Table:
     """Return the leases as a table."""
-    table = Table(title=f"leases known at {at}", title_justify="left")
+    table = Table(title=f"leases known at {address}", title_justify="left")
     for column in ("name", "state", "holder", "token", "left", "waiting"):
         is_number = column in ("token", "left")
         table.add_column(column, justify="right" if is_number else "left", no_wrap=True)
@@ -138,16 +140,16 @@
         print(f"stepstream: {error}", file=sys.stderr)
         return os.EX_USAGE
 
-    def on_signal(number: int, _frame: FrameType | None) -> None:
-        runner.stop(number)
+    def on_signal(signal_number: int, _frame: FrameType | None) -> None:
+        runner.stop(signal_number)
 
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, on_signal)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, on_signal)
     return runner.run()
 
 
 def parse_seconds(option: str, text: str) -> float:
-    """Return an option's seconds; raise `ConfigurationError` if it is no such number."""
+    """Return an option's seconds; raise `ConfigurationError` if they are not a valid number."""
     try:
         seconds = float(text)
     except ValueError:
--- a/stepstream/leases/configuration.py
+++ b/stepstream/leases/configuration.py
@@ -99,8 +99,8 @@
 
 def digest_of(names: Iterable[str], max_clock_drift: float, max_ttl_seconds: float) -> int:
     """Return the digest of one acceptor set with the bounds; members compare it on the wire."""
-    text = f"{' '.join(sorted(names))} {max_clock_drift} {max_ttl_seconds}"
-    return int.from_bytes(blake2b(text.encode(), digest_size=DIGEST_BYTES).digest())
+    digest_input = f"{' '.join(sorted(names))} {max_clock_drift} {max_ttl_seconds}"
+    return int.from_bytes(blake2b(digest_input.encode(), digest_size=DIGEST_BYTES).digest())
 
 
 def check_lease_times(
--- a/stepstream/leases/health_check_leader.py
+++ b/stepstream/leases/health_check_leader.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckPort:
-    """What the leader uses of the node."""
+    """The node's functions that the leader uses."""
 
     list_workers: Callable[[], Sequence[str]]
     check_health: Callable[[str, Callable[[HealthChecked], None]], None]  # calls back on any thread
@@ -101,7 +101,8 @@
 
     def run(self) -> None:
         """Campaign and lead until stopped."""
-        # If this thread ended, each dispatcher might check for itself, which costs workers more.
+        # An error must not end the thread: without a leader each dispatcher checks for itself,
+        # which costs the workers more.
         run_until_closed(
             "the probe sweep", self.campaign, lambda: self.stopped, RETRY_PAUSE_SECONDS
         )
--- a/stepstream/leases/health_reports.py
+++ b/stepstream/leases/health_reports.py
@@ -63,7 +63,7 @@
 
 
 class HealthReport(msgspec.Struct, frozen=True, array_like=True):
-    """A worker's load report; `age_ms` since its check was answered, by the leader's clock."""
+    """A worker's load report; `age_ms` counts from the check's answer, by the leader's clock."""
 
     worker_id: ShortText
     age_ms: Annotated[int, msgspec.Meta(ge=0, le=60_000)]
--- a/stepstream/leases/lease_state.py
+++ b/stepstream/leases/lease_state.py
@@ -20,7 +20,7 @@
 def covers_operation(now: float, expires_at: float, operation_seconds: float) -> bool:
     """Return whether an operation begun now ends before the lease expires.
 
-    An operation that outlasts its lease runs beside the next holder's.
+    An operation that outlasts its lease could overlap one of the next holder.
     """
     return expires_at - now > operation_seconds
 
--- a/stepstream/leases/proposer.py
+++ b/stepstream/leases/proposer.py
@@ -131,7 +131,7 @@
         return self.is_held(now) and has_time and not self.winding_down
 
     def remaining_seconds(self, now: float) -> float:
-        """Return the seconds for which nobody else can hold the lease."""
+        """Return for how many seconds, at least, nobody else can hold the lease."""
         return max(self.expires_at - now, 0.0) if not self.is_over else 0.0
 
     def state(self, now: float) -> LeaseState:
--- a/stepstream/leases/wait_queue.py
+++ b/stepstream/leases/wait_queue.py
@@ -79,15 +79,15 @@
         """
         proposer = prepare.ballot.proposer
         waiting_since = now - prepare.waited_ms / 1000
-        known = self.waiters.get(proposer)
-        if known is None:
+        earlier_entry = self.waiters.get(proposer)
+        if earlier_entry is None:
             if not self.has_capacity(now):
                 return False
             self.waiters[proposer] = Waiter(member, prepare.ballot, waiting_since, now)
             return True
-        waiting_since = min(waiting_since, known.waiting_since)
+        waiting_since = min(waiting_since, earlier_entry.waiting_since)
         self.waiters[proposer] = Waiter(
-            member, prepare.ballot, waiting_since, now, notified=known.notified
+            member, prepare.ballot, waiting_since, now, notified=earlier_entry.notified
         )
         return True
 
@@ -117,12 +117,12 @@
 
     def seconds_until_eligible(self, now: float, free_since: float, proposer: str) -> float:
         """Return the time until a proposer may try to get the lease; zero or less if it may now."""
-        ahead = 0
+        waiters_ahead = 0
         for waiter in self.in_order(now):
             if waiter.ballot.proposer == proposer:
                 break
-            ahead += 1
-        return eligible_at(free_since, ahead, self.configuration.head_start_seconds) - now
+            waiters_ahead += 1
+        return eligible_at(free_since, waiters_ahead, self.configuration.head_start_seconds) - now
 
     def take_eligible(self, now: float, free_since: float) -> EligibleWaiters:
         """Return the waiters that have become eligible, and mark them as notified."""
