--- a/stepstream/lab/reports/__init__.py
+++ b/stepstream/lab/reports/__init__.py
@@ -1,1 +1,1 @@
-"""Commands that run the lab and report: tables, JSON and charts."""
+"""Commands that run the lab and report the results as tables, JSON and charts."""
--- a/stepstream/lab/reports/fault_run.py
+++ b/stepstream/lab/reports/fault_run.py
@@ -1,7 +1,8 @@
 """`stepstream lab fleet`: apply a schedule of faults to real dispatchers and report the outcome.
 
-A run observes the members' lists meanwhile, checks the invariants of their records, and measures
-how long crashes stay undetected and how long the cluster needs to converge after the last fault.
+During the schedule, a run observes the members' lists and checks the invariants of their records.
+It measures how long crashes stay undetected and how long the cluster needs to converge after the
+last fault.
 """
 
 import json
@@ -27,7 +28,7 @@
 
 MIN_MEMBERS = 2
 MAX_MEMBERS = 20
-CONVERGENCE_TIMEOUT_SECONDS = 60.0  # before the first fault, and after the last one
+CONVERGENCE_TIMEOUT_SECONDS = 60.0  # both before the first fault and after the last one
 CONSOLE_COLUMNS = 120
 MAX_PRINTED_VIOLATIONS = 20
 SECONDS_DIGITS = 2
@@ -38,16 +39,16 @@
 
     members: int
     seed: int
-    # From the last fault's end until the lists agree; None if they did not in time.
+    # From the end of the last fault until the lists agree; None if they do not agree in time.
     convergence_seconds: float | None = msgspec.field(name="settled_s")
-    # For each crash, until all running members had the crashed one dead.
+    # For each crash, the time until all running members list the crashed member as dead.
     detected_seconds: list[float] = msgspec.field(name="detected_s")
     violations: list[str] = msgspec.field(name="broken")
 
 
 @dataclass(frozen=True)
 class UndetectedCrash:
-    """A crashed member that the others do not yet all have dead."""
+    """A crashed member that some running members do not list as dead yet."""
 
     name: str
     crashed_at_seconds: float  # monotonic
@@ -68,14 +69,14 @@
     def play(self, seconds: float, seed: int) -> Outcome:
         """Apply every fault, wait at least `seconds`, end all faults and wait for convergence.
 
-        `seed` is only reported. Raise ConditionTimeoutError if the cluster does not converge at
-        first.
+        `seed` is only reported. Raise ConditionTimeoutError if the cluster does not converge before
+        the first fault.
         """
         cluster = self.cluster
         cluster.wait_for(
             lambda: cluster.has_converged(cluster.members),
             CONVERGENCE_TIMEOUT_SECONDS,
-            "one view at the start",
+            "members agree at the start",
         )
         self.monitor.started_at_seconds = time.monotonic()
         injector = FaultInjector(self.controller, self.schedule)
@@ -97,18 +98,18 @@
         return time.monotonic() - self.monitor.started_at_seconds
 
     def _observe_until(self, at_seconds: float) -> None:
-        """Observe until this time of the run."""
+        """Observe the lists until this time of the run."""
         while (remaining_seconds := at_seconds - self._elapsed_seconds()) > 0:
             self._observe()
             time.sleep(min(remaining_seconds, OBSERVATION_INTERVAL_SECONDS))
 
     def _apply(self, injector: FaultInjector, step: FaultStep) -> None:
-        """Begin or end a fault, and say so."""
-        # A crash that meets a member which is down already is none.
+        """Begin or end a fault, and print it."""
+        # A crash fault of a member that is down already is not a crash.
         running = [name for name in step.fault.members if self.controller.is_running(name)]
         injector.apply(step.transition, step.fault)
-        text = f"{step.at_seconds:7.1f} s  {step.transition} of {describe(step.fault)}"
-        self.console.print(text, highlight=False)
+        line = f"{step.at_seconds:7.1f} s  {step.transition} of {describe(step.fault)}"
+        self.console.print(line, highlight=False)
         if step.fault.kind is FaultKind.CRASH and step.transition is Transition.BEGIN:
             self._add_crashes(running)
 
@@ -117,18 +118,18 @@
         self.undetected_crashes += [UndetectedCrash(name, now_seconds) for name in crashed]
 
     def _wait_for_convergence(self) -> float | None:
-        """Return how long the lists need to agree; None, and a violation, if it is too long."""
+        """Return the seconds until the lists agree; on a timeout add a violation, return None."""
         begun_at_seconds = time.monotonic()
         while time.monotonic() - begun_at_seconds < CONVERGENCE_TIMEOUT_SECONDS:
             self._observe()
             if self.cluster.has_converged(self.cluster.members):
                 return round(time.monotonic() - begun_at_seconds, SECONDS_DIGITS)
             time.sleep(OBSERVATION_INTERVAL_SECONDS)
-        self.monitor.violations.append("not settled 60 s after the last fault")
+        self.monitor.violations.append("the lists do not agree 60 s after the last fault")
         return None
 
     def _observe(self) -> None:
-        """Observe all lists once, and note the crashes that are detected by now."""
+        """Observe all lists once, and record the crashes that are detected by now."""
         self.monitor.observe(self._elapsed_seconds(), self.cluster, self.controller.suspended)
         still_undetected: list[UndetectedCrash] = []
         for crash in self.undetected_crashes:
@@ -142,7 +143,7 @@
         self.undetected_crashes = still_undetected
 
     def _is_detected(self, name: str) -> bool:
-        """Return whether there are others that run, and all of them have this member dead."""
+        """Return whether other members run, and all of them list this member as dead."""
         others = [
             other
             for other in self.controller.names
@@ -156,12 +157,13 @@
 def run(members: int, seed: int, faults: str | None, seconds: int, out: str | None) -> int:
     """Run the command; return 0 if all invariants held and 1 if one was violated.
 
-    `faults` is the path of a schedule; without it the seed draws one. `out` is the folder for the
-    JSON file and the chart. Raise ConfigurationError if an option or the schedule is at fault.
+    `faults` is the path of a schedule; without it, one is generated from the seed. `out` is the
+    folder for the JSON file and the chart. Raise ConfigurationError if an option or the schedule is
+    invalid.
     """
     if not MIN_MEMBERS <= members <= MAX_MEMBERS:
-        text = f"--members={members} is not between {MIN_MEMBERS} and {MAX_MEMBERS}"
-        raise ConfigurationError(text)
+        message = f"--members={members} is not between {MIN_MEMBERS} and {MAX_MEMBERS}"
+        raise ConfigurationError(message)
     console = Console(width=CONSOLE_COLUMNS)
     names = tuple(f"n{index}" for index in range(members))
     schedule = read_schedule(faults, names) if faults else generate_schedule(seed, names, seconds)
@@ -178,7 +180,7 @@
 def print_outcome(console: Console, outcome: Outcome, schedule: Schedule) -> None:
     """Print the table of the run's figures, and the first violations."""
     table = Table(
-        "members", "seed", "faults", "crashes known after, s", "settled after, s", "broken"
+        "members", "seed", "faults", "crashes detected after, s", "converged after, s", "violations"
     )
     detected = " ".join(f"{seconds:.1f}" for seconds in outcome.detected_seconds) or "-"
     convergence = (
@@ -200,7 +202,7 @@
 def write_results(
     folder: Path, outcome: Outcome, schedule: Schedule, monitor: InvariantMonitor
 ) -> None:
-    """Write `fleet.json` and the chart `fleet.png`; make the folder if it is missing."""
+    """Write `fleet.json` and the chart `fleet.png`; create the folder if it is missing."""
     folder.mkdir(parents=True, exist_ok=True)
     content = {
         **msgspec.to_builtins(outcome),
--- a/stepstream/lab/reports/invariant_monitor.py
+++ b/stepstream/lab/reports/invariant_monitor.py
@@ -1,6 +1,6 @@
 """Observe the membership lists of a cluster and check the invariants of its records.
 
-One monitor belongs to the thread that polls the members.
+Only the thread that polls the members may use their monitor.
 """
 
 from typing import NamedTuple
@@ -12,14 +12,14 @@
 
 OBSERVATION_INTERVAL_SECONDS = 0.1
 MAX_OBSERVATION_GAP_SECONDS = 10 * OBSERVATION_INTERVAL_SECONDS
-"""A longer time without an answer ends an observation."""
+"""An observation ends when the observer does not answer for longer than this."""
 
 ENDED_STATES = ("dead", "left")
 RUNNING_STATES = ("alive", "suspect")
 
 
 class Observation(msgspec.Struct):
-    """One observer had one member in one state; seconds from the start of the run.
+    """A period in which one observer listed one member in one state, in seconds of the run.
 
     The encoded names are the keys of `fleet.json`.
     """
@@ -39,14 +39,14 @@
 
 
 class RecordVersion(NamedTuple):
-    """What orders the records of one member."""
+    """The version that orders the records of one member."""
 
     generation: int
     incarnation: int
 
 
 class StatusVersion(NamedTuple):
-    """The record's generation, the start that the status beside it is of, and its revision."""
+    """A record's generation, and the process start and revision of the status beside it."""
 
     generation: int
     started_ms: int
@@ -66,7 +66,7 @@
         self._latest: dict[tuple[str, str], Observation] = {}  # by observer and member
         self._records: dict[ProcessAndMember, tuple[RecordVersion, str]] = {}  # with the state
         self._statuses: dict[ProcessAndMember, StatusVersion] = {}
-        # Starts of members whose status an observing process has replaced by that of another start.
+        # Starts of members whose status was replaced by that of another start, for each observer.
         self._past_starts: set[tuple[ProcessAndMember, int]] = set()
 
     def observe(self, at_seconds: float, cluster: DispatcherCluster, suspended: set[str]) -> None:
@@ -103,7 +103,7 @@
         latest.ended_at_seconds = at_seconds
 
     def _check_record(self, at_seconds: float, process: str, observer: str, row: MemberRow) -> None:
-        """Check that a member's record never goes back, and an ended one stays ended."""
+        """Check that no record is older than the one before and that ended ones stay ended."""
         name = row["name"]
         key = ProcessAndMember(process, name)
         version = RecordVersion(row["generation"], row["incarnation"])
@@ -121,8 +121,8 @@
     def _check_status(self, at_seconds: float, process: str, observer: str, row: MemberRow) -> None:
         """Check that a member's status never goes back to an older revision or an older start.
 
-        A status is told apart by the start that it is of and not by the record beside it: right
-        after a restart the new record may stand beside the old process's status for a moment.
+        A status belongs to the process start that it names, not to the record beside it: right
+        after a restart, the list may briefly have the new record beside the old process's status.
         """
         key = ProcessAndMember(process, row["name"])
         started_ms = row["facts"].get("started_ms", 0)
@@ -134,9 +134,9 @@
         is_same_process = status[:2] == earlier[:2]
         is_older_revision = is_same_process and status.revision < earlier.revision
         if status.generation < earlier.generation or is_past_start or is_older_revision:
-            text = f"{observer}: the counter of {row['name']} went back"
-            self._add_violation(at_seconds, text)
+            violation = f"{observer}: the counter of {row['name']} went back"
+            self._add_violation(at_seconds, violation)
         self._statuses[key] = status
 
-    def _add_violation(self, at_seconds: float, text: str) -> None:
-        self.violations.append(f"{at_seconds:.1f} s: {text}")
+    def _add_violation(self, at_seconds: float, description: str) -> None:
+        self.violations.append(f"{at_seconds:.1f} s: {description}")
--- a/stepstream/lab/reports/observation_chart.py
+++ b/stepstream/lab/reports/observation_chart.py
@@ -27,7 +27,7 @@
 MIN_HEIGHT_INCHES = 3.0
 MAX_HEIGHT_INCHES = 40
 DOTS_PER_INCH = 110
-X_LABEL = "seconds; one band an observer, one line in it a member, from the first name down"
+X_LABEL = "seconds; one band per observer, one line in it per member, first name on top"
 
 
 def describe(fault: Fault) -> str:
@@ -37,8 +37,8 @@
 
 
 def write_chart(observations: Sequence[Observation], schedule: Schedule, path: Path) -> None:
-    """Write the chart as a PNG file: a band an observer, in it a line a member."""
-    # Loaded only for a chart: it takes long, and a run without `--out` does without the package.
+    """Write the chart as a PNG file: a band per observer, and in it a line per member."""
+    # Imported here because the import is slow, and a run without `--out` does not need the package.
     import matplotlib
 
     matplotlib.use("Agg")
@@ -81,7 +81,7 @@
 
 
 def add_faults(axes: "Axes", schedule: Schedule) -> None:
-    """Shade the time of each fault, and label it."""
+    """Shade the time of each fault, and label the fault."""
     for fault in schedule.faults:
         duration_seconds = max(fault.duration_seconds, OBSERVATION_INTERVAL_SECONDS)
         axes.axvspan(
--- a/stepstream/lab/reports/stop_soak.py
+++ b/stepstream/lab/reports/stop_soak.py
@@ -1,4 +1,4 @@
-"""Play soaks of stops, one a seed, and print what broke.
+"""Run one stop soak per seed, and print the breaches of the delivery rules.
 
 Usage:
   stop_soak [--seed N] [--seeds N] [--seconds N] [--keep DIR]
@@ -7,10 +7,10 @@
   --seed N     The first seed [default: 1].
   --seeds N    How many seeds, in order [default: 1].
   --seconds N  Length of the load of each run [default: 10].
-  --keep DIR   Where the logs of a broken run are kept [default: found].
+  --keep DIR   Folder for the logs of runs with breaches [default: found].
 
-Run it as `python -m stepstream.lab.reports.stop_soak`. One seed repeats the plan, the load and the
-faults of workers; what the machine adds differs. Exit code 1 if a run broke a rule.
+Run it as `python -m stepstream.lab.reports.stop_soak`. The same seed repeats the plan, the load and
+the faults of workers; the timing on the machine differs. Exit code 1 if a run broke a rule.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 from stepstream.lab.processes.stop_soak import StopSoak
 
 DISPATCHERS = 3
-LOAD = 0.35  # requested work over the workers' capacity: what breaks is no overload
+LOAD = 0.35  # requested work over the workers' capacity; low, so that no breach is from overload
 DEADLINE_MS = 2500
 
 
@@ -38,20 +38,20 @@
 
     seed: int
     plan: StopPlan
-    requests: int
-    killed: int  # stops that the platform's kill had to end
-    crossed: int  # requests that a close crossed unread
+    job_count: int
+    killed_count: int  # stops that ended with a kill because of a timeout
+    unread_request_count: int  # requests that a close left unread, sent again
     breaches: tuple[str, ...]
-    kept: str  # folder of the logs of a broken run; empty if it broke nothing
+    log_folder: str  # folder of the logs of a run with breaches; empty without breaches
 
 
 def play_seed(seed: int, seconds: int, keep: Path) -> SoakResult:
-    """Play the soak of one seed, in an event loop of its own."""
+    """Run the soak of one seed in its own event loop."""
     return asyncio.run(play_soak(seed, seconds, keep))
 
 
 async def play_soak(seed: int, seconds: int, keep: Path) -> SoakResult:
-    """Play the soak of one seed."""
+    """Run the soak of one seed."""
     site = read_site()
     classes = tuple(
         msgspec.structs.replace(table, deadline_ms=DEADLINE_MS) for table in site.job_classes
@@ -64,11 +64,11 @@
         dispatcher_count=DISPATCHERS,
         plan=plan,
     )
-    kept = ""
+    log_folder = ""
     async with soak:
         await soak.play_plan()
         if soak.verifier.breaches:
-            kept = str(keep_logs(soak.folder, keep / f"stop-soak-{seed}"))
+            log_folder = str(keep_logs(soak.folder, keep / f"stop-soak-{seed}"))
     return SoakResult(
         seed,
         plan,
@@ -76,23 +76,24 @@
         soak.killed_count,
         soak.unread_request_count,
         tuple(soak.verifier.breaches),
-        kept,
+        log_folder,
     )
 
 
 def keep_logs(folder: Path, target: Path) -> Path:
-    """Copy the logs and configurations of a run; return where they are."""
+    """Copy the logs and configurations of a run to `target`, and return it."""
     shutil.rmtree(target, ignore_errors=True)
     shutil.copytree(folder, target)
     return target
 
 
 def print_result(result: SoakResult, seconds: int) -> None:
-    """Print a line on a seed, and for a broken one what broke and how to repeat it."""
-    crowd = ", with a crowd" if result.plan.has_extra_connections else ""
+    """Print a line about a seed; if it has breaches, print them and how to repeat the run."""
+    extra = ", extra connections" if result.plan.has_extra_connections else ""
     print(
-        f"seed {result.seed}: {len(result.plan.stops)} stops{crowd}, {result.requests} jobs,"
-        f" {result.crossed} crossed a close, {result.killed} stops killed,"
+        f"seed {result.seed}: {len(result.plan.stops)} stops{extra}, {result.job_count} jobs,"
+        f" {result.unread_request_count} requests sent again after a close,"
+        f" {result.killed_count} stops ended by a kill,"
         f" {len(result.breaches)} breaches",
         flush=True,
     )
@@ -102,22 +103,22 @@
         print(f"  {breach}")
     for stop in result.plan.stops:
         print(f"  {stop.at_seconds:.2f} s n{stop.dispatcher_index}: {stop.kind.value}")
-    print(f"  logs: {result.kept}")
+    print(f"  logs: {result.log_folder}")
     command = "python -m stepstream.lab.reports.stop_soak"
     print(f"  repeat: {command} --seed {result.seed} --seconds {seconds}")
 
 
 def main(command_line: list[str] | None = None) -> int:
-    """Play the seeds; return 1 if one of them broke a rule."""
+    """Run the soak of each seed; return 1 if a run broke a rule."""
     arguments = docopt(__doc__ or "", command_line)
-    first, count = int(arguments["--seed"]), int(arguments["--seeds"])
+    first_seed, seed_count = int(arguments["--seed"]), int(arguments["--seeds"])
     seconds = int(arguments["--seconds"])
-    broken = 0
-    for seed in range(first, first + count):
+    runs_with_breaches = 0
+    for seed in range(first_seed, first_seed + seed_count):
         result = play_seed(seed, seconds, Path(arguments["--keep"]))
         print_result(result, seconds)
-        broken += bool(result.breaches)
-    return 1 if broken else 0
+        runs_with_breaches += bool(result.breaches)
+    return 1 if runs_with_breaches else 0
 
 
 if __name__ == "__main__":
--- a/tests/lab/processes/test_stop_soak.py
+++ b/tests/lab/processes/test_stop_soak.py
@@ -28,7 +28,7 @@
 def test_a_stop_soak_loses_no_request(seed, tmp_path):
     result = play_seed(seed, SOAK_SECONDS, tmp_path)
     assert result.breaches == ()
-    assert result.requests > 0
+    assert result.job_count > 0
 
 
 class EarlyKillSoak(StopSoak):
--- a/tests/lab/reports/test_demo.py
+++ b/tests/lab/reports/test_demo.py
@@ -1,4 +1,4 @@
-"""`stepstream demo` as a process: a run of each site, a held cluster, and rejected options."""
+"""`stepstream demo` as a process: a run of each site, `--hold`, and rejected options."""
 
 import json
 import socket
@@ -30,21 +30,21 @@
         pytest.param(["--site", "probed", "--mix", "http"], id="probed"),
     ],
 )
-def test_the_demo_plays_each_site_and_keeps_the_rules(tmp_path, options):
-    path = tmp_path / "out.json"
-    run = run_demo(*options, "--seconds", "4", "--json", str(path))
-    figures = json.loads(path.read_text())
+def test_the_demo_of_each_site_breaks_no_rule(tmp_path, options):
+    results_path = tmp_path / "out.json"
+    run = run_demo(*options, "--seconds", "4", "--json", str(results_path))
+    figures = json.loads(results_path.read_text())
     assert figures["breaches"] == [], run.stdout + run.stderr
     assert run.returncode == 0, run.stdout + run.stderr
-    # The score depends on the machine as well; that every job has ended does not.
+    # The score also depends on the machine. On every machine, all jobs must have ended.
     assert sum(figures["finals"].values()) == figures["jobs"] > 50
     assert figures["finals"]["served"] > 0
-    assert "all four rules kept" in run.stdout
+    assert "all four invariants held" in run.stdout
 
 
 @pytest.fixture
 def held_demo():
-    """The HTTP address of a demo that holds its cluster; at the end it must stop with code 0."""
+    """The HTTP address of a demo with `--hold`; the demo must end with code 0 on SIGTERM."""
     process = subprocess.Popen(
         demo_command("--hold", "--mix", "mixed"),
         cwd=ROOT,
@@ -61,14 +61,14 @@
         assert process.wait(WAIT_TIMEOUT_SECONDS * 2) == 0
 
 
-def test_a_held_demo_serves_requests_of_other_clients(held_demo):
+def test_a_demo_with_hold_serves_requests_of_other_clients(held_demo):
     headers = {
         "Host": "x",
         "Request-Id": "0a",
         "Tenant": "north-fund",
         "Request-Timeout-Ms": "4000",
     }
-    for body in (b"[0,0,1000,1]", b"what others send"):
+    for body in (b"[0,0,1000,1]", b"another client's body"):
         with socket.create_connection(held_demo, timeout=WAIT_TIMEOUT_SECONDS) as connection:
             response = exchange(0, write_request("POST", "/revalue", headers, body), connection)
         assert response.status == 200
@@ -80,11 +80,11 @@
     [
         pytest.param(["--mix", "x"], id="mix"),
         pytest.param(["--site", "x"], id="site"),
-        pytest.param(["--seconds", "x"], id="seconds-no-number"),
+        pytest.param(["--seconds", "x"], id="seconds-not-a-number"),
         pytest.param(["--seconds", "0"], id="seconds-out-of-range"),
     ],
 )
-def test_a_wrong_option_is_named(options):
+def test_an_invalid_option_is_named_in_the_error(options):
     run = run_demo(*options)
     assert run.returncode == 2
     assert options[0] in run.stderr
--- a/tests/lab/reports/test_fault_run.py
+++ b/tests/lab/reports/test_fault_run.py
@@ -1,4 +1,4 @@
-"""What a run of faults times as a crash."""
+"""Which crashes a run of faults measures the detection time of."""
 
 import io
 
@@ -10,8 +10,8 @@
 from tests.lab.faults.test_fault_schedule import RecordingTarget
 
 
-def test_a_crash_that_meets_a_member_which_is_down_is_not_timed():
-    # Guards against a detection time that counts from a crash which did not happen.
+def test_a_crash_fault_of_a_member_that_is_down_is_not_timed():
+    # Guards against a detection time of a crash that did not happen.
     run = FaultRun.__new__(FaultRun)
     run.controller = RecordingTarget()
     run.controller.running.discard("n1")
