--- a/stepstream/lab/__init__.py
+++ b/stepstream/lab/__init__.py
@@ -1,11 +1,11 @@
-"""The lab: everything round a dispatcher that tests and measures it. docs/lab.md.
+"""The lab: emulated and simulated surroundings that test and measure dispatchers; see docs/lab.md.
 
 - `emulator`: workers, discovery, and the network between dispatchers
-- `load`: the site file, the scenario generated from it, and the clients
+- `load`: the site file, the scenario generated from it, and the clients that send its jobs
 - `faults`: fault schedules of dispatchers and links
-- `simulation`: clusters of membership and leases in simulated time
-- `search`: every order of events of small clusters
-- `verification`: the rules of delivery, the score, and the ledger behind a lease
+- `simulation`: clusters of the membership and lease protocols in simulated time
+- `search`: exhaustive search of all orders of events of small clusters
+- `verification`: the delivery rules, the score, and the ledger that leases guard
 - `processes`: real dispatchers, alone and in clusters
 - `reports`: the commands that run the lab
 """
--- a/tests/lab/conftest.py
+++ b/tests/lab/conftest.py
@@ -12,7 +12,7 @@
 from stepstream.lab.verification.verifier import Verifier
 
 START_US = 1_000_000_000
-"""The time at which each worker model of these tests begins."""
+"""The time at which each worker model starts, on the lab's clock in microseconds."""
 
 SPEC = WorkerSpec(
     name="s",
@@ -34,17 +34,17 @@
 
 @pytest.fixture
 def make_worker_model():
-    """A function that builds a worker model of two cores; its arguments change the spec."""
+    """Return a function that builds a worker model; its arguments replace fields of `SPEC`."""
 
-    def make(**changes):
-        return WorkerModel(replace(SPEC, **changes), np.random.default_rng(1), START_US)
+    def build_worker_model(**changed_fields):
+        return WorkerModel(replace(SPEC, **changed_fields), np.random.default_rng(1), START_US)
 
-    return make
+    return build_worker_model
 
 
 @pytest.fixture
 def scenario():
-    """Five seconds of the small site."""
+    """Return a scenario of five seconds at the small site."""
     return generate_scenario(read_site(), seed=1, seconds=5, mix="http")
 
 
@@ -54,16 +54,18 @@
 
 
 @pytest.fixture
-def submit(verifier):
-    """A function that submits the scenario's first job of a class and returns its request key."""
+def submit_job(verifier):
+    """Return a function that submits the first job of a class and returns its request key."""
 
-    def submit_first_of(class_name):
+    def submit_first_job(class_name):
         scenario = verifier.scenario
-        names = [job_class.name for job_class in scenario.site.job_classes]
+        class_names = [job_class.name for job_class in scenario.site.job_classes]
         planned = next(
-            request for request in scenario.requests if names[request.class_index] == class_name
+            request
+            for request in scenario.requests
+            if class_names[request.class_index] == class_name
         )
         verifier.on_submission(planned.number)
         return RequestKey(planned.number, 0)
 
-    return submit_first_of
+    return submit_first_job
--- a/tests/lab/reports/test_demo.py
+++ b/tests/lab/reports/test_demo.py
@@ -43,7 +43,7 @@
 
 
 @pytest.fixture
-def held_demo():
+def held_demo_address():
     """The HTTP address of a demo with `--hold`; the demo must end with code 0 on SIGTERM."""
     process = subprocess.Popen(
         demo_command("--hold", "--mix", "mixed"),
@@ -61,7 +61,7 @@
         assert process.wait(WAIT_TIMEOUT_SECONDS * 2) == 0
 
 
-def test_a_demo_with_hold_serves_requests_of_other_clients(held_demo):
+def test_a_demo_with_hold_serves_requests_of_other_clients(held_demo_address):
     headers = {
         "Host": "x",
         "Request-Id": "0a",
@@ -69,7 +69,9 @@
         "Request-Timeout-Ms": "4000",
     }
     for body in (b"[0,0,1000,1]", b"another client's body"):
-        with socket.create_connection(held_demo, timeout=WAIT_TIMEOUT_SECONDS) as connection:
+        with socket.create_connection(
+            held_demo_address, timeout=WAIT_TIMEOUT_SECONDS
+        ) as connection:
             response = exchange(0, write_request("POST", "/revalue", headers, body), connection)
         assert response.status == 200
         assert response.body.startswith(b"price ")
--- a/tests/lab/verification/test_delivery_rules.py
+++ b/tests/lab/verification/test_delivery_rules.py
@@ -77,22 +77,24 @@
 
 
 @pytest.mark.parametrize(("break_rule", "expected_text"), BREACHES)
-def test_a_broken_rule_records_exactly_one_breach(verifier, submit, break_rule, expected_text):
-    break_rule(verifier, submit("nav-publish"))
+def test_a_broken_rule_records_exactly_one_breach(verifier, submit_job, break_rule, expected_text):
+    break_rule(verifier, submit_job("nav-publish"))
     (breach,) = verifier.breaches
     assert expected_text in breach
 
 
-def test_a_result_that_the_worker_produced_is_no_breach(verifier, submit):
-    key = submit("nav-publish")
+def test_a_result_that_the_worker_produced_is_no_breach(verifier, submit_job):
+    key = submit_job("nav-publish")
     verifier.on_arrival(10, key, "s-1", 0).open = False
     verifier.on_result(key, "r")
     verifier.on_response(1000, key, FinalOutcome.SERVED, "r")
     assert not verifier.breaches
 
 
-def test_a_repetition_in_another_cell_is_allowed_if_the_first_attempt_never_ran(verifier, submit):
-    key = submit("nav-publish")
+def test_a_repetition_in_another_cell_is_allowed_if_the_first_attempt_never_ran(
+    verifier, submit_job
+):
+    key = submit_job("nav-publish")
     first = verifier.on_arrival(1, key, "a", 0)
     first.open = False
     first.never_ran = True
@@ -100,16 +102,16 @@
     assert not verifier.breaches
 
 
-def test_new_work_within_the_drain_grace_is_allowed(verifier, submit):
-    key = submit("nav-publish")
+def test_new_work_within_the_drain_grace_is_allowed(verifier, submit_job):
+    key = submit_job("nav-publish")
     verifier.on_arrival(2, key, "b", 1)
     verifier.on_drain_known(3, "c")
     verifier.on_arrival(400_000, key, "c", 1)
     assert not verifier.breaches
 
 
-def test_an_idempotent_job_may_run_twice_and_then_be_rejected(verifier, submit):
-    key = submit("revalue")
+def test_an_idempotent_job_may_run_twice_and_then_be_rejected(verifier, submit_job):
+    key = submit_job("revalue")
     verifier.on_arrival(5, key, "a", 0)
     verifier.on_arrival(5, key, "b", 0)
     verifier.on_response(9, key, FinalOutcome.REJECTED)
--- a/tests/lab/verification/test_verifier.py
+++ b/tests/lab/verification/test_verifier.py
@@ -23,8 +23,8 @@
     assert not verifier.breaches
 
 
-def test_new_work_for_a_worker_that_is_ready_again_is_no_breach(verifier, submit):
+def test_new_work_for_a_worker_that_is_ready_again_is_no_breach(verifier, submit_job):
     verifier.on_drain_known(1, "a")
     verifier.on_worker_ready("a")
-    verifier.on_arrival(10_000_000, submit("nav-publish"), "a", 0)
+    verifier.on_arrival(10_000_000, submit_job("nav-publish"), "a", 0)
     assert not verifier.breaches
