--- a/tests/golden/decision_scenarios.py
+++ b/tests/golden/decision_scenarios.py
@@ -13,57 +13,57 @@
 
 FOLDER = Path(__file__).resolve().parent / "decisions"
 DATA = read_results(FOLDER, "scenarios")
-WORKER_KIND = "kind"  # of a class; the wire has it in a list of all classes
+WORKER_KIND = "kind"  # a class's key in the file; the wire has one list of the kinds of all classes
 
 
-def job_class(name: str) -> dict[str, object]:
-    """Return a class by the keys of the wire's `services`, and its worker kind."""
+def class_fields(name: str) -> dict[str, object]:
+    """Return a class's values under the keys of the wire's `services`, and its worker kind."""
     return {"name": name, **DATA["class_defaults"], **DATA["classes"][name]}
 
 
 def class_settings(names: list[str]) -> dict[str, str]:
     """Return the dotted keys of these classes."""
-    classes = [job_class(name) for name in names]
+    classes = [class_fields(name) for name in names]
     pairs = {"services.count": str(len(classes))}
     pairs["extra.class_kind"] = ",".join(str(fields[WORKER_KIND]) for fields in classes)
-    for place, fields in enumerate(classes):
+    for index, fields in enumerate(classes):
         for key, value in fields.items():
             if key != WORKER_KIND:
-                pairs[f"services.{place}.{key}"] = str(value)
+                pairs[f"services.{index}.{key}"] = str(value)
     return pairs
 
 
 def tenant_settings(quotas: dict[str, float]) -> dict[str, str]:
     """Return the dotted keys of tenants with these quotas."""
     pairs = {"projects.count": str(len(quotas))}
-    for place, (name, quota) in enumerate(quotas.items()):
-        pairs[f"projects.{place}.name"] = name
-        pairs[f"projects.{place}.quota_per_s"] = str(quota)
+    for index, (name, quota) in enumerate(quotas.items()):
+        pairs[f"projects.{index}.name"] = name
+        pairs[f"projects.{index}.quota_per_s"] = str(quota)
     return pairs
 
 
-def named(part: str, value: str | dict) -> dict:
-    """Return what the file holds under this name, or the value if it is written out."""
+def resolve(part: str, value: str | dict) -> dict:
+    """Return the value that a name stands for in this part of the file, or a written-out value."""
     return DATA[part][value] if isinstance(value, str) else value
 
 
-def settings(given: dict) -> dict[str, str]:
+def scenario_settings(given: dict) -> dict[str, str]:
     """Return the dotted keys of a scenario's settings."""
     pairs = {**DATA["defaults"], **class_settings(given["classes"])}
-    pairs |= tenant_settings(named("tenants", given.get("tenants", {})))
+    pairs |= tenant_settings(resolve("tenants", given.get("tenants", {})))
     for group in given.get("groups", ()):
-        pairs |= named("groups", group)
+        pairs |= resolve("groups", group)
     return pairs
 
 
-def scenario(name: str, given: dict) -> Scenario:
-    """Return a scenario by the fields that the file gives."""
+def read_scenario(name: str, given: dict) -> Scenario:
+    """Return the scenario with the fields that the file gives."""
     fields = {
         field: tuple(value) if isinstance(value, list) else value for field, value in given.items()
     }
-    fields["settings"] = settings(given["settings"])
-    fields["reloads"] = tuple(settings(reload) for reload in given.get("reloads", ()))
+    fields["settings"] = scenario_settings(given["settings"])
+    fields["reloads"] = tuple(scenario_settings(reload) for reload in given.get("reloads", ()))
     return Scenario(name, **fields)
 
 
-SCENARIOS = [scenario(name, given) for name, given in DATA["scenarios"].items()]
+SCENARIOS = [read_scenario(name, given) for name, given in DATA["scenarios"].items()]
--- a/tests/golden/decision_workers.py
+++ b/tests/golden/decision_workers.py
@@ -7,26 +7,26 @@
 
 @dataclass
 class SimulatedWorker:
-    """A worker, the attempts that it holds, and what is wrong with it."""
+    """A worker with its attempts and its faults."""
 
-    entry: dict  # as discovery lists it
+    entry: dict  # the worker's entry in discovery's list, as plain data
     slots: float
     run_time_factor: float = 1.0
     error_fraction: float = 0.0
     reachable: bool = True
-    loses: int = NO_CLASS  # the class whose jobs it takes and never begins
+    lost_class: int = NO_CLASS  # the class of the jobs that the worker accepts and never begins
     queue: list["SimulatedAttempt"] = field(default_factory=list)
     running: list["SimulatedAttempt"] = field(default_factory=list)
 
     @property
     def free_slots(self) -> float:
-        """The slots that no running attempt takes."""
+        """Return the slots that no running attempt takes."""
         return self.slots - sum(attempt.job["slots"] for attempt in self.running)
 
     def recover(self) -> None:
-        """Become as fast and as reachable as a usual worker."""
+        """Return to the usual speed, be reachable and lose no jobs."""
         self.run_time_factor = 1.0
-        self.loses = NO_CLASS
+        self.lost_class = NO_CLASS
         self.reachable = True
 
 
