--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
 from tests.node.dispatcher_process import DispatcherProcess
 from tests.runtime.thread_ends import no_thread_left
 
-# Derandomized: CI must give the same verdict every time.
+# Derandomized, so that CI runs the same steps every time.
 STATE_MACHINE_SETTINGS = settings(
     derandomize=True,
     deadline=None,
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def run_state_machine():
-    """Compare code with its model by the random steps of a `RuleBasedStateMachine`."""
+    """Run a `RuleBasedStateMachine`, which compares code with a model in generated steps."""
 
     def run(machine):
         run_state_machine_as_test(machine, settings=STATE_MACHINE_SETTINGS)
@@ -40,7 +40,7 @@
 
 @pytest.fixture
 def start_dispatcher(tmp_path):
-    """Start dispatchers' processes, with further keys of the configuration; end them."""
+    """Start dispatcher processes with further configuration keys; end them after the test."""
     with contextlib.ExitStack() as stack:
 
         def start(**configuration):
@@ -52,13 +52,13 @@
 
 @pytest.fixture
 def dispatcher(start_dispatcher):
-    """A dispatcher's process with one worker and a discovery that names it."""
+    """Start a dispatcher process with one worker and a discovery that lists this worker."""
     return start_dispatcher()
 
 
 @pytest.fixture
 def start_server():
-    """Start servers with scripted answers; stop them."""
+    """Start servers with scripted answers; stop them after the test."""
     with contextlib.ExitStack() as stack:
 
         def start(reply):
--- a/tests/golden/front_samples.py
+++ b/tests/golden/front_samples.py
@@ -1,11 +1,11 @@
-"""Samples of the forms that others read: HTTP, discovery, status line, commands, identity, Gearman.
+"""Samples of the program's output on HTTP, discovery, commands, configuration, identity, Gearman.
 
     python tests/golden/front_samples.py record
 
-The command writes what the program gives for every sample to `tests/golden/fronts/`;
-`tests/golden/test_golden_fronts.py` checks that it still gives the same. A sample is a function
-without arguments that gives a value of JSON. The builders of samples stand in
-`tests/golden/fronts/`, a module for each group, and their inputs beside them as JSON.
+The command writes the program's output for every sample to `tests/golden/fronts/`;
+`tests/golden/test_golden_fronts.py` checks that the output is still the same. A sample is a function
+without arguments that returns a value of JSON. The functions that build the samples are in
+`tests/golden/fronts/`, in one module for each group, with their inputs as JSON files.
 """
 
 import json
@@ -38,13 +38,13 @@
 
 
 def write_results(name: str, results: dict) -> None:
-    """Write what was recorded for a group."""
+    """Write the results of a group's samples to its golden file."""
     text = json.dumps(results, indent=1, sort_keys=True) + "\n"
     (FOLDER / f"{name}.json").write_text(text, encoding="ascii")
 
 
 def record() -> None:
-    """Write the results of every sample with the program as it is."""
+    """Write the present program's results of every sample."""
     if not (FOLDER / f"{KEY_MATERIAL}.json").exists():
         write_results(KEY_MATERIAL, make_key_material())
     for group, samples in GROUPS.items():
--- a/tests/golden/recorded_data.py
+++ b/tests/golden/recorded_data.py
@@ -1,7 +1,7 @@
 """Read the data files of the golden samples, and convert values to the JSON form that they hold.
 
-`<form>.inputs.json` holds what goes into the program, `<form>.json` what the program gave. JSON has
-no bytes and no short form for a long run, so that both use these conventions:
+`<form>.inputs.json` holds the inputs of the program, `<form>.json` its results. JSON has no bytes
+and no short form for long repetitions, so both files use these conventions:
 
 - bytes are text, one character a byte (Latin-1);
 - `{"$repeat": value, "times": count}` is a text or list repeated;
@@ -20,17 +20,17 @@
 
 
 def read_inputs(folder: Path, form: str) -> dict:
-    """Return the inputs of a form, with the short forms written out."""
+    """Return the inputs of a form, with the short forms expanded."""
     return expand(read_results(folder, f"{form}.inputs"))
 
 
 def read_results(folder: Path, form: str) -> object:
-    """Return what was recorded for a form."""
+    """Return the recorded results of a form."""
     return json.loads((folder / f"{form}.json").read_text(encoding="utf-8"))
 
 
 def expand(value: object) -> object:
-    """Replace the short forms in a value of JSON by what they stand for."""
+    """Expand the short forms in a value of JSON."""
     if isinstance(value, list):
         return [expand(part) for part in value]
     if not isinstance(value, dict):
@@ -50,12 +50,12 @@
 
 
 def bytes_of(text: str) -> bytes:
-    """Return the bytes that `text_of` wrote as text."""
+    """Return the bytes of a text that `text_of` has returned."""
     return text.encode("latin-1")
 
 
 def as_json(value: object) -> object:
-    """Return a value as a recorded file gives it back."""
+    """Return a value as it is after writing it to JSON and reading it again."""
     return json.loads(json.dumps(value))
 
 
--- a/tests/golden/state_samples.py
+++ b/tests/golden/state_samples.py
@@ -4,8 +4,8 @@
 
 A form with a codec has samples that are written and read again, and malformed data that must be
 rejected with the recorded reason. A transcript is a plain JSON value that a fixed sequence of calls
-produces. The builders stand in `tests/golden/state/`, a module for each form or subsystem, and
-their inputs beside them as JSON; those of the lab's results in `state/lab_transcripts.py`.
+produces. The functions that build them are in `tests/golden/state/`, in one module for each form or
+subsystem, with their inputs as JSON files. The lab's transcripts are in `state/lab_transcripts.py`.
 """
 
 import json
@@ -44,7 +44,7 @@
 )
 
 FORMS = (MEMBERSHIP, LEASES, HEALTH_REPORTS, HANDOVER)
-# By the names of the recorded files.
+# The functions that build the transcripts, by the names of the recorded files.
 TRANSCRIPTS: dict[str, Callable[[], object]] = {
     "admin": admin_answers,
     "admin-fleet": membership_answers,
@@ -65,7 +65,7 @@
 
 
 def rejection_reason(form: Form, data: bytes) -> str | None:
-    """Return why the program rejects this data; None if it reads it."""
+    """Return the message with which the program rejects this data; None if it accepts the data."""
     try:
         form.read(data)
     except form.error as error:
@@ -73,13 +73,13 @@
     return None
 
 
-def recorded(name: str) -> object:
-    """Return a golden file's content."""
+def read_recorded(name: str) -> object:
+    """Return the content of the golden file of this name."""
     return read_results(FOLDER, name)
 
 
 def form_results(form: Form) -> dict[str, object]:
-    """Return what is recorded of a form; raise ValueError if malformed data is not rejected."""
+    """Return a form's results to record; raise ValueError if malformed data is not rejected."""
     samples = {name: form.write(sample).hex() for name, sample in form.samples().items()}
     rejected = {}
     for name, data in form.malformed().items():
@@ -95,7 +95,7 @@
 
 
 def record() -> None:
-    """Write every golden file with the program as it is."""
+    """Write every golden file with the results of the present program."""
     results = {form.name: form_results(form) for form in FORMS}
     results |= {name: build() for name, build in TRANSCRIPTS.items()}
     for name, value in results.items():
--- a/tests/golden/test_golden_fronts.py
+++ b/tests/golden/test_golden_fronts.py
@@ -1,4 +1,4 @@
-"""What others read of the program is what it wrote when the samples were recorded, byte for byte.
+"""The program's output to clients, workers, discovery and users equals the recorded output.
 
 The samples and how to record them anew: `tests/golden/front_samples.py`.
 """
@@ -19,11 +19,11 @@
 
 
 @pytest.mark.parametrize(("group", "name", "sample"), CASES)
-def test_a_sample_gives_what_was_recorded(group, name, sample):
+def test_a_sample_gives_the_recorded_value(group, name, sample):
     expected = RECORDED[group][name]
     given = as_json(sample())
     if isinstance(expected, dict) and "key" in expected:
-        # A fault's wording may get better; its exit code and the key that it names may not change.
+        # An error's wording may change; its exit code, its output and the key that it names may not.
         assert given["code"] == expected["code"]
         assert given["out"] == expected["out"]
         key = rf"(?<![\w.]){re.escape(expected['key'])}(?!\w)"
@@ -34,5 +34,5 @@
 
 
 @pytest.mark.parametrize("group", GROUPS)
-def test_every_recorded_sample_is_still_asked_for(group):
+def test_the_samples_of_a_group_are_those_that_are_recorded(group):
     assert set(RECORDED[group]) == set(GROUPS[group]())
--- a/tests/test_decisions_page.py
+++ b/tests/test_decisions_page.py
@@ -11,12 +11,12 @@
 PACKAGE = ROOT / "stepstream"
 PAGE = (ROOT / "docs" / "decisions.md").read_text()
 COLUMNS = ["rule", "decides", "function", "inputs", "constants", "failure", "test"]
-# Modules of the policy without a rule of their own.
-NO_RULES = {"__init__", "load_balancer"}
+# Modules of the policy for which the page needs no rule.
+MODULES_WITHOUT_RULES = {"__init__", "load_balancer"}
 
 
-def rows():
-    """The rules, a mapping by column each."""
+def page_rules():
+    """Return the rules of the page, each as a mapping from column to cell."""
     found = []
     for line in PAGE.splitlines():
         cells = [cell.strip() for cell in re.split(r"(?<!\\)\|", line)[1:-1]]
@@ -25,12 +25,12 @@
     return found
 
 
-ROWS = rows()
+RULES = page_rules()
 
 
 @cache
 def definitions(path):
-    """The file's functions, classes and assigned names, by qualified name."""
+    """Return the file's functions, classes and assigned names, by qualified name."""
     found = {}
 
     def add(body, prefix):
@@ -49,29 +49,29 @@
     return found
 
 
-def quoted(cell):
+def quoted_names(cell):
     return re.findall(r"`([^`]+)`", cell)
 
 
-def test_there_are_rules():
-    assert len(ROWS) > 30
-    assert len({row["rule"] for row in ROWS}) == len(ROWS)
+def test_the_page_has_more_than_30_rules_with_different_names():
+    assert len(RULES) > 30
+    assert len({row["rule"] for row in RULES}) == len(RULES)
 
 
-@pytest.mark.parametrize("row", ROWS, ids=lambda row: row["rule"])
+@pytest.mark.parametrize("row", RULES, ids=lambda row: row["rule"])
 def test_the_function_constants_and_tests_of_a_rule_exist(row):
     assert all(row[column] for column in COLUMNS)
-    functions = quoted(row["function"])
+    functions = quoted_names(row["function"])
     assert functions
     for function in functions:
         module, name = function.split(": ")
         assert isinstance(definitions(PACKAGE / module).get(name), ast.FunctionDef), function
-    for constant in quoted(row["constants"]):
+    for constant in quoted_names(row["constants"]):
         module, assignment = constant.split(": ", 1)
         name, value = assignment.split(" = ", 1)
         defined = definitions(PACKAGE / module)[name].value
         assert ast.unparse(defined) == ast.unparse(ast.parse(value, mode="eval")), constant
-    tests = quoted(row["test"])
+    tests = quoted_names(row["test"])
     assert tests
     for test in tests:
         path, name = test.split("::")
@@ -80,6 +80,6 @@
 
 
 def test_each_module_of_the_policy_has_a_rule():
-    named = {function.split(":")[0] for row in ROWS for function in quoted(row["function"])}
-    modules = {path.stem for path in (PACKAGE / "policy").glob("*.py")} - NO_RULES
+    named = {function.split(":")[0] for row in RULES for function in quoted_names(row["function"])}
+    modules = {path.stem for path in (PACKAGE / "policy").glob("*.py")} - MODULES_WITHOUT_RULES
     assert {f"policy/{name}.py" for name in modules} <= named
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages that lead into the code name only files and definitions that exist."""
+"""The pages about the code name only files, folders, classes and members that exist."""
 
 import ast
 import re
@@ -18,16 +18,16 @@
     "leases.md",
     "membership.md",
 )
-FILE = re.compile(r"`((?:[a-z_]+/)*[a-z_]+\.(?:py|md))`")
-FOLDER = re.compile(r"`((?:[a-z_]+/)+)`")
-MEMBER = re.compile(r"`([A-Z]\w+)\.([a-z_]\w*|[A-Z][A-Z_]+)`")
-CLASS = re.compile(r"`([A-Z][a-z]\w+)`")
+FILE_PATTERN = re.compile(r"`((?:[a-z_]+/)*[a-z_]+\.(?:py|md))`")
+FOLDER_PATTERN = re.compile(r"`((?:[a-z_]+/)+)`")
+MEMBER_PATTERN = re.compile(r"`([A-Z]\w+)\.([a-z_]\w*|[A-Z][A-Z_]+)`")
+CLASS_PATTERN = re.compile(r"`([A-Z][a-z]\w+)`")
 # Names of the standard library and of other programs that the pages mention.
-FOREIGN = {"TimeoutError", "SIGTERM", "SIGHUP", "POST", "DELETE"}
+OUTSIDE_NAMES = {"TimeoutError", "SIGTERM", "SIGHUP", "POST", "DELETE"}
 
 
-def definitions():
-    """Class by class, the names of its methods, fields and attributes."""
+def class_members():
+    """Return the names of each class's bases, methods, fields and attributes, by class."""
     found = {}
     for path in PACKAGE.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -44,31 +44,31 @@
     return found
 
 
-def text_of(page):
-    """The page without its code blocks."""
+def page_text(page):
+    """Return the text of a page without its code blocks."""
     return re.sub(r"```.*?```", "", (ROOT / "docs" / page).read_text(), flags=re.S)
 
 
 @pytest.mark.parametrize("page", PAGES)
 def test_files_and_folders_named_by_a_page_exist(page):
-    text = text_of(page)
-    for name in FILE.findall(text) + FOLDER.findall(text):
+    text = page_text(page)
+    for name in FILE_PATTERN.findall(text) + FOLDER_PATTERN.findall(text):
         places = (ROOT / name, PACKAGE / name, ROOT / "docs" / name, ROOT / "tests" / name)
         assert any(place.exists() for place in places), name
 
 
 @pytest.mark.parametrize("page", PAGES)
 def test_classes_and_members_named_by_a_page_exist(page):
-    defined = definitions()
-    text = text_of(page)
-    for owner, member in MEMBER.findall(text):
+    defined = class_members()
+    text = page_text(page)
+    for owner, member in MEMBER_PATTERN.findall(text):
         assert owner in defined, owner
         assert member in defined[owner], f"{owner}.{member}"
-    for name in CLASS.findall(text):
-        assert name in defined or name in FOREIGN, name
+    for name in CLASS_PATTERN.findall(text):
+        assert name in defined or name in OUTSIDE_NAMES, name
 
 
-def test_the_index_names_each_page_and_no_other():
+def test_the_index_lists_exactly_the_pages_that_exist():
     index = (ROOT / "docs" / "README.md").read_text()
     named = set(re.findall(r"^\| `([A-Za-z_]+\.md)` \|", index, re.MULTILINE))
     assert named == {path.name for path in (ROOT / "docs").glob("*.md")} - {"README.md"}
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""All imports go one way: no cycles, typing's included, and no package imports one above it."""
+"""Imports have no cycles, those for types included, and no package imports one above it."""
 
 import ast
 from graphlib import TopologicalSorter
@@ -26,12 +26,12 @@
     "simulator_adapter": {"config", "model", "policy"},
 }
 MAY_IMPORT_ALL = {"stepstream", "__main__", "cli", "lab"}
-# The lab stands below the commands that run it, and above all other packages.
+# The lab is below the commands that run it, and above all other packages.
 LAB_MAY_NOT_IMPORT = {"stepstream", "__main__", "cli"}
 
 
-def imports():
-    """Module by module, what of the program it imports anywhere in its text."""
+def imports_by_module():
+    """Return the program's modules that each module imports, at its head or in a function."""
     files = {
         ".".join(p.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"): p
         for p in (ROOT / "stepstream").rglob("*.py")
@@ -45,13 +45,13 @@
                 found |= {m for m in inner | {node.module} if m in files}
             elif isinstance(node, ast.Import):
                 found |= {alias.name for alias in node.names if alias.name in files}
-        # A package stands for its modules; only the topmost one re-exports, and nothing inside uses that.
+        # `stepstream` itself is left out: it only re-exports, and no module inside uses that.
         graph[name] = found - {name, "stepstream"}
     return graph
 
 
-def test_there_is_no_cycle():
-    graph = imports()
+def test_imports_have_no_cycle():
+    graph = imports_by_module()
     assert len(list(TopologicalSorter(graph).static_order())) >= len(graph) > 60
 
 
@@ -60,8 +60,8 @@
     return module.split(".")[1] if "." in module else module
 
 
-def test_each_package_imports_only_what_stands_below_it():
-    for module, found in imports().items():
+def test_each_package_imports_only_the_packages_that_are_allowed_to_it():
+    for module, found in imports_by_module().items():
         package = package_of(module)
         if package in MAY_IMPORT_ALL:
             continue
@@ -70,7 +70,7 @@
 
 
 def test_no_package_outside_the_composition_root_imports_a_subsystem():
-    for module, found in imports().items():
+    for module, found in imports_by_module().items():
         package = package_of(module)
         if package in MAY_IMPORT_ALL | SUBSYSTEMS | {"node"}:
             continue
@@ -78,11 +78,11 @@
 
 
 def test_the_lab_imports_no_command():
-    for module, found in imports().items():
+    for module, found in imports_by_module().items():
         if package_of(module) == "lab":
             assert not {package_of(name) for name in found} & LAB_MAY_NOT_IMPORT, module
 
 
-def test_no_program_text_in_the_lab_imports_a_command():
+def test_no_file_of_the_lab_contains_the_name_of_the_commands_package():
     for path in (ROOT / "stepstream" / "lab").rglob("*.py"):
         assert "stepstream.cli" not in path.read_text(), path
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,11 +1,11 @@
-"""KNOWN-RED.txt lists tests that exist, and CI passes over these alone and prints them."""
+"""KNOWN-RED.txt lists tests that exist; CI leaves out only these tests and prints the list."""
 
 import ast
 import re
 from pathlib import Path
 
 ROOT = Path(__file__).parents[1]
-LIST = ROOT / "KNOWN-RED.txt"
+LIST_FILE = ROOT / "KNOWN-RED.txt"
 ENTRY = re.compile(
     r"test: (?P<file>tests/[\w/]+\.py)::(?P<name>test_\w+)\n"
     r"command: python -m pytest (?P=file)::(?P=name)   \(seed: \w+\)\n"
@@ -15,15 +15,15 @@
 
 
 def entries():
-    """The file and the function of each entry; no entry is left where there is no list."""
-    text = LIST.read_text() if LIST.exists() else ""
+    """Return the file and the function of each entry; none if there is no KNOWN-RED.txt."""
+    text = LIST_FILE.read_text() if LIST_FILE.exists() else ""
     found = [ENTRY.fullmatch(part) for part in text.strip().split("\n\n") if part]
-    assert all(found), "an entry has another form"
+    assert all(found), "an entry does not have the required form"
     return [(match["file"], match["name"]) for match in found]
 
 
-def functions_of(file):
-    """The names of a module's test functions."""
+def function_names(file):
+    """Return the names of a module's functions."""
     return [
         node.name
         for node in ast.parse((ROOT / file).read_text()).body
@@ -31,17 +31,17 @@
     ]
 
 
-def test_each_known_red_test_exists_and_stands_for_no_other():
+def test_each_listed_test_exists_and_its_name_begins_no_other():
     for file, name in entries():
-        # pytest deselects each test whose id begins so.
-        assert [each for each in functions_of(file) if each.startswith(name)] == [name]
+        # pytest's --deselect leaves out each test whose id begins with the given text.
+        assert [each for each in function_names(file) if each.startswith(name)] == [name]
 
 
-def test_no_known_red_test_is_listed_twice():
+def test_no_test_is_listed_twice():
     assert len(set(entries())) == len(entries())
 
 
-def test_every_run_of_ci_leaves_out_the_known_red_tests_and_it_prints_them():
+def test_every_pytest_run_of_ci_leaves_out_the_listed_tests_and_ci_prints_the_list():
     script = (ROOT / ".ci" / "run").read_text()
     runs = [line for line in script.splitlines() if "python -m pytest" in line]
     assert runs
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""The README's examples run and are read as they are printed."""
 
 import json
 import re
@@ -7,17 +7,17 @@
 from stepstream.config.node_config import config_from
 
 
-def test_readme_example(capsys):
+def test_the_readme_example_starts_the_second_attempt_at_another_worker(capsys):
     text = (Path(__file__).parent.parent / "README.md").read_text()
     (example,) = re.findall(r"```python\n(.*?)```", text, re.S)
     exec(compile(example, "README.md", "exec"), {})
     first, second = capsys.readouterr().out.splitlines()
     assert first.startswith("StartAttempt(job_id='a1'")
     assert second.startswith("[StartAttempt(job_id='a1'")
-    assert first != second.strip("[]")  # the other worker
+    assert first != second.strip("[]")  # at another worker
 
 
-def test_readme_configuration_is_read():
+def test_the_readme_configuration_is_valid():
     text = (Path(__file__).parent.parent / "README.md").read_text()
     (example,) = re.findall(r"```json\n(.*?)```", text, re.S)
     config = config_from(json.loads(example), {})
