--- a/stepstream/lab/search/membership_state.py
+++ b/stepstream/lab/search/membership_state.py
@@ -158,7 +158,7 @@
         for outgoing in datagrams:
             data = encode(outgoing.datagram)
             if len(data) > MAX_DATAGRAM_BYTES:
-                raise InvariantError(f"{self.now:.3f} s: a datagram of {len(data)} bytes")
+                raise InvariantError(f"{self.now:.3f} s: datagram too long: {len(data)} bytes")
             self.in_flight.append((outgoing.address, data))
         self.in_flight = self.in_flight[-MAX_IN_FLIGHT:]
 
--- a/stepstream/lab/simulation/guarded_resource.py
+++ b/stepstream/lab/simulation/guarded_resource.py
@@ -70,7 +70,8 @@
         """
         if self.operations and token < self.operations[-1].token:
             raise OperationOrderError(
-                f"{now:.3f} s: an operation with token {token} after {self.operations[-1].token}"
+                f"{now:.3f} s: an operation with token {token} began after one with token"
+                f" {self.operations[-1].token}"
             )
 
     def check_no_overlap(self, now: float, operation: Operation) -> None:
--- a/stepstream/lab/simulation/lease_cluster.py
+++ b/stepstream/lab/simulation/lease_cluster.py
@@ -183,7 +183,7 @@
         return self.invariants.grants
 
     def holders(self, lease: str) -> list[str]:
-        """Return the proposers that hold a lease now by their own clocks."""
+        """Return the proposers that hold the lease now by their own clocks."""
         return [holder.proposer_id for holder in self.invariants.holders(self.now, lease)]
 
     def has_recovered(self) -> bool:
--- a/stepstream/lab/simulation/lease_invariants.py
+++ b/stepstream/lab/simulation/lease_invariants.py
@@ -42,7 +42,7 @@
                     yield process, proposer
 
     def holders(self, now: float, lease: str) -> list[Proposer]:
-        """Return the proposers that hold a lease now by their own clocks.
+        """Return the proposers that hold the lease now by their own clocks.
 
         Proposers of stalled processes are included: such a process may resume in the middle of an
         operation.
--- a/stepstream/lab/simulation/lease_tasks.py
+++ b/stepstream/lab/simulation/lease_tasks.py
@@ -5,9 +5,9 @@
 - thinking: the task does not want the lease. After a random pause it is waiting.
 - waiting: the task's proposer tries to acquire the lease. The task polls the lease until it may
   begin an operation.
-- operating: the task checks the lease, begins an operation on the resource and ends it, with a
-  random pause before each step, so that faults also fall between two steps. Afterwards the task is
-  waiting again.
+- operating: the task checks the lease, begins an operation on the resource and ends it, with
+  random pauses between these steps, so that faults also fall between two steps. Afterwards the task
+  is waiting again.
 
 After it has held the lease for long enough, or after the resource rejected its token, a waiting
 task releases the lease and is thinking again.
--- a/stepstream/lab/simulation/membership_cluster.py
+++ b/stepstream/lab/simulation/membership_cluster.py
@@ -150,7 +150,7 @@
             data = encode(outgoing.datagram)
             if len(data) > MAX_DATAGRAM_BYTES:
                 raise InvariantError(
-                    f"{self.now:.3f} s: a datagram of {len(data)} bytes from {process.name}"
+                    f"{self.now:.3f} s: datagram too long: {len(data)} bytes from {process.name}"
                 )
             self.transmit(process, outgoing.address, data)
 
@@ -208,7 +208,7 @@
         return self.has_converged()
 
     def has_converged(self) -> bool:
-        """Return whether all running members hold the same list, with exactly them alive."""
+        """Return whether all running members hold one list, in which exactly they are alive."""
         running = self.running()
         protocols = [process.running_protocol for process in running]
         if len({protocol.digest for protocol in protocols}) != 1:
--- a/stepstream/lab/simulation/membership_invariants.py
+++ b/stepstream/lab/simulation/membership_invariants.py
@@ -57,7 +57,7 @@
         if record.state in PRESENT_STATES:
             if ended is not None and version <= ended:
                 raise InvariantError(
-                    f"{now:.3f} s: {observer} has {record.name} back on an ended record"
+                    f"{now:.3f} s: {observer} lists {record.name} as present on an ended record"
                 )
             return False
         if ended is not None and version <= ended:
@@ -152,7 +152,7 @@
             false_deaths[key] = since
             if now - since > max_seconds:
                 raise InvariantError(
-                    f"{now:.3f} s: {process.name} has held {other.name} dead since {since:.3f} s"
+                    f"{now:.3f} s: {process.name} lists {other.name} as dead since {since:.3f} s"
                 )
         observer.false_deaths = false_deaths
 
@@ -190,7 +190,8 @@
             or len(protocol.outbox.broadcasts.queued) > max_broadcasts
         ):
             raise InvariantError(
-                f"{self._cluster.now:.3f} s: {process.name} holds more than its bound"
+                f"{self._cluster.now:.3f} s: {process.name} holds more members or updates"
+                " than its bound"
             )
 
     def check_no_return_of_ended_records(
--- a/tests/lab/simulation/test_invariants.py
+++ b/tests/lab/simulation/test_invariants.py
@@ -35,7 +35,7 @@
 ):
     ended_versions = EndedVersions()
     ended_versions.observe(1.0, OBSERVER, member_record(ended_state))
-    with pytest.raises(InvariantError, match="n0@1 has n1 back"):
+    with pytest.raises(InvariantError, match="n0@1 lists n1 as present on an ended record"):
         ended_versions.observe(2.0, OBSERVER, member_record(present_state))
 
 
@@ -71,7 +71,7 @@
     cluster = MembershipCluster(1, 3, ProtocolSettings())
     cluster.start_all()
     cluster.settings = ProtocolSettings(max_members=2)
-    with pytest.raises(InvariantError, match="more than its bound"):
+    with pytest.raises(InvariantError, match="n[0-2] holds more members or updates than its bound"):
         cluster.run(10.0)
 
 
@@ -102,7 +102,7 @@
 def test_an_operation_with_a_smaller_token_than_the_one_before_is_a_violation():
     resource = GuardedResource()
     resource.begin(1.0, 5, "a")
-    with pytest.raises(OperationOrderError, match="token 4 after 5"):
+    with pytest.raises(OperationOrderError, match="token 4 began after one with token 5"):
         resource.check_tokens_never_decrease(2.0, 4)
 
 
--- a/tests/membership/test_membership_simulation.py
+++ b/tests/membership/test_membership_simulation.py
@@ -70,7 +70,7 @@
     cluster.run(40.0)  # n1 is cut off, so its being declared dead is no violation
     cluster.links.heal()
     planted.dead_members_are_not_contacted(monkeypatch)
-    with pytest.raises(InvariantError, match="has held"):
+    with pytest.raises(InvariantError, match=r"lists n\d+ as dead since"):
         cluster.run(30.0)
 
 
