--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,5 +1,5 @@
 """Benchmarks: each module is a command, `python -m benchmarks.NAME`, run from the root.
 
-`harness` holds what they share. A module's docstring says what it measures, in which unit, against
-what. Nothing in the program imports this package.
+`harness` holds the shared helpers. A module's docstring states what the module measures, in which
+unit, and what it compares. No module of the program imports this package.
 """
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -1,19 +1,19 @@
-"""Compare two checkouts: cost of a decision, memory after the start, time to start.
+"""Compare two checkouts: CPU of a decision, memory after the start, start time.
 
 Usage:
   decision_cost OLD NEW [--runs N] [--jobs N]
 
 Options:
-  --runs N  Runs of each checkout, in turn: old, new, old, new ... [default: 5].
+  --runs N  Runs of each checkout, alternating: old, new, old, new ... [default: 5].
   --jobs N  Jobs in one run of the simulator's adapter [default: 3000].
 
-Each run is a process of its own, started by the command that the checkout's deploy/balancer.toml
-names. A first run of each is not counted: it fills a cache of compiled modules outside the
-checkouts. The cost of a job is the processor time of the adapter for its request, its outcome and
-the timers beside it, in microseconds; memory is in KiB, the time to start in milliseconds. Replies
-are compared too: the same settings, seed and events have to bring the same actions; if they do not,
-the exit code is 1. On a busy machine the lowest figures of a few runs say more than the medians.
-Linux only.
+Each run is a process of its own, started by the command in the checkout's deploy/balancer.toml. The
+first run of each checkout is not counted: it fills a cache of compiled modules outside the
+checkouts. The cost of a job is the CPU time of the adapter for the job's request, its outcome and
+the timers that are due meanwhile, in microseconds. Memory is in KiB, the start time in
+milliseconds. Replies are compared too: the same settings, seed and events must lead to the same
+actions; if they do not, the exit code is 1. On a busy machine the lowest values of a few runs are
+more reliable than the medians. Linux only.
 """
 
 import json
@@ -46,13 +46,13 @@
 WORKER_COUNTS = (16, 1024)
 SEED = 20_260
 JOB_GAP_US = 2_000  # between two requests
-IN_FLIGHT = 24  # jobs that are out at the same time
-SERVED_FRACTION = 0.97  # of the attempts; the rest fails
-KEYS = 200
-FIRST_RUN_US = 1_000_000
+MEAN_JOBS_IN_FLIGHT = 24  # attempts running at the same time, on average
+SERVED_FRACTION = 0.97  # of the attempts; the others fail
+KEY_COUNT = 200
+START_US = 1_000_000
 MAX_START_SECONDS = 30.0
-POLL_SECONDS = 0.002
-STOP_SECONDS = 15.0
+POLL_INTERVAL_SECONDS = 0.002
+STOP_TIMEOUT_SECONDS = 15.0
 CLASS_KEY_PARTS = 3  # services.NUMBER.KEY
 
 SETTINGS = {
@@ -83,19 +83,19 @@
 
 @dataclass(frozen=True)
 class Checkout:
-    """A copy of the project, and where its compiled modules are kept meanwhile."""
+    """A copy of the project, and the folder for its compiled modules during the benchmark."""
 
     root: Path
     cache: Path
 
     def start(self, command: str, **environment: str) -> subprocess.Popen[str]:
-        """Start the command of this name in the checkout's deploy file."""
+        """Start the command that has this name in the checkout's deploy file."""
         deploy = tomllib.loads((self.root / "deploy" / "balancer.toml").read_text())
-        own = {"PYTHONPYCACHEPREFIX": str(self.cache), **environment}
+        variables = {"PYTHONPYCACHEPREFIX": str(self.cache), **environment}
         return subprocess.Popen(
             ["/bin/sh", "-c", deploy[command]],
             cwd=self.root,
-            env={**os.environ, **own},
+            env={**os.environ, **variables},
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             stderr=subprocess.DEVNULL,
@@ -107,19 +107,19 @@
 
 
 class Adapter:
-    """The wire to one adapter process, with one instance in it."""
+    """The connection to an adapter process that runs one dispatcher."""
 
     def __init__(self, process: subprocess.Popen[str]) -> None:
         self.process = process
         self.requests = open_pipe(process.stdin)
         self.replies = open_pipe(process.stdout)
-        self.batches = 0
+        self.batch_count = 0
         self.digest = sha256()
 
-    def batch(self, now_us: int, lines: list[str]) -> list[str]:
-        """Send the lines of one instant; return those of the reply, without the last one."""
-        self.batches += 1
-        head = f"MARK t_us={now_us} batch={self.batches}"
+    def send_batch(self, now_us: int, lines: list[str]) -> list[str]:
+        """Send the lines of one moment; return the lines of the reply without the last one."""
+        self.batch_count += 1
+        head = f"MARK t_us={now_us} batch={self.batch_count}"
         first = "SWITCH_TO dispatcher=0"
         self.requests.write("\n".join((head, first, *lines, "END")) + "\n")
         self.requests.flush()
@@ -132,32 +132,32 @@
         return reply
 
     def cpu_seconds(self) -> float:
-        """Return the process's time on a processor so far, by /proc/PID/schedstat."""
+        """Return the CPU time of the process so far, from /proc/PID/schedstat."""
         return int(Path(f"/proc/{self.process.pid}/schedstat").read_text().split()[0]) / 1e9
 
 
 def open_pipe(pipe: IO[str] | None) -> IO[str]:
-    """Return a pipe of a process; RuntimeError if the process was started without it."""
+    """Return a pipe of a process; raise RuntimeError if the process was started without it."""
     if pipe is None:
         raise RuntimeError("the process has no pipe for its input or output")
     return pipe
 
 
 class Load:
-    """Emulated clients and workers; a worker answers each attempt after a drawn time."""
+    """Emulated clients and workers; a worker answers each attempt after a random time."""
 
     def __init__(self, adapter: Adapter, workers: int) -> None:
         self.adapter = adapter
         self.workers = workers
         self.rng = Random(SEED)
-        self.now_us = FIRST_RUN_US
-        # Time, serial number for a stable order, and the line of an event to come.
+        self.now_us = START_US
+        # The time of an event, a serial number for a stable order, and the event's line.
         self.scheduled: list[tuple[int, int, str]] = []
         self.scheduled_count = 0
         self.attempts: dict[str, int] = {}  # by job
 
     def send_settings(self) -> None:
-        """Send the settings and the endpoint list, as the first batch brings them."""
+        """Send the first batch: the settings and the endpoint list."""
         pairs = " ".join(f"{key}={value}" for key, value in SETTINGS.items())
         table = [f"TABLE sheet=0 lines={self.workers}"]
         for number in range(self.workers):
@@ -167,19 +167,19 @@
         self.send([f"ENLIST rng_seed={SEED} {pairs}", *table, topology])
 
     def submit_job(self, number: int) -> None:
-        """Send one request, with all events that are due before it."""
+        """Send one request, after all events that are due by then."""
         self.now_us += JOB_GAP_US
         events = []
         while self.scheduled and self.scheduled[0][0] <= self.now_us:
             events.append(heappop(self.scheduled)[2])
         job_class = number % 2
-        key = f" path_key={number % KEYS:016x}" if job_class else ""
+        key = f" path_key={number % KEY_COUNT:016x}" if job_class else ""
         request = f"REQUEST msg_id={number:016x} type={job_class}{key} budget_us=5000000"
         self.send([*events, request])
 
     def send(self, events: list[str]) -> None:
-        """Send events and act on the actions of the reply."""
-        for line in self.adapter.batch(self.now_us, events):
+        """Send events, and carry out the actions of the reply."""
+        for line in self.adapter.send_batch(self.now_us, events):
             name, *parts = line.split(" ")
             fields = dict(part.split("=", 1) for part in parts)
             if name == "RELAY":
@@ -188,10 +188,10 @@
                 self.schedule(int(fields["moment_us"]), f"WAKE ctx={fields['ctx']}")
 
     def start_attempt(self, job: str, worker: str) -> None:
-        """Draw an attempt's time and outcome, and schedule its end."""
+        """Choose a random duration and outcome of an attempt, and schedule its end."""
         attempt = self.attempts.get(job, 0)
         self.attempts[job] = attempt + 1
-        elapsed_us = int(self.rng.uniform(0.5, 1.5) * IN_FLIGHT * JOB_GAP_US)
+        elapsed_us = int(self.rng.uniform(0.5, 1.5) * MEAN_JOBS_IN_FLIGHT * JOB_GAP_US)
         is_served = self.rng.random() < SERVED_FRACTION
         outcome = "state_code=OK finished=1" if is_served else "state_code=UNAVAILABLE"
         report = f" gauge={self.rng.randrange(2)},{self.rng.randrange(1, 6)}" if is_served else ""
@@ -217,14 +217,14 @@
         cost_us = (adapter.cpu_seconds() - before_seconds) / jobs * 1e6
         return cost_us, adapter.digest.hexdigest()
     finally:
-        end(process)
+        end_process(process)
 
 
 # -- the dispatcher -------------------------------------------------------------------------
 
 
 class DiscoveryHandler(BaseHTTPRequestHandler):
-    """Emulate discovery: an unchanging list, and watches that end without a change."""
+    """Emulate discovery with a list that never changes, and watches that end without a change."""
 
     protocol_version = "HTTP/1.1"
     rows = [
@@ -240,7 +240,7 @@
             time.sleep(int(query.get("wait", ["0"])[0]) / 1000)
         rows = [] if watched else self.rows
         body = json.dumps({"version": 1, "full": not watched, "servers": rows})
-        with suppress(ConnectionError):  # a dispatcher that was measured is gone
+        with suppress(ConnectionError):  # the measured dispatcher may have ended
             self.send_response(200)
             self.send_header("Content-Type", "application/json")
             self.send_header("Content-Length", str(len(body)))
@@ -252,7 +252,7 @@
 
 
 @contextmanager
-def discovery() -> Iterator[int]:
+def running_discovery() -> Iterator[int]:
     """Run the emulated discovery; yield its port."""
     server = ThreadingHTTPServer((LOCAL, 0), DiscoveryHandler)
     server.daemon_threads = True
@@ -263,8 +263,8 @@
         server.shutdown()
 
 
-def nested(pairs: dict[str, str]) -> dict[str, Any]:
-    """Return dotted keys as the nested JSON of a configuration; the classes as a list."""
+def nested_configuration(pairs: dict[str, str]) -> dict[str, Any]:
+    """Return the nested JSON of a configuration from dotted keys; the classes become a list."""
     root: dict[str, Any] = {}
     for path, value in pairs.items():
         if not path.startswith("services."):
@@ -299,7 +299,7 @@
         "discovery": f"{LOCAL}:{discovery_port}",
         "seed": "1f",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "settings": nested(SETTINGS),
+        "settings": nested_configuration(SETTINGS),
     }
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
         json.dump(config, file)
@@ -310,11 +310,11 @@
             while not is_ready(port):
                 if process.poll() is not None or monotonic() - started_seconds > MAX_START_SECONDS:
                     raise RuntimeError(f"{checkout.root}: the dispatcher did not become ready")
-                time.sleep(POLL_SECONDS)
+                time.sleep(POLL_INTERVAL_SECONDS)
             ready_ms = (monotonic() - started_seconds) * 1e3
-            return {"start to ready, ms": ready_ms, **memory(process.pid)}
+            return {"start to ready, ms": ready_ms, **memory_figures(process.pid)}
         finally:
-            end(process)
+            end_process(process)
 
 
 def is_ready(port: int) -> bool:
@@ -329,19 +329,19 @@
         connection.close()
 
 
-def memory(pid: int) -> dict[str, float]:
+def memory_figures(pid: int) -> dict[str, float]:
     """Return the resident memory now and at its highest, in KiB."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     figures = dict(line.split(":", 1) for line in lines)
     return {f"{name} at ready, KiB": int(figures[name].split()[0]) for name in ("VmRSS", "VmHWM")}
 
 
-def end(process: subprocess.Popen[str]) -> None:
-    """Close the input, which ends an adapter; a dispatcher needs no graceful shutdown here."""
+def end_process(process: subprocess.Popen[str]) -> None:
+    """Close the input, which ends an adapter; kill a dispatcher: it needs no graceful stop here."""
     open_pipe(process.stdin).close()
     if process.poll() is None:
         process.kill()
-    process.wait(STOP_SECONDS)
+    process.wait(STOP_TIMEOUT_SECONDS)
     open_pipe(process.stdout).close()
 
 
@@ -351,7 +351,7 @@
 Figures = dict[str, float]
 
 
-def one_run(checkout: Checkout, jobs: int, discovery_port: int) -> tuple[Figures, list[str]]:
+def measure_run(checkout: Checkout, jobs: int, discovery_port: int) -> tuple[Figures, list[str]]:
     """Return all figures of one run, and the digests of the replies."""
     figures: Figures = {}
     digests: list[str] = []
@@ -366,10 +366,10 @@
     """Return the figures by checkout and run, and whether all replies are the same."""
     figures: list[list[Figures]] = [[] for _ in checkouts]
     replies: set[tuple[str, ...]] = set()
-    with discovery() as port:
+    with running_discovery() as port:
         for number in range(runs + 1):
             for index, checkout in enumerate(checkouts):
-                measured, digests = one_run(checkout, jobs, port)
+                measured, digests = measure_run(checkout, jobs, port)
                 replies.add(tuple(digests))
                 if number:  # the first run is not counted
                     figures[index].append(measured)
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -1,4 +1,4 @@
-"""Parts that benchmarks share: jobs in processes, CPU accounts, quantiles, tables, kept results.
+"""Helpers that benchmarks share: process pools, CPU times, quantiles, tables, result files.
 
 Times are in seconds unless a name says otherwise. Linux only: CPU time is read from /proc.
 """
@@ -17,7 +17,7 @@
 
 JSON_INDENT = 1
 P99 = 0.99
-# Fields of /proc/PID/stat behind the command's name, from 0: proc(5), `utime` and `stime`.
+# Indexes of `utime` and `stime` (proc(5)) in /proc/PID/stat, from 0 behind the command's name.
 USER_TICKS_FIELD = 11
 SYSTEM_TICKS_FIELD = 12
 
@@ -34,7 +34,7 @@
 
 
 def process_cpu_seconds(pid: int) -> float:
-    """Return the CPU time that a process has used, by the kernel's account in /proc/PID/stat."""
+    """Return the CPU time that a process has used, which the kernel counts in /proc/PID/stat."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     ticks = int(fields[USER_TICKS_FIELD]) + int(fields[SYSTEM_TICKS_FIELD])
     return ticks / os.sysconf("SC_CLK_TCK")
@@ -62,18 +62,18 @@
 
 
 def markdown_table(header: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
-    """Return a Markdown table; cells are written by `str`."""
+    """Return a Markdown table; cells are converted by `str`."""
     lines = [header, ["---"] * len(header), *rows]
     return "\n".join(f"| {' | '.join(map(str, cells))} |" for cells in lines)
 
 
 def write_json(folder: Path, name: str, data: object) -> None:
-    """Keep results as JSON in a folder, which is made if it is missing."""
+    """Write results as JSON to a file of a folder; create the folder if it is missing."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / name).write_text(json.dumps(data, indent=JSON_INDENT))
 
 
-def print_and_keep(text: str, path: str | None) -> None:
+def print_and_write(text: str, path: str | None) -> None:
     """Print a report, and write it to the file at `path` if there is one."""
     if path:
         Path(path).write_text(text, encoding="utf-8")
--- a/benchmarks/health_check_leader.py
+++ b/benchmarks/health_check_leader.py
@@ -1,16 +1,16 @@
-"""Compare health checks by a lease-holding leader with those by each dispatcher, on the same days.
+"""Compare health checks by a lease-holding leader with those by each dispatcher, on the same loads.
 
 Usage:
   health_check_leader [--quick] [--out DIR]
 
 Options:
-  --quick    Three seeds in place of ten.
-  --out DIR  Where sweep.json is kept [default: docs/results].
+  --quick    Three seeds instead of ten.
+  --out DIR  The folder for sweep.json [default: docs/results].
 
-Measured on the lab's `probed` site, for clusters of dispatchers and faults of the leader, each day
-with the leader beside the same day without it: health checks a worker and second, the gain of
-the score (0 to 1) with its standard error, and by how much the lab itself was late (ms). Tables go
-to standard output as Markdown.
+Measured on the lab's `probed` site, for clusters of dispatchers and faults of the leader. Each seed
+is run with the leader and without it. Results: health checks per worker and second, the gain of
+the score (0 to 1) with its standard error, and the greatest delay of the lab itself (ms). Tables
+go to standard output as Markdown.
 """
 
 import statistics
@@ -27,17 +27,17 @@
     play_health_check_run,
 )
 
-DAY_SECONDS = 12
+RUN_SECONDS = 12
 SEEDS = 10
 QUICK_SEEDS = 3
-DAYS_AT_ONCE = 4
-LARGE_CLUSTER = 8  # dispatchers from which fewer days run at once
-LARGE_CLUSTER_DAYS_AT_ONCE = 2
+RUNS_AT_ONCE = 4
+LARGE_CLUSTER = 8  # dispatchers from which fewer runs take place at the same time
+LARGE_CLUSTER_RUNS_AT_ONCE = 2
 
 
 @dataclass(frozen=True)
 class Setup:
-    """A number of dispatchers, and what happens to the leader."""
+    """A number of dispatchers, and the fault of the leader."""
 
     dispatchers: int
     leader_fault: LeaderFault = LeaderFault.NONE
@@ -55,25 +55,31 @@
 )
 
 
-def run_days(setup: Setup, seeds: int) -> list[HealthCheckRunResult]:
-    """Run the days of one setup, each seed without and with the leader."""
+def run_setup(setup: Setup, seeds: int) -> list[HealthCheckRunResult]:
+    """Run each seed of one setup without and with the leader."""
     jobs = [
-        HealthCheckRun(seed, has_leader, setup.dispatchers, DAY_SECONDS, setup.leader_fault)
+        HealthCheckRun(seed, has_leader, setup.dispatchers, RUN_SECONDS, setup.leader_fault)
         for seed in range(seeds)
         for has_leader in (False, True)
     ]
     is_large = setup.dispatchers >= LARGE_CLUSTER
-    days_at_once = LARGE_CLUSTER_DAYS_AT_ONCE if is_large else DAYS_AT_ONCE
-    return run_in_processes(play_health_check_run, jobs, days_at_once)
+    runs_at_once = LARGE_CLUSTER_RUNS_AT_ONCE if is_large else RUNS_AT_ONCE
+    return run_in_processes(play_health_check_run, jobs, runs_at_once)
 
 
 def setup_row(setup: Setup, rows: list[HealthCheckRunResult]) -> list[object]:
-    """Return one setup's cells."""
-    alone = [row for row in rows if not row["sweep"]]
-    led = [row for row in rows if row["sweep"]]
-    gains = [after["score"] - before["score"] for before, after in zip(alone, led, strict=True)]
+    """Return the table cells of one setup."""
+    without_leader = [row for row in rows if not row["sweep"]]
+    with_leader = [row for row in rows if row["sweep"]]
+    gains = [
+        after["score"] - before["score"]
+        for before, after in zip(without_leader, with_leader, strict=True)
+    ]
     error = statistics.stdev(gains) / len(gains) ** 0.5
-    checks = [statistics.mean(row["probes_a_worker_s"] for row in part) for part in (alone, led)]
+    checks = [
+        statistics.mean(row["probes_a_worker_s"] for row in part)
+        for part in (without_leader, with_leader)
+    ]
     late_ms = max(row["late_ms"] for row in rows)
     breaches = [row["breaches"] for row in rows if row["breaches"]]
     return [
@@ -94,7 +100,7 @@
         "health checks a worker and second: each dispatcher",
         "leader only",
         "score: gain",
-        "late, ms",
+        "lab late, ms",
         "breaches",
     )
     return markdown_table(
@@ -107,7 +113,7 @@
     """Run the benchmark with the options of the command line."""
     arguments = docopt(__doc__)
     seeds = QUICK_SEEDS if arguments["--quick"] else SEEDS
-    rows = [row for setup in SETUPS for row in run_days(setup, seeds)]
+    rows = [row for setup in SETUPS for row in run_setup(setup, seeds)]
     write_json(Path(arguments["--out"]), "sweep.json", rows)
     print(table(rows))
 
--- a/benchmarks/identity.py
+++ b/benchmarks/identity.py
@@ -1,17 +1,17 @@
-"""Measure what it costs the dispatcher to know who is calling.
+"""Measure the dispatcher's CPU for authenticating its clients.
 
 Usage:
   identity [--seconds N] [--rates LIST] [--rounds N] [--out FILE]
 
 Options:
   --seconds N   Length of the load of each run [default: 10].
-  --rates LIST  Requests a second, with commas [default: 100,500].
-  --rounds N    Runs of each [default: 3].
-  --out FILE    Write the tables there too, as Markdown.
+  --rates LIST  Requests per second, comma-separated [default: 100,500].
+  --rounds N    Runs of each way to authenticate [default: 3].
+  --out FILE    Write the tables to this file too, as Markdown.
 
-Measured: the dispatcher's CPU a request (us), by the kernel's account and without its start, for
+Measured: the dispatcher's CPU per request (us), as the kernel counts it and without the start, for
 requests without identity, with one cached token, with a new token each and over TLS with a client
-certificate; the last three against the first. The four run at the same time, each with a
+certificate; the last three are compared with the first. The four run at the same time, each with a
 dispatcher, a worker and clients of its own, so that a noisy machine affects all of them.
 """
 
@@ -40,7 +40,7 @@
 from benchmarks.harness import (
     markdown_table,
     mean_with_range,
-    print_and_keep,
+    print_and_write,
     process_cpu_seconds,
 )
 from stepstream.config.limits import Limits
@@ -51,13 +51,13 @@
 from stepstream.identity.key_set import KeyState
 
 CONNECTIONS = 8
-HANDSHAKES = 100
+HANDSHAKE_COUNT = 100
 READ_BYTES = 65_536
 WORKER_START_SECONDS = 2.0  # until the worker is registered
 FIRST_REQUEST_SECONDS = 0.5  # until all client threads have their connection
 HANDSHAKE_SETTLE_SECONDS = 0.2  # for the dispatcher to end the last handshake
 CONNECT_RETRY_SECONDS = 0.05
-TOKEN_SECONDS = 3600
+TOKEN_LIFETIME_SECONDS = 3600
 US_PER_SECOND = 1e6
 LIMITS = Limits()
 SETTINGS = {
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True)
 class Measurement:
-    """The result of one run; `handshake_us` is 0 without certificates."""
+    """The result of one run; `handshake_us` is 0 for runs without client certificates."""
 
     cpu_us_per_request: float
     sent: int
@@ -112,7 +112,7 @@
 
 
 class IdentityBenchmark:
-    """One dispatcher, a Gearman worker that completes at once, and clients on kept connections."""
+    """One dispatcher, a Gearman worker that answers at once, and clients that keep connections."""
 
     def __init__(self, credential: Credential, folder: Path) -> None:
         self.credential = credential
@@ -124,7 +124,7 @@
         self.signing_keys = SigningKeyStore(folder)
         self.signing_keys.create_key("EdDSA", "k1", KeyState.ACTIVE, 0)
         self.authority = trustme.CA()
-        # Counted by client threads, each on an index of its own.
+        # Each client thread counts at an index of its own.
         self.sent = [0] * CONNECTIONS
         self.served = [0] * CONNECTIONS
 
@@ -185,13 +185,13 @@
         """Return a token of a subject; tokens of different numbers differ."""
         now = int(time.time())
         claims = {"iss": "bench", "aud": "bench", "sub": subject}
-        times = {"iat": now, "exp": now + TOKEN_SECONDS}
+        times = {"iat": now, "exp": now + TOKEN_LIFETIME_SECONDS}
         return self.signing_keys.issue_token({**claims, **times, "jti": str(number)})
 
     # -- the worker --
 
     def run_worker(self) -> None:
-        """Serve jobs until the dispatcher ends; the body of the worker's thread."""
+        """Serve jobs until the dispatcher ends; runs on the worker's thread."""
         with self.connect_worker() as connection:
             parser = codec.Parser(LIMITS, responses=True)
             if self.credential is not Credential.NONE:
@@ -207,7 +207,7 @@
                         connection.sendall(worker_reply(packet))
 
     def connect_worker(self) -> socket.socket:
-        """Connect to the Gearman listener once it is open."""
+        """Connect to the Gearman listener; retry until it is open."""
         while True:
             try:
                 return socket.create_connection((self.host, self.gearman_port))
@@ -217,7 +217,7 @@
     # -- the clients --
 
     def connect_client(self) -> socket.socket:
-        """Connect a client, over TLS with a certificate."""
+        """Connect a client; with a certificate, over TLS."""
         if self.credential is not Credential.CERTIFICATE:
             return socket.create_connection((self.host, self.http_port))
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
@@ -227,7 +227,7 @@
         return context.wrap_socket(connection, server_hostname=self.host)
 
     def run_client(self, index: int, schedule: "Schedule", tokens: list[str]) -> None:
-        """Send the requests of one connection at their times; the body of a client's thread."""
+        """Send the requests of one connection at their times; runs on a client's thread."""
         parser = Parser(LIMITS, answers=True)
         with self.connect_client() as connection:
             for number, at_seconds in enumerate(schedule.times(index)):
@@ -258,7 +258,7 @@
     # -- a run --
 
     def run(self, rate: float, seconds: float) -> Measurement:
-        """Send requests at a rate a second; return what they cost the dispatcher."""
+        """Send requests at this rate per second; return the dispatcher's CPU for them."""
         with self.dispatcher() as process:
             threading.Thread(target=self.run_worker, name="worker", daemon=True).start()
             time.sleep(WORKER_START_SECONDS)
@@ -282,7 +282,7 @@
         )
 
     def run_clients(self, schedule: "Schedule", tokens: list[str]) -> None:
-        """Run all client threads to their end."""
+        """Run the client threads, and wait until all have ended."""
         clients = [
             threading.Thread(target=self.run_client, args=(index, schedule, tokens), name="client")
             for index in range(CONNECTIONS)
@@ -295,15 +295,15 @@
     def measure_handshake(self, pid: int) -> float:
         """Return the dispatcher's CPU seconds of one TLS handshake."""
         before = process_cpu_seconds(pid)
-        for _ in range(HANDSHAKES):
+        for _ in range(HANDSHAKE_COUNT):
             self.connect_client().close()
         time.sleep(HANDSHAKE_SETTLE_SECONDS)
-        return (process_cpu_seconds(pid) - before) / HANDSHAKES
+        return (process_cpu_seconds(pid) - before) / HANDSHAKE_COUNT
 
 
 @dataclass(frozen=True)
 class Schedule:
-    """Requests at equal intervals, dealt to the connections in turn; times are monotonic."""
+    """Requests at equal intervals, distributed to the connections in turn; times are monotonic."""
 
     start_seconds: float
     rate: float  # requests a second, of all connections
@@ -322,7 +322,7 @@
 
 
 def worker_reply(packet: Packet) -> bytes:
-    """Return what the worker sends in reply to a packet: a result at once, and its next request."""
+    """Return the worker's reply to a packet: to a job, its result and a request for the next."""
     match packet.kind:
         case PacketKind.JOB_ASSIGN:
             result = codec.encode_request(PacketKind.WORK_COMPLETE, packet.args[0], "1")
@@ -334,7 +334,7 @@
     return b""
 
 
-def measure(credential: Credential, rate: float, seconds: float) -> Measurement:
+def measure_credential(credential: Credential, rate: float, seconds: float) -> Measurement:
     """Run one measurement in a folder of its own."""
     with tempfile.TemporaryDirectory(prefix="stepstream-benchmark-") as folder:
         return IdentityBenchmark(credential, Path(folder)).run(rate, seconds)
@@ -347,13 +347,14 @@
     """Measure all credentials at the same time, each in a process."""
     with ProcessPoolExecutor(len(Credential)) as pool:
         runs = {
-            credential: pool.submit(measure, credential, rate, seconds) for credential in Credential
+            credential: pool.submit(measure_credential, credential, rate, seconds)
+            for credential in Credential
         }
         return {credential: run.result() for credential, run in runs.items()}
 
 
 def credential_row(credential: Credential, rounds: list[Round]) -> list[object]:
-    """Return one credential's cells."""
+    """Return the table cells of one credential."""
     cpu_us = [results[credential].cpu_us_per_request for results in rounds]
     fraction = mean(
         1 - results[Credential.NONE].cpu_us_per_request / results[credential].cpu_us_per_request
@@ -391,7 +392,7 @@
     parts = [f"Measured {today}, {round_count} rounds of {seconds:g} s.", ""]
     for rate in map(float, arguments["--rates"].split(",")):
         parts.append(report(rate, [run_round(rate, seconds) for _ in range(round_count)]))
-    print_and_keep("\n".join(parts), arguments["--out"])
+    print_and_write("\n".join(parts), arguments["--out"])
 
 
 if __name__ == "__main__":
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -1,17 +1,17 @@
-"""Measure leases, in simulated time, in every order of events and on real dispatchers.
+"""Measure leases in simulated time, by an exhaustive search, and on real dispatchers.
 
 Usage:
   leases [--quick] [--out DIR]
 
 Options:
   --quick    Fewer runs and shorter ones.
-  --out DIR  Where leases.json is kept [default: docs/results].
+  --out DIR  The folder for leases.json [default: docs/results].
 
-Simulated: fault schedules drawn by seeds; the exhaustive search of small configurations; the
-seconds from a holder's crash to the next holder's first operation; envelopes and messages a second
-while members wait for one lease. On processes: fault schedules with the ledger as the verifier; the
-CPU of many leases held at once, in percent of a core, beside a dispatcher that neither holds nor
-votes. Tables go to standard output as Markdown.
+Simulated: random fault schedules by seed; the exhaustive search of small configurations; the
+seconds from a holder's crash to the next holder's first operation; envelopes and messages per
+second while members wait for one lease. On processes: fault schedules with the ledger as the
+verifier; the CPU of holding many leases at the same time, in percent of a core, compared with a
+dispatcher that neither holds a lease nor votes. Tables go to standard output as Markdown.
 """
 
 import statistics
@@ -50,7 +50,7 @@
 ACCEPTORS = ("n0", "n1", "n2")
 LEASE = "x"
 SETTLE_SECONDS = 60.0  # longest wait for a holder after the last fault
-LONG_SECONDS = 1e6  # longer than any run
+ENDLESS_HOLD_SECONDS = 1e6  # longer than any run
 SCHEDULE_SECONDS = 25.0
 MAX_AFFECTED_FRACTION = 1.0  # of the members, by one fault
 TTLS_SECONDS = (5.0, 15.0)
@@ -58,7 +58,7 @@
 LEASES_AT_ONCE = (1, 100, 1000)
 CPU_SECONDS = 20.0
 MAX_SEARCH_STATES = 400_000
-MAX_ERROR_CHARACTERS = 400
+MAX_ERROR_LENGTH = 400
 SMALL_CONFIGURATIONS = (
     Bounds(renewals=0, restarts=0, releases=False, time_steps=2),
     Bounds(renewals=0, restarts=0, releases=False, time_steps=3),
@@ -69,8 +69,8 @@
 
 
 @dataclass(frozen=True)
-class Sizes:
-    """How much a run of the benchmark plays."""
+class RunCounts:
+    """The numbers of runs of each part of the benchmark."""
 
     schedules: int
     crashes_per_ttl: int
@@ -79,14 +79,14 @@
     rounds_of_faults: int
 
 
-FULL = Sizes(3000, 200, len(SMALL_CONFIGURATIONS), 5, 4)
-QUICK = Sizes(400, 50, 2, 2, 1)
+FULL = RunCounts(3000, 200, len(SMALL_CONFIGURATIONS), 5, 4)
+QUICK = RunCounts(400, 50, 2, 2, 1)
 
 # -- simulated clusters ----------------------------------------------------------------------------
 
 
 def play_schedule(seed: int) -> dict[str, Any]:
-    """Play a drawn fault schedule on a drawn cluster."""
+    """Play a random fault schedule on a random cluster, both given by the seed."""
     cluster = generate_lease_cluster(seed)
     try:
         schedule = generate_schedule(seed, cluster.names, SCHEDULE_SECONDS, MAX_AFFECTED_FRACTION)
@@ -119,7 +119,7 @@
 
 
 def stored_bounds(bounds: Bounds) -> str:
-    """Return the bounds in the form of the kept results, which has shorter names."""
+    """Return the bounds under the shorter names that the result file uses."""
     return (
         f"Bounds(ballots={bounds.ballots}, renewals={bounds.renewals}, restarts={bounds.restarts},"
         f" steps={bounds.time_steps}, drift={bounds.max_clock_drift}, releases={bounds.releases})"
@@ -133,9 +133,9 @@
 
 
 def measure_crash(job: tuple[float, int]) -> dict[str, float]:
-    """Measure the time from a holder's crash to the next one's first operation.
+    """Measure the time from a holder's crash to the next holder's first operation.
 
-    The job is a time to live and a seed. The crash comes at any time of a renewal.
+    The job is a time to live and a seed. The crash comes at a random moment of a renewal.
     """
     ttl_seconds, seed = job
     cluster = simulated_cluster(seed, 5, ttl_seconds)
@@ -145,7 +145,7 @@
                 LEASE,
                 ttl_seconds=ttl_seconds,
                 max_operation_seconds=ttl_seconds / 10,
-                hold_seconds=LONG_SECONDS,
+                hold_seconds=ENDLESS_HOLD_SECONDS,
                 think_seconds=0.1,
             )
         ]
@@ -163,13 +163,15 @@
 
 
 def measure_load(waiting: int) -> dict[str, float]:
-    """Measure envelopes and messages a second while a holder stays and some members wait."""
+    """Measure envelopes and messages per second while one task holds the lease and others wait."""
     members = 10
     window_seconds = 60.0
     cluster = simulated_cluster(1, members, 15.0)
     cluster.start_all()
     cluster.run(16.0)
-    task = Task(LEASE, ttl_seconds=15.0, max_operation_seconds=1.0, hold_seconds=LONG_SECONDS)
+    task = Task(
+        LEASE, ttl_seconds=15.0, max_operation_seconds=1.0, hold_seconds=ENDLESS_HOLD_SECONDS
+    )
     for number in range(waiting + 1):
         cluster.start_task(f"n{number % members}", task)
     cluster.run(20.0)
@@ -188,7 +190,7 @@
 
 @dataclass(frozen=True)
 class FaultRounds:
-    """A cluster of dispatchers, and how often it meets each fault."""
+    """A cluster of dispatchers, and how many times each fault is injected."""
 
     seed: int
     acceptors: int
@@ -196,7 +198,7 @@
 
 
 def measure_faults(job: FaultRounds) -> dict[str, Any]:
-    """Inject every fault in a drawn order, some times over; check the ledger."""
+    """Inject every fault in random order, `rounds` times; check the ledger."""
     result: dict[str, Any] = {"seed": job.seed, "voters": job.acceptors}
     next_operation_seconds: list[float] = []
     members = job.acceptors + 2
@@ -208,7 +210,7 @@
                     outcome = inject(cluster, fault, SETTLE_SECONDS)
                     next_operation_seconds.append(outcome.recovery_seconds)
         except AssertionError as error:
-            result["broken"] = str(error)[:MAX_ERROR_CHARACTERS]
+            result["broken"] = str(error)[:MAX_ERROR_LENGTH]
         rows = cluster.ledger_rows()
     result["played"] = len(next_operation_seconds)
     result["next_act_s"] = next_operation_seconds
@@ -220,7 +222,7 @@
 
 
 def measure_cpu(lease_count: int) -> dict[str, float]:
-    """Measure the CPU, in percent of a core, of the holder of many leases and of others."""
+    """Measure the CPU of a holder of many leases and of the other members, in percent of a core."""
     holder = "n4"
     workload = LeaseWorkload(ttl_seconds=15.0, contenders=(holder,), lease_count=lease_count)
     with LeaseDispatcherCluster(5, 3, 1, workload) as cluster:
@@ -233,12 +235,14 @@
             return sum(row["holder"].startswith(f"{holder}@") for row in body)
 
         cluster.wait_for(lambda: held_count() >= lease_count, 120.0, f"{lease_count} leases")
-        time.sleep(5.0)  # the acquisition's own work must not count
+        time.sleep(5.0)  # so that the work of acquiring the leases does not count
         before = cpu_seconds(cluster)
         time.sleep(CPU_SECONDS)
         after = cpu_seconds(cluster)
         if held_count() < lease_count:
-            raise RuntimeError(f"of {lease_count} leases only {held_count()} are held at the end")
+            raise RuntimeError(
+                f"of {lease_count} leases only {held_count()} are held after the measurement"
+            )
     used = {name: (after[name] - before[name]) / CPU_SECONDS * 100 for name in after}
     acceptor = statistics.median(used[name] for name in cluster.acceptors)
     return {
@@ -262,11 +266,13 @@
 
 def schedules_summary(rows: list[dict[str, Any]]) -> str:
     """Return the count of schedules, the broken ones and totals."""
-    good = [row for row in rows if "settled" in row]
+    settled_rows = [row for row in rows if "settled" in row]
     broken = [row for row in rows if "broken" in row]
-    settled = quantiles_of([row["settled"] for row in good])
+    settled = quantiles_of([row["settled"] for row in settled_rows])
     seconds = [f"{value:.2f}" for value in asdict(settled).values()]
-    totals = [f"{key}: {sum(row[key] for row in good)}" for key in ("grants", "acts", "refused")]
+    totals = [
+        f"{key}: {sum(row[key] for row in settled_rows)}" for key in ("grants", "acts", "refused")
+    ]
     return "\n".join(
         [
             f"schedules {len(rows)}, broken {broken}",
@@ -306,7 +312,7 @@
 
 
 def faults_table(rows: list[dict[str, Any]]) -> str:
-    """Return what the ledger of each cluster of dispatchers shows."""
+    """Return the figures of each cluster of dispatchers, with the violations in its ledger."""
     header = (
         "cluster",
         "acceptors",
@@ -336,24 +342,26 @@
     return markdown_table(("leases held", "holder, % of a core", "acceptor", "neither"), cells)
 
 
-def measure(sizes: Sizes) -> dict[str, Any]:
-    """Run all parts; the keys are those of the kept results."""
+def measure_all(run_counts: RunCounts) -> dict[str, Any]:
+    """Run all parts; return the results under the keys of the result file."""
     results: dict[str, Any] = {}
     with ProcessPoolExecutor(max_workers=SIMULATION_PROCESSES) as pool:
-        # The searches take longest; they begin first and run beside the rest.
+        # The searches take longest, so they start first and run while the others are measured.
         searches = [
             pool.submit(search_configuration, bounds)
-            for bounds in SMALL_CONFIGURATIONS[: sizes.configurations]
+            for bounds in SMALL_CONFIGURATIONS[: run_counts.configurations]
         ]
-        schedules = pool.map(play_schedule, range(sizes.schedules), chunksize=SIMULATION_CHUNK)
+        schedules = pool.map(play_schedule, range(run_counts.schedules), chunksize=SIMULATION_CHUNK)
         results["schedules"] = list(schedules)
-        crash_jobs = [(ttl, seed) for ttl in TTLS_SECONDS for seed in range(sizes.crashes_per_ttl)]
+        crash_jobs = [
+            (ttl, seed) for ttl in TTLS_SECONDS for seed in range(run_counts.crashes_per_ttl)
+        ]
         results["crash"] = list(pool.map(measure_crash, crash_jobs, chunksize=SIMULATION_CHUNK))
         results["load"] = list(pool.map(measure_load, WAITING_MEMBERS))
         results["orders"] = [search.result() for search in searches]
     fault_jobs = [
-        FaultRounds(seed, 3 if seed % 2 else 5, sizes.rounds_of_faults)
-        for seed in range(sizes.dispatcher_clusters)
+        FaultRounds(seed, 3 if seed % 2 else 5, run_counts.rounds_of_faults)
+        for seed in range(run_counts.dispatcher_clusters)
     ]
     results["processes"] = run_in_processes(measure_faults, fault_jobs, DISPATCHER_CLUSTERS_AT_ONCE)
     results["cpu"] = [measure_cpu(lease_count) for lease_count in LEASES_AT_ONCE]
@@ -363,7 +371,7 @@
 def main() -> None:
     """Run the benchmark with the options of the command line."""
     arguments = docopt(__doc__)
-    results = measure(QUICK if arguments["--quick"] else FULL)
+    results = measure_all(QUICK if arguments["--quick"] else FULL)
     write_json(Path(arguments["--out"]), "leases.json", results)
     print(schedules_summary(results["schedules"]))
     print(f"\n{search_table(results['orders'])}")
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -5,15 +5,15 @@
 
 Options:
   --quick         Fewer runs and shorter ones.
-  --out DIR       Where fleet.json and the chart fleet.png are kept [default: docs/results].
+  --out DIR       The folder for fleet.json and the chart fleet.png [default: docs/results].
   --no-processes  Leave out the part with real dispatchers.
 
 Simulated, by cluster size: the seconds until all members know of a crash, and until they agree
-after a healed cut; datagrams and bytes a member and second without faults; members wrongly believed
-dead a member and hour, with Lifeguard and with SWIM's fixed suspicion only; fault schedules drawn
-by seeds; the exhaustive search. On processes: the CPU of a dispatcher without faults, in percent of
-a core, and the seconds until a crash, a cut and a maintenance record are known. Tables go to
-standard output as Markdown.
+after a network cut has healed; datagrams and bytes per member and second without faults; members
+wrongly believed dead, per member and hour, with Lifeguard and with SWIM's fixed suspicion only;
+random fault schedules by seed; the exhaustive search. On processes: the CPU of a dispatcher without
+faults, in percent of a core, and the seconds until a crash, a cut and a maintenance record are
+known. Tables go to standard output as Markdown.
 """
 
 import statistics
@@ -47,7 +47,7 @@
 QUICK_RUNS_BY_SIZE = {5: 60, 20: 60, 50: 24, 200: 4}
 FALSE_DEATHS_SECONDS = 1800.0
 QUICK_FALSE_DEATHS_SECONDS = 600.0
-FALSE_DEATHS_MEMBERS = 20
+FALSE_DEATHS_CLUSTER_SIZE = 20
 SCHEDULES_BY_SIZE = {5: 900, 20: 100}
 SCHEDULE_SECONDS = 25.0
 SCHEDULE_LINK_FAULT_FRACTION = 0.05  # of the datagrams: duplicated, and delayed
@@ -70,17 +70,19 @@
 
 
 def joined_cluster(seed: int, members: int, settings: ProtocolSettings) -> MembershipCluster:
-    """Return a cluster whose members all agree; InvariantError if they do not join in time."""
+    """Return a cluster whose members all agree; raise InvariantError if they do not in time."""
     cluster = MembershipCluster(seed, members, settings)
     cluster.start_all()
     if not cluster.run(JOIN_SECONDS, cluster.has_converged):
-        raise InvariantError(f"{members} members, seed {seed}: not joined")
+        raise InvariantError(
+            f"{members} members, seed {seed}: the members do not agree after the start"
+        )
     return cluster
 
 
 @dataclass(frozen=True)
 class CrashAndCut:
-    """One run: seconds until a crash is known and a cut is healed; load by member and second."""
+    """One run: seconds until a crash is known and until all agree after a cut; load per second."""
 
     members: int
     known: float
@@ -90,7 +92,7 @@
 
 
 def measure_crash_and_cut(job: tuple[int, int]) -> CrashAndCut:
-    """Measure a calm time, a crash and a cut of a cluster of a size and seed."""
+    """Measure the load without faults, a crash and a cut; the job is a cluster size and a seed."""
     members, seed = job
     cluster = joined_cluster(seed, members, DEFAULT_SETTINGS)
     cluster.run(3.0 + seed % 7 * 0.13)  # another phase of the probe interval for each seed
@@ -102,7 +104,9 @@
     known_seconds = measure_crash(cluster)
     healed_seconds = measure_cut(cluster, members)
     if healed_seconds is None:
-        raise InvariantError(f"{members} members, seed {seed}: not healed")
+        raise InvariantError(
+            f"{members} members, seed {seed}: the members do not agree after the cut"
+        )
     return CrashAndCut(members, known_seconds, healed_seconds, sent, sent_bytes)
 
 
@@ -129,7 +133,7 @@
 
 @dataclass(frozen=True)
 class FalseDeathsJob:
-    """What one run of false deaths is played with."""
+    """The parameters of one run that counts false deaths."""
 
     settings_name: str
     loss: float
@@ -139,16 +143,19 @@
 
 
 def measure_false_deaths(job: FalseDeathsJob) -> dict[str, Any]:
-    """Count members believed dead while they ran, by others that did not stall, by hour."""
+    """Count the running members that members without a stall believe dead, per hour.
+
+    Deaths of the member that stalls are counted separately.
+    """
     settings = SETTINGS_BY_NAME[job.settings_name]
-    cluster = joined_cluster(job.seed, FALSE_DEATHS_MEMBERS, settings)
+    cluster = joined_cluster(job.seed, FALSE_DEATHS_CLUSTER_SIZE, settings)
     cluster.links.loss_probability = job.loss
     deaths_before = len(cluster.declared_deaths)
     for _ in range(int(job.seconds)):
         if job.has_stalls:
             cluster.stall("n0", cluster.rng.uniform(0.2, 0.9))
         cluster.run(1.0)
-    # Several observers of one death count once.
+    # The observers of one death count once: declarations within about 10 s are one death.
     wrong = {
         (death.member, round(death.declared_at / 10))
         for death in cluster.declared_deaths[deaths_before:]
@@ -160,13 +167,13 @@
         "which": job.settings_name,
         "loss": job.loss,
         "stalled": job.has_stalls,
-        "wrong": (len(wrong) - len(of_stalled)) / FALSE_DEATHS_MEMBERS / hours,
+        "wrong": (len(wrong) - len(of_stalled)) / FALSE_DEATHS_CLUSTER_SIZE / hours,
         "of the stalled": len(of_stalled) / hours,
     }
 
 
 def play_schedule(job: tuple[int, int]) -> dict[str, Any]:
-    """Play a drawn fault schedule on a cluster of a size and seed."""
+    """Play a random fault schedule on a cluster; the job is a cluster size and a seed."""
     members, seed = job
     cluster = MembershipCluster(seed, members, DEFAULT_SETTINGS)
     cluster.links.duplicate_probability = SCHEDULE_LINK_FAULT_FRACTION
@@ -183,7 +190,7 @@
 
 
 def run_search() -> dict[str, Any]:
-    """Search every order of events to the depth; InvariantError if one breaks an invariant."""
+    """Search every order of events to SEARCH_DEPTH; raise InvariantError at a violation."""
     search = MembershipSearch(max_depth=SEARCH_DEPTH)
     started_seconds = time.monotonic()
     search.run()
@@ -198,7 +205,7 @@
 # -- processes -------------------------------------------------------------------------------------
 
 CLUSTER_SIZE = 20
-CALM_SECONDS = 20.0
+FAULT_FREE_SECONDS = 20.0
 ENDPOINT_LIST = {
     "version": 3,
     "full": True,
@@ -211,14 +218,14 @@
 
     def __init__(self, cluster: DispatcherCluster) -> None:
         self.cluster = cluster
-        self.everyone = set(cluster.members)
+        self.member_names = set(cluster.members)
         self.figures: dict[str, float] = {}
 
     def run(self) -> dict[str, float]:
-        """Return the figures by name; the part of each name behind the last `_` is its unit."""
-        self.figures["joined_s"] = self.wait_for_agreement("one view")
-        time.sleep(5.0)  # the start's own work must not count as calm
-        self.measure_calm_cpu()
+        """Return the figures by name; the part of a name after the last `_` is the unit."""
+        self.figures["joined_s"] = self.wait_for_agreement("agreement after the start")
+        time.sleep(5.0)  # so that the work of the start does not count
+        self.measure_fault_free_cpu()
         self.measure_crash()
         self.measure_cut()
         self.measure_maintenance_end()
@@ -228,55 +235,57 @@
     def wait_for_agreement(self, expectation: str) -> float:
         """Wait until all members agree; return the seconds that it took."""
         return self.cluster.wait_for(
-            lambda: self.cluster.has_converged(self.everyone), SETTLE_SECONDS, expectation
+            lambda: self.cluster.has_converged(self.member_names), SETTLE_SECONDS, expectation
         )
 
-    def measure_calm_cpu(self) -> None:
+    def measure_fault_free_cpu(self) -> None:
         """Measure the CPU of the processes and of their membership threads without faults."""
         before = self.cpu_seconds()
-        time.sleep(CALM_SECONDS)
+        time.sleep(FAULT_FREE_SECONDS)
         after = self.cpu_seconds()
         for index, part in enumerate(("process", "fleet_thread")):
-            used = [after[name][index] - before[name][index] for name in self.everyone]
-            self.figures[f"{part}_cpu_percent"] = statistics.median(used) / CALM_SECONDS * 100
+            used = [after[name][index] - before[name][index] for name in self.member_names]
+            self.figures[f"{part}_cpu_percent"] = statistics.median(used) / FAULT_FREE_SECONDS * 100
 
     def cpu_seconds(self) -> dict[str, tuple[float, float]]:
         """Return by member the CPU seconds of the process and of its membership thread."""
         return {
             name: (
                 process_cpu_seconds(member.started_process().pid),
-                membership_of(member)["counts"]["cpu_s"],
+                required_membership_list(member)["counts"]["cpu_s"],
             )
             for name, member in self.cluster.members.items()
         }
 
     def measure_crash(self) -> None:
-        """Kill a member, and start it again with an endpoint list."""
+        """Measure how soon all others know of a killed member; restart it with an endpoint list."""
         killed_seconds = time.monotonic()
         self.cluster.kill("n3")
-        others = self.everyone - {"n3"}
+        others = self.member_names - {"n3"}
         self.cluster.wait_for(
-            lambda: self.cluster.all_observe(others, "n3", "dead"), SETTLE_SECONDS, "the death"
+            lambda: self.cluster.all_observe(others, "n3", "dead"),
+            SETTLE_SECONDS,
+            "the death at all others",
         )
         self.figures["crash_known_s"] = time.monotonic() - killed_seconds
         self.cluster.members["n3"].persisted_endpoints = ENDPOINT_LIST
         self.cluster.start(["n3"])
-        self.wait_for_agreement("the return")
+        self.wait_for_agreement("agreement after the restart")
 
     def measure_cut(self) -> None:
         """Cut the cluster in halves, begin maintenance of a worker in one half, and heal."""
         half = {f"n{number}" for number in range(CLUSTER_SIZE // 2)}
-        self.cluster.cut(half, self.everyone - half)
+        self.cluster.cut(half, self.member_names - half)
         time.sleep(20.0)  # long enough for each half to believe the other dead
         begun_seconds = time.monotonic()
         self.cluster.members["n3"].call_admin("/workers/s-1/maint", "PUT")
-        self.wait_for_maintenance(half, "the ban on its side")
+        self.wait_for_maintenance(half, "the maintenance in its half")
         self.figures["ban_on_its_side_s"] = time.monotonic() - begun_seconds
         healed_seconds = time.monotonic()
         self.cluster.heal()
-        self.wait_for_maintenance(self.everyone, "the ban everywhere")
+        self.wait_for_maintenance(self.member_names, "the maintenance at all members")
         self.figures["ban_everywhere_after_heal_s"] = time.monotonic() - healed_seconds
-        agreement_seconds = self.wait_for_agreement("the healing")
+        agreement_seconds = self.wait_for_agreement("agreement after the cut")
         self.figures["healed_s"] = self.figures["ban_everywhere_after_heal_s"] + agreement_seconds
 
     def wait_for_maintenance(self, names: Iterable[str], expectation: str) -> None:
@@ -295,21 +304,21 @@
         ended_seconds = time.monotonic()
         self.cluster.members["n3"].call_admin("/workers/s-1/ready", "PUT")
         self.cluster.wait_for(
-            lambda: not any(map(self.has_maintenance, self.everyone)),
+            lambda: not any(map(self.has_maintenance, self.member_names)),
             SETTLE_SECONDS,
-            "the return of the worker",
+            "the end of the maintenance at all members",
         )
         self.figures["word_everywhere_s"] = time.monotonic() - ended_seconds
 
     def measure_suspension(self) -> None:
-        """Suspend a member for a minute; count whom it believes dead after it resumes."""
+        """Suspend a member for a minute; count the members that it believes dead after that."""
         member = self.cluster.members["n5"]
-        last_change = membership_of(member)["number"]
+        last_change = required_membership_list(member)["number"]
         self.cluster.suspend("n5")
         time.sleep(60.0)
         self.cluster.resume("n5")
         self.figures["settled_after_60s_stop_s"] = self.wait_for_agreement(
-            "the return of one that stood still"
+            "agreement after the suspension"
         )
         _, body = member.call_admin(f"/fleet/changes?after={last_change}")
         changes = body["changes"]
@@ -318,8 +327,8 @@
         )
 
 
-def membership_of(member: ClusterMember) -> MembershipList:
-    """Return what a running dispatcher says of the members."""
+def required_membership_list(member: ClusterMember) -> MembershipList:
+    """Return a dispatcher's membership list; raise RuntimeError if it does not answer."""
     membership = member.membership_list()
     if membership is None:
         raise RuntimeError(f"{member.name} does not answer")
@@ -353,7 +362,7 @@
     load.set_xscale("log")
     load.set_ylim(0)
     load.set_xlabel("members")
-    load.set_ylabel("bytes a member and second, calm")
+    load.set_ylabel("bytes per member and second, no faults")
     figure.tight_layout()
     figure.savefig(path, dpi=110)
 
@@ -400,7 +409,7 @@
 
 
 def size_row(size: int, runs: int, rows: list[CrashAndCut]) -> list[object]:
-    """Return one size's cells."""
+    """Return the table cells of one size."""
     known = quantiles_of([row.known for row in rows])
     healed = quantiles_of([row.healed for row in rows])
     seconds = (known.median, known.p99, healed.median, healed.p99)
@@ -456,7 +465,7 @@
         (size, seed) for size, runs in SCHEDULES_BY_SIZE.items() for seed in range(runs)
     ]
     schedules = run_in_processes(play_schedule, schedule_jobs, PROCESSES)
-    # The keys are those of the kept results.
+    # The keys of the result file.
     results: dict[str, Any] = {
         "sizes": [asdict(row) for row in sizes],
         "wrong": false_deaths,
--- a/benchmarks/protocol_mix.py
+++ b/benchmarks/protocol_mix.py
@@ -1,4 +1,4 @@
-"""Compare one seeded load sent as HTTP only, as Gearman only and mixed, on the lab's workers.
+"""Compare a seeded load over HTTP only, over Gearman only and over both, on the lab's workers.
 
 Usage:
   protocol_mix [--seeds N] [--seconds N] [--loads LIST] [--out FILE]
@@ -6,10 +6,10 @@
 Options:
   --seeds N     Seeds 1 to N [default: 5].
   --seconds N   Length of the load of each run [default: 25].
-  --loads LIST  Offered work over what the workers can do, with commas [default: 0.55,0.8].
-  --out FILE    Write the tables there too, as Markdown.
+  --loads LIST  Offered work divided by the workers' capacity, comma-separated [default: 0.55,0.8].
+  --out FILE    Write the tables to this file too, as Markdown.
 
-Measured for each mix: the score of the run (0 to 1), the dispatcher's CPU for a job (us) and its
+Measured for each mix: the score of the run (0 to 1), the dispatcher's CPU per job (us) and its
 resident memory (MB), each against HTTP only. The three runs of a seed are played at the same time,
 so that a noisy machine affects all three. HTTP only runs the dispatcher as the platform does,
 without the operator's file.
@@ -23,7 +23,7 @@
 import msgspec
 from docopt import docopt
 
-from benchmarks.harness import markdown_table, mean_with_range, print_and_keep
+from benchmarks.harness import markdown_table, mean_with_range, print_and_write
 from stepstream.lab.load.scenario import generate_scenario
 from stepstream.lab.load.site import read_site
 from stepstream.lab.processes.load_test import LoadTest, LoadTestResult
@@ -46,7 +46,7 @@
         return self.results[mix].figures.score
 
     def mixed_gain(self) -> float:
-        """Return by how much the mixed run scored more than that with HTTP only."""
+        """Return the score of the mixed run minus that of the run with HTTP only."""
         return self.score("mixed") - self.score("http")
 
 
@@ -66,7 +66,7 @@
 
 
 def run_seed(seed: int, seconds: int, load: float) -> SeedRuns:
-    """Run all mixes of a seed at once, each in a process: their event loops must not share one."""
+    """Run all mixes of a seed at once, each in a process: event loops must not share a process."""
     with ProcessPoolExecutor(len(MIXES)) as pool:
         runs = {mix: pool.submit(run_in_own_loop, seed, seconds, load, mix) for mix in MIXES}
         results = {mix: run.result() for mix, run in runs.items()}
@@ -93,7 +93,7 @@
 
 
 def score_row(row: SeedRuns) -> list[object]:
-    """Return one seed's cells."""
+    """Return the table cells of one seed."""
     scores = [f"{row.score(mix):.3f}" for mix in MIXES]
     breach_count = sum(len(row.results[mix].figures.breaches) for mix in MIXES)
     late_ms = max(row.results[mix].late_ms for mix in MIXES)
@@ -102,7 +102,7 @@
 
 
 def cpu_us_per_job(row: SeedRuns, mix: str) -> float:
-    """Return the dispatcher's CPU for a job, in microseconds."""
+    """Return the dispatcher's CPU time per job, in microseconds."""
     return US_PER_SECOND * row.results[mix].cost.cpu_s / row.job_count
 
 
@@ -113,7 +113,7 @@
 
 
 def cost_row(rows: list[SeedRuns], mix: str) -> list[object]:
-    """Return one mix's cells."""
+    """Return the table cells of one mix."""
     cpu_us = [cpu_us_per_job(row, mix) for row in rows]
     ratio = mean(cpu_us_per_job(row, mix) / cpu_us_per_job(row, "http") for row in rows)
     memory_mb = max(row.results[mix].cost.rss_mb for row in rows)
@@ -149,7 +149,7 @@
     seconds = int(arguments["--seconds"])
     loads = [float(load) for load in arguments["--loads"].split(",")]
     rows = [run_seed(seed, seconds, load) for load in loads for seed in seeds]
-    print_and_keep(report(rows), arguments["--out"])
+    print_and_write(report(rows), arguments["--out"])
 
 
 if __name__ == "__main__":
--- a/scripts/compare_test_cases.py
+++ b/scripts/compare_test_cases.py
@@ -1,14 +1,14 @@
-"""List the test cases of two checkouts: those that are gone, those that are new, and the counts.
+"""Compare the test cases of two checkouts; print the lost ones, the new ones and the counts.
 
 Usage:
   compare_test_cases.py OLD NEW [--renames FILE]
 
 Options:
   --renames FILE  Lines `old id -> new id`, by function (file::function, without its parameters); a
-                  line may name several new ids, parted by commas.
+                  line may name several new ids, separated by commas.
 
-A function of OLD that has neither the same id in NEW nor a rename is printed as gone, and the exit
-code is 1; so it is if a function has fewer cases than before. Run it with the interpreter of a
+A function of OLD is printed as gone, and the exit code is 1, if NEW has neither its id nor a rename
+of it, or if the function has fewer cases than before. Run the script with the interpreter of a
 virtual environment that has the development requirements.
 """
 
@@ -47,7 +47,7 @@
 def lost_cases(
     old: Counter[str], new: Counter[str], renames: dict[str, list[str]]
 ) -> dict[str, int]:
-    """Return by old function how many cases it has more than what it became."""
+    """Return for each old function how many cases the functions that replace it lack."""
     lost = {}
     for function, count in old.items():
         successors = renames.get(function, [function])
