--- a/tests/golden/fronts/command_samples.py
+++ b/tests/golden/fronts/command_samples.py
@@ -1,4 +1,4 @@
-"""Samples of the command line: help texts, and errors of words that are not understood."""
+"""Samples of the command line: help texts, and errors for invalid arguments."""
 
 from golden.fronts.configurations import FOLDER, Sample, run_command
 from golden.recorded_data import read_inputs
--- a/tests/golden/fronts/configurations.py
+++ b/tests/golden/fronts/configurations.py
@@ -17,7 +17,7 @@
 from stepstream.config.limits import Limits
 from stepstream.config.node_config import config_from
 
-Sample = Callable[[], object]  # gives a value of JSON
+Sample = Callable[[], object]  # returns a value of JSON
 
 FOLDER = Path(__file__).resolve().parent
 INPUTS = read_inputs(FOLDER, "config")
@@ -28,7 +28,7 @@
 
 
 def with_value(path: str, value: object) -> dict:
-    """Return the configuration with one key replaced; `services.0.worth` walks into lists too."""
+    """Return the configuration with one key replaced; in `services.0.worth`, 0 is a list index."""
     configuration = copy.deepcopy(CONFIGURATION)
     *parents, last = path.split(".")
     section = configuration
@@ -65,7 +65,7 @@
             code = cli.main(list(words))
         except SystemExit as end:
             code = end.code
-            if isinstance(code, str):  # as the interpreter does: the text is printed, the code is 1
+            if isinstance(code, str):  # like the interpreter, print the text and exit with 1
                 print(code, file=sys.stderr)
                 code = 1
     return {"code": code or 0, "out": out.getvalue(), "err": err.getvalue()}
@@ -80,7 +80,7 @@
 
 @contextlib.contextmanager
 def written_files(configuration: object = None, operator: str | None = None) -> Iterator[Path]:
-    """Give a folder with config.json (text as it is, else as JSON) and operator.toml."""
+    """Yield a folder with config.json (a text unchanged, else as JSON) and operator.toml."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         if configuration is not None:
--- a/tests/golden/fronts/gearman_packets.py
+++ b/tests/golden/fronts/gearman_packets.py
@@ -1,4 +1,4 @@
-"""Bytes that Gearman peers send, by the published protocol alone, and the recorded conversations."""
+"""Gearman packets of peers, built without the program's codec, and the recorded conversations."""
 
 import enum
 import struct
@@ -70,7 +70,7 @@
 
 
 def packet(number: int, *arguments: bytes) -> bytes:
-    """Return a packet with these arguments, parted by zero bytes."""
+    """Return a packet with these arguments, separated by zero bytes."""
     data = b"\0".join(arguments)
     return struct.pack(HEADER, REQUEST_MAGIC, number, len(data)) + data
 
@@ -86,7 +86,7 @@
 
 
 def conversation_steps(rows: list[str | dict]) -> list[Step]:
-    """Return the steps of a recorded conversation; a text stands for the fragment of this name."""
+    """Return the steps of a recorded conversation; a text is the name of a fragment."""
     steps: list[Step] = []
     for row in rows:
         if isinstance(row, str):
--- a/tests/golden/fronts/gearman_samples.py
+++ b/tests/golden/fronts/gearman_samples.py
@@ -125,7 +125,7 @@
     samples: dict[str, Sample] = {}
     for answers, side in ((False, "request"), (True, "answer")):
         for number, count in argument_counts(answers=answers).items():
-            arguments = [f"a{place}".encode() for place in range(count)]
+            arguments = [f"a{index}".encode() for index in range(count)]
             if arguments:
                 arguments[-1] = b"\0\xff"  # only the last argument may hold any byte
             case = answers, number, tuple(arguments)
--- a/tests/golden/fronts/http_samples.py
+++ b/tests/golden/fronts/http_samples.py
@@ -50,7 +50,7 @@
 
 
 def step_values(step: object) -> dict:
-    """Return what a session gives for what it read: bytes due, a request, or a notification."""
+    """Return the values of a step of a session: bytes to send, a request or a notification."""
     match step:
         case Reply():
             return {"bytes": text_of(step.data), "close": step.close}
@@ -79,17 +79,17 @@
     }
 
 
-def notification_values(told: JobNotification | None) -> dict | None:
+def notification_values(event: JobNotification | None) -> dict | None:
     """Return a notification's values under the names of the recorded files."""
-    if told is None:
+    if event is None:
         return None
     return {
-        "id": told.request_id,
-        "from": told.worker_id,
-        "news": told.status.value,
-        "result": to_json(told.result),
-        "progress": to_json(told.progress),
-        "report": told.load_report,
+        "id": event.request_id,
+        "from": event.worker_id,
+        "news": event.status.value,
+        "result": to_json(event.result),
+        "progress": to_json(event.progress),
+        "report": event.load_report,
     }
 
 
@@ -112,14 +112,14 @@
     reader, complaints = load_report_reader()
     message = Message("POST", worker_api.NOTIFICATION_PATH, body=body)
     try:
-        told = worker_api.read_notification(message, reader)
+        event = worker_api.read_notification(message, reader)
     except ProtocolError as error:
         return {"status": error.status}
-    return {"news": notification_values(told), "complaints": len(complaints)}
+    return {"news": notification_values(event), "complaints": len(complaints)}
 
 
 def forwarded_notification(body: bytes) -> str:
-    """Return a notification as it goes on to the other process of a hot restart."""
+    """Return a notification as it is forwarded to the other process of a hot restart."""
     message = Message("POST", worker_api.NOTIFICATION_PATH, body=body)
     return text_of(worker_api.notification_body(worker_api.read_notification(message)))
 
@@ -130,7 +130,7 @@
 
 
 def overload_answer(retry_after_us: int) -> str:
-    """Return the answer to a connection past the bound."""
+    """Return the answer to a connection over the limit of connections."""
     return text_of(client_api.overload_answer(retry_after_us, close=True))
 
 
--- a/tests/golden/fronts/identity_commands.py
+++ b/tests/golden/fronts/identity_commands.py
@@ -23,7 +23,7 @@
 def run_on_new_folder(*words: str, preparation: list[list[str]] = ()) -> dict:
     """Run a `keys` or `token` command on a folder of its own; return the files there as well.
 
-    What a key is made of is random: its text is replaced by its length.
+    Key material is random, so its text is replaced by its length.
     """
     with tempfile.TemporaryDirectory() as name, fixed_time():
         for earlier in preparation:
@@ -34,7 +34,7 @@
 
 
 def file_form(path: Path) -> dict:
-    """Return a file's mode, and its text without what is random."""
+    """Return a file's mode, and its text without the random key material."""
     text = path.read_text()
     form: object = KEY_VALUE.sub(
         lambda match: f'"{match[1]}":{match[2]}{len(match[3])}',
@@ -53,7 +53,7 @@
 
 
 def issue_by_command(key: str) -> dict:
-    """Run `token issue`; of ES256, whose signatures are random, leave the signature out."""
+    """Run `token issue`; leave the signature out for ES256, whose signatures are random."""
     words = [word.replace("KEY", key) for word in INPUTS["issue_command"]]
     result = run_on_recorded_keys(*words)
     if key == "es":
--- a/tests/golden/fronts/identity_keys.py
+++ b/tests/golden/fronts/identity_keys.py
@@ -19,7 +19,7 @@
 MALFORMED_TOKENS = INPUTS["malformed_tokens"]
 NO_TOKEN = "none"
 CHANGED_SIGNATURE = "changed signature"
-RECORDED_TOKEN = "recorded ES256"  # a signature of ES256 is random: this token was made once
+RECORDED_TOKEN = "recorded ES256"  # recorded, because signatures of ES256 are random
 TOKENS = (NO_TOKEN, *INPUTS["tokens"], *MALFORMED_TOKENS, CHANGED_SIGNATURE, RECORDED_TOKEN)
 
 
@@ -29,7 +29,7 @@
 
 
 def make_key_material() -> dict:
-    """Make keys and an ES256 token; done once, as the recorded samples rest on them."""
+    """Make keys and an ES256 token; done only once, because the recorded samples depend on them."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         algorithms = {**ALGORITHMS, "gone": "EdDSA", "past": "EdDSA", "soon": "EdDSA"}
@@ -57,7 +57,7 @@
 
 @contextlib.contextmanager
 def key_folder() -> Iterator[Path]:
-    """Give a folder with the recorded keys, operator.toml that names them, and config.json."""
+    """Yield a folder with the recorded keys, an operator.toml that names them, and config.json."""
     with written_files(CONFIGURATION) as folder:
         write_keys(folder)
         (folder / "operator.toml").write_text(INPUTS["operator_file"].format(folder=folder))
@@ -75,7 +75,7 @@
     if name in MALFORMED_TOKENS:
         return MALFORMED_TOKENS[name]
     token = INPUTS["tokens"][name]
-    claims = {**INPUTS["claims"], **token["claims"]}  # null takes a claim out
+    claims = {**INPUTS["claims"], **token["claims"]}  # null removes a claim
     given = {claim: value for claim, value in claims.items() if value is not None}
     return issue_token(folder, given, token["key"])
 
@@ -88,7 +88,7 @@
 
 @contextlib.contextmanager
 def fixed_time() -> Iterator[None]:
-    """Hold the commands' clock at NOW_SECONDS, and draw zeros for what is random."""
+    """Set the commands' clock to NOW_SECONDS, and return zeros in place of random tokens."""
     with (
         mock.patch("time.time", return_value=float(NOW_SECONDS)),
         mock.patch("secrets.token_hex", lambda size: "0" * 2 * size),
--- a/tests/golden/fronts/identity_samples.py
+++ b/tests/golden/fronts/identity_samples.py
@@ -90,7 +90,7 @@
 
 
 def denials_over_the_limit(denials_per_second: int, requests: int) -> dict:
-    """Return the audit log of denials past its limit: the line that comes later counts them."""
+    """Return the audit log of denials over its limit; a later line counts the omitted ones."""
     with key_folder() as folder:
         harness = AccessControlHarness(folder, denials_per_second=denials_per_second)
         for _ in range(requests):
--- a/tests/golden/fronts/program_samples.py
+++ b/tests/golden/fronts/program_samples.py
@@ -57,7 +57,7 @@
 
 
 def log_forms(lines: list[str]) -> dict:
-    """Return the lines until the stop as they are; numbers after it stand as N."""
+    """Return the lines before the shutdown unchanged, and those from it with N for each number."""
     stop = next(place for place, line in enumerate(lines) if line.startswith(SHUTDOWN_EVENT))
     return {"start": lines[:stop], "stop": [NUMBER.sub("N", line) for line in lines[stop:]]}
 
--- a/tests/golden/fronts/running_dispatcher.py
+++ b/tests/golden/fronts/running_dispatcher.py
@@ -49,7 +49,7 @@
                 peer.sendall(self.reply(data))
 
     def first_request(self, beginning: bytes) -> bytes:
-        """Return the first request that begins so, once it has come."""
+        """Wait for a request with this beginning; return the first one."""
         return wait_for(
             lambda: next((data for data in self.requests if data.startswith(beginning)), b"")
         )
@@ -103,7 +103,7 @@
             operator_file.write_text(operator.format(folder=folder, **self.ports))
             self.words += ["--operator", str(operator_file)]
         self.environment = environment_without_configuration()
-        self.environment.pop("TMPDIR", None)  # there a handover of another process could be found
+        self.environment.pop("TMPDIR", None)  # a handover file of another process could be there
         self.environment["EDGE_CONFIG"] = str(config_file)
 
     def configuration(self, *, with_admin: bool) -> dict:
@@ -149,7 +149,7 @@
         return answer.startswith(b"HTTP/1.1 200")
 
     def masked(self, text: str) -> str:
-        """Replace ports by their names, and the time that is left by N."""
+        """Replace ports by their names, and the remaining time of a request by N."""
         ports = {**self.ports, "worker": self.worker.port, "discovery": self.discovery.port}
         for name, port in ports.items():
             text = text.replace(f"127.0.0.1:{port}", f"127.0.0.1:{name.upper()}")
@@ -173,7 +173,7 @@
 
 @contextlib.contextmanager
 def running_dispatcher(folder: Path, operator: str | None) -> Iterator[RunningDispatcher]:
-    """Give a process that serves; it is ended at the end."""
+    """Yield a process that serves; end it afterwards."""
     with contextlib.closing(RunningDispatcher(folder, operator)) as dispatcher:
         dispatcher.start()
         yield dispatcher
--- a/tests/golden/fronts/wire_samples.py
+++ b/tests/golden/fronts/wire_samples.py
@@ -25,7 +25,7 @@
 
 
 def discovery_api() -> DiscoveryApi:
-    """Return the side of discovery's protocol that the dispatcher speaks."""
+    """Return the dispatcher's side of discovery's protocol."""
     return DiscoveryApi(module_settings())
 
 
@@ -91,7 +91,7 @@
 
 
 def persisted_list(data: dict) -> object:
-    """Return the list that is kept for a hot restart, in discovery's own form."""
+    """Return the list that is kept for a hot restart, in discovery's JSON form."""
     destinations = DestinationSet()
     destinations.apply(discovery_api().read(data, persisted=True))
     return destinations.export_list()
@@ -109,7 +109,7 @@
 
 
 def call_result(data: bytes, *, request_written: bool = True) -> dict:
-    """Return what a worker's answer to a call proves; the connection ends after it."""
+    """Return what the dispatcher concludes from a worker's answer; the connection ends after it."""
     exchange = HttpExchange(LIMITS)
     if request_written:
         exchange.on_request_written()
--- a/tests/golden/state/admin_transcripts.py
+++ b/tests/golden/state/admin_transcripts.py
@@ -1,4 +1,4 @@
-"""The admin listener's answers: a client that writes them down, and the listener's own calls."""
+"""Transcripts of the admin listener: a client that records its answers, and the calls."""
 
 import contextlib
 import json
@@ -8,7 +8,7 @@
 
 from golden.recorded_data import bytes_of, read_inputs
 from golden.state.forms import FOLDER
-from golden.state.process_doubles import LIMITS, FakeClock, quiet
+from golden.state.process_doubles import LIMITS, FakeClock, discarded_output
 
 from stepstream.admin.listener import AdminListener
 from stepstream.admin.service import AdminService
@@ -40,7 +40,7 @@
 
 
 class RecordingAdminClient:
-    """Send calls to an admin listener over its socket; write down each call and its answer."""
+    """Send calls to an admin listener over its socket; record each call and its answer."""
 
     def __init__(self, service: AdminService, routes: Sequence[AdminRoute] = ()) -> None:
         """Start a listener for this service."""
@@ -63,7 +63,7 @@
             self.call(method, target)
 
     def send(self, title: str, data: bytes) -> None:
-        """Send bytes; write the answer down under this title."""
+        """Send bytes; record the answer under this title."""
         with socket.create_connection(self.address) as connection:
             connection.sendall(data)
             connection.setblocking(False)
@@ -146,8 +146,8 @@
     events: list[object] = []
     service = admin_service(clock, events)
     with (
-        quiet(),
-        clock.in_force(),
+        discarded_output(),
+        clock.as_process_clock(),
         contextlib.closing(RecordingAdminClient(service, ROUTES)) as client,
     ):
         play_admin_calls(client, service)
--- a/tests/golden/state/hot_restart_transcripts.py
+++ b/tests/golden/state/hot_restart_transcripts.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from golden.state.forms import UNIX_MS
-from golden.state.process_doubles import CONFIGURATION, LIMITS, quiet
+from golden.state.process_doubles import CONFIGURATION, LIMITS, discarded_output
 
 from stepstream.config.node_config import config_from
 from stepstream.core.events import JobNotification, JobStatus
@@ -84,7 +84,7 @@
 
 def handover_files() -> list[list[object]]:
     """Return what two processes of a hot restart write, and how a damaged file is read."""
-    with quiet(), mock.patch("os.kill"), tempfile.TemporaryDirectory() as folder:
+    with discarded_output(), mock.patch("os.kill"), tempfile.TemporaryDirectory() as folder:
         return play_hot_restart(folder)
 
 
--- a/tests/golden/state/lab_transcripts.py
+++ b/tests/golden/state/lab_transcripts.py
@@ -1,13 +1,13 @@
 """Transcripts of the lab's results, a part of `state_samples.py`.
 
-Each transcript drives the lab's own classes; a clock stands still between calls.
+Each transcript calls the lab's own classes; the clock is fixed during the calls.
 """
 
 import tempfile
 from pathlib import Path
 from unittest import mock
 
-from golden.state.process_doubles import FakeClock, quiet
+from golden.state.process_doubles import FakeClock, discarded_output
 
 from stepstream.lab.emulator.workload import Workload
 from stepstream.lab.faults.random_schedule import generate_schedule
@@ -22,7 +22,7 @@
 
 
 def figures_of_a_scenario(scenario: Scenario) -> Figures:
-    """Figures of a scenario whose jobs end in each way in turn, one of them against the rules."""
+    """Return the figures of a scenario with every final outcome and one breach of a rule."""
     verifier = Verifier(scenario)
     outcomes = list(FinalOutcome)
     for planned in scenario.requests:
@@ -39,14 +39,14 @@
 
 
 def demo_file() -> str:
-    """The file of `stepstream demo --json`."""
+    """Return the file that `stepstream demo --json` writes."""
 
     async def play_schedule(scenario: Scenario, _seed: int) -> LoadTestResult:
         return LoadTestResult(figures_of_a_scenario(scenario), ProcessCost(1.25, 40.5), 12.5)
 
     with (
         tempfile.TemporaryDirectory() as folder,
-        quiet(),
+        discarded_output(),
         mock.patch.object(demo, "play_schedule", play_schedule),
     ):
         path = Path(folder) / "demo.json"
@@ -55,7 +55,7 @@
 
 
 def fault_run_file() -> str:
-    """fleet.json of `stepstream lab fleet --out`, the processes and the chart left out."""
+    """Return fleet.json of `stepstream lab fleet --out`, without real processes and the chart."""
     schedule = generate_schedule(3, ("n0", "n1", "n2"), 25.0)
     monitor = fault_run.InvariantMonitor(0.0)
     observations = ((0.5, "alive", 5), (0.6, "suspect", 5), (0.7, "dead", 5), (0.8, "alive", 4))
@@ -74,7 +74,7 @@
     )
     with (
         tempfile.TemporaryDirectory() as folder,
-        quiet(),
+        discarded_output(),
         mock.patch.object(fault_run, "DispatcherCluster"),
         mock.patch.object(fault_run, "generate_schedule", return_value=schedule),
         mock.patch.object(fault_run, "FaultRun", return_value=run),
@@ -85,7 +85,7 @@
 
 
 def ledger_file() -> dict[str, object]:
-    """The guarded resource's answers, and the lines that it keeps."""
+    """Return the guarded resource's answers, and the lines of its ledger."""
     clock = FakeClock()
     requests = [
         {"do": "begin", "token": 5, "holder": "n0"},
@@ -94,7 +94,7 @@
         {"do": "begin", "token": 5, "holder": "n0"},
         {"do": "end", "act": 0},
     ]
-    with clock.in_force(), tempfile.TemporaryDirectory() as folder:
+    with clock.as_process_clock(), tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "ledger.jsonl"
         ledger = Ledger(path)
         answers = [ledger.admit(request) for request in requests]
@@ -103,7 +103,7 @@
 
 
 def workload() -> list[str]:
-    """The body of a lab client's request."""
+    """Return the body of a lab client's request."""
     return [Workload(7, 1, 250_000, 2).serialize().decode()]
 
 
--- a/tests/golden/state/lease_admin_transcripts.py
+++ b/tests/golden/state/lease_admin_transcripts.py
@@ -7,7 +7,7 @@
 from golden.recorded_data import read_inputs
 from golden.state.admin_transcripts import RecordingAdminClient, admin_service
 from golden.state.forms import FOLDER, UNIX_MS
-from golden.state.process_doubles import LIMITS, FakeClock, operator_sections, quiet
+from golden.state.process_doubles import LIMITS, FakeClock, discarded_output, operator_sections
 
 from stepstream.leases import messages
 from stepstream.leases.health_check_leader import HealthCheckLeader, HealthCheckPort
@@ -46,7 +46,7 @@
         self.peer = Participant("n1", "n1@2f", configuration, UNIX_MS, random.Random(1), clock.now)
 
     def send(self, member: str, kind: str, data: bytes) -> None:
-        """Write a message down; deliver it to the other acceptor, and its answer back."""
+        """Record a message; deliver it to the other acceptor, and its answers to this member."""
         self.sent.append([member, kind, data.hex()])
         if member == "n1" and self.answering:
             envelope = messages.decode(data)
@@ -54,12 +54,12 @@
                 self.subsystem.driver.on_envelope("n1", messages.encode(outgoing.envelope))
 
     def tick(self) -> None:
-        """Let the participant do what is due, and send it."""
+        """Run the participant's due work, and send the messages that result."""
         self.subsystem.driver.send(self.subsystem.participant.tick(self.clock.now))
 
 
 def play_lease_calls(client: RecordingAdminClient, cluster: LeaseCluster, clock: FakeClock) -> None:
-    """Take one lease to its end, with each rejection, and too few acceptors."""
+    """Call through the life of a lease, with each rejection and with too few acceptors."""
     client.call_all(INPUTS["calls_while_recovering"])
     clock.now += 20.0
     cluster.tick()
@@ -85,7 +85,7 @@
 def lease_answers() -> list[list[str]]:
     """Return the calls and answers under /leases."""
     clock = FakeClock()
-    with quiet(), clock.in_force():
+    with discarded_output(), clock.as_process_clock():
         cluster = LeaseCluster(clock, most_sessions=4)
         service = admin_service(clock, [])
         client = RecordingAdminClient(service, cluster.subsystem.admin_routes())
@@ -97,7 +97,7 @@
 def lease_messages_sent() -> list[list[str]]:
     """Return the messages of one lease as the driver sends them: member, kind, data."""
     clock = FakeClock()
-    with quiet(), clock.in_force():
+    with discarded_output(), clock.as_process_clock():
         cluster = LeaseCluster(clock)
         clock.now += 20.0
         driver = cluster.subsystem.driver
@@ -119,7 +119,7 @@
         present_members=lambda: ["n1", "n2"],
     )
     port = HealthCheckPort(list, None, tuple, lambda probed: None)
-    with clock.in_force():
+    with clock.as_process_clock():
         leader = HealthCheckLeader(None, messenger, None, port)
         leader.on_health_checked(HealthChecked("s-1", True, 3_400, {"busy": 0.25}))
         clock.now += 0.125
--- a/tests/golden/state/membership_admin_transcripts.py
+++ b/tests/golden/state/membership_admin_transcripts.py
@@ -16,8 +16,8 @@
     CONFIGURATION,
     LIMITS,
     FakeClock,
+    discarded_output,
     operator_sections,
-    quiet,
 )
 
 from stepstream.config.node_config import config_from
@@ -127,7 +127,7 @@
     """Return the calls and answers under /fleet, and whether /fleet/leave ends the process."""
     clock = FakeClock()
     host = membership_host(clock)
-    with quiet(), clock.in_force():
+    with discarded_output(), clock.as_process_clock():
         subsystem = membership_subsystem(host, clock)
         protocol = subsystem.protocol
         service = admin_service(clock, [])
@@ -150,7 +150,7 @@
 def local_statuses() -> dict[str, object]:
     """Return what a member publishes of itself, by its phase, with the digest of its settings."""
     clock = FakeClock()
-    with quiet(), clock.in_force():
+    with discarded_output(), clock.as_process_clock():
         subsystem = MembershipSubsystem(membership_host(clock))
         started = msgspec.to_builtins(subsystem.local_status([17, 4]))
         subsystem.on_serving()
--- a/tests/golden/state/membership_datagrams.py
+++ b/tests/golden/state/membership_datagrams.py
@@ -3,7 +3,7 @@
 import socket
 from collections.abc import Sequence
 
-from golden.state.process_doubles import LIMITS, quiet
+from golden.state.process_doubles import LIMITS, discarded_output
 
 from stepstream.membership.driver import Driver
 from stepstream.membership.outbox import OutgoingDatagram
@@ -31,7 +31,11 @@
     """Send bytes to the driver; return the datagrams that its protocol gets, and the drops."""
     protocol = RecordingProtocol(cluster)
     driver = Driver(LOOPBACK, protocol, LIMITS, None, None)
-    with quiet(), driver.socket, socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
+    with (
+        discarded_output(),
+        driver.socket,
+        socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender,
+    ):
         for data in sent:
             sender.sendto(data, driver.socket.getsockname())
             driver.receive()
--- a/tests/golden/state/process_doubles.py
+++ b/tests/golden/state/process_doubles.py
@@ -1,4 +1,4 @@
-"""A clock that stands still between calls, and the configuration of the transcripts' processes."""
+"""A clock that tests set, and the configuration of the processes in the transcripts."""
 
 import contextlib
 import io
@@ -20,12 +20,12 @@
     """Every clock that the transcripts read, in seconds; it moves when `now` is changed."""
 
     def __init__(self, now: float = 1_000.0) -> None:
-        """Stand at `now`."""
+        """Set the clock to `now` seconds."""
         self.now = now
 
     @contextlib.contextmanager
-    def in_force(self) -> Iterator[None]:
-        """Give this clock's time in place of the process's."""
+    def as_process_clock(self) -> Iterator[None]:
+        """Replace the process's clocks by this one."""
         with (
             mock.patch("time.monotonic", lambda: self.now),  # noqa: PT008  the clock moves on
             mock.patch("time.clock_gettime", lambda _: self.now),  # noqa: PT008  the clock moves on
@@ -39,7 +39,7 @@
 
 
 @contextlib.contextmanager
-def quiet() -> Iterator[None]:
+def discarded_output() -> Iterator[None]:
     """Drop the program's lines on standard error and standard output."""
     with contextlib.redirect_stderr(io.StringIO()), contextlib.redirect_stdout(io.StringIO()):
         yield
--- a/tests/golden/state/protocol_transcripts.py
+++ b/tests/golden/state/protocol_transcripts.py
@@ -1,4 +1,4 @@
-"""Transcripts of digests and numbers that travel, and of whole conversations between members."""
+"""Transcripts of digests and fencing tokens, and of whole conversations between members."""
 
 import random
 from collections import deque
@@ -51,7 +51,7 @@
 
 
 def fencing() -> dict[str, object]:
-    """Return a guard's answers: it rejects a token behind the highest one and names both."""
+    """Return a guard's answers: it rejects a token below the highest one and names both."""
     guard = FencingGuard()
     answers = []
     for token in FENCING_TOKENS:
@@ -94,7 +94,7 @@
         return MembershipProtocol(record, CLUSTER, seeds, settings, random.Random(name), 0.0)
 
     def send(self, datagrams: list) -> None:
-        """Write datagrams down and put them on their way."""
+        """Record datagrams and queue them for delivery."""
         for outgoing in datagrams:
             data = membership_messages.encode(outgoing.datagram)
             self.transcript.append([outgoing.address, data.hex()])
@@ -141,7 +141,7 @@
         self.claim: object = None
 
     def send(self, sender: str, envelopes: list) -> None:
-        """Write envelopes down and put them on their way."""
+        """Record envelopes and queue them for delivery."""
         for outgoing in envelopes:
             data = lease_messages.encode(outgoing.envelope)
             self.transcript.append([sender, outgoing.member, data.hex()])
