--- a/stepstream/lab/search/lease_search.py
+++ b/stepstream/lab/search/lease_search.py
@@ -1,6 +1,6 @@
 """Search every order of events of three acceptors and two proposers of leases, within bounds.
 
-`lease_model` has the events and the bounds. In every state it is checked that the lease has one
+`lease_model` has the events and the bounds. In every state, the lease may have one
 holder at most.
 """
 
--- a/stepstream/lab/search/membership_search.py
+++ b/stepstream/lab/search/membership_search.py
@@ -1,7 +1,7 @@
 """Search every order of events of three membership protocols, to a stated depth.
 
-`membership_state` has the events. In every state it is checked that no member which was
-dead or had left is present again with the same record (`EndedVersions`). A sample of the states is
+`membership_state` has the events. In every state, no member that was dead or
+had left may be present again with the same record (`EndedVersions`). A sample of the states is
 continued on working links until all members agree.
 """
 
@@ -46,7 +46,7 @@
         return True
 
     def expand(self, node: Node[MembershipState]) -> Iterator[Node[MembershipState]]:
-        """Yield the state after each event; InvariantError with the path if it is violated."""
+        """Yield the state after each event; InvariantError with the path if an invariant fails."""
         if node.depth == self.max_depth:
             return
         pickled = pickle.dumps(node.state)
--- a/stepstream/lab/verification/observations.py
+++ b/stepstream/lab/verification/observations.py
@@ -50,7 +50,7 @@
     """One request of a client, with all attempts of the dispatcher to serve it."""
 
     attempts: list[Attempt] = field(default_factory=list)
-    results: set[str] = field(default_factory=set)  # the results that workers produced for it
+    results: set[str] = field(default_factory=set)  # results that workers produced for it
     outcomes: list[FinalOutcome] = field(default_factory=list)  # more than one is a breach
 
     def may_have_run(self) -> list[Attempt]:
