--- a/tests/golden/decision_scenarios.py
+++ b/tests/golden/decision_scenarios.py
@@ -1,9 +1,9 @@
 """The scenarios of the recorded streams, read from `decisions/scenarios.json`.
 
-A scenario names its settings by classes, tenants with their quotas, and groups of further keys, all
-in the wire's dotted keys. A class, group or set of tenants stands in the file under its name, or
-written out where it is used once. All other values are fields of `Scenario`; what is left out has
-the default of the field.
+The settings of a scenario consist of job classes, tenants with their quotas, and groups of further
+keys. The keys are the dotted keys of the wire. A scenario refers to classes by name, and to a group
+or a set of tenants by name or by its written-out value if it is used only once. All other values of
+a scenario are fields of `Scenario`; an omitted field has its default.
 """
 
 from pathlib import Path
--- a/tests/golden/decision_simulation.py
+++ b/tests/golden/decision_simulation.py
@@ -1,9 +1,10 @@
-"""Simulate clients, workers and discovery for one policy, seeded and with plain data only.
+"""Simulate the clients, workers and discovery around one policy.
 
-The platform carries out the policy's actions: attempts queue, start, end, fail, are rejected, time
-out or are never begun; health checks and polls of the endpoint list are answered; timers fire when
-they are due. The simulated behaviour need not be realistic. It has to make the policy run all of
-its code, and a seed has to give the same events each time.
+The simulated platform carries out the policy's actions: attempts queue, start, end, fail, are
+rejected, time out or never start; health checks and polls of the endpoint list are answered; timers
+fire when they are due. The behaviour need not be realistic. It has to make the policy run all of
+its code, and a seed has to give the same events each time. Events and actions are plain data,
+without the types of the program.
 """
 
 import heapq
--- a/tests/golden/fronts/http_samples.py
+++ b/tests/golden/fronts/http_samples.py
@@ -125,7 +125,7 @@
 
 
 def status_answer(status: int) -> str:
-    """Return an answer with this status; an odd one closes the connection."""
+    """Return an answer with this status; an odd status closes the connection."""
     return text_of(write_answer(status, b"x", {"A": "b"}, close=status % 2 == 1))
 
 
@@ -150,7 +150,7 @@
 
 
 def notification_samples() -> dict[str, Sample]:
-    """Return the samples of notifications: the answer, the reading, and the forwarding."""
+    """Return the samples of notifications: how each is answered, parsed and forwarded."""
     samples: dict[str, Sample] = {}
     for name, body in NOTIFICATIONS.items():
         samples[f"news/answer/{name}"] = lambda body=body: session_steps(notification(body))
--- a/tests/golden/fronts/identity_samples.py
+++ b/tests/golden/fronts/identity_samples.py
@@ -64,7 +64,7 @@
 def client_request(
     name: str, form: str = "json", path: str = "/revalue", *, with_tenant: bool = True
 ) -> dict:
-    """Return what a client's request with this token gets at the HTTP server, sent twice."""
+    """Return the HTTP results of a request with the named token, and again with a close header."""
     with key_folder() as folder:
         harness = AccessControlHarness(folder, form)
         data = job_request(authorization_header(token_in(folder, name)), path)
@@ -79,7 +79,7 @@
 
 
 def worker_notification(name: str) -> dict:
-    """Return what a worker's notification with this token gets at the HTTP server."""
+    """Return the HTTP results of a worker's notification with the named token."""
     with key_folder() as folder:
         harness = AccessControlHarness(folder)
         header = authorization_header(token_in(folder, name)).encode()
@@ -101,7 +101,7 @@
 
 
 def gearman_peers(name: str) -> dict:
-    """Return what a client, a worker and an operator with this token get at the Gearman server."""
+    """Return the Gearman results of a client, a worker and an operator with the named token."""
     with key_folder() as folder:
         harness = AccessControlHarness(folder)
         token = token_in(folder, name)
--- a/tests/golden/state/handover_form.py
+++ b/tests/golden/state/handover_form.py
@@ -23,12 +23,12 @@
 def handover_state(
     maintenance: tuple = NO_MAINTENANCE, processes: tuple = (), endpoint_list: dict | None = None
 ) -> handover.HandoverState:
-    """Return a state; `maintenance` holds generation, workers in it, and releases."""
+    """Return a state; `maintenance` is the generation, the workers in maintenance, and releases."""
     return handover.HandoverState(MaintenanceState(*maintenance), processes, endpoint_list)
 
 
 def samples() -> dict[str, object]:
-    """Return states with no part, each part alone, and all."""
+    """Return states with no part, with each part alone, and with all parts."""
     maintenance = (
         4,
         frozenset({"s-2", "s-1", "10.0.0.7:5000"}),
@@ -46,7 +46,7 @@
 
 
 def handover_file(body_text: str, changes: dict) -> bytes:
-    """Return a file with a right checksum over any body, built without the program."""
+    """Return a file with a correct checksum of this body, built without the code under test."""
     envelope = {
         "format": "stepstream-handover",
         "version": 1,
@@ -90,7 +90,7 @@
 
 
 def tolerated() -> dict[str, bytes]:
-    """Return files that the program reads, though it writes them otherwise."""
+    """Return files in forms that the program accepts but never writes."""
     body = complete_body()
     made = {
         "without-list": file_with_body(without(body, "list")),
--- a/tests/golden/state/health_report_form.py
+++ b/tests/golden/state/health_report_form.py
@@ -41,7 +41,7 @@
 
 
 def tolerated() -> dict[str, bytes]:
-    """Return pages that the program reads, though it writes them otherwise."""
+    """Return pages in forms that the program accepts but never writes."""
     return edited_samples(NAME, "tolerated", write_page, samples())
 
 
--- a/tests/golden/state/hot_restart_transcripts.py
+++ b/tests/golden/state/hot_restart_transcripts.py
@@ -28,7 +28,7 @@
 
 
 def listed_workers() -> list[object]:
-    """Return discovery's list in its own form: before an answer, after a list, after a change."""
+    """Return the exported endpoint list: before any answer, after a full list, after changes."""
     discovery = DiscoveryApi(config_from(CONFIGURATION, {}).settings)
     workers = DestinationSet()
     exports: list[object] = [workers.export_list()]
@@ -101,7 +101,7 @@
 
 
 def forwarded_notifications() -> dict[str, str]:
-    """Return notifications as one process forwards them; PORT stands for the other's port."""
+    """Return notifications as one process forwards them; PORT stands for the receiver's port."""
     forwarded = {}
     with tempfile.TemporaryDirectory() as folder, socket.create_server(("127.0.0.1", 0)) as server:
         port = server.getsockname()[1]
--- a/tests/golden/state/lease_admin_transcripts.py
+++ b/tests/golden/state/lease_admin_transcripts.py
@@ -20,7 +20,7 @@
 
 
 class LeaseCluster:
-    """One dispatcher's leases, and the acceptor of another that answers while `answering`."""
+    """The leases of n0, and the acceptor of n1, which answers only while `answering` is true."""
 
     def __init__(self, clock: FakeClock, **section: object) -> None:
         """Start both; `section` holds further keys of the operator's section."""
@@ -109,7 +109,7 @@
 
 
 def health_reports_sent() -> list[list[str]]:
-    """Return what the health-check leader sends of two workers, and the kinds it receives."""
+    """Return the messages of the health-check leader, and the kinds that it subscribes to."""
     clock = FakeClock()
     sent: list[list[str]] = []
     kinds: list[str] = []
--- a/tests/golden/state/lease_form.py
+++ b/tests/golden/state/lease_form.py
@@ -16,7 +16,7 @@
 
 
 def bodies() -> dict[str, object]:
-    """Return one body of every kind, and the ends of the ranges of their fields."""
+    """Return a body of every kind, and some whose fields have the smallest or largest values."""
     one = ballot()
     greatest = messages.Ballot(MAX_NUMBER, "p" * 128)
     return {
@@ -62,7 +62,7 @@
 
 
 def tolerated() -> dict[str, bytes]:
-    """Return envelopes that the program reads, though it writes them otherwise."""
+    """Return envelopes in forms that the program accepts but never writes."""
     return edited_samples(NAME, "tolerated", messages.encode, samples())
 
 
--- a/tests/golden/state/membership_form.py
+++ b/tests/golden/state/membership_form.py
@@ -114,7 +114,7 @@
 
 
 def tolerated() -> dict[str, bytes]:
-    """Return datagrams that the program reads, though it writes them otherwise."""
+    """Return datagrams in forms that the program accepts but never writes."""
     return edited_samples(NAME, "tolerated", messages.encode, samples())
 
 
--- a/tests/golden/state/protocol_transcripts.py
+++ b/tests/golden/state/protocol_transcripts.py
@@ -25,7 +25,7 @@
 
 
 def digests() -> dict[str, object]:
-    """Return digests that members compare with each other's."""
+    """Return the digests that members compare with those of other members."""
     states = enumerate(("ALIVE", "SUSPECT", "DEAD", "LEFT"))
     statuses = (
         None,
@@ -76,7 +76,7 @@
     """Three members in simulated time; every datagram arrives at once, in the order of sending."""
 
     def __init__(self) -> None:
-        """Start the members, each with a random source of its name."""
+        """Start the members, each with a random generator seeded with its name."""
         addresses = {name: f"127.0.0.1:{7946 + place}" for place, name in enumerate(MEMBERS)}
         self.protocols = {
             address: self.protocol(name, address, tuple(addresses.values()))
@@ -101,7 +101,7 @@
             self.in_flight.append((outgoing.address, data))
 
     def play_step(self, step: int) -> None:
-        """Let a twentieth of a second pass; deliver what is sent."""
+        """Advance the time by one step; deliver everything that is sent."""
         now = step / STEPS_PER_SECOND
         if step == 20:
             self.first.statuses.publish(member_status())
@@ -130,7 +130,7 @@
     """Three lease participants in simulated time; every envelope arrives at once."""
 
     def __init__(self) -> None:
-        """Start the participants, each with a random source of its name."""
+        """Start the participants, each with a random generator seeded with its name."""
         configuration = LeaseConfiguration(MEMBERS, ())
         self.participants = {
             name: Participant(name, f"{name}@1f", configuration, UNIX_MS, random.Random(name), 0.0)
@@ -148,7 +148,7 @@
             self.in_flight.append((sender, outgoing.member, data))
 
     def play_requests(self, step: int, now: float) -> None:
-        """Let two members ask for the lease, and the first one release it."""
+        """Request the lease for n0 and then for n1, and release it for n0."""
         first = self.participants["n0"]
         if step == 20:
             self.claim, envelopes = first.acquire(now, LEASE, 10.0, 1.0)
@@ -160,7 +160,7 @@
             self.send("n0", first.release(now, self.claim))
 
     def play_step(self, step: int) -> None:
-        """Let a twentieth of a second pass; deliver what is sent."""
+        """Advance the time by one step; deliver everything that is sent."""
         now = LEASE_START_SECONDS + step / STEPS_PER_SECOND
         self.play_requests(step, now)
         for name, participant in self.participants.items():
@@ -173,7 +173,7 @@
 
 
 def lease_conversation() -> list[list[str]]:
-    """Return all envelopes of three members, of which two want one lease after each other."""
+    """Return all envelopes of three members; n1 requests the lease that n0 holds."""
     conversation = LeaseConversation()
     for step in range(1, 161):
         conversation.play_step(step)
