--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -334,11 +334,12 @@
     ("current_version", "base_version", "answered_version", "adopted", "next_version"),
     [
         (7, 7, 8, True, 8),
-        (9, 7, 8, False, 9),  # a check was faster, and the answer is older
-        (9, 7, 10, False, 9),  # a check was faster; the next watch reports version 10 again
+        (9, 7, 8, False, 9),  # a list check was answered first; this answer is older
+        (9, 7, 10, False, 9),  # a list check was answered first; the next watch repeats version 10
         (9, 9, 2, True, None),  # discovery has restarted its version count
-        (2, 9, 3, False, 2),  # another call has noticed the restart before
-        (None, None, 5, True, 5),  # the first list, or a list from before the start
+        (2, 9, 3, False, 2),  # another call has already detected the restart
+        # There is no version yet: the first complete list, or a list from before the start.
+        (None, None, 5, True, 5),
         (5, None, 9, False, 5),
         (None, 9, 10, False, None),
     ],
--- a/tests/http/test_staleness.py
+++ b/tests/http/test_staleness.py
@@ -28,14 +28,14 @@
         # One worker has probably crashed, and the list will report that.
         ([refusal("a", 0.0)], None),
         ([refusal("a", 0.0), refusal("a", 1.0)], None),
-        # The second refusal, the crash report delay of 2 s and the spread of 0.1 s.
+        # 2 s of crash report delay and 0.1 s of spread after the second refusal at 1 s.
         (TWO_REFUSALS, 3.1),
         ([*TWO_REFUSALS, ("record_connect", "a")], None),
         ([*TWO_REFUSALS, ("record_listed", {"b"})], None),
         ([*TWO_REFUSALS, ("record_listed", {"c"})], 3.1),
         ([*TWO_REFUSALS, ("record_listed", None)], None),
         ([*TWO_REFUSALS, ("claim_check", 4.0), refusal("a", 5.0)], None),
-        # The check at 4 s, the minimum interval of 15 s, the delay of 2 s and the spread of 0.1 s.
+        # 15 s of minimum interval, 2 s of delay and 0.1 s of spread after the check at 4 s.
         (
             [refusal(worker, 1.0) for worker in "ab"]
             + [("claim_check", 4.0)]
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -212,7 +212,7 @@
         WAIT_TIMEOUT_SECONDS,
         "the deaths",
     )
-    assert dispatcher_count(cluster, "n3") == 5  # one of five is no majority: it keeps its share
+    assert dispatcher_count(cluster, "n3") == 5  # one of five is no majority, so n3 keeps the count
     cluster.start(rest)
     cluster.wait_for(lambda: cluster.has_converged(ALL_MEMBERS), WAIT_TIMEOUT_SECONDS, "the return")
 
--- a/tests/membership/test_record_merge.py
+++ b/tests/membership/test_record_merge.py
@@ -51,7 +51,7 @@
 
 
 def state_after_merging(records, maintenance, statuses):
-    """Return the whole state of a member that has merged these, in their order."""
+    """Return the state of a new member after it has merged each list in the given order."""
     member = new_protocol()
     for record in records:
         member.merger.merge(record, "x")
--- a/tests/model/test_estimators.py
+++ b/tests/model/test_estimators.py
@@ -42,7 +42,7 @@
         assert run_times.record_run(0, 100_000) == pytest.approx(0.0)
     assert run_times.slowness(0, 300_000) == pytest.approx(log(3))
     assert run_times.slowness(0, 1) == pytest.approx(log(MIN_RUN_US / 100_000))
-    assert run_times.slowness(-1, 300_000) == 0.0  # of a class that a reload has removed
+    assert run_times.slowness(-1, 300_000) == 0.0  # a reload has removed the class
     assert exp(run_times.mean_log_run_us[0]) == pytest.approx(100_000)
 
 
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -155,7 +155,8 @@
     node.start()
     port = node.server.listeners[0].listener.getsockname()[1]
     with socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_SECONDS) as peer:
-        # The scripted worker sends notifications only to the first dispatcher, not to this node.
+        # The scripted worker sends notifications only to the first dispatcher, so this test sends
+        # the notification to the node itself.
         dispatcher.hold_jobs.set()
         peer.sendall(job_request("0a"))
         wait_for(dispatcher.job_calls)
@@ -360,7 +361,7 @@
     thread = start_node(node)
     wait_for(lambda: discovery.requests)
     if discovery_mode == "subscribe":
-        thread.join(WAIT_TIMEOUT_SECONDS)  # it listens, but its readiness check fails
+        thread.join(WAIT_TIMEOUT_SECONDS)  # the node listens, but its readiness check fails
     else:
         with pytest.raises(ConnectionRefusedError):
             exchange(port, b"")
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Rejections of jobs on arrival, by the records of one dispatcher."""
+"""Rejections of jobs on arrival, decided from the state of one dispatcher."""
 
 import pytest
 
--- a/tests/policy/test_cold.py
+++ b/tests/policy/test_cold.py
@@ -88,7 +88,7 @@
                 self.notify(dispatcher, changes)
 
     def max_excess_over_budget(self, worker_id):
-        """Return the largest excess of attempts over the allowance in any window."""
+        """Return the largest excess of attempts over the budget in any window."""
         times_us, max_excess = self.received_us[worker_id], -1e9
         for index, last_us in enumerate(times_us):
             count = sum(time_us > last_us - WINDOW_US for time_us in times_us[: index + 1])
--- a/tests/policy/test_ejections.py
+++ b/tests/policy/test_ejections.py
@@ -114,7 +114,7 @@
     run_jobs(harness, 40, SLOW_WORKER)
     workers = harness.balancer.state.workers.by_id
     assert workers[SLOW_WORKER].ejection_time_us
-    # With such small caps the workers have no spare capacity for the same jobs.
+    # With such small caps the fleet has no spare capacity, so it needs the slow worker.
     for worker in workers.values():
         worker.cap = 0.1
     harness.fire_timers()
@@ -135,7 +135,8 @@
     effect, report, is_lost
 ):
     harness = PolicyHarness(replace(IDEMPOTENT, effect=effect), workers=3, **LOST_ATTEMPT_SETTINGS)
-    # Each worker gets two of the jobs. Both are lost by one report, which ejects the class once.
+    # Each worker gets two of the jobs. One report shows that both are lost; the class is ejected
+    # only once.
     job_id, actions = [harness.submit() for _ in range(6)][0]
     worker_id = first_worker_id(actions)
     harness.fire_timers(170_000)
--- a/tests/policy/test_unconfirmed_list.py
+++ b/tests/policy/test_unconfirmed_list.py
@@ -22,7 +22,8 @@
     [
         (MAX_UNCONFIRMED_US, 0, False),
         (MAX_UNCONFIRMED_US, MAX_REPORT_DELAY_US, False),
-        # Discovery would have reported the worker's end before its calls failed.
+        # After such an early refusal, discovery would have reported the end of the process before
+        # the calls to discovery began to fail.
         (MAX_UNCONFIRMED_US, MAX_REPORT_DELAY_US + 1, True),
         (MAX_UNCONFIRMED_US - 2 * JOB_COUNT * 1000, 0, True),
     ],
