--- a/tests/golden/state/hot_restart_transcripts.py
+++ b/tests/golden/state/hot_restart_transcripts.py
@@ -28,7 +28,7 @@
 
 
 def listed_workers() -> list[object]:
-    """Return the exported endpoint list: before any answer, after a full list, after changes."""
+    """Return the list in discovery's form: before an answer, after a list, after a change."""
     discovery = DiscoveryApi(config_from(CONFIGURATION, {}).settings)
     workers = DestinationSet()
     exports: list[object] = [workers.export_list()]
--- a/tests/golden/state/lease_admin_transcripts.py
+++ b/tests/golden/state/lease_admin_transcripts.py
@@ -109,7 +109,7 @@
 
 
 def health_reports_sent() -> list[list[str]]:
-    """Return the messages of the health-check leader, and the kinds that it subscribes to."""
+    """Return what the health-check leader sends of two workers, and the kinds it subscribes to."""
     clock = FakeClock()
     sent: list[list[str]] = []
     kinds: list[str] = []
