--- a/stepstream/core/notification_handler.py
+++ b/stepstream/core/notification_handler.py
@@ -14,7 +14,10 @@
 
 
 class NotificationHandler:
-    """Finds the call of a notification, and answers its request, ends it or reports its start."""
+    """Applies a notification to the call that it is about.
+
+    It answers the call's request, ends the call or reports its start.
+    """
 
     def __init__(self, state: DispatchState, calls: CallHandler) -> None:
         # If True, a request that is unknown here may be open in the sibling process.
--- a/stepstream/identity/certificates.py
+++ b/stepstream/identity/certificates.py
@@ -15,7 +15,7 @@
 NAME_KINDS = ("uri", "dns", "cn")  # the values of `identity.tls.names`
 SPIFFE_SCHEME = "spiffe://"
 CRL_HEADER = b"-----BEGIN X509 CRL-----"
-# The library's errors for a certificate that the TLS handshake may have accepted.
+# Errors of the x509 library for a certificate that the TLS handshake may have accepted.
 PARSE_ERRORS = (
     ValueError,
     x509.InvalidVersion,
--- a/stepstream/policy/pools.py
+++ b/stepstream/policy/pools.py
@@ -98,8 +98,8 @@
         return cap
     if headroom > cap and len(high_set) > min_high_set_size:
         if has_many_dispatchers(state.settings):
-            # Of workers with equal headrooms the last id is moved, so that the High Sets of the
-            # dispatchers stay the same.
+            # Of workers with equal headrooms, the one with the last id is moved, so that all
+            # dispatchers keep the same workers in their High Sets.
             high_set.reverse()
         _least_loaded(state, high_set).pool = state.pools.low_set
         return -cap
--- a/stepstream/runtime/log.py
+++ b/stepstream/runtime/log.py
@@ -78,7 +78,7 @@
     """An event of `log_events` that bad input can cause at any rate."""
 
     def __call__(self, *, reason: str, suppressed_events: int) -> None:
-        """Write the line; `suppressed_events` events had no line since the last one."""
+        """Write the line; `suppressed_events` events were left out since the previous line."""
 
 
 class RateLimitedLogger:
--- a/stepstream/runtime/transport.py
+++ b/stepstream/runtime/transport.py
@@ -24,7 +24,10 @@
         self.unsent = bytearray()  # bytes that the kernel has not accepted yet
 
     def handshake(self) -> None:
-        """Prepare the connection before the first read, in its own thread; nothing for TCP."""
+        """Prepare the connection; does nothing for TCP.
+
+        The connection's own thread calls it before the first read.
+        """
 
     def receive(self, max_bytes: int) -> bytes:
         """Wait for bytes and return them; b"" if the peer sends no more."""
@@ -43,7 +46,10 @@
         self.unsent += data
 
     def send_available(self, data: bytes) -> bool:
-        """Send without waiting and keep the rest in `unsent`; return whether all were sent."""
+        """Send without waiting and keep the rest in `unsent`; return whether all were sent.
+
+        If earlier bytes are still unsent, only append to them.
+        """
         if not self.unsent:
             with contextlib.suppress(BlockingIOError):
                 data = data[self.sock.send(data, socket.MSG_DONTWAIT) :]
