--- a/stepstream/admin/decisions.py
+++ b/stepstream/admin/decisions.py
@@ -79,7 +79,7 @@
 
 
 def should_close_idle_connections(*, drain_closes: bool, seconds_since_last_close: float) -> bool:
-    """Decide whether a drain closes the clients' idle connections in this turn.
+    """Decide whether a drain closes the clients' idle connections in this turn of the listener.
 
     `drain_closes` is whether the drain has reached the step that closes connections. This is done
     only once in IDLE_CLOSE_PERIOD_SECONDS, because it goes through all connections.
--- a/stepstream/admin/service.py
+++ b/stepstream/admin/service.py
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from stepstream.hot_restart.controller import HotRestartController
 
-THIS_DISPATCHER = "local"  # `requested_at` in the log, for an operators' request to this dispatcher
+THIS_DISPATCHER = "local"  # `requested_at` in the log, for an operator's request to this dispatcher
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
         self.on_maintenance_change: Callable[[str, bool], None] | None = None
         self.remote_changes: SimpleQueue[RemoteMaintenanceChange] = SimpleQueue()
         self.sibling_present = False
-        # The destination set's `update_count` when its list was last handed over.
+        # The destination set's `update_count` when its list was last written to the state file.
         self.handed_over_update_count = 0
         self.idle_connections_closed_at = 0.0  # monotonic seconds
 
@@ -130,7 +130,10 @@
     def _end_maintenance(
         self, worker_id: str, at_us: int, requested_at: str = THIS_DISPATCHER
     ) -> None:
-        """Release the worker; the policy then sees it as started at `at_us`."""
+        """Release the worker.
+
+        The policy sees it as started at `at_us`, so that it goes through slow start.
+        """
         if not self.maintenance.release(worker_id, at_us):
             return
         count = self._apply_and_hand_over_maintenance()
@@ -139,7 +142,7 @@
         )
 
     def _apply_and_hand_over_maintenance(self) -> int:
-        """Apply the changed state here and in the state file; return how many workers are in it."""
+        """Apply the changed state here and in the state file; return the number in maintenance."""
         count = self._apply_maintenance()
         if self.hot_restart is not None and self.hot_restart.write():
             count = self._apply_maintenance()  # the write has merged a sibling's changes
@@ -154,7 +157,7 @@
         log_events.maintenance_state_adopted(in_maintenance=count)
 
     def _apply_maintenance(self) -> int:
-        """Pass the state to the destination set and the core; return how many workers are in it."""
+        """Pass the state to the destination set and the core; return the number in maintenance."""
         state = self.maintenance.snapshot()
         self.context.destinations.set_in_maintenance(state.in_maintenance)
         self.context.post(MaintenanceChanged(state))
--- a/stepstream/cli/__init__.py
+++ b/stepstream/cli/__init__.py
@@ -89,7 +89,7 @@
     """Run the command line `argv`, the process's own by default, and return its exit code.
 
     A `CommandError` is printed as one line on standard error. Raise docopt's SystemExit if the
-    command line does not match the usage, and after the help.
+    command line does not match the usage, and after printing the help.
     """
     command_line = sys.argv[1:] if argv is None else argv
     try:
--- a/stepstream/gearman/notifications.py
+++ b/stepstream/gearman/notifications.py
@@ -98,6 +98,7 @@
         request = job.request
         clients = self.state.jobs.end(job, JobStage.FAILED, now_us)
         if request is not None:
+            # The core abandons the request, as if its only client had disconnected.
             self.state.output.post(ClientDisconnected(request))
         return clients
 
--- a/stepstream/gearman/workers.py
+++ b/stepstream/gearman/workers.py
@@ -114,7 +114,7 @@
     def assign(self, now_us: int, worker: Worker, handle: str) -> AssignedCall | None:
         """Assign a worker its next queued call under a job handle; return None if there is none.
 
-        Queued calls that must not be assigned any more are dropped.
+        Queued calls that must not be assigned any more (see `function_to_assign`) are dropped.
         """
         worker.asleep = False
         if not has_free_slot(worker):
--- a/stepstream/http/client_api.py
+++ b/stepstream/http/client_api.py
@@ -72,7 +72,7 @@
             deadline_us=now_us + timeout_us,
             tenant=tenant_index,
             key=parse_qs(query).get("user", [None])[0],
-            # Each of these numbers has two names on the platform.
+            # A client may send each of these numbers under either of two names.
             slots=info.get("cores_needed", info.get("slots", 1.0)),
             memory=info.get("ram_units", info.get("memory", 0.0)),
             client_retry=headers.get("client-retry") == "1",
--- a/stepstream/http/in_flight_call.py
+++ b/stepstream/http/in_flight_call.py
@@ -17,7 +17,8 @@
 class CallPhase(Enum):
     """The progress of a call; each phase follows the one before it.
 
-    UNSENT -- the request's last byte is written --> SENT -- 202, and no stop before it --> ACCEPTED
+    UNSENT -- the request's last byte is written --> SENT
+    SENT -- the worker answers 202 before the call is stopped --> ACCEPTED
     """
 
     UNSENT = 1
--- a/stepstream/http/session.py
+++ b/stepstream/http/session.py
@@ -210,8 +210,8 @@
     def fail(self, error: ProtocolError) -> Reply:
         """End the session with an error.
 
-        The start of the next message is unknown, and an unknown peer must not keep its connection
-        by sending errors.
+        The connection closes because the start of the next message is unknown, and because an
+        unknown peer must not keep its connection by sending malformed messages.
         """
         self.phase = SessionPhase.CLOSED
         return Reply(write_answer(error.status, close=True), close=True)
--- a/stepstream/lab/faults/schedule.py
+++ b/stepstream/lab/faults/schedule.py
@@ -1,4 +1,4 @@
-"""Fault schedules: what goes wrong in a cluster of dispatchers and when, and their file form.
+"""Fault schedules: what goes wrong in a cluster of dispatchers and when, and the file format.
 
 A schedule is read from a TOML file here or generated from a seed by `random_schedule`. `injector`
 applies it, to simulated clusters (`simulation`) and to processes (`reports.fault_run`) alike.
@@ -26,7 +26,7 @@
 class FaultKind(StrEnum):
     """What happens during a fault; the values are those of the schedule file.
 
-    In the comments below, "members" are the fault's `members`, "others" are all other members of
+    In the docstrings below, "members" are the fault's `members`, "others" are all other members of
     the cluster.
     """
 
@@ -75,7 +75,7 @@
 
     Attributes:
         kind: what happens.
-        begin_seconds: time of the begin, counted from the start of the schedule.
+        begin_seconds: when the fault begins, counted from the start of the schedule.
         duration_seconds: time from the begin to the end; a restart does not use it.
         members: the affected members, or one side of a cut; the other side is all others.
         loss_fraction: fraction of the datagrams that a loss drops.
--- a/stepstream/lab/reports/demo.py
+++ b/stepstream/lab/reports/demo.py
@@ -26,7 +26,9 @@
 from stepstream.lab.verification.score import Figures
 
 MIN_CONSOLE_COLUMNS = 120
-MAX_LATE_MS = 100.0  # a warning is printed above it: the machine's load affects the figures
+# If a request is sent later than planned by more than this, a warning is printed: the machine's
+# load affects the figures.
+MAX_LATE_MS = 100.0
 MAX_SECONDS = 3600
 TABLE_COLUMNS = ("class", "asked", "in time", "served", "refused", "failed", "median ms", "p99 ms")
 LAST_COLUMN_KEYS = ("served", "refused", "failed", "p50_ms", "p99_ms")  # in Figures.by_class
--- a/stepstream/leases/messages.py
+++ b/stepstream/leases/messages.py
@@ -3,7 +3,7 @@
 PaxosLease (Trencseni, Gazso, Reinhardt 2012): a proposer sends `Prepare` with a new ballot to all
 acceptors; a quorum of `Promise` lets it send `Propose`; a quorum of `Accepted` makes it the lease
 holder. The paper's empty or non-empty prepare response is `Promise` or `Busy` here; the other
-messages give a proposer the reason for no promise, release a lease early (the paper's "Releasing
+messages tell a proposer why it got no promise, release a lease early (the paper's "Releasing
 leases") or notify the next waiter. docs/leases.md has the table of messages and the proof.
 
 Wire format: one MessagePack array per envelope, inside a datagram of the membership layer. Structs
--- a/stepstream/leases/participant.py
+++ b/stepstream/leases/participant.py
@@ -3,8 +3,8 @@
 Routes received messages to the acceptor and the proposers, and puts their messages to others into
 envelopes. The configuration alone says who is an acceptor, not the membership list.
 
-Owns the acceptor, the proposers and their schedule. The driver's lock guards it; whoever calls
-holds that lock. All times are seconds of the caller's monotonic clock.
+A participant owns the acceptor, the proposers and their schedule. The driver's lock guards it, and
+every caller holds that lock. All times are seconds of the caller's monotonic clock.
 """
 
 import random
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateChange:
-    """A transition of one proposer's lease, for the log; `before` is "" at its start."""
+    """A transition of one proposer's lease, for the log; `before` is "" for the first one."""
 
     at: float
     lease: str
@@ -114,8 +114,8 @@
     def wind_down(self, now: float, lease: str | None = None) -> list[OutgoingEnvelope]:
         """Wind down one lease, or all: no operation begins, nothing is renewed.
 
-        Held leases end when their tasks release them or when they expire; attempts that are not
-        granted yet are withdrawn at once.
+        Held leases end when the code that acquired them releases them, or when they expire;
+        attempts that are not granted yet are withdrawn at once.
         """
         for proposer in list(self.proposers.values()):
             if lease not in (None, proposer.lease):
@@ -136,7 +136,10 @@
         self.retire(now, proposer, releases)
 
     def retire(self, now: float, proposer: Proposer, messages: Sequence[ProposerMessage]) -> None:
-        """Forget an attempt that is over; its release is repeated."""
+        """Forget an attempt that is over.
+
+        Its releases among `messages` are sent again later, since some may be lost.
+        """
         self.record_state(now, proposer)
         for message in messages:
             if isinstance(message, Release):
@@ -147,7 +150,7 @@
     # -- messages ---------------------------------------------------------------------------------
 
     def handle(self, now: float, member: str, envelope: Envelope) -> list[OutgoingEnvelope]:
-        """Take an envelope of another member, by the name that the membership list has for it."""
+        """Handle an envelope from `member`, the sender's name in the membership list."""
         if not self.configuration.is_compatible(envelope.configuration_digests):
             self.on_mismatch(now, member, envelope)
             return self.drain_outbox(now)
@@ -225,7 +228,7 @@
                 self.reschedule(proposer)
 
     def next_tick_at(self) -> float:
-        """Return when `tick` has something to do; infinity if never."""
+        """Return the time at which `tick` next has something to do; infinity if never."""
         step_at = self.schedule[0][0] if self.schedule else inf
         acceptor_at = self.acceptor.next_tick_at if self.acceptor is not None else inf
         return min(step_at, self.release_repeats.next_due_at(), acceptor_at)
--- a/stepstream/membership/admin_api.py
+++ b/stepstream/membership/admin_api.py
@@ -33,7 +33,7 @@
 
 
 class MembershipAdminApi:
-    """Answers the calls.
+    """Answers operators' requests to `/fleet` and its sub-paths.
 
     `dispatcher_count` returns how many dispatchers share the cluster's capacity.
     """
--- a/stepstream/membership/maintenance_records.py
+++ b/stepstream/membership/maintenance_records.py
@@ -39,7 +39,10 @@
         return record
 
     def merge(self, record: MaintenanceRecord) -> None:
-        """Store a record if it takes precedence over the stored one."""
+        """Store and broadcast a record if it takes precedence over the stored one.
+
+        Count it as rejected if there is no room for another worker.
+        """
         if self._is_beyond_bound(record.worker):
             self.context.metrics.rejected_names += 1
             return
--- a/stepstream/membership/record_precedence.py
+++ b/stepstream/membership/record_precedence.py
@@ -74,9 +74,10 @@
     """The kinds of received claims about the local name."""
 
     OUTDATED = auto()  # overridden by the local record
-    FALSE = auto()  # about this process; it refutes the claim by a greater incarnation
-    EARLIER_START = auto()  # this process takes the name over by a greater generation
-    LATER_START = auto()  # this process yields the name
+    FALSE = auto()  # about this process, which refutes the claim with a greater incarnation
+    # About a process that started earlier: this one takes the name over with a greater generation.
+    EARLIER_START = auto()
+    LATER_START = auto()  # about a process that started later: this one yields the name
 
 
 def classify_local_claim(
