--- a/tests/core/harness.py
+++ b/tests/core/harness.py
@@ -24,11 +24,11 @@
         self.events = []
 
     def internal_fault(self, *, where, error):
-        """Record the event of a fault."""
+        """Record the log event for an internal fault."""
         self.events.append(("internal_fault", where, repr(error)))
 
     def worker_id_conflict(self, *, worker, source, owner):
-        """Record the event of an id that two sources list."""
+        """Record the log event for a worker id that two sources list."""
         self.events.append(("worker_id_conflict", worker, source, owner))
 
 
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -78,7 +78,7 @@
     second = only_call(harness.post(JobNotification("aa", first.worker_id, status)))
     assert second.worker_id != first.worker_id
     assert second.attempt_number == 1
-    # The same notification once more must not end the second call.
+    # A repetition of the notification must not end the second call.
     assert harness.post(JobNotification("aa", first.worker_id, status)) == []
 
 
@@ -104,7 +104,7 @@
     # Guards against status 502 for a job that never ran: its client could not safely retry it.
     harness = DispatcherHarness()
     harness.post(EndpointList(EndpointListKind.COMPLETE, ()))
-    request, commands = harness.receive(budget_us=100_000)  # it may wait for 160 ms
+    request, commands = harness.receive(budget_us=100_000)  # the policy allows a wait of 160 ms
     assert not commands_of_type(Answer, commands)
     answered = harness.run_until(request.deadline_us)
     (answer,) = commands_of_type(Answer, answered)
@@ -341,7 +341,7 @@
 def test_a_retry_must_be_written_in_the_key_window_of_the_first_call_that_may_have_run(
     result, has_write_deadline
 ):
-    """Connecting and queueing take time, so the window limits the write, not the decision."""
+    """Connecting and queueing take time, so the window limits the write, not the retry decision."""
     harness = DispatcherHarness()
     request = replace(make_request("aa", harness.now_us, job_class=1), settings=POLICY_SETTINGS)
     first = only_call(harness.post(RequestReceived(request)))
--- a/tests/model/test_estimators.py
+++ b/tests/model/test_estimators.py
@@ -15,7 +15,7 @@
 
 def test_the_first_value_of_a_running_mean_counts_in_full():
     assert running_mean(0.0, 100.0, 0.1) == 100.0
-    assert running_mean(0.0, 0.0, 0.1) == 1.0  # a mean of 0 would stand for no value yet
+    assert running_mean(0.0, 0.0, 0.1) == 1.0  # a mean of 0 is reserved for 'no value yet'
     assert running_mean(100.0, 200.0, 0.1) == pytest.approx(110.0)
 
 
--- a/tests/node/dispatcher_process.py
+++ b/tests/node/dispatcher_process.py
@@ -18,7 +18,7 @@
 ROOT = Path(__file__).parents[2]
 READINESS_CHECK = b"GET /-/ready HTTP/1.1\r\n\r\n"
 SERVE = (sys.executable, "-m", "stepstream", "serve")
-WATCH_SECONDS = 0.2  # discovery answers a watch after this time, though nothing has changed
+WATCH_SECONDS = 0.2  # discovery answers a watch after this time, even if nothing has changed
 
 
 def start_serving(config_file, *options, **environment):
@@ -51,9 +51,12 @@
     """A dispatcher's process, its worker and its discovery; `close` ends all three."""
 
     def __init__(self, folder, **configuration):
-        """Start all three; return when it is ready. `configuration`: further keys of its file."""
+        """Start all three; return when the dispatcher is ready.
+
+        `configuration` adds keys to the dispatcher's configuration file, or replaces them.
+        """
         self.hold_jobs = threading.Event()  # while set, jobs are accepted but not completed
-        self.worker_answers = []  # what the worker answers in place of a 202, in this order
+        self.worker_answers = []  # answers that the worker sends instead of a 202, in order
         self.closing = threading.Event()
         self.worker = ScriptedServer(self.worker_reply)
         self.discovery = ScriptedServer(self.discovery_reply)
@@ -89,13 +92,14 @@
     def settings():
         """Return settings without start notifications.
 
-        With them, the policy would take a held job, which sends none, as a sign of a full worker.
+        A held job sends no start notification. If the policy expected one, it would take the job
+        as a sign of a full worker.
         """
         section = CONFIGURATION["settings"]
         return {**section, "extra": {**section["extra"], "tells_start": False}}
 
     def reload(self, configuration):
-        """Replace the file and send SIGHUP; return the log line that it causes."""
+        """Replace the configuration file and send SIGHUP; return the log line of the reload."""
         self.config_file.write_text(json.dumps(configuration))
         self.process.send_signal(signal.SIGHUP)
         for line in self.process.stderr:
@@ -108,7 +112,7 @@
         return is_ready(self.port)
 
     def worker_reply(self, message):
-        """Accept a job; unless jobs are held, notify its completion before that."""
+        """Accept a job; unless jobs are held, notify its completion before the answer."""
         if message.method == "POST":
             if self.worker_answers:
                 return self.worker_answers.pop(0)
@@ -118,7 +122,7 @@
         return write_answer(200)
 
     def discovery_reply(self, message):
-        """Answer with the list; answer a watch after WATCH_SECONDS, as nothing has changed."""
+        """Answer with the list; delay the answer to a watch by at most WATCH_SECONDS."""
         if "wait=" in message.target:
             self.closing.wait(WATCH_SECONDS)
         return write_answer(200, json.dumps(self.endpoint_list).encode())
@@ -131,7 +135,7 @@
         return exchange(self.port, data).status
 
     def job_calls(self):
-        """Return the calls that the worker has received."""
+        """Return the job calls that the worker has received."""
         return [message for message in self.worker.requests if message.method == "POST"]
 
     def close(self):
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -39,7 +39,7 @@
 
 
 def with_startup(limits, **seconds):
-    """Return the limits with other waiting times of the start."""
+    """Return the limits with other waiting times at startup."""
     return replace(limits, startup=replace(limits.startup, **seconds))
 
 
@@ -86,7 +86,7 @@
         assert exchange(0, job_request("01") + job_request("02"), peer).status == 200
         assert (
             exchange(0, b"GET /-/ready HTTP/1.1\r\n\r\n", peer).status == 200
-        )  # the second job's answer
+        )  # this reads the second job's answer
         wait_for(lambda: len(dispatcher.job_calls()) == 2)
 
 
@@ -203,7 +203,7 @@
             lambda: [message for message in new_discovery.requests if "wait=" in message.target]
         )
         old_discovery_count = len(dispatcher.discovery.requests)
-        # The job from before the reload is answered on its connection, and so is a new one.
+        # The job from before the reload and a new job are answered on the same connection.
         assert dispatcher.notify("0e", "done", "1") == 200
         assert exchange(0, b"", peer).body == b"1"
         dispatcher.hold_jobs.clear()
@@ -265,7 +265,7 @@
 
 
 class UninterruptibleSignalQueue:
-    """A signal queue whose waits no signal interrupts, as on a test bench that controls the waits."""
+    """A signal queue whose waits no signal interrupts, as on a bench that controls them."""
 
     def __init__(self, waits_before_sigterm):
         self.waits_before_sigterm, self.waits = waits_before_sigterm, []
@@ -306,7 +306,7 @@
 def test_many_peers_that_never_finish_a_message_do_not_delay_the_shutdown(dispatcher):
     dispatcher.process.send_signal(signal.SIGTERM)
     wait_for(lambda: exchange(dispatcher.port, b"GET /-/ready HTTP/1.1\r\n\r\n").status == 503)
-    # The sleep is part of the test: only peers that connect before its end count as clients.
+    # The sleep is part of the test: peers that connect after it do not count as clients.
     time.sleep(LIMITS.shutdown.new_connections_seconds + 0.1)
     peers = []
     until = time.monotonic() + 10.0
@@ -331,7 +331,7 @@
 def test_a_dispatcher_is_not_ready_before_it_has_its_first_endpoint_list(
     discovery_mode, start_server, make_node, start_node
 ):
-    """A pushed list must apply to the first request. Without a polled list there are no workers."""
+    """Otherwise the first request could miss changes in a pushed list, or find no workers."""
     answer = threading.Event()
     drained = {"id": "s-1", "addr": "127.0.0.1:1", "state": "draining", "zone": "ruzinov"}
 
--- a/tests/policy/harness.py
+++ b/tests/policy/harness.py
@@ -63,7 +63,7 @@
         return self.handle(AttemptEnded(job_id, attempt, worker, result, 1000, job_ended, report))
 
     def serve(self, gap_us=1000, report=None, **fields):
-        """Advance the clock, submit a job, end its first attempt with OK; return the worker's id."""
+        """Advance the clock, submit a job, end its first attempt with OK; return the worker id."""
         job_id, actions = self.advance(gap_us).submit(**fields)
         worker_id = first_worker_id(actions)
         self.end_attempt(job_id, worker_id, AttemptResult.OK, report=report)
--- a/tests/policy/test_cap_scenarios.py
+++ b/tests/policy/test_cap_scenarios.py
@@ -22,8 +22,8 @@
 
 
 def test_waiting_priority_jobs_make_the_high_set_borrow_a_worker():
-    # Guards against a High Set that never borrows: while jobs wait, its busy slots stay at its
-    # caps, so that it only seems over its caps if the waiting jobs count as load.
+    # Guards against a High Set that never borrows a worker. While jobs wait, the busy slots of the
+    # High Set stay at its caps. Its load exceeds its caps only if waiting jobs count as load.
     def high_set_size(jobs):
         harness = PolicyHarness(IDEMPOTENT, workers=10, **WITH_LOAD_REPORTS)
         harness.finish_period().fire_timers(400_000)
@@ -37,8 +37,8 @@
 
 
 def test_the_high_set_keeps_its_size_while_few_headrooms_are_valid():
-    # Guards against a High Set that returns one worker each period, until all dispatchers have the
-    # same single worker left in it.
+    # Guards against a High Set that returns one worker each period until it has a single worker.
+    # This worker was the same one in all dispatchers.
     high_sets = set()
     for seed in range(3):
         harness = PolicyHarness(IDEMPOTENT, workers=30, seed=seed, **WITH_LOAD_REPORTS)
@@ -70,7 +70,7 @@
 
 
 def harness_with_one_overdue_start():
-    """Return a harness, and the only attempt that has not started of twelve on four workers."""
+    """Submit twelve jobs to four workers; return the harness and the only unstarted attempt."""
     harness = PolicyHarness(NOT_IDEMPOTENT, workers=4, reports_start=True)
     attempts = [harness.submit()[1][0] for _ in range(12)]
     for attempt in attempts[1:]:
@@ -79,9 +79,9 @@
 
 
 def test_an_overdue_start_sets_the_cap_at_the_busy_slots_and_not_at_zero():
-    # Guards against treating an overdue start as a report of zero headroom from which our attempts
-    # are subtracted: every cap became 0, and the High Set of an idle dispatcher borrowed all
-    # workers.
+    # Guards against treating an overdue start as a load report of zero headroom. Our attempts were
+    # subtracted from this zero, so every cap became 0, and the High Set of an idle dispatcher
+    # borrowed all workers.
     harness, overdue = harness_with_one_overdue_start()
     state = harness.balancer.state
     worker = state.workers.by_id[overdue.worker_id]
@@ -98,8 +98,9 @@
 
 
 def test_one_overdue_start_on_a_slow_worker_does_not_set_the_common_cap():
-    # Guards against a common cap of one for seconds after a single overdue start with one busy
-    # slot: jobs waited although workers had headroom, and ordinary jobs were rejected.
+    # Guards against a single overdue start that sets the common cap to one slot for seconds because
+    # its worker has one busy slot: jobs waited although workers had headroom, and ordinary jobs
+    # were rejected.
     harness = PolicyHarness(IDEMPOTENT, workers=4, reports_start=True)
 
     def run_overdue_starts(count):
--- a/tests/policy/test_capacity.py
+++ b/tests/policy/test_capacity.py
@@ -36,7 +36,7 @@
     capacity.learn_from_full(state, worker, 13.0)
     assert worker.cap == pytest.approx(9.0)  # 18/26 of the busy slots
     capacity.learn_from_full(state, worker, 0.5)
-    assert worker.cap == 1.0  # a smaller one would stop all jobs
+    assert worker.cap == 1.0  # a smaller cap would block all jobs
 
 
 def test_attempts_within_the_lag_of_a_report_are_taken_off_its_headroom():
--- a/tests/policy/test_cold.py
+++ b/tests/policy/test_cold.py
@@ -39,7 +39,7 @@
 
 
 class ColdCluster(SimulatedCluster):
-    """A cluster with uneven traffic, whose workers and one of whose dispatchers can be restarted."""
+    """A cluster with uneven traffic that can restart its workers and one of its dispatchers."""
 
     def __init__(self, dispatchers, workers, seed):
         slow_start = {
@@ -49,7 +49,7 @@
             "overload_window_us": WINDOW_US,
         }
         super().__init__((JOB_CLASS,), dispatchers, workers, seed=seed, **slow_start)
-        # Some dispatchers get several times the mean, as from the platform's front proxy.
+        # Some dispatchers get several times the mean traffic, as behind the platform's front proxy.
         self.traffic_weights = [
             self.random.choice((0.5, 0.5, 1.0, 1.0, 4.0)) for _ in range(dispatchers)
         ]
--- a/tests/policy/test_ejections.py
+++ b/tests/policy/test_ejections.py
@@ -85,7 +85,8 @@
     harness = harness_with_caps(8.0)
     run_jobs(harness, 40)
     run_jobs(harness, 40, SLOW_WORKER)
-    # Without ejection it would get ten; now it gets one probation attempt in three seconds.
+    # Without the ejection the slow worker would get ten jobs. An ejected worker gets one probation
+    # attempt in three seconds.
     assert run_jobs(harness, 40, SLOW_WORKER).count(SLOW_WORKER) <= 6
     run_jobs(harness, 100)
     assert run_jobs(harness, 40).count(SLOW_WORKER) >= 8
@@ -95,7 +96,7 @@
     harness = harness_with_caps(20.0)
     run_jobs(harness, 40)
     open_jobs = {}  # by worker
-    for _ in range(16):  # at the same time, four on each worker
+    for _ in range(16):  # all open at the same time, four on each worker
         job_id, actions = harness.submit()
         (worker_id,) = attempt_worker_ids(actions)
         harness.handle(AttemptStarted(job_id, 0, worker_id))
@@ -135,8 +136,8 @@
     effect, report, is_lost
 ):
     harness = PolicyHarness(replace(IDEMPOTENT, effect=effect), workers=3, **LOST_ATTEMPT_SETTINGS)
-    # Each worker gets two of the jobs. One report shows that both are lost; the class is ejected
-    # only once.
+    # Each worker gets two of the jobs. One load report shows that both jobs of its worker are lost,
+    # but the class is ejected only once.
     job_id, actions = [harness.submit() for _ in range(6)][0]
     worker_id = first_worker_id(actions)
     harness.fire_timers(170_000)
@@ -153,7 +154,7 @@
         NOT_IDEMPOTENT, IDEMPOTENT, HIGH_PRIORITY, workers=2, **LOST_ATTEMPT_SETTINGS
     )
     non_starting_worker = make_endpoint(1).worker_id
-    job_numbers = {0: [], 1: [], 2: []}  # of the jobs on that worker, by class
+    job_numbers = {0: [], 1: [], 2: []}  # numbers of the jobs on that worker, by class
     for number in range(360):
         job_class = number % 3
         job_id, actions = harness.advance(50_000).submit(job_class)
@@ -173,8 +174,8 @@
                 for worker_number in range(2)
             ]
             harness.handle(*reports)
-    # The first job, and probation attempts after 1, 2 and 4 s.
+    # These four are the first job and the probation attempts after 1, 2 and 4 s.
     assert len([number for number in job_numbers[0] if number < 180]) == 4
     assert len([number for number in job_numbers[1] if number < 180]) > 40
-    # After the worker has started a job of the class, it gets as many of them as before.
+    # After the worker has started a job of the class, it gets as many such jobs as before.
     assert len([number for number in job_numbers[0] if number >= 270]) == 30
--- a/tests/policy/test_hedged_requests.py
+++ b/tests/policy/test_hedged_requests.py
@@ -13,7 +13,7 @@
     started_attempts,
 )
 
-START_DUE_US = 160_000  # after which a start is overdue
+START_DUE_US = 160_000  # a start is overdue after this time
 
 
 class SubmittedJob(NamedTuple):
@@ -40,7 +40,8 @@
 
 
 def test_an_overdue_attempt_is_hedged_and_is_cancelled_when_the_other_one_starts():
-    # Guards against jobs that stay in long queues: by old load reports their workers looked free.
+    # Guards against jobs that stay in long queues because old load reports show free slots on
+    # their workers.
     job = submit_job(IDEMPOTENT)
     (hedged,) = started_attempts(job.harness.fire_timers(START_DUE_US))
     assert hedged.job_id == job.job_id
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -16,7 +16,7 @@
 
 
 def workers_of_hedged_requests(busy_slots, **settings):
-    """Return the workers that get a hedged request, if one of two has an overdue attempt."""
+    """Return the workers that get hedged requests if one of two workers has an overdue attempt."""
     permissions = {"may_hedge": True, "attempt_limit": 2, **settings}
     state = PolicyState(Settings(classes=(IDEMPOTENT,), **permissions), 1, NOW_US)
     state.measurements.common_cap = 1.0
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize(("busy_slots", "is_hedged"), [(0.0, True), (1.0, False)])
 def test_a_hedged_request_goes_to_a_worker_with_the_slots_for_it(busy_slots, is_hedged):
-    # A cap without a measurement holds up no priority job, but it holds up a hedged request.
+    # A cap that was not measured does not delay a priority job, but prevents a hedged request.
     assert workers_of_hedged_requests(busy_slots) == [make_endpoint(1).worker_id] * is_hedged
 
 
--- a/tests/policy/test_many_dispatchers.py
+++ b/tests/policy/test_many_dispatchers.py
@@ -1,4 +1,4 @@
-"""Many dispatchers that do not communicate: together they must not overload discovery or workers."""
+"""Many independent dispatchers: together they must not overload discovery or the workers."""
 
 import heapq
 from dataclasses import dataclass
@@ -32,7 +32,7 @@
 
 
 class SerialDiscovery:
-    """A discovery that serves calls one by one, also those that failed by waiting too long."""
+    """A discovery that serves calls one by one, also calls that have timed out at the client."""
 
     def __init__(self, call_us, timeout_us=2_000_000):
         self.call_us = call_us
@@ -94,7 +94,7 @@
 
 def test_dispatchers_whose_polls_fail_together_back_off_until_all_are_served():
     discovery = SerialDiscovery(140_000)
-    discovery.free_at_us = 5_000_000  # as if it were down, or busy with other calls, until then
+    discovery.free_at_us = 5_000_000  # it is down or busy with other calls until then
     result = poll_all(polling_balancers(), discovery, 60_000_000)
     assert len(result.served_at_us) == DISPATCHER_COUNT
     assert max(result.served_at_us.values()) < 35_000_000
@@ -163,8 +163,8 @@
 
 
 def test_under_overload_the_lowest_weight_is_rejected_and_the_rest_is_served_in_time():
-    # Guards against a cap of one slot for each dispatcher: a worker then gets forty attempts, no
-    # job is rejected, and no job of any class is in time.
+    # Guards against a cap of one slot for each of the 40 dispatchers: a worker of four slots gets
+    # 40 attempts, no job is rejected, and no job of any class is in time.
     cluster = loaded_cluster(1.4)
     in_time = fractions_in_time(cluster, 4_000_000, 8_000_000)
     assert in_time[0] > 0.3
@@ -193,8 +193,8 @@
 
 
 def test_an_ordinary_job_of_two_slots_goes_to_a_worker_without_attempts_of_ours():
-    # Guards against a job that waits until it is rejected: one overdue start had set a cap of one
-    # slot.
+    # Guards against a job of two slots that waits until it is rejected, because a single overdue
+    # start has set a cap of one slot.
     cluster = SimulatedCluster(CLASSES, workers=4)
     balancer = cluster.balancers[0]
     state = balancer.state
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -39,8 +39,8 @@
 
 
 def test_an_ordinary_job_waits_if_it_can_start_in_time_and_is_rejected_at_once_otherwise():
-    # Guards against rejecting a job although a slot is free some 10 ms later: the client's retry
-    # would come too late.
+    # Guards against rejecting a job although a slot becomes free about 10 ms later: the client's
+    # retry would come too late.
     harness, open_jobs = overloaded_harness()
     job_id, actions = harness.submit()
     assert not started_attempts(actions)
--- a/tests/policy/test_placement.py
+++ b/tests/policy/test_placement.py
@@ -56,8 +56,8 @@
 
 
 def test_a_frequent_affinity_key_gets_more_workers():
-    # Guards against two workers for every key: a frequent key's jobs waited and were rejected while
-    # other workers had headroom.
+    # Guards against a limit of two workers for every key: a frequent key's jobs waited and were
+    # rejected while other workers had headroom.
     harness = PolicyHarness(IDEMPOTENT, workers=60, **WITH_LOAD_REPORTS)
     harness.report_headrooms([9.0] * 60)
     key_workers = {"hot": set(), "rare1": set()}
@@ -70,8 +70,8 @@
 
 
 def test_dispatchers_that_start_together_choose_different_workers_and_times():
-    # Guards against dispatchers in step: they chose the same worker first, and resized their pools
-    # and checked health at the same moment.
+    # Guards against dispatchers that make equal choices at equal times: they chose the same worker
+    # first, and resized their pools and checked health at the same moment.
     first_workers = set()
     period_ends_us = set()
     for seed in range(20):
--- a/tests/policy/test_pools.py
+++ b/tests/policy/test_pools.py
@@ -66,7 +66,7 @@
 def test_ordinary_jobs_are_rejected_over_the_low_sets_caps_and_priority_jobs_are_not():
     harness = harness_with_both_tenants(workers=4)
     job_id, actions = harness.submit(tenant=OVER_QUOTA)
-    # From this answer 'full' on, caps are known.
+    # Caps are unknown until this answer 'full'.
     harness.end_attempt(job_id, first_worker_id(actions), AttemptResult.FULL)
     ordinary = [harness.advance(1000).submit(tenant=OVER_QUOTA)[1] for _ in range(30)]
     assert any(final_actions(actions) for actions in ordinary)
@@ -87,7 +87,7 @@
         for worker_id in attempt_worker_ids(actions):
             harness.end_attempt(job_id, worker_id, AttemptResult.OK)
     grown_set = workers_of_tenant(harness, WITHIN_QUOTA)
-    assert len(before) < len(grown_set) < 6  # a worker always stays in the Low Set
+    assert len(before) < len(grown_set) < 6  # at least one worker stays in the Low Set
     for _ in range(10):
         harness.fire_timers()
     assert len(workers_of_tenant(harness, WITHIN_QUOTA)) < len(grown_set)
@@ -155,8 +155,8 @@
 
 @pytest.mark.parametrize("change", ["removed", "restarted"])
 def test_the_slots_of_attempts_on_an_ended_process_leave_their_pool_once(change):
-    # Guards against a pool that looks emptier than it is: both the recount and the attempt's end
-    # took the slots off.
+    # Guards against subtracting the slots twice, in the recount and at the attempt's end: the pool
+    # looked emptier than it was.
     harness = PolicyHarness(workers=4)
     job_id, actions = harness.submit()
     worker_id = first_worker_id(actions)
@@ -165,7 +165,7 @@
     state = EndpointState.REMOVED if change == "removed" else EndpointState.ACTIVE
     gone = Endpoint(worker_id, state=state, started_us=harness.now_us)
     harness.handle(EndpointList(EndpointListKind.CHANGES, (gone,)))
-    harness.finish_period()  # recounts the pools
+    harness.finish_period()  # recounts the pools' busy slots
     assert pool.busy_slots == before - 1.0
     harness.end_attempt(job_id, worker_id, AttemptResult.RESET, job_ended=True)
     assert pool.busy_slots == before - 1.0
--- a/tests/policy/test_quota_scenarios.py
+++ b/tests/policy/test_quota_scenarios.py
@@ -16,8 +16,8 @@
 
 
 def test_a_tenant_within_its_quota_is_recognized_by_its_fraction_of_the_jobs():
-    # Guards against comparing rates: a tenant's quota is less than one job a second for each
-    # dispatcher, and by its rate at one dispatcher every tenant was over its quota.
+    # Guards against comparing a tenant's rate at one dispatcher with that dispatcher's share of the
+    # quota. The share is less than one job a second, so every tenant seemed to be over its quota.
     harness = PolicyHarness(
         IDEMPOTENT,
         workers=6,
@@ -58,8 +58,8 @@
 
 
 def test_a_job_over_quota_gets_one_attempt():
-    # Guards against many retries of jobs over quota: they took the workers from tenants within
-    # their quotas.
+    # Guards against many retries of jobs over quota: the retries occupied workers that tenants
+    # within their quotas needed.
     harness, job_id, actions = harness_with_tenant_over_quota([3.0] * 6)
     after_full = harness.end_attempt(job_id, first_worker_id(actions), AttemptResult.FULL)
     assert final_actions(after_full) == [Reject(job_id)]
--- a/tests/policy/test_random_outcomes.py
+++ b/tests/policy/test_random_outcomes.py
@@ -37,7 +37,7 @@
 
     worker_id: str
     started_at_us: int
-    never_ran: bool = False  # proven by its result
+    never_ran: bool = False  # True if the result proves it
 
 
 @dataclass
@@ -51,7 +51,7 @@
 
     @property
     def settings(self):
-        """The settings of its class."""
+        """The settings of the job's class."""
         return CLASSES[self.job_class]
 
 
--- a/tests/policy/test_retry_rules.py
+++ b/tests/policy/test_retry_rules.py
@@ -122,7 +122,8 @@
 def attempts_on_restarted_worker(started_after_us, result):
     """Return how many attempts a restarted worker gets in five seconds with 20 jobs a second.
 
-    It ends each attempt with `result`. `started_after_us` counts from now; it may be negative.
+    The worker ends each attempt with `result`. `started_after_us` is the time from now to the
+    worker's start; it may be negative.
     """
     harness = PolicyHarness(
         IDEMPOTENT,
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -30,7 +30,7 @@
 def test_a_repeat_goes_to_a_worker_that_was_not_tried():
     state = state_with_workers(3)
     tried = state.workers.eligible[1]
-    tried.current_weight = 10.0  # by the round robin it is this worker's turn
+    tried.current_weight = 10.0  # round robin alone would choose this worker
     job = new_job(priority=False)
     assert choose_worker(state, job) is tried
     tried.current_weight = 10.0
@@ -68,7 +68,7 @@
     state = state_with_workers(4)
     for worker in state.workers.eligible[:2]:
         worker.pool = state.pools.high_set
-        worker.current_weight = 0.0 if priority else 10.0  # by round robin: the other pool's turn
+        worker.current_weight = 0.0 if priority else 10.0  # round robin would take the other pool
     for worker in state.workers.eligible[2:]:
         worker.current_weight = 10.0 if priority else 0.0
     own_pool = state.pools.high_set if priority else state.pools.low_set
@@ -77,7 +77,7 @@
 
 def test_the_number_of_stored_key_orders_is_bounded_by_the_open_requests():
     state = state_with_workers(1)
-    limit = state.settings.max_open_requests  # not more keys can be in use at the same time
+    limit = state.settings.max_open_requests  # no more keys than this can be in use at once
     for number in range(limit + 1):
         workers_in_key_order(state, f"key-{number}")
     assert len(state.workers.key_orders) <= limit
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -41,8 +41,8 @@
     state.workers.eligible = [
         Worker(make_endpoint(index), 0, 0, state.pools.low_set) for index in range(4)
     ]
-    state.workers.warm_worker_equivalents = 2.5  # some of them are warming up
-    # Before any job is served, one job in a window is expected of all dispatchers together.
+    state.workers.warm_worker_equivalents = 2.5  # less than 4: some are warming up
+    # Until a job is served, all dispatchers together are assumed to get one job in a window.
     assert warm_worker_interval_us(state, 0) == 3 * 1_000_000 * 2.5
     run_times = state.measurements.run_times
     run_times.served_interval_us = 100_000.0
--- a/tests/policy/test_unconfirmed_list.py
+++ b/tests/policy/test_unconfirmed_list.py
@@ -22,8 +22,8 @@
     [
         (MAX_UNCONFIRMED_US, 0, False),
         (MAX_UNCONFIRMED_US, MAX_REPORT_DELAY_US, False),
-        # After such an early refusal, discovery would have reported the end of the process before
-        # the calls to discovery began to fail.
+        # If the refusal meant that the process had ended, discovery would have reported the end
+        # before the calls to discovery began to fail.
         (MAX_UNCONFIRMED_US, MAX_REPORT_DELAY_US + 1, True),
         (MAX_UNCONFIRMED_US - 2 * JOB_COUNT * 1000, 0, True),
     ],
@@ -31,7 +31,7 @@
 def test_a_worker_that_refused_a_connection_is_not_used_with_a_long_unconfirmed_list(
     unconfirmed_us, refused_before_us, is_used
 ):
-    # Guards against jobs on a removed worker whose address is in use again by a new, cold process.
+    # Guards against sending jobs to a removed worker whose address a new, cold process uses now.
     harness = PolicyHarness(workers=4)
     harness.handle(ConnectionRefused(REFUSING_WORKER))
     harness.advance(refused_before_us).handle(EndpointCallFailed())
@@ -42,7 +42,7 @@
 def test_the_list_is_unconfirmed_since_the_begin_of_the_failed_watch():
     harness = PolicyHarness(workers=4)
     harness.handle(ConnectionRefused(REFUSING_WORKER), EndpointCallFailed(MAX_UNCONFIRMED_US))
-    harness.handle(EndpointCallFailed())  # a second call fails too; the time stays
+    harness.handle(EndpointCallFailed())  # a second failure does not restart the unconfirmed time
     assert REFUSING_WORKER not in serve_jobs(harness)
 
 
--- a/tests/policy/test_waiting_jobs.py
+++ b/tests/policy/test_waiting_jobs.py
@@ -58,8 +58,8 @@
 
 
 def test_half_of_the_attempts_wait_until_headroom_has_changed():
-    # Guards against using up all attempts within milliseconds: with too little capacity each one
-    # ended as full.
+    # Guards against using up all attempts of a job within milliseconds: while capacity was short,
+    # each attempt ended as full.
     harness = PolicyHarness(IDEMPOTENT, workers=8, attempt_limit=4)
     job_id, actions = harness.submit()
     second = attempt_worker_ids(
--- a/tests/policy/test_warming_workers.py
+++ b/tests/policy/test_warming_workers.py
@@ -41,8 +41,8 @@
 
 
 def test_first_attempts_on_a_worker_that_warms_up_come_at_random_times():
-    # Guards against equal waits after a start: all dispatchers learn of it at the same time, and
-    # their first attempts came together.
+    # Guards against equal waits after a worker's start: all dispatchers learn of the start at the
+    # same time, so their first attempts reached the worker together.
     waits = {
         jobs_until_first_attempt(harness_with_restarted_worker(seed, 500_000)) for seed in range(8)
     }
@@ -50,15 +50,15 @@
 
 
 def test_unused_attempts_on_a_worker_that_warms_up_do_not_accumulate():
-    # Guards against saved attempts: 67 dispatchers had each saved one for a worker that had started
-    # 16 s before, and sent them together in a burst of jobs.
+    # Guards against saving unused attempts: 67 dispatchers had each saved one for a worker that had
+    # started 16 s before, and sent the saved attempts together in a burst of jobs.
     attempts = 0
     for seed in range(60):
         harness = harness_with_restarted_worker(seed, 500_000, workers=20)
         harness.advance(12_000_000)
         for _ in range(25):  # a burst: more jobs in one moment than there are workers
             attempts += attempt_worker_ids(harness.advance(1000).submit()[1]).count(FIRST_WORKER)
-    assert attempts <= 15  # a warm worker serves 60 x 2 / 20 = 6 a second of these dispatchers
+    assert attempts <= 15  # a warm worker gets 60 x 2 / 20 = 6 jobs a second from 60 dispatchers
 
 
 @pytest.mark.parametrize("name", ["overload_multiple", "cold_capacity_fraction", "slow_start_us"])
@@ -74,8 +74,8 @@
 
 
 def test_cold_workers_get_jobs_even_if_most_workers_are_cold():
-    # Guards against a budget from the number of jobs served per worker: as cold workers served few
-    # jobs, the budget shrank, and they got none.
+    # Guards against computing the budget from the number of jobs served per worker: cold workers
+    # served few jobs, so the budget shrank, and cold workers got no more jobs.
     harness = PolicyHarness(IDEMPOTENT, workers=8, **SLOW_START)
     for _ in range(200):
         harness.serve(20_000)
@@ -92,8 +92,8 @@
 
 
 def test_a_worker_of_another_zone_gets_jobs_while_it_warms_up():
-    # The worker must be warm before it is needed, so it gets jobs although the own zone has
-    # headroom.
+    # The worker must be warm before it is needed, so it gets jobs although the dispatcher's own
+    # zone has headroom.
     endpoints = [make_endpoint(number, zone=number % 2) for number in range(6)]
     harness = PolicyHarness(
         IDEMPOTENT, endpoints=endpoints, zone=0, cross_zone_price=0.05, **SLOW_START
@@ -105,6 +105,6 @@
     worker_ids = [harness.serve(100_000) for _ in range(50)]
     zones = {endpoint.worker_id: endpoint.zone for endpoint in endpoints}
     assert restarted.worker_id in worker_ids
-    # A warm worker of that zone gets nothing.
+    # The warm workers of the other zone get no jobs.
     others = [worker_id for worker_id in worker_ids if worker_id != restarted.worker_id]
     assert {zones[worker_id] for worker_id in others} == {0}
--- a/tests/runtime/ports.py
+++ b/tests/runtime/ports.py
@@ -11,8 +11,8 @@
 def free_port():
     """Return a port on which nobody listens, and reserve it against other test processes.
 
-    A bound socket that does not listen reserves it. The kernel does not choose the port for others
-    that ask for any free port, but a server can still listen on this port with SO_REUSEADDR.
+    The reservation is a bound socket that does not listen. The kernel does not give this port to a
+    process that asks for any free port, but a server can still listen on it with SO_REUSEADDR.
     """
     reservation = socket.socket()
     reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/tests/runtime/thread_ends.py
+++ b/tests/runtime/thread_ends.py
@@ -56,7 +56,7 @@
 
 @contextlib.contextmanager
 def no_thread_left():
-    """Fail if a thread that starts inside the context is still running some time after it."""
+    """Fail if a thread that starts inside the context does not end soon after the context."""
     threads_before = set(threading.enumerate())
     hook = threading.excepthook
     threading.excepthook = ignore_exits(hook)
--- a/tests/simulator_adapter/test_simulator_adapter.py
+++ b/tests/simulator_adapter/test_simulator_adapter.py
@@ -167,7 +167,7 @@
 
 
 def transcript_of(instances):
-    """Return a transcript of many batches; each instance gets the same messages in any transcript."""
+    """Return a transcript of many batches; an instance gets the same messages in any transcript."""
     lines = []
     for number in range(1, 60):
         lines.append(f"MARK t_us={number * 50_000} batch={number}")
