--- a/tests/admin/test_admin_client.py
+++ b/tests/admin/test_admin_client.py
@@ -1,4 +1,4 @@
-"""A command's request to the admin listener: the answer's JSON, or `AdminCallError`."""
+"""A command's request to the admin listener returns the answer's JSON or raises AdminCallError."""
 
 import pytest
 
--- a/tests/admin/test_admin_listener.py
+++ b/tests/admin/test_admin_listener.py
@@ -124,8 +124,8 @@
 
 
 def test_an_event_of_an_evicted_connection_does_not_close_a_new_connection(make_listener):
-    # Guards against a new caller that gets no answer: its connection has the descriptor of an
-    # evicted one, and an event of the evicted connection closes it.
+    # Guards against a new caller that gets no answer: its connection reuses the descriptor of
+    # an evicted one, and a late event of the evicted connection closes the new connection.
     listener = make_listener()
     old_callers = [connect_to(listener) for _ in range(LIMITS.connections.admin)]
     poll_until(listener, lambda: len(listener.connections) == LIMITS.connections.admin)
@@ -174,7 +174,7 @@
 
 
 def test_without_a_free_descriptor_the_listener_pauses_and_logs_one_line(make_listener, capfd):
-    # Guards against a thread that polls without rest while a caller waits to be accepted.
+    # Guards against a thread that polls without a pause while a caller waits to be accepted.
     listener = make_listener()
     real_socket = listener.listening_socket
     listener.listening_socket = exhausted_socket = ExhaustedListeningSocket(real_socket)
--- a/tests/cli/test_command_table.py
+++ b/tests/cli/test_command_table.py
@@ -16,7 +16,7 @@
 ALL_COMMANDS = {**cli.COMMANDS, **cli.COMMANDS_WITH_OWN_USAGE}
 OPTIONAL_PACKAGES = ("msgspec", "structlog", "cryptography", "jwt", "rich", "numpy", "matplotlib")
 
-# Runs a command line in a process that finds a package not installed.
+# A program that runs a command line as if one package were not installed.
 RUN_WITHOUT_PACKAGE = """
 import sys
 
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -17,7 +17,7 @@
 from tests.config.configurations import POLICY_SETTINGS
 
 ROOT = Path(__file__).parents[2]
-# Modules that a dispatcher without an operator's file does not need; prefixes of their names.
+# Name prefixes of the modules that a dispatcher without an operator's file does not need.
 OPTIONAL_MODULES = (
     "msgspec",
     "tomllib",
--- a/tests/gearman/test_gearman_clients.py
+++ b/tests/gearman/test_gearman_clients.py
@@ -71,7 +71,7 @@
         "tatra-invest/nav-publish",
         "revalue",
     )
-    # A function name without a tenant means tatra-invest, so two of the names are the same job.
+    # A function name without a tenant means tatra-invest, so two of the names give the same job.
     assert len({submit_job(client, function, "u") for function in functions}) == 3
     assert submit_job(client, "revalue", "-", "w") == submit_job(client, "revalue", "-", "w")
     assert submit_job(client, "revalue", "-", "v") != submit_job(client, "revalue", "-", "w")
--- a/tests/gearman/test_gearman_workers.py
+++ b/tests/gearman/test_gearman_workers.py
@@ -135,7 +135,8 @@
                 else (PacketKind.RESET_ABILITIES,)
             )
         )
-        assert worker.grab_job() is None  # at once, not only after the queue wait of 1,000 ms
+        # The job has left the queue at once, not only after the queue wait of 1,000 ms.
+        assert worker.grab_job() is None
     # Even a job that must not run twice may be sent again, because it was never assigned.
     assert [call.request.job_class for call in harness.http_calls] == [2]
 
@@ -246,7 +247,7 @@
         == "JOB_NOT_FOUND"
     )
     owner.send(PacketKind.WORK_COMPLETE, assigned, "own")
-    # A second report of the owner, on the job that it has ended, is ignored.
+    # The owner's second report on a job that it has already ended is ignored.
     assert owner.send(PacketKind.WORK_COMPLETE, assigned, "twice") == []
     assert [packet.args[1] for packet in client.packets_of(*OUTCOME_KINDS)] == [b"own"]
 
--- a/tests/hot_restart/test_hot_restart.py
+++ b/tests/hot_restart/test_hot_restart.py
@@ -194,8 +194,8 @@
 
 
 def test_the_state_file_names_a_successor_before_its_first_health_check_succeeds():
-    # Guards against SIGTERM between the two: the predecessor would find no successor in the file and
-    # end without a hot restart.
+    # Guards against SIGTERM between the first successful health check and the write of the state
+    # file: the predecessor would find no successor in the file and end without a hot restart.
     subsystem = AdminSubsystem.__new__(AdminSubsystem)
     started_at_write = []
     hot_restart = SimpleNamespace(
@@ -208,7 +208,7 @@
 
 
 def test_a_shutdown_applies_the_successors_latest_maintenance_changes():
-    # Guards against jobs for a worker that has just been put into maintenance at the successor.
+    # Guards against jobs that are sent to a worker after the successor has put it into maintenance.
     subsystem = AdminSubsystem.__new__(AdminSubsystem)
     adoptions = []
     hot_restart = SimpleNamespace(check_file=lambda: True, successor=lambda: NEW_PROCESS)
@@ -274,7 +274,7 @@
     )
     with running_process(new_config_path):
         wait_for(lambda: is_healthy(new_admin_port))
-        # Maintenance applies in the new process: a second request changes nothing there.
+        # The new process has adopted the maintenance of s-1, so a second request changes nothing.
         assert call_admin(
             new_admin_port, b"PUT /workers/s-1/maint HTTP/1.1\r\n\r\n"
         ).body.startswith(b"OK: out")
--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -156,7 +156,7 @@
     client.harness.server.state.closing = True
     assert not client.connection.delays_shutdown()
     client.harness.server.close_idle()
-    assert client.connection.delays_shutdown()  # until the peer closes its side
+    assert client.connection.delays_shutdown()  # the peer has not closed its side yet
     client.connection.phase_started_at_seconds -= LIMITS.timeouts.close_grace_seconds
     assert not client.connection.delays_shutdown()
     client.peer.close()
@@ -175,7 +175,7 @@
 ):
     """The request arrives between the last check for unread bytes and the close of the socket.
 
-    Its client sends it again elsewhere.
+    The client can send this request again on another connection.
     """
     client = IdleClient(start_server())
     originals = {
@@ -193,8 +193,8 @@
         )
     CLOSE_ACTIONS[close](client)
     assert client.peer.recv(100) == b""
-    # An evicted connection is closed fully, because its place is needed at once. Its peer may get a
-    # reset if it sends more.
+    # An evicted connection is closed fully, because a new connection needs its place at once. The
+    # peer may get a reset if it sends more.
     if close != "evicted":
         client.peer.sendall(job_request("03"))
     # A fixed wait, because there is no event to wait for: a reset would arrive within this time.
@@ -207,7 +207,7 @@
 
 @pytest.mark.parametrize("close", CLOSE_ACTIONS)
 def test_a_request_that_arrives_before_the_close_is_served(start_server, monkeypatch, close):
-    """The connection is closed after its reader has woken, before the reader receives the bytes."""
+    """The connection is closed after its reader has woken and before it has read the request."""
     client = IdleClient(start_server())
     reader_woken, reader_may_continue = threading.Event(), threading.Event()
     wait_readable = client.connection.transport.wait_readable
@@ -219,7 +219,7 @@
         return has_input
 
     monkeypatch.setattr(client.connection.transport, "wait_readable", wait_and_pause)
-    client.peer.sendall(job_request("02"))  # ends the wait that began before the patch
+    client.peer.sendall(job_request("02"))  # ends the reader's wait that began before the patch
     second = client.wait_for_second_request()
     answer_request(second)
     assert exchange(0, b"", client.peer).status == 200
@@ -275,7 +275,7 @@
 
 
 class InterruptibleLock:
-    """A lock that calls `on_release` after each release, when another thread could run."""
+    """A lock that calls `on_release` after each release, where another thread could run."""
 
     def __init__(self, on_release):
         self.lock = threading.Lock()
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -37,7 +37,7 @@
 
 
 def make_schedule(settings=POLICY_SETTINGS, **times):
-    """Return a schedule that repeats failed calls at once; `times` replaces members of it."""
+    """Return a schedule that repeats failed calls at once; `times` overrides its attributes."""
     members = {"pause_after_failure_seconds": lambda self: 0.01, **times}
     schedule_class = type("AdjustedSchedule", (PollSchedule,), members)
     return schedule_class.from_settings(settings, random.Random(0))
@@ -108,7 +108,7 @@
 
 @pytest.fixture
 def end_of_silence():
-    """Yield an event on which replies wait in order not to answer; it is set after the test."""
+    """Yield an event that is set after the test; a reply that waits for it stays silent."""
     event = threading.Event()
     yield event
     event.set()
@@ -176,7 +176,7 @@
     ours, theirs = socket.socketpair()
 
     def send_slowly():
-        # Continues long after the timeout: a call that waits for the end of the stream is too late.
+        # Sends until long after the timeout: a call that waits for the stream's end ends too late.
         for _ in range(100):
             if sent_bytes:
                 theirs.sendall(sent_bytes)
@@ -262,7 +262,7 @@
 
 
 def test_a_silent_watch_stays_open_until_the_next_call_is_answered(make_client, end_of_silence):
-    """Once the client closes a watch, it must know the changes that the watch missed."""
+    """The client must not close a watch before it knows the changes that the watch missed."""
     watch_connections, open_at_answer = [], []
     poll_answers = [write_answer(503), write_answer(200, NEWER_LIST)]
 
@@ -290,7 +290,7 @@
 
 
 def test_a_list_check_reopens_the_watch_only_if_there_are_changes(start_client, end_of_silence):
-    """Refused connections do not prove that the watch is silent.
+    """Refused connections cause a list check, but do not prove that the watch is silent.
 
     The client must not close a watch before it knows the changes that the watch missed.
     """
--- a/tests/http/test_eviction.py
+++ b/tests/http/test_eviction.py
@@ -34,13 +34,13 @@
 @pytest.mark.parametrize(
     ("connections", "evicted_indexes"),
     [
-        ([(IDLE, 5.0), (IDLE, 9.0)], [1, 0]),  # the one with the longest quiet time first
-        ([(IDLE, 9.0), (DONE, 5.0)], [1]),  # the lowest rank, and none of a higher one
-        # A higher rank, if no connection of the lowest can be evicted.
+        ([(IDLE, 5.0), (IDLE, 9.0)], [1, 0]),  # the longest quiet time first
+        ([(IDLE, 9.0), (DONE, 5.0)], [1]),  # only connections of the lowest rank
+        # A higher rank is evicted if no connection of the lowest rank can be.
         ([(IDLE, 9.0), (DONE, 5.0, False)], [0]),
         ([(IDLE, 0.9), (IDLE, 1.0)], [1]),  # none that was active within the last second
         ([(IDLE, 0.9), (NEW, 1.0)], [1]),
-        ([(IDLE, 5.0), (IDLE, 6.0), (IDLE, 7.0)], [2, 1]),  # not more at a time than the limit
+        ([(IDLE, 5.0), (IDLE, 6.0), (IDLE, 7.0)], [2, 1]),  # the limit is 2 evictions at a time
         ([(NEVER, float("-inf"))], []),
         ([], []),
     ],
--- a/tests/http/test_exchange.py
+++ b/tests/http/test_exchange.py
@@ -10,10 +10,10 @@
 from tests.config.configurations import LIMITS
 
 NOT_STARTED = {"Not-Started": "1"}
-# In place of a result: answers that do not end the exchange.
+# These stand in place of a result for answers that do not end the exchange.
 INTERIM = "interim"
 INCOMPLETE = "incomplete"
-# By name: the worker's bytes, and the attempt's result (None: the job is accepted).
+# Each answer by name: the worker's bytes and the attempt's result (None: the job is accepted).
 ANSWERS = {
     "accepted": (write_answer(202), None),
     "full": (write_answer(503, headers=NOT_STARTED), AttemptResult.FULL),
@@ -24,7 +24,7 @@
     "junk": (b"junk\r\n\r\n", AttemptResult.RESET),
     "part": (b"HTTP/1.1 20", INCOMPLETE),
 }
-NOT_OVER = "not over"  # in place of a result
+NOT_OVER = "not over"  # the result in the model until the exchange ends
 
 
 class ExchangeMachine(RuleBasedStateMachine):
--- a/tests/http/test_lingering.py
+++ b/tests/http/test_lingering.py
@@ -34,7 +34,8 @@
 
 
 def test_the_limit_holds_while_due_sockets_are_closed():
-    # Guards against running out of descriptors when a flood of rejected peers arrives at that time.
+    # Guards against running out of descriptors when a flood of rejected peers arrives while due
+    # sockets are closed.
     lingering = LingeringSockets(LIMITS_WITH_MAX_LINGERING)
     adding_sockets = [AddingSocket(lingering) for _ in range(MAX_LINGERING)]
     for sock in adding_sockets:
--- a/tests/http/test_outbound.py
+++ b/tests/http/test_outbound.py
@@ -276,7 +276,7 @@
     harness = start_carrier(accept_job)
     harness.start_call("01")
     connection = harness.wait_for_idle_connections()[0]
-    # As after a close by the worker, reads return no bytes.
+    # Reads now return no bytes, as after a close by the worker.
     connection.sock.shutdown(socket.SHUT_RDWR)
     harness.start_accepted_call("02")
     assert not harness.events
--- a/tests/http/test_poll_schedule.py
+++ b/tests/http/test_poll_schedule.py
@@ -1,4 +1,4 @@
-"""When discovery is called: the schedule alone keeps the platform's bounds."""
+"""Tests of when discovery is called: the schedule alone keeps the platform's bounds."""
 
 import random
 
@@ -8,7 +8,7 @@
 
 from stepstream.http.poll_schedule import MIN_INITIAL_BACKOFF_SECONDS, PollSchedule
 
-MAX_CHANGE_DELAY_SECONDS = 6.0  # after discovery has a change and can be reached
+MAX_CHANGE_DELAY_SECONDS = 6.0  # from when discovery has the change and can be reached
 DRAIN_GRACE_SECONDS = 0.5  # the platform's limit for the last sends to a draining worker
 QUEUE_TIMEOUT_SECONDS = 2.0  # discovery fails a queued call after this time
 ROUND_TRIP_SECONDS = 0.3  # of a call that discovery answers at once
@@ -33,7 +33,8 @@
     dispatcher_count,
 ):
     """In the worst case, the watch is silent from the start, the next call hangs, and a pause and
-    the round trip of another call follow. The drain grace for sends stays unused.
+    the round trip of another call follow. The total must be shorter than the bound by at least
+    the drain grace.
     """
     schedule = schedule_of(dispatcher_count)
     longest_seconds = (
@@ -47,9 +48,9 @@
 
 
 def test_more_dispatchers_know_a_change_within_2_s_after_the_wait_of_a_silent_watch():
-    """The next call is in time even if discovery answers it as late as it can.
+    """The call after the silent watch is in time even if discovery queues it for the full 2 s.
 
-    It is not in time if it hangs as well.
+    That call is not in time if it hangs too.
     """
     assert all(
         schedule_of(count).watch_overrun_seconds + QUEUE_TIMEOUT_SECONDS
@@ -67,7 +68,7 @@
 
 @pytest.mark.parametrize("dispatcher_count", range(1, 9))
 def test_a_fleet_whose_calls_all_fail_calls_less_often_than_discovery_serves(dispatcher_count):
-    """Each dispatcher repeats a call that waits for 2 s, and a pause.
+    """Each dispatcher repeats the same cycle: a call that waits for 2 s, and a pause.
 
     A complete list takes discovery half a second of work.
     """
@@ -87,7 +88,8 @@
     pauses = [schedule.pause_after_failure_seconds() for _ in range(failures)]
     longest_seconds = schedule.call_timeout_seconds + max(pauses) + ROUND_TRIP_SECONDS
     assert longest_seconds <= MAX_CHANGE_DELAY_SECONDS - DRAIN_GRACE_SECONDS + 1e-9
-    assert min(pauses) >= MIN_INITIAL_BACKOFF_SECONDS / 2  # no flood of calls
+    # Shorter pauses would flood discovery with calls.
+    assert min(pauses) >= MIN_INITIAL_BACKOFF_SECONDS / 2
     schedule.pause_after_answer_seconds(1.0, unchanged=False)
     assert schedule.pause_after_failure_seconds() <= pauses[-1]
 
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -88,7 +88,7 @@
             connections=ConnectionLimits(inbound=6, reserved_for_workers=2),
             timeouts=Timeouts(evictable_idle_seconds=0.0, evict_silent_after_seconds=0.0),
         )
-    )  # whether a connection is evicted does not depend on the clock
+    )  # both limits are 0 s, so evictions do not depend on the clock
     with contextlib.ExitStack() as stack:
         client = stack.enter_context(harness.connect())
         client.sendall(job_request("01"))
@@ -121,7 +121,7 @@
         # A fixed wait, after which each connection has been idle for longer than the limit.
         time.sleep(2 * EVICTABLE_IDLE_SECONDS)
         assert exchange(harness.port, READINESS_CHECK).status == 200
-        # The next ones are admitted without an eviction.
+        # The silent connections are evicted, so the next clients are admitted without an eviction.
         assert harness.server.external_count <= 1
     wait_for(lambda: not harness.server.connections and not harness.server.evicted_count)
     assert harness.server.external_count == 0
@@ -226,7 +226,8 @@
         closed.last_activity_at_seconds = 0.0  # long ago
         sending.sendall(bytes(1000))
         wait_for(lambda: closed.last_activity_at_seconds > 0.0)
-        # It is not evicted. Its linger time counts from the error reply, not from the latest byte.
+        # The connection is not evicted. Its linger time counts from the error reply, not from the
+        # latest byte.
         assert exchange(harness.port, b"").status == 503
         assert closed.phase_started_at_seconds < closed.last_activity_at_seconds
         assert closed in harness.server.connections
--- a/tests/http/test_session.py
+++ b/tests/http/test_session.py
@@ -117,7 +117,7 @@
                     self.expected.append(JobNotification)
 
     def expect_reply(self, status):
-        # A complete message after this one is answered before the connection closes.
+        # If a complete message follows this one, it is answered before the connection closes.
         another_message_waits = bool(self.waiting_messages) and self.waiting_messages[0] != "junk"
         close = self.server_state.shutting_down and not self.is_worker and not another_message_waits
         self.expected.append((status, close))
--- a/tests/http/test_staleness.py
+++ b/tests/http/test_staleness.py
@@ -25,17 +25,17 @@
 @pytest.mark.parametrize(
     ("steps", "due_seconds"),
     [
-        # One worker has probably crashed, and the list will report that.
+        # Only one worker has refused: it has probably crashed, and the list will report that.
         ([refusal("a", 0.0)], None),
         ([refusal("a", 0.0), refusal("a", 1.0)], None),
-        # 2 s of crash report delay and 0.1 s of spread after the second refusal at 1 s.
+        # Due 2 s (crash report delay) and 0.1 s (spread) after the second refusal at 1 s.
         (TWO_REFUSALS, 3.1),
         ([*TWO_REFUSALS, ("record_connect", "a")], None),
         ([*TWO_REFUSALS, ("record_listed", {"b"})], None),
         ([*TWO_REFUSALS, ("record_listed", {"c"})], 3.1),
         ([*TWO_REFUSALS, ("record_listed", None)], None),
         ([*TWO_REFUSALS, ("claim_check", 4.0), refusal("a", 5.0)], None),
-        # 15 s of minimum interval, 2 s of delay and 0.1 s of spread after the check at 4 s.
+        # Due 15 s (minimum interval), 2 s (delay) and 0.1 s (spread) after the check at 4 s.
         (
             [refusal(worker, 1.0) for worker in "ab"]
             + [("claim_check", 4.0)]
