--- a/tests/node/test_decision_thread.py
+++ b/tests/node/test_decision_thread.py
@@ -52,7 +52,7 @@
 
 @pytest.fixture
 def node():
-    """A wired dispatcher that is not started, with a recording carrier for discovery's workers."""
+    """A node that is not started; a recording carrier gets the calls to discovery's workers."""
     created_node = Node(config_from(CONFIGURATION, {}))
     created_node.carriers[DISCOVERY_SOURCE] = RecordingCarrier()
     return created_node
--- a/tests/node/test_signals.py
+++ b/tests/node/test_signals.py
@@ -44,7 +44,7 @@
         peer.sendall(job_request("0b"))
         wait_for(dispatcher.job_calls)
         dispatcher.process.send_signal(signal.SIGTERM)
-        time.sleep(0.1)  # for the shutdown to begin: without it `second` could be handled first
+        time.sleep(0.1)  # lets the shutdown begin; otherwise `second` could be handled first
         dispatcher.process.send_signal(second)
         assert dispatcher.notify("0b", "done", "17.5") == 200
         assert exchange(0, b"", peer).status == 200
--- a/tests/policy/test_cold.py
+++ b/tests/policy/test_cold.py
@@ -10,7 +10,7 @@
 
 The margin: a dispatcher that sends less than one attempt in a window decides by one random draw for
 each window. The number of such attempts in a window is nearly Poisson-distributed, and its variance
-is no greater than its mean. More frequent attempts are spaced. So the allowance lies
+is no greater than its mean. More frequent attempts keep a minimum interval. So the allowance lies
 (N + 2 root(N) + 2 - 0.6 N) / root(0.6 N) standard deviations above the mean, at least 4.8. The
 Poisson distribution has a long tail where the mean is small: of 2,000 starts drawn at u = 1 for 200
 dispatchers, 12 exceeded the allowance at N = 2, 7 at N = 8, and none at N = 16 and N = 40. With the
--- a/tests/policy/test_many_dispatchers.py
+++ b/tests/policy/test_many_dispatchers.py
@@ -1,4 +1,4 @@
-"""Many independent dispatchers: together they must not overload discovery or the workers."""
+"""Many dispatchers that do not communicate must not overload discovery or workers together."""
 
 import heapq
 from dataclasses import dataclass
