--- a/tests/core/test_endpoint_set.py
+++ b/tests/core/test_endpoint_set.py
@@ -90,8 +90,8 @@
                 assert self.endpoints.owner(worker) is None
                 continue
             owner, state = self.policy_view[worker]
-            # The first owner keeps the id until it no longer lists the id. The model does not record
-            # the order of the waiting claims, so it accepts any other source that lists the id.
+            # The first owner keeps the id until it no longer lists the id. The model does not know
+            # the order of the waiting claims, so any source that lists it may be the next owner.
             assert owner == self.owner.setdefault(worker, owner)
             assert owner in listing
             assert state is self.listed[owner][worker]
--- a/tests/policy/test_quota_scenarios.py
+++ b/tests/policy/test_quota_scenarios.py
@@ -27,8 +27,8 @@
     )
     priorities = {0: [], 1: [], 2: []}
     for number in range(400):
-        # The first tenant sends 8 jobs in 10. Its usage of 0.8 / 40 is 2.6 times that of the others,
-        # 0.1 / 13; more than 1.5 times the median tenant's usage counts as over quota.
+        # The first tenant sends 8 jobs in 10. Its usage, 0.8 / 40, is 2.6 times the median
+        # tenant's, 0.1 / 13. A tenant above 1.5 times the median is over its quota.
         tenant = 1 + number % 2 if number % 10 < 2 else 0
         job_id, actions = harness.advance(10_000).submit(tenant=tenant)
         for attempt in started_attempts(actions):
