--- a/tests/admin/test_admin_listener.py
+++ b/tests/admin/test_admin_listener.py
@@ -184,7 +184,7 @@
         while time.monotonic() < end_seconds:
             listener.poll_once()
             turns += 1
-        assert 1 <= exhausted_socket.accept_count <= 6  # one in each ACCEPT_PAUSE_SECONDS
+        assert 1 <= exhausted_socket.accept_count <= 6  # one per ACCEPT_PAUSE_SECONDS
         assert turns < 30
         assert capfd.readouterr().err.count("accept_failed") == 1
         listener.listening_socket = real_socket
--- a/tests/gearman/program.py
+++ b/tests/gearman/program.py
@@ -71,7 +71,7 @@
             self.send(PacketKind.PRE_SLEEP).receive_until(PacketKind.NOOP)
 
     def complete_jobs(self, *results):
-        """Complete each job with the last of these results; send the others as data before it.
+        """Complete each job with the last result; before that, send the other results as data.
 
         Return when the connection ends.
         """
@@ -115,7 +115,10 @@
             raise
 
     def configuration(self):
-        """Return a configuration in which no job is rejected because the machine is busy."""
+        """Return a configuration whose goal times are the deadlines.
+
+        No job is rejected only because the machine is busy.
+        """
         settings = CONFIGURATION["settings"]
         services = [
             {**service, "goal_time_us": service["deadline_us"]} for service in settings["services"]
@@ -142,7 +145,7 @@
         return peer
 
     def run_in_thread(self, function, *arguments):
-        """Run a function that returns when the process ends; `close` waits for it."""
+        """Run in a thread a function that returns when the process ends; `close` waits for it."""
         thread = threading.Thread(target=function, args=arguments, daemon=True)
         self.threads.append(thread)
         thread.start()
--- a/tests/gearman/service_harness.py
+++ b/tests/gearman/service_harness.py
@@ -212,7 +212,7 @@
 
 
 def section_with(**fields):
-    """Return `SECTION` with other values."""
+    """Return a copy of `SECTION` in which these fields are replaced."""
     return msgspec.structs.replace(SECTION, **fields)
 
 
--- a/tests/gearman/test_gearman_node.py
+++ b/tests/gearman/test_gearman_node.py
@@ -189,7 +189,7 @@
         quick.send(PacketKind.SUBMIT_JOB, "revalue", "", "x")
         # The job may be rejected while the only worker is busy, but it always gets an outcome.
         quick.receive_until(PacketKind.WORK_COMPLETE, PacketKind.WORK_FAIL)
-        # Only the worker, the quick client and the connection of this command remain.
+        # True once only the worker, the quick client and this command's connection remain.
         return program.command("workers").count("127.0.0.1") <= 3
 
     wait_for(dropped)
--- a/tests/gearman/test_gearman_writer.py
+++ b/tests/gearman/test_gearman_writer.py
@@ -12,7 +12,7 @@
 
 
 class FakeConnection:
-    """A connection that counts the calls of the writer, and sends more at each call."""
+    """A connection that counts the writer's calls and sends unsent bytes at each call."""
 
     def __init__(self, sock):
         self.transport = Transport(sock)
--- a/tests/hot_restart/test_state_file.py
+++ b/tests/hot_restart/test_state_file.py
@@ -86,8 +86,9 @@
 
 
 def test_a_write_just_before_the_signature_is_taken_is_read_later(controllers, monkeypatch):
-    # Guards against a sibling's change that is never read: the signature must be that of the file
-    # that was read, and not that of a file that has replaced it since.
+    # Guards against a sibling's change that is never read. The sibling can replace the file after
+    # this process has read it and before this process takes its signature. The signature must be
+    # that of the file that was read.
     old, new = controllers
     new.maintenance.begin("s-1")
     stat = os.stat
--- a/tests/http/conftest.py
+++ b/tests/http/conftest.py
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def start_carrier():
-    """Start outbound carriers, each with a worker that answers by `reply`, and close both."""
+    """Start carriers, each with a worker that answers by `reply`, and close them after the test."""
     with contextlib.ExitStack() as stack:
 
         def start(reply, *arguments, **options):
--- a/tests/http/scripted_server.py
+++ b/tests/http/scripted_server.py
@@ -61,9 +61,9 @@
 
 
 def exchange(port, data, sock=None):
-    """Send a message to a local port and return the answer; `sock` is used instead if given.
+    """Send a message to a local port, or on `sock` if it is given, and return the answer.
 
-    With empty `data`, only the answer is awaited.
+    If `data` is empty, only wait for the answer.
     """
     peer = sock or socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_SECONDS)
     parser = Parser(LIMITS, answers=True)
--- a/tests/http/server_harness.py
+++ b/tests/http/server_harness.py
@@ -38,7 +38,7 @@
         self.accept_thread.start()
 
     def connect(self, host="127.0.0.1"):
-        """Connect from this host of the loopback network."""
+        """Connect to the server from this loopback address."""
         address = ("127.0.0.1", self.port)
         return socket.create_connection(
             address, timeout=WAIT_TIMEOUT_SECONDS, source_address=(host, 0)
--- a/tests/http/test_codec.py
+++ b/tests/http/test_codec.py
@@ -7,7 +7,7 @@
 from stepstream.http.codec import Parser, ProtocolError, write_answer, write_request
 from tests.config.configurations import LIMITS
 
-# The bytes of each message, and its body.
+# Pairs of a message's bytes and its body.
 MESSAGES = [
     (write_request("POST", "/a?user=1", {"Host": "x"}, b"hello"), b"hello"),
     (write_request("GET", "/b", {"Host": "x"}), b""),
--- a/tests/http/test_discovery.py
+++ b/tests/http/test_discovery.py
@@ -194,7 +194,7 @@
 def test_a_pushed_list_is_followed_without_polls_despite_failures_and_silent_watches(
     start_client, end_of_silence
 ):
-    """The core does not poll here, so the client alone replaces the list from before the start."""
+    """The core does not poll here, so the client alone replaces the list that it starts with."""
     answers = [write_answer(503), write_answer(200, LIST), *UNREADABLE_ANSWERS]
 
     def reply(_):
--- a/tests/http/test_in_flight_call.py
+++ b/tests/http/test_in_flight_call.py
@@ -40,7 +40,7 @@
 def test_after_a_stop_the_connection_is_not_reused_and_a_job_that_may_run_is_cancelled(
     answer, may_run
 ):
-    """A job that the worker has not started needs no cancellation; any other job may run."""
+    """A job that the worker has not started needs no cancellation; any other job may be running."""
     in_flight, exchange = sent_call()
     in_flight.request_stop()
     exchange.receive(ANSWERS[answer])
--- a/tests/http/test_outbound.py
+++ b/tests/http/test_outbound.py
@@ -121,8 +121,8 @@
     first = harness.start_call("01")
     wait_for(lambda: harness.server.requests)
     harness.carrier.stop(first)
-    # The core ignores this result, because it has ended the call itself. The calling thread posts
-    # it all the same.
+    # The calling thread posts this result, but the core ignores it, because the core itself has
+    # ended the call.
     assert harness.wait_for_result(first) is AttemptResult.RESET
     send_first_answer.set()
     second = harness.start_accepted_call("02")
