--- a/stepstream/core/events.py
+++ b/stepstream/core/events.py
@@ -110,9 +110,8 @@
 class SiblingProcessChanged:
     """A sibling process of a hot restart has started or ended.
 
-    Sent by the admin listener's thread.
-
-    While there is one, notifications of unknown requests are forwarded to it.
+    Sent by the admin listener's thread. While a sibling process is present, notifications of
+    unknown requests are forwarded to it.
     """
 
     present: bool
--- a/stepstream/gearman/access.py
+++ b/stepstream/gearman/access.py
@@ -14,8 +14,8 @@
 from stepstream.gearman.state import FRONT_NAME, ServiceState
 from stepstream.ports.access_control import Authorization, Rejection, RejectionKind
 
-# No longer than it takes to notice a changed key file, so that a revoked credential of a worker
-# ends as quickly.
+# This period is no longer than the time to notice a changed key file, so that a worker's revoked
+# credential loses its effect as quickly.
 CREDENTIAL_RECHECK_PERIOD_US = 500_000
 
 
--- a/stepstream/http/destination_set.py
+++ b/stepstream/http/destination_set.py
@@ -77,7 +77,7 @@
     def usable_address(self, worker: str) -> Address | None:
         """Decide whether a worker may get new work; return its address, or None if it may not.
 
-        Only a worker that the list shows as active, and that is not in maintenance, may.
+        A worker may get new work if the list shows it as active and it is not in maintenance.
         """
         with self.lock:
             may_get_work = worker in self.active_workers and worker not in self.in_maintenance
--- a/stepstream/http/discovery_client.py
+++ b/stepstream/http/discovery_client.py
@@ -349,7 +349,7 @@
         """Send a call and return the list in its answer; raises OSError or ProtocolError.
 
         The answer is read as soon as the call is written, because the dispatcher must know a change
-        once discovery has written it.
+        as soon as discovery has written the answer.
         """
         deadline_seconds = time.monotonic() + timeout_seconds
         connection.sendall(data)
--- a/stepstream/http/exchange.py
+++ b/stepstream/http/exchange.py
@@ -89,8 +89,8 @@
     def _is_between_messages(self, message: Message) -> bool:
         """Decide whether the connection may carry another exchange after this final answer.
 
-        Not if the worker closes it (RFC 9112, 9.3), if more bytes have come, or if a part of the
-        request is not written yet.
+        It may not if the worker closes it (RFC 9112, 9.3), if more bytes have come, or if a part of
+        the request is not written yet.
         """
         is_request_written = self.phase is ExchangePhase.AWAITING_ANSWER
         return message.keep_alive and self.parser.idle and is_request_written
--- a/stepstream/http/poll_schedule.py
+++ b/stepstream/http/poll_schedule.py
@@ -33,8 +33,8 @@
 
 # A watch counts as silent once this time has passed after the end of its wait.
 WATCH_OVERRUN_SECONDS = 0.4
-# Of a call that discovery answers without waiting. Longer than the 2 s after which discovery fails
-# a queued call.
+# Timeout of a call that discovery answers without waiting. It is longer than the 2 s
+# after which discovery fails a queued call.
 CALL_TIMEOUT_SECONDS = 2.2
 
 # The first calls of a large fleet that starts at one time are spread, because they would otherwise
@@ -130,7 +130,7 @@
     """Decide how long discovery may wait before it answers a watch.
 
     The wait grows with the number of dispatchers: with up to 109 of them, fewer than two watches a
-    second end in all.
+    second end at all dispatchers together.
     """
     fleet_wait_seconds = WATCH_WAIT_PER_DISPATCHER_SECONDS * dispatcher_count
     return min(max(MIN_WATCH_WAIT_SECONDS, fleet_wait_seconds), MAX_WATCH_WAIT_SECONDS)
--- a/stepstream/leases/command_deadlines.py
+++ b/stepstream/leases/command_deadlines.py
@@ -40,8 +40,8 @@
 def exclusive_seconds(remaining_seconds: float, max_clock_drift: float) -> float:
     """Return the time on this program's clock in which nobody else can hold the lease.
 
-    `remaining_seconds` is the dispatcher's answer, on its clock. This clock may be as slow and the
-    dispatcher's as fast as the drift bound allows.
+    `remaining_seconds` is the dispatcher's answer, on the dispatcher's clock. The result is the
+    worst case within the drift bound: this program's clock is slow and the dispatcher's is fast.
     """
     return remaining_seconds * (1 - max_clock_drift) / (1 + max_clock_drift)
 
--- a/stepstream/leases/configuration.py
+++ b/stepstream/leases/configuration.py
@@ -1,7 +1,8 @@
 """What all members must agree on: the acceptors, and the bounds on time. Free of I/O, immutable.
 
-Members compare digests of their configurations with every envelope and grant each other nothing if
-they share none. docs/leases.md says what goes wrong if a value does not fit. All times are seconds.
+Every envelope carries digests of the sender's configuration. Members without a common digest grant
+each other nothing. docs/leases.md says what goes wrong if a value does not fit. All times are
+seconds.
 """
 
 from collections.abc import Collection, Iterable
@@ -63,7 +64,7 @@
     def is_compatible(self, digests: Collection[int]) -> bool:
         """Return whether a member with these digests shares an acceptor set and the time bounds.
 
-        Members that share none could each have a quorum of their own for one lease.
+        Without a common acceptor set, two members could each have a quorum for the same lease.
         """
         return not set(digests).isdisjoint(self.digests)
 
--- a/stepstream/leases/health_reports.py
+++ b/stepstream/leases/health_reports.py
@@ -38,9 +38,9 @@
 def check_period_seconds(dispatchers: int) -> float:
     """Return the time between the leader's two checks of one worker.
 
-    It shrinks with the square root of the number of dispatchers. All of them receive a report at
-    the same time, and until the next report none sees the load that the others add. Without a
-    leader, they would check at different times.
+    The period is inversely proportional to the square root of the number of dispatchers. All
+    dispatchers receive a report at the same time. Until the next report, none of them sees the load
+    that the others add. Without a leader, the dispatchers would check at different times.
     """
     return SINGLE_DISPATCHER_PERIOD_SECONDS / sqrt(max(dispatchers, 1))
 
--- a/stepstream/leases/session_table.py
+++ b/stepstream/leases/session_table.py
@@ -5,7 +5,8 @@
 
     waiting       -> held          the proposer is granted the lease
     waiting       -> withdrawn     no heartbeat for half a time to live
-    held          -> winding down  the same, or an operator revokes it, or this dispatcher stops
+    held          -> winding down  no heartbeat for half a time to live, or an operator revokes it,
+                                   or this dispatcher stops
     winding down  -> expired       the lease is not renewed and reaches its end
 
 A held lease is never released on a program's behalf, since the program may still act: without
--- a/stepstream/membership/member_count.py
+++ b/stepstream/membership/member_count.py
@@ -1,9 +1,10 @@
 """How many dispatchers share the cluster's capacity; free of I/O.
 
-Each dispatcher divides what all of them share by this count: a cold worker's first load, calls to
-discovery. A membership list is no quorum: a member that is considered dead may be alive and sending
-on the other side of a partition. So a member's name is counted from its first record on. It is no
-longer counted if the member left, or if the majority of all counted members confirm its death.
+All dispatchers share some quantities, such as a cold worker's first load and the calls to
+discovery. Each dispatcher takes such a quantity divided by this count. A membership list is no
+quorum: a member that is considered dead may be alive and sending on the other side of a partition.
+So a member's name is counted from its first record on. It is no longer counted if the member left,
+or if the majority of all counted members confirm its death.
 docs/membership.md has the proof: during a partition at most one side can reduce its count, members
 of a minority keep the share that they had, and all sides together take at most one and a half of
 the whole.
--- a/stepstream/membership/protocol.py
+++ b/stepstream/membership/protocol.py
@@ -2,8 +2,8 @@
 
 SWIM (Das, Gupta, Motivala 2002): direct and indirect probes, suspicion, incarnations, refutation,
 updates piggybacked on probes. Lifeguard (Dadgar, Phillips, Currey 2017): local health, suspicions
-that confirmations shorten, notification of suspects. Anti-entropy sends what these have missed.
-docs/membership.md describes the guarantees.
+that confirmations shorten, notification of suspects. Anti-entropy sends the updates that a
+member has missed. docs/membership.md describes the guarantees.
 
 The protocol owns all its parts. Where there is a driver, a thread must hold the driver's lock to
 call the protocol; simulations call it from one thread. Times are the caller's monotonic seconds and
--- a/stepstream/membership/record_merge.py
+++ b/stepstream/membership/record_merge.py
@@ -123,10 +123,10 @@
         self._consider_probing_suspect(member, present_count)
 
     def _consider_probing_suspect(self, member: Member, present_count: int) -> None:
-        """Probe the suspect next, with a probability by which about SUSPECT_NOTIFIERS members do.
+        """Probe the suspect next, with the probability for which about SUSPECT_NOTIFIERS do so.
 
-        Their probes confirm the suspicion or let the suspect refute it. The member that raised the
-        suspicion has already probed the suspect.
+        SUSPECT_NOTIFIERS is a number of members. Their probes confirm the suspicion or let the
+        suspect refute it. The member that raised the suspicion has already probed the suspect.
         """
         is_reported = member.reported_by != self.members.local_name
         if is_reported and self.context.rng.random() < suspect_contact_probability(present_count):
--- a/stepstream/model/estimators.py
+++ b/stepstream/model/estimators.py
@@ -39,8 +39,8 @@
         # Mean times of served jobs from the sending of the attempt to its end, by class. The last
         # mean is of all classes.
         self.mean_elapsed_us = [0.0] * (class_count + 1)
-        # Mean logarithms of the times from start to end, by class. With logarithms a few long jobs
-        # do not decide what is usual.
+        # Mean logarithms of the times from start to end, by class. The logarithms keep a few
+        # long jobs from dominating the mean.
         self.mean_log_run_us = [0.0] * class_count
         self.served_interval_us = 0.0  # mean time between two served jobs
         self.last_served_us = start_us
--- a/stepstream/policy/endpoint_polling.py
+++ b/stepstream/policy/endpoint_polling.py
@@ -45,10 +45,10 @@
         self.call_open = True
 
     def on_failure(self) -> None:
-        """Call again after the backoff, as a call has failed, and double the backoff.
+        """After a failed call, schedule the next call after the backoff, and double the backoff.
 
-        A call that was given up still costs the list's source work. If many dispatchers did not
-        back off, the source would serve none of them in time.
+        The source of the list still does the work for a call that was given up. If many dispatchers
+        did not back off, the source would serve none of them in time.
         """
         self.call_open = False
         self._poll_later(MIN_BACKOFF_FRACTION, self.backoff_us)
--- a/stepstream/policy/endpoint_updates.py
+++ b/stepstream/policy/endpoint_updates.py
@@ -44,8 +44,9 @@
 def _remove_worker(state: PolicyState, worker_id: str) -> None:
     """Remove a worker, and take the slots of its open attempts off its pool now.
 
-    The worker gets a pool of its own, as the pools' next recount leaves its slots out. Otherwise
-    the ends of these attempts would take their slots off the old pool a second time.
+    The next recount of the pools leaves out the slots of a removed worker. The worker gets a pool
+    of its own, because the ends of its attempts would otherwise take their slots off the old pool
+    a second time.
     """
     worker = state.workers.by_id.pop(worker_id, None)
     if worker is not None:
--- a/stepstream/policy/outliers.py
+++ b/stepstream/policy/outliers.py
@@ -73,7 +73,8 @@
 def eject_class(worker: Worker, job_class: int, attempt_sent_us: int, now_us: int) -> None:
     """Eject a class from a worker that lost an attempt of the class, sent at `attempt_sent_us`.
 
-    Attempts that were sent before the latest ejection do not extend it: they belong to its cause.
+    Attempts that were sent before the latest ejection do not extend it, because they
+    count as a part of its cause.
     """
     ejection = worker.class_ejections.setdefault(job_class, ClassEjection())
     if attempt_sent_us >= ejection.ejected_at_us:
--- a/stepstream/policy/pool_capacity.py
+++ b/stepstream/policy/pool_capacity.py
@@ -89,11 +89,13 @@
 
 
 def _lower_cap(pool_load: PoolLoad, busy_slots: float, running_slots: float) -> None:
-    """Lower the cap after an overdue start; the slots are our mean busy and running ones a worker.
+    """Lower the cap after an overdue start.
 
-    Where jobs wait, all slots of the workers run something, so our running slots show our share of
-    them. While the load is over the cap, overdue starts are expected, and the cap is not lowered
-    further. Otherwise it would fall together with the load, which the rejections reduce.
+    `busy_slots` and `running_slots` are this dispatcher's mean busy and running slots per worker.
+    Where jobs wait for their start, all slots of the workers run jobs. The running slots of this
+    dispatcher therefore show its share of the workers' slots. While the load is over the cap,
+    overdue starts are expected, and the cap is not lowered further. Otherwise it would fall
+    together with the load, which the rejections reduce.
     """
     pool_load.worker_cap = min(pool_load.worker_cap, MAX_CAP_TO_RUNNING_SLOTS_RATIO * running_slots)
     if busy_slots <= pool_load.worker_cap:
--- a/stepstream/policy/pools.py
+++ b/stepstream/policy/pools.py
@@ -17,7 +17,8 @@
 MIN_OVERFLOW_HEADROOM_CAPS = 1.0
 MIN_OVERFLOW_HEADROOM_CAPS_WITH_REPORTS = 0.25
 MIN_SPARE_HEADROOM_CAPS = 2
-# Each resizing may move one worker for every group of this size, and one in a smaller fleet.
+# One resizing may move one worker for each full group of this many available workers, and at least
+# one worker in a smaller fleet.
 WORKERS_PER_MOVED_WORKER = 16
 
 
@@ -68,8 +69,8 @@
     workers = state.workers.eligible
     min_high_set_size = 1.0
     if _knows_few_headrooms(state):
-        # Without this minimum every dispatcher would keep only one worker in its High Set, and all
-        # of them the same one.
+        # Without this minimum every dispatcher would keep only one worker in its High Set, and this
+        # worker would be the same at all dispatchers.
         min_high_set_size = max(state.measurements.job_mix.priority_fraction * len(workers), 1)
         workers = state.rng.sample(workers, len(workers))
     workers = outliers.available_workers(state, workers, outliers.ANY_CLASS)
--- a/stepstream/policy/quotas.py
+++ b/stepstream/policy/quotas.py
@@ -14,8 +14,9 @@
     `jobs_seen` is the number of all jobs with this one. Quotas are in jobs a second for all
     dispatchers together. One dispatcher's rates say nothing of all dispatchers' rates, but its mix
     of jobs is like theirs. So a tenant's usage is the ratio of its fraction of the jobs to its
-    quota, and it is compared with the usage of the median tenant. Of a tenant that uses more than
-    MAX_USAGE_RATIO times this, only the jobs that it is entitled to count as within the quota.
+    quota, and it is compared with the usage of the median tenant. A tenant is
+    entitled to MAX_USAGE_RATIO times the median usage. If it uses more, only the entitled fraction
+    of its jobs counts as within the quota.
     """
     if tenant not in range(len(quotas_per_s)):
         return True
--- a/stepstream/policy/retries.py
+++ b/stepstream/policy/retries.py
@@ -16,8 +16,9 @@
 from stepstream.policy.selection import choose_worker
 
 BEST_EFFORT_ATTEMPT_LIMIT = 1
-# The other attempts wait until headroom has changed. Otherwise a job on a full fleet would use up
-# all of its attempts at once.
+# The fraction of a job's attempt limit that may be used without a pause. Each further attempt waits
+# until headroom has changed. Otherwise a job on a full fleet would use up all of its attempts at
+# once.
 IMMEDIATE_RETRY_FRACTION = 0.5
 
 
--- a/stepstream/policy/selection.py
+++ b/stepstream/policy/selection.py
@@ -30,8 +30,9 @@
 def choose_worker(state: PolicyState, job: InFlightJob) -> Worker | None:
     """Return the worker for the job's next attempt, or None if the job has to wait.
 
-    The choice is among the workers with headroom. These are narrowed to the job's own pool if it
-    has any, to the larger headrooms, and to the own zone. The round robin chooses among the rest.
+    The choice is among the workers with headroom. These are narrowed to the job's own pool if that
+    pool has any, to the larger headrooms, and to the own zone. The round robin chooses among the
+    rest.
     """
     candidates = _candidate_workers(state, job)
     headrooms = dict(zip(candidates, capacity.headrooms(state, candidates), strict=True))
@@ -113,7 +114,7 @@
 def _workers_of_own_pool_or_overflow(
     state: PolicyState, job: InFlightJob, headrooms: Headrooms
 ) -> list[Worker]:
-    """Return workers with headroom of the own pool, or of the other one if the job may use it."""
+    """Return workers with headroom in the job's own pool; if none, in any pool that it may use."""
     workers = _workers_with_headroom(state, job, headrooms)
     own_pool = pools.own_pool(state, job)
     own_workers = [worker for worker in workers if worker.pool is own_pool]
@@ -137,11 +138,11 @@
 def _workers_with_headroom(
     state: PolicyState, job: InFlightJob, headrooms: Headrooms
 ) -> list[Worker]:
-    """Return the workers that have the slots for the job, of both pools.
+    """Return the workers of both pools that have enough headroom for the job.
 
-    A cap is an estimate. Without a valid measurement a worker's cap holds up no priority job. With
-    many dispatchers it also holds up no ordinary job for a worker without attempts of ours, as
-    admission has already applied the pool's caps.
+    A cap is an estimate. A worker whose headroom has no valid measurement is therefore returned for
+    every priority job. With many dispatchers it is also returned for an ordinary job if this
+    dispatcher has no attempts on it, because admission has already applied the pools' caps.
     """
     needed_slots = job.request.slots
     if priority.is_best_effort(job):
--- a/stepstream/policy/slow_start.py
+++ b/stepstream/policy/slow_start.py
@@ -1,8 +1,9 @@
 """Slow start: how much work a worker gets while it is warming up.
 
-Dispatchers do not communicate. So each one sends such a worker as many attempts as a warm worker
-served for this dispatcher recently, times a part of the overload multiple and the slow-start
-factor. The arithmetic is in tests/policy/test_cold.py.
+Dispatchers do not communicate. Each one therefore starts from the number of attempts that a warm
+worker recently served for it. It multiplies this number by a part of the overload multiple and by
+the slow-start factor, and sends a worker that is warming up that many attempts. The
+arithmetic is in tests/policy/test_cold.py.
 """
 
 from math import inf
--- a/stepstream/policy/unconfirmed_list.py
+++ b/stepstream/policy/unconfirmed_list.py
@@ -48,7 +48,10 @@
 
 
 def on_connection_refused(state: PolicyState, event: ConnectionRefused) -> None:
-    """Record that a worker's process has ended; its next process gets a new record without this."""
+    """Record that a worker refused a connection, which shows that its process has ended.
+
+    The worker's next process gets a new record without this time.
+    """
     worker = state.workers.by_id.get(event.worker_id)
     if worker is not None:
         worker.refused_at_us = state.now_us
