--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -291,7 +291,7 @@
 
 
 def start_figures(checkout: Checkout, discovery_port: int) -> dict[str, float]:
-    """Return the milliseconds from the start to the first 200 of /-/ready, and the memory then."""
+    """Return the milliseconds until the first 200 of /-/ready, and the memory used at that time."""
     port = free_port()
     config = {
         "name": "measured",
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -155,7 +155,7 @@
         if job.has_stalls:
             cluster.stall("n0", cluster.rng.uniform(0.2, 0.9))
         cluster.run(1.0)
-    # The observers of one death count once: declarations within about 10 s are one death.
+    # A death that several members declare counts once: declarations within about 10 s are one.
     wrong = {
         (death.member, round(death.declared_at / 10))
         for death in cluster.declared_deaths[deaths_before:]
--- a/stepstream/lab/emulator/worker_driver.py
+++ b/stepstream/lab/emulator/worker_driver.py
@@ -49,7 +49,7 @@
     model: WorkerModel
     clock: Clock
     verifier: Verifier
-    # Set when a call changes the model's next event, so that `run_model` waits for that one.
+    # Set when a call changes the model's next event, so that `run_model` waits for the new one.
     model_changed: asyncio.Event = field(default_factory=asyncio.Event)
     background_tasks: list[asyncio.Task[None]] = field(default_factory=list)  # cancelled by `stop`
     external_job_count: int = 0  # jobs of clients other than the lab's
--- a/stepstream/lab/emulator/worker_model.py
+++ b/stepstream/lab/emulator/worker_model.py
@@ -14,7 +14,7 @@
 import numpy as np
 
 SLOW_START_STEP_US = 10_000  # during slow start, the capacity is constant for this long
-MIN_OVERLOAD_TASKS_PER_CORE = 2  # no overload with fewer: long ones can be chance
+MIN_OVERLOAD_TASKS_PER_CORE = 2  # up to this many are no overload: they may be long by chance
 FINISHED_BELOW_US = 0.5  # counts as no remaining work: times are rounded to microseconds
 
 
--- a/stepstream/lab/processes/cluster_load_test.py
+++ b/stepstream/lab/processes/cluster_load_test.py
@@ -55,8 +55,8 @@
     """Dispatchers n0, n1, ... with shared workers.
 
     Without `shares_membership` they have no `[fleet]` section, and only their settings say how many
-    dispatchers there are. `delegates_health_checks` says whether one of them checks the workers for
-    all; with None they have no `[leases]` section.
+    dispatchers there are. `delegates_health_checks` says whether one dispatcher checks the workers
+    for all dispatchers; if it is None, they have no `[leases]` section.
     """
 
     dispatcher_count: int = 4
--- a/stepstream/lab/processes/lease_faults.py
+++ b/stepstream/lab/processes/lease_faults.py
@@ -90,7 +90,7 @@
 
 
 def isolate_with_one_acceptor(cluster: LeaseDispatcherCluster, holder: str) -> None:
-    """Cut the holder and an acceptor from all others; if the holder is one, cut only the holder."""
+    """Cut the holder and an acceptor from all others; if the holder is an acceptor, cut only it."""
     side = {holder}
     if holder not in cluster.acceptors:
         side.add(cluster.acceptors[0])
--- a/stepstream/lab/processes/lease_task.py
+++ b/stepstream/lab/processes/lease_task.py
@@ -39,7 +39,7 @@
     operation_seconds: float  # the longest operation
     hold_seconds: float  # how long to operate before the lease is released
     contenders: tuple[str, ...] = ()  # the members that run the task; all of them if empty
-    lease_count: int | None = None  # hold this many without operating; None: operate under one
+    lease_count: int | None = None  # leases to hold without operating; None: operate under one
 
     def environment(self) -> dict[str, str]:
         """Return the environment variable that configures the task of a process."""
--- a/stepstream/lab/processes/persistent_clients.py
+++ b/stepstream/lab/processes/persistent_clients.py
@@ -19,7 +19,7 @@
 # A running dispatcher reads a request within this time. If the connection ends sooner, it may have
 # been closed before the dispatcher read the request.
 MAX_READ_DELAY_SECONDS = 0.2
-MAX_SENDS = 6  # of one request: again if the connection closed before the request was read
+MAX_SENDS = 6  # per request, which is sent again if its connection closed before it was read
 RETRY_SECONDS = 0.1  # while no dispatcher accepts a connection
 
 ClientConnection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
--- a/stepstream/lab/processes/stop_soak.py
+++ b/stepstream/lab/processes/stop_soak.py
@@ -1,8 +1,8 @@
 """A stop soak: stop dispatchers under load in every way, one after the other.
 
 A `StopSoak` plays the plan of a seed. Clients keep using their open connections until a dispatcher
-has ended. A dispatcher that runs on is killed as early as the platform might kill it. The lab's
-verifier decides whether a request was lost.
+has ended. A dispatcher that does not end in time is killed as early as the platform might kill it.
+The lab's verifier decides whether a request was lost.
 """
 
 import asyncio
@@ -221,7 +221,7 @@
             await asyncio.sleep(RELOAD_INTERVAL_SECONDS)
 
     async def wait_for_end(self, dispatcher: DispatcherProcess, sigterm_at_seconds: float) -> None:
-        """Wait for the process's end; kill it when the platform would, `kill_after_seconds` later.
+        """Wait for the process's end; kill it if it runs `kill_after_seconds` after SIGTERM.
 
         `sigterm_at_seconds` is the monotonic time at which SIGTERM was sent.
         """
--- a/stepstream/lab/simulation/lease_tasks.py
+++ b/stepstream/lab/simulation/lease_tasks.py
@@ -123,8 +123,8 @@
     def _prepare_operation(self, proposer: Proposer) -> None:
         """Schedule the beginning of an operation, a moment after the check of the lease.
 
-        `max_operation_seconds` counts on the process's own clock, which may run fast by the drift.
-        So on the timeline the operation is shorter by this drift.
+        The process's own clock measures `max_operation_seconds`, and may run fast by the drift.
+        The operation is therefore shorter by the greatest drift on the timeline.
         """
         max_seconds = self._task.max_operation_seconds
         factor = self._host.rng.uniform(*OPERATION_FRACTION)
--- a/stepstream/lab/simulation/membership_invariants.py
+++ b/stepstream/lab/simulation/membership_invariants.py
@@ -121,7 +121,7 @@
         observer.false_deaths = {}
 
     def on_stall_ended(self, process: MembershipProcess) -> None:
-        """Forget since when deaths are false: a stalled process could not correct them."""
+        """Forget false deaths and their times: a stalled process could not correct them."""
         self._observers[process].false_deaths = {}
 
     def check(self, process: MembershipProcess) -> None:
--- a/stepstream/lab/simulation/random_lease_cluster.py
+++ b/stepstream/lab/simulation/random_lease_cluster.py
@@ -47,7 +47,7 @@
     )
     for name, process in cluster.processes.items():
         cluster.tasks[name] = [Task(LEASE, hold_seconds=choice(HOLD_TIMES_SECONDS))]
-        # The members' times of day differ, and the number of a first ballot comes from it.
+        # Members have different times of day. A member's first ballot number comes from its own.
         process.clock_offset_seconds = choice(CLOCK_OFFSETS_SECONDS)
     cluster.start_all()
     cluster.run(START_SECONDS)
--- a/stepstream/lab/verification/ledger_record.py
+++ b/stepstream/lab/verification/ledger_record.py
@@ -132,7 +132,7 @@
 
 
 def _overlap_breaches(admitted: list[LedgerEntry]) -> list[str]:
-    """Describe each overlap of an operation with the next one to begin, of another holder."""
+    """Describe each operation that overlaps the next one to begin, if that is another holder's."""
     begun_at: dict[int, float] = {}
     completed: list[CompletedOperation] = []
     for entry in admitted:
--- a/tests/golden/decision_incidents.py
+++ b/tests/golden/decision_incidents.py
@@ -83,7 +83,7 @@
 
 
 def hang(platform: SimulatedPlatform) -> list[dict]:
-    """Let a worker run each job so long that it hardly ends."""
+    """Let a worker run each job so long that it hardly ever ends."""
     platform.random_listed_worker().run_time_factor = RUN_TIME_FACTOR_OF_HUNG_WORKER
     return []
 
--- a/tests/golden/state/forms.py
+++ b/tests/golden/state/forms.py
@@ -22,7 +22,7 @@
     error: type[Exception]
     samples: Callable[[], dict[str, object]]
     malformed: Callable[[], dict[str, bytes]]
-    tolerated: Callable[[], dict[str, bytes]]  # read, though the program writes it otherwise
+    tolerated: Callable[[], dict[str, bytes]]  # readable, but written in another form
 
 
 def edited(data: bytes, edit: dict) -> bytes:
--- a/tests/golden/state/membership_form.py
+++ b/tests/golden/state/membership_form.py
@@ -48,7 +48,7 @@
 
 
 def bodies() -> dict[str, object]:
-    """Return one body of every kind, and the ends of the ranges of their fields."""
+    """Return a body of every kind, and some whose fields have the smallest or largest values."""
     return {
         "ping": messages.Ping(1, "n1"),
         "ping-greatest-number": messages.Ping(MAX_NUMBER, "A.b_c-9" * 9),
