--- a/stepstream/http/poll_schedule.py
+++ b/stepstream/http/poll_schedule.py
@@ -50,7 +50,7 @@
 MIN_BACKOFF_CAP_SECONDS = 0.5
 BACKOFF_CAP_PER_DISPATCHER_SECONDS = 0.35
 MAX_BACKOFF_CAP_SECONDS = 3.0
-MAX_BACKOFF_DOUBLINGS = 8  # bounds the exponent; fewer reach the cap
+MAX_BACKOFF_DOUBLINGS = 8  # bounds the exponent; fewer doublings reach the cap
 MIN_JITTER_FRACTION = 0.5  # each pause is multiplied by a random number from this to 1
 
 # An agent on the same machine costs discovery nothing, so it is called often.
--- a/stepstream/http/session.py
+++ b/stepstream/http/session.py
@@ -53,7 +53,7 @@
 class SessionPhase(Enum):
     """The phase of a session."""
 
-    READING = 1  # a message; no byte of it may have arrived yet
+    READING = 1  # a message, of which possibly no byte has arrived yet
     AWAITING_ANSWER = 2  # a request is open; later bytes are buffered, not parsed
     CLOSED = 3  # later bytes are dropped
 
--- a/stepstream/http/staleness.py
+++ b/stepstream/http/staleness.py
@@ -89,8 +89,8 @@
 def earliest_check_seconds(now_seconds: float, last_check_seconds: float) -> float:
     """Decide from when on the list may be checked, if enough workers refuse at `now_seconds`.
 
-    Not before the list has had time to report the crash of these workers, and not soon after
-    another check: if a list that was just checked shows workers as active, they are active.
+    The list first gets time to report the crash of these workers. A check also does not follow soon
+    after another one: if a list that was just checked shows workers as active, they are active.
     """
     refusals_count_from = max(now_seconds, last_check_seconds + MIN_CHECK_INTERVAL_SECONDS)
     return refusals_count_from + CRASH_REPORT_DELAY_SECONDS
--- a/stepstream/leases/acceptor_rules.py
+++ b/stepstream/leases/acceptor_rules.py
@@ -23,8 +23,8 @@
     """Return whether an acceptor promises a ballot that no grant blocks.
 
     `highest_number` is the greatest number that it has ever promised. A greater number is promised.
-    The ballot promised last is promised again, since its first answer may have been lost. A lower
-    number would let a late proposal overtake a later ballot's.
+    The ballot promised last is promised again, since its first answer may have been lost. If a
+    lower number were promised, a late proposal could replace that of a later ballot.
     """
     is_repeated = ballot == record.promised and not record.promise_released
     return is_repeated or ballot.number > highest_number
--- a/stepstream/leases/messages.py
+++ b/stepstream/leases/messages.py
@@ -58,7 +58,10 @@
 
 
 class Promise(LeaseMessage, frozen=True, tag=2):
-    """Promise to accept no other ballot; this acceptor keeps no other proposer's grant."""
+    """Promise to accept no other ballot until a greater one is promised.
+
+    The acceptor keeps no other proposer's grant.
+    """
 
 
 class Busy(LeaseMessage, frozen=True, tag=3):
--- a/stepstream/leases/proposer.py
+++ b/stepstream/leases/proposer.py
@@ -184,7 +184,7 @@
         return self.begin_ballot(now)
 
     def expire(self) -> list[ProposerMessage]:
-        """End the attempt; by its release, waiters need not wait for the clock-drift margin too."""
+        """End the attempt; its release saves the waiters the wait for the clock-drift margin."""
         self.lost = True
         return self.release_messages()
 
--- a/stepstream/leases/proposer_rules.py
+++ b/stepstream/leases/proposer_rules.py
@@ -22,7 +22,8 @@
 def may_repeat_prepare(attempts: int, rejected_by: Collection[str]) -> bool:
     """Return whether a prepare that timed out is sent again, under the same ballot.
 
-    Messages may have been lost; after a rejection or MAX_PREPARE_ATTEMPTS that is unlikely.
+    The prepare or its answers may have been lost. After a rejection or MAX_PREPARE_ATTEMPTS
+    attempts, a loss is an unlikely cause of the timeout.
     """
     return attempts < MAX_PREPARE_ATTEMPTS and not rejected_by
 
--- a/stepstream/model/worker_records.py
+++ b/stepstream/model/worker_records.py
@@ -28,7 +28,7 @@
 
     ejection_time_us: int = 0
     next_probation_us: int = 0  # when the next probation attempt may be sent
-    ejected_at_us: int = 0  # when it was last ejected; attempts sent before do not extend that
+    ejected_at_us: int = 0  # when it was last ejected; earlier attempts do not extend it
 
 
 @dataclass(eq=False, slots=True)
--- a/stepstream/policy/capacity.py
+++ b/stepstream/policy/capacity.py
@@ -71,7 +71,7 @@
 
 
 def _caps_by_load_reports(workers: list[Worker], valid_since_us: int) -> list[float | None]:
-    """Return each worker's slots by its valid report, or its cap by an answer 'full'."""
+    """Return each worker's slots by its valid headroom, or else its cap from an answer 'full'."""
     return [
         worker.headroom + worker.busy_slots
         if worker.headroom_at_us >= valid_since_us
@@ -81,7 +81,10 @@
 
 
 def _caps_by_full_answers(workers: list[Worker], valid_since_us: int) -> list[float | None]:
-    """Return each worker's cap by an answer 'full', or its slots by a newer measurement."""
+    """Return the cap of each worker that has answered 'full', None for the others.
+
+    With a valid headroom, the worker's slots by this headroom are returned in place of its cap.
+    """
     return [
         worker.headroom + worker.busy_slots
         if worker.headroom_at_us >= valid_since_us and worker.cap
@@ -131,7 +134,7 @@
 
 
 def learn_from_overdue_start(state: PolicyState, worker: Worker) -> None:
-    """Learn that a worker is full at its present busy slots, as it did not start one in time."""
+    """Learn that a worker is full at its present busy slots, as an attempt's start is overdue."""
     state.measurements.observed_caps.append(worker.busy_slots)
     _set_no_headroom(state, worker)
 
--- a/stepstream/policy/load_reports.py
+++ b/stepstream/policy/load_reports.py
@@ -25,12 +25,15 @@
 
 
 def _shows_empty_queue(report: dict[str, float]) -> bool:
-    """Return whether a report says that no job is queued; without that column it does not."""
+    """Return whether a report says that no job is queued; False without the queue's column."""
     return QUEUED_JOBS in report and report[QUEUED_JOBS] < 1
 
 
 def credit_health_checks(state: PolicyState) -> None:
-    """Add one job's credit for health checks: our jobs bound them, not the number of workers."""
+    """Add one job's credit for health checks.
+
+    So the number of checks follows the number of our jobs, not the number of workers.
+    """
     state.measurements.health_check_credit += HEALTH_CHECKS_PER_JOB
 
 
--- a/stepstream/policy/outliers.py
+++ b/stepstream/policy/outliers.py
@@ -39,7 +39,7 @@
 
 
 def _is_panic(available_count: int, worker_count: int) -> bool:
-    """Return whether so many workers are ejected that they cannot be at fault themselves."""
+    """Return whether so many workers are ejected that the cause is unlikely to be the workers."""
     return available_count < PANIC_THRESHOLD_FRACTION * worker_count
 
 
@@ -73,8 +73,8 @@
 def eject_class(worker: Worker, job_class: int, attempt_sent_us: int, now_us: int) -> None:
     """Eject a class from a worker that lost an attempt of the class, sent at `attempt_sent_us`.
 
-    Attempts that were sent before the latest ejection do not extend it, because they
-    count as a part of its cause.
+    Attempts that were sent before the latest ejection do not extend it, because they count as a
+    part of its cause.
     """
     ejection = worker.class_ejections.setdefault(job_class, ClassEjection())
     if attempt_sent_us >= ejection.ejected_at_us:
@@ -96,7 +96,10 @@
 
 
 def shorten_class_ejection(worker: Worker, job_class: int) -> None:
-    """Halve a class's ejection time after the worker has started a job of it; end a short one."""
+    """Halve a class's ejection time after the worker has started a job of the class.
+
+    An ejection whose halved time is below BASE_EJECTION_TIME_US ends.
+    """
     ejection = worker.class_ejections.get(job_class)
     if ejection is not None:
         ejection.ejection_time_us //= 2
@@ -137,7 +140,7 @@
 
 
 def _return_slow_worker(worker: Worker, now_us: int) -> None:
-    """End the ejection of a slow worker; its failures can eject it only after some time."""
+    """End a slow worker's ejection; for SLOW_EJECTION_TIME_US its failures cannot eject it."""
     worker.ejection_time_us = 0
     worker.next_probation_us = now_us + SLOW_EJECTION_TIME_US
 
--- a/stepstream/policy/pools.py
+++ b/stepstream/policy/pools.py
@@ -17,8 +17,8 @@
 MIN_OVERFLOW_HEADROOM_CAPS = 1.0
 MIN_OVERFLOW_HEADROOM_CAPS_WITH_REPORTS = 0.25
 MIN_SPARE_HEADROOM_CAPS = 2
-# One resizing may move one worker for each full group of this many available workers, and at least
-# one worker in a smaller fleet.
+# One resizing may move one worker for each full group of this many available workers, and one
+# worker in a smaller fleet.
 WORKERS_PER_MOVED_WORKER = 16
 
 
--- a/stepstream/policy/slow_start.py
+++ b/stepstream/policy/slow_start.py
@@ -2,8 +2,8 @@
 
 Dispatchers do not communicate. Each one therefore starts from the number of attempts that a warm
 worker recently served for it. It multiplies this number by a part of the overload multiple and by
-the slow-start factor, and sends a worker that is warming up that many attempts. The
-arithmetic is in tests/policy/test_cold.py.
+the slow-start factor, and sends a worker that is warming up that many attempts.
+The arithmetic is in tests/policy/test_cold.py.
 """
 
 from math import inf
@@ -39,7 +39,7 @@
 
 
 def record_attempt(worker: Worker, now_us: int) -> None:
-    """Record an attempt on a worker: it uses up the one that the window allows."""
+    """Record an attempt on a worker: it uses up the attempt that the window allows."""
     worker.last_attempt_us = now_us
     worker.admitted_in_window = False
 
@@ -64,7 +64,7 @@
 def _attempt_interval_us(state: PolicyState, job: InFlightJob, worker: Worker) -> float:
     """Return the mean time between two attempts on a worker that is warming up."""
     multiple = state.settings.overload_multiple * USED_OVERLOAD_MULTIPLE_FRACTION
-    rate_ratio = multiple * slow_start_factor(state, worker)  # to that of a warm worker
+    rate_ratio = multiple * slow_start_factor(state, worker)  # relative to a warm worker
     warm_interval_us = warm_worker_interval_us(state, job.request.job_class)
     return warm_interval_us / rate_ratio if rate_ratio else inf
 
--- a/stepstream/policy/unconfirmed_list.py
+++ b/stepstream/policy/unconfirmed_list.py
@@ -48,7 +48,7 @@
 
 
 def on_connection_refused(state: PolicyState, event: ConnectionRefused) -> None:
-    """Record that a worker refused a connection, which shows that its process has ended.
+    """Record that a worker's machine refused a connection: the worker's process has ended.
 
     The worker's next process gets a new record without this time.
     """
