--- a/tests/identity/program.py
+++ b/tests/identity/program.py
@@ -55,10 +55,10 @@
 
 
 class IdentityProgram(GearmanProgram):
-    """A dispatcher's process with `[identity]`, and what the tests send to it."""
+    """A dispatcher's process with `[identity]`, and the requests that tests send to it."""
 
     def __init__(self, folder, tls=False):
-        """Write the keys and the operator's file, with TLS listeners if `tls`; start the process."""
+        """Write the keys and the operator's file, with TLS listeners if `tls`, and start."""
         self.folder = folder
         self.key_store = SigningKeyStore(folder)
         self.key_store.create_key("EdDSA", "k1", KeyState.ACTIVE, 0)
@@ -97,7 +97,7 @@
         (self.folder / "crl.pem").write_bytes(signed_crl.public_bytes(serialization.Encoding.PEM))
 
     def issue_token(self, subject="portal", ttl_seconds=600, **claims):
-        """Return a token signed by the active key; `claims` are added or replaced."""
+        """Return a token signed by the active key; `claims` extend or replace the defaults."""
         now = int(time.time())
         return self.key_store.issue_token(
             {**ISSUER_AND_AUDIENCE, "sub": subject, "iat": now, "exp": now + ttl_seconds, **claims}
@@ -114,7 +114,7 @@
         )
 
     def start_worker(self, worker_id="w"):
-        """Register a Gearman worker that completes each job with 17.5, in a thread."""
+        """Start a thread with a Gearman worker that completes each job with the result 17.5."""
         peer = self.connect()
         peer.send(PacketKind.OPTION_REQ, f"token:{self.issue_token(f'worker/{worker_id}', 3600)}")
         peer.register_worker(worker_id)
--- a/tests/identity/test_identity_commands.py
+++ b/tests/identity/test_identity_commands.py
@@ -27,7 +27,8 @@
 
 
 def test_creating_a_key_beyond_the_maximum_prints_one_line_and_leaves_no_private_key(tmp_path):
-    # Guards against a private key without its public key: its id could never be used again.
+    # Guards against a private key that is stored without its public key: the id of this key could
+    # never be used again.
     store = SigningKeyStore(tmp_path)
     for number in range(MAX_KEYS):
         store.create_key("EdDSA", f"k{number}", KeyState.ACTIVE, 0)
--- a/tests/identity/test_identity_node.py
+++ b/tests/identity/test_identity_node.py
@@ -15,7 +15,7 @@
     program.start_worker()
     portal_token = program.issue_token()
     assert program.post_job(portal_token).body == b"17.5"
-    # Without a tenant, the request gets the only tenant of its caller.
+    # A request that names no tenant is assigned to the only tenant of its caller.
     assert program.post_job(portal_token, tenant=None).status == 200
 
 
--- a/tests/identity/test_identity_permissions.py
+++ b/tests/identity/test_identity_permissions.py
@@ -145,7 +145,8 @@
     assert rejection.verdict is Verdict.RATE_LIMITED
     assert rejection.retry_after_seconds == pytest.approx(0.4)
     assert permissions.admit(by_token("slow"), "revalue", "north", 10.5).verdict is Verdict.ALLOWED
-    # The rejected request took no token, and the rate of another caller is counted separately.
+    # The rejected request took no token, so the caller has one again at 10.5 s. The rate of another
+    # caller is counted separately.
     assert permissions.admit(by_token("admin"), "revalue", "north", 10.5).verdict is Verdict.ALLOWED
 
 
@@ -165,7 +166,7 @@
 BURST = 3
 MAX_OPEN_REQUESTS = 2
 MILLITOKENS_PER_REQUEST = 1000
-# In eighths of a second, at a rate of 4 per second, floats hold all sums exactly.
+# All times are multiples of 1/8 s and the rate is 4 per second, so floats hold all sums exactly.
 WAITS_MS = (125, 250, 500)
 
 
@@ -234,7 +235,7 @@
     run_state_machine(RateLimiterMachine)
 
 
-# -- audit ------------------------------------------------------------------------------------------------
+# -- audit -----------------------------------------------------------------------------------------
 
 DENIAL = Decision(Verdict.DENIED, "suspended", "identity.caller out: state", "out")
 
--- a/tests/identity/test_identity_tls.py
+++ b/tests/identity/test_identity_tls.py
@@ -73,8 +73,8 @@
 def test_a_certificate_that_cannot_be_parsed_closes_its_connection_with_one_log_line(
     tls_program,
 ):
-    # Guards against an uncaught error in the connection's thread. The handshake accepts this name,
-    # but the parser of certificates does not.
+    # Guards against an uncaught error in the connection's thread. The handshake accepts an X.400
+    # address as alternative name, but the parser of certificates does not.
     x400_address = x509.UnrecognizedExtension(
         x509.OID_SUBJECT_ALTERNATIVE_NAME, b"\x30\x02\xa3\x00"
     )
--- a/tests/identity/test_identity_tokens.py
+++ b/tests/identity/test_identity_tokens.py
@@ -64,7 +64,7 @@
 
 
 def sign(kid="ed", header=None, payload=None, **claims):
-    """Return a token signed with the private key of `kid`; members that are None are left out."""
+    """Return a token signed with the private key of `kid`, without the members that are None."""
     alg, private_key = KEYS[kid]
     header_members = {"alg": alg, "kid": kid, "typ": "JWT", **(header or {})}
     header_members = {name: value for name, value in header_members.items() if value is not None}
@@ -266,7 +266,8 @@
         claims = verify_token(bytes(token), KEY_SET, RULES, NOW)
     except TokenError:
         return
-    # Base64 ignores some bits of the signature's last character: only there a mutation may pass.
+    # Base64 ignores some bits of the signature's last character. So a mutation may be accepted only
+    # in this character; the header and the payload must be unchanged.
     parts = bytes(token).split(b"."), VALID_TOKENS[kid].split(b".")
     assert parts[0][:2] == parts[1][:2]
     assert claims.subject == "portal"
@@ -275,7 +276,7 @@
 VALID_TOKENS = {kid: sign(kid) for kid in ("ed", "es", "rs")}
 
 
-# -- the cache --------------------------------------------------------------------------------------------
+# -- the cache -------------------------------------------------------------------------------------
 
 
 def rejection_reason(verifier, token, now):
@@ -330,7 +331,7 @@
 
 
 def test_a_rotation_rejects_no_valid_token_and_accepts_none_after_its_end():
-    """Verify the tokens of the last 80 s in each second; key b replaces key a after 100 s."""
+    """In each second, verify the tokens issued in the last 80 s; key b replaces a after 100 s."""
     kids, start = ("a", "b"), NOW
     private_keys = {kid: generate_private_key("EdDSA") for kid in kids}
     KEYS.update({kid: ("EdDSA", private_keys[kid]) for kid in kids})
@@ -363,7 +364,7 @@
             )
 
 
-# -- key sets ---------------------------------------------------------------------------------------------
+# -- key sets --------------------------------------------------------------------------------------
 
 
 def jwk(**changes):
--- a/tests/lab/faults/test_fault_schedule.py
+++ b/tests/lab/faults/test_fault_schedule.py
@@ -249,8 +249,8 @@
 def test_a_member_with_two_overlapping_faults_comes_back_when_the_last_one_ends(
     kind, begin_call, end_call
 ):
-    # Guards against an injector that ends a fault early for a member: the run would then pass
-    # although the cluster was never tested with the whole fault.
+    # Guards against an injector that brings the member back when the first fault ends: the run
+    # would pass although the cluster was never tested with the whole second fault.
     target = RecordingTarget()
     injector = FaultInjector(target, Schedule())
     first = two_second_fault(kind, members=("n1",))
--- a/tests/lab/processes/test_process_cleanup.py
+++ b/tests/lab/processes/test_process_cleanup.py
@@ -39,7 +39,7 @@
         try:
             link_targets.add(os.readlink(descriptor))
         except FileNotFoundError:
-            continue  # the descriptor of this listing, which is closed by now
+            continue  # the descriptor that `iterdir` used, which is closed by now
     return {target for target in link_targets if target.startswith("socket:")}
 
 
@@ -64,7 +64,8 @@
 
 @pytest.mark.usefixtures("check_nothing_left")
 def test_a_lease_cluster_that_fails_to_start_leaves_nothing_behind(monkeypatch):
-    # A module that does not exist ends the interpreter at once, after the ledger was started.
+    # The module does not exist, so the interpreter of each member ends at once. The ledger has
+    # already been started by then.
     monkeypatch.setattr("stepstream.lab.processes.lease_cluster.MEMBER_MODULE", "no_such_module")
     cluster = LeaseDispatcherCluster(2, 1, seed=1)
     with pytest.raises(DispatcherProcessError, match="No module named no_such_module"), cluster:
--- a/tests/lab/reports/test_demo.py
+++ b/tests/lab/reports/test_demo.py
@@ -36,7 +36,8 @@
     figures = json.loads(results_path.read_text())
     assert figures["breaches"] == [], run.stdout + run.stderr
     assert run.returncode == 0, run.stdout + run.stderr
-    # The score also depends on the machine. On every machine, all jobs must have ended.
+    # The score is not checked, because it also depends on the machine. All jobs must have ended on
+    # every machine.
     assert sum(figures["finals"].values()) == figures["jobs"] > 50
     assert figures["finals"]["served"] > 0
     assert "all four invariants held" in run.stdout
--- a/tests/lab/reports/test_fault_run.py
+++ b/tests/lab/reports/test_fault_run.py
@@ -1,4 +1,4 @@
-"""Which crashes a run of faults measures the detection time of."""
+"""For which crashes a run of faults measures the detection time."""
 
 import io
 
@@ -11,7 +11,7 @@
 
 
 def test_a_crash_fault_of_a_member_that_is_down_is_not_timed():
-    # Guards against a detection time of a crash that did not happen.
+    # Guards against a detection time for a crash that did not happen: n1 is already down.
     run = FaultRun.__new__(FaultRun)
     run.controller = RecordingTarget()
     run.controller.running.discard("n1")
--- a/tests/lab/verification/test_delivery_rules.py
+++ b/tests/lab/verification/test_delivery_rules.py
@@ -1,8 +1,8 @@
-"""The rules of delivery: every rule finds its breach, and permitted runs have no breach.
+"""The rules of delivery: each rule reports its breach, and permitted runs cause no breach.
 
 A case of `BREACHES` plays one job of the class `nav-publish` at a site whose drain grace is 500 ms.
 The class is idempotent with a key: a job may be repeated for 6 s within one cell. To test a new
-rule, add a function that breaks it, and its case.
+rule, add a function that breaks the rule, and a case with this function to `BREACHES`.
 """
 
 import pytest
--- a/tests/leases/test_lease_cluster.py
+++ b/tests/leases/test_lease_cluster.py
@@ -13,7 +13,10 @@
 
 
 def cluster_with_a_slow_holder():
-    """n3, whose clock runs slow among fast ones, holds the lease and is cut off; n4 waits for it."""
+    """Return a cluster in which n3 holds the lease and is cut off, while n4 waits for the lease.
+
+    The clock of n3 runs slow; the clocks of the other members run fast.
+    """
     configuration = LeaseConfiguration(ACCEPTORS, max_ttl_seconds=6.0, max_clock_drift=0.05)
     cluster = LeaseCluster(1, member_names(5), configuration)
     for name, process in cluster.processes.items():
@@ -85,8 +88,8 @@
     assert cluster.run(
         30.0, lambda: operations[-1].token > token_before and operations[-1].is_completed
     )
-    # With clocks set back, the guard rejects a lower token, and the holder needs another ballot.
-    # Safety is kept.
+    # With clocks set back, a holder's first token can be lower than the last one before the
+    # restart. The guard rejects this token, so safety is kept, and the holder needs another ballot.
     assert (cluster.fenced_operations > 0) == (clock_change_seconds < 0)
 
 
@@ -97,7 +100,7 @@
     messages_before = cluster.messages_sent
     begun_at = cluster.now
     assert cluster.run(300.0, lambda: len(cluster.grants) >= 100)
-    # Nobody holds it twice before all have held it once.
+    # No waiter gets the lease a second time before all have had it once.
     assert len({grant.proposer_id for grant in cluster.grants}) == 100
     gaps_seconds = [
         later.observed_at - earlier.observed_at
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -57,7 +57,8 @@
     rows = cluster.ledger_rows()
     assert not ledger_record.find_breaches(rows)
     assert len(rows) > rows_before
-    # A gap between two operations overlaps the fault, or is short, as at a change of the holder.
+    # A gap between two operations may be long only if it overlaps the fault or the lease time after
+    # it. At a change of the holder the gap is short.
     ends = [row["at"] for row in rows[rows_before:] if row["what"] == "end"]
     for earlier, later in zip(ends, ends[1:], strict=False):
         overlaps_fault = (
@@ -168,7 +169,8 @@
 
 def test_an_operator_and_a_stopping_dispatcher_end_the_holder_of_a_lease(cluster, capsys, tmp_path):
     for ended_by in ("release", "term"):
-        # A `lease run` is ended only after its command has begun; before that it goes on waiting.
+        # Wait until the command has begun: before that, `lease run` would not end but go on waiting
+        # for the lease.
         begun_file = tmp_path / ended_by
         script = f"touch {begun_file}; exec sleep 60"
         run_process = start_lease_run(
@@ -210,7 +212,7 @@
     cluster.wait_for(is_rejected, TIMEOUT_SECONDS, "the answer 503")
     assert run_process.wait(TIMEOUT_SECONDS) == 75
     assert "of 3 voters answered" in run_process.stderr.read()
-    # A fixed sleep on purpose: without heartbeats the session is withdrawn within this time.
+    # A fixed sleep on purpose: a session that gets no heartbeats is withdrawn within this time.
     time.sleep(TTL_SECONDS)
     assert (
         cluster.members["n4"].call_admin("/leases/none/release?session=abcdefgh", "PUT")[0] == 404
--- a/tests/leases/test_lease_sessions.py
+++ b/tests/leases/test_lease_sessions.py
@@ -18,17 +18,17 @@
         self.released = []
 
     def acquire(self, lease, ttl_seconds, operation_seconds):
-        """Begin an attempt at 0.0 s."""
+        """Begin to acquire the lease at 0.0 s; return the proposer."""
         proposer, _ = self.participant.acquire(0.0, lease, ttl_seconds, operation_seconds)
         return proposer
 
     def release(self, proposer):
-        """Record the attempt."""
+        """Record the proposer whose lease or request is released."""
         self.released.append(proposer)
 
 
 def test_a_silent_waiting_session_is_released_when_another_one_needs_its_place():
-    # Otherwise the lease could be granted to a program that has already ended.
+    # Guards against a lease that is granted to a program that has already ended.
     driver = RecordingDriver(recovered_participant())
     service = SessionService(driver, SessionTable(max_sessions=1))
     waiting = service.open(0.0, "first", "nightly", TTL_SECONDS, 0.1)
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -19,7 +19,7 @@
 
 
 def receive(member, now, sender, body):
-    """Deliver a datagram; return the bodies of the answers, each after its address."""
+    """Deliver a datagram; return the answers as pairs of an address and a body."""
     datagram = Datagram(PROTOCOL_VERSION, member.cluster, sender, body)
     return addressed_bodies(member.handle(now, datagram))
 
@@ -103,8 +103,8 @@
 
 
 def test_nacks_count_once_per_helper_and_not_from_other_members():
-    # Guards against a local health score below 0, which comes about when every nack is counted: the
-    # next probe has a timeout of 0, so its target is suspected at once.
+    # Guards against a local health score below 0. If every nack counted, the score could fall below
+    # 0: the next probe would have a timeout of 0, and its target would be suspected at once.
     member = member_that_knows("a", "b", "c", "d", "e")
     ping, started_at = start_probe(member)
     requests = run_until(member, started_at + TIMEOUT + 0.01, PingRequest)
--- a/tests/membership/test_member_count.py
+++ b/tests/membership/test_member_count.py
@@ -66,7 +66,7 @@
             if 2 * len(members) < len(everyone):
                 assert sum(shares[name] for name in members) <= len(members) / len(everyone) + 1e-9
     if len(set(sides)) == 1 and 2 * len(running) > len(everyone):
-        # Without a partition, the running majority takes the whole share.
+        # Without a partition, the shares of the running majority sum to 1.
         assert set(shares.values()) == {1 / len(running)}
 
 
@@ -85,9 +85,9 @@
     assert member_count.confirmed_deaths(observed(c=DEAD, seconds=29.0)) == []
     assert member_count.confirmed_deaths(observed(c=DEAD)) == [7]
     assert member_count.update(observed(c=DEAD, d=LEFT), {"a": frozenset({7})}) == 3
-    # The confirmations are of claim 7.
+    # The confirmations are of claim 7, so they do not count for a death with claim 8.
     assert member_count.update(observed(c=DEAD, d=LEFT, claim=8), confirmed_by_a_and_b) == 3
     assert member_count.update(observed(c=DEAD, d=LEFT), confirmed_by_a_and_b) == 2
-    # c has returned and died again.
+    # c has returned with claim 8 and died again. No member has confirmed this death yet.
     assert member_count.update(observed(c=DEAD, d=LEFT, claim=8), {}) == 3
     assert member_count.update(observed(), confirmed_by_a_and_b) == 4
--- a/tests/membership/test_membership_messages.py
+++ b/tests/membership/test_membership_messages.py
@@ -44,7 +44,7 @@
     except InvalidDatagramError:
         return
     receiver.handle(1.0, datagram)
-    # Itself, the sender and the three piggybacked records.
+    # The receiver knows at most itself, the sender and the members of three piggybacked records.
     assert len(receiver.members.by_name) <= 1 + 4
     assert datagram.cluster == CLUSTER_NAME
 
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -1,7 +1,8 @@
-"""Real dispatcher processes with a relay between them, and faults: cuts, stops, kills, restarts, floods.
+"""Real dispatcher processes that communicate over a relay, with injected faults.
 
-Each wait ends when the admin listeners show the expected state, or after a generous timeout, so that
-the results do not depend on the machine's speed.
+The faults are cuts, stops, kills, restarts and floods. Each wait ends when the admin listeners show
+the expected state, or after a generous timeout, so that the results do not depend on the machine's
+speed.
 """
 
 import contextlib
@@ -54,7 +55,8 @@
 def cluster(running_cluster):
     """Return the cluster with all members running, connected and in agreement.
 
-    So each test also checks that the cluster recovers from the state in which the test before left it.
+    Therefore each test also checks that the cluster recovers from the state that the previous test
+    left.
     """
     running_cluster.heal()
     running_cluster.relay.links.loss_probability = 0.0
@@ -154,7 +156,7 @@
         WAIT_TIMEOUT_SECONDS,
         "deaths in all three partitions",
     )
-    # No partition has a majority.
+    # No partition has a majority, so the members keep the count of 5.
     assert dispatcher_count(cluster, "n4") == dispatcher_count(cluster, "n0") == 5
     cluster.heal()
     cluster.cut(["n0", "n1"], ["n2", "n3", "n4"])
@@ -235,8 +237,8 @@
     answer = cluster.members["n4"].call_admin(f"/fleet/changes?after={last_event_numbers['n4']}")[
         1
     ]["changes"]
-    # On a machine too busy to answer in 90 ms, a member may be suspected, but one that left must not be
-    # declared dead.
+    # A member may be suspected on a machine that is too busy to answer in 90 ms. But a member that
+    # left must not be declared dead.
     assert not [
         change for change in answer if change["name"] in ("n0", "n1") and change["after"] == "dead"
     ]
@@ -277,7 +279,7 @@
         lambda: cluster.has_converged(ALL_MEMBERS), WAIT_TIMEOUT_SECONDS, "convergence"
     )
     assert "stranger" not in target.member_states()
-    # The log is limited to 10 lines in 10 s at any number of datagrams.
+    # The log is limited to 10 such lines in 10 s, however many datagrams arrive.
     assert target.read_log().count("membership_datagram_dropped") <= 40
 
 
@@ -294,7 +296,7 @@
 
 
 def test_a_maintenance_record_reaches_partitioned_and_restarted_members(cluster):
-    """The endpoint list of n0 alone has the worker; the record must reach the other members, too."""
+    """Only the endpoint list of n0 contains the worker, but all members must get the record."""
     endpoints = {
         "version": 3,
         "full": True,
@@ -329,7 +331,8 @@
         WAIT_TIMEOUT_SECONDS,
         "the log line of n4",
     )
-    # n4 does not know the worker from discovery, but must have it in maintenance and be able to end that.
+    # n4 does not know the worker from discovery. But it must have the worker in maintenance and
+    # be able to end the maintenance.
     assert cluster.members["n4"].call_admin("/workers/s-1/ready", "PUT")[0] == 200
     cluster.start(["n0"])
     cluster.wait_for(
@@ -364,7 +367,7 @@
         )
         assert later.is_running()
         assert cluster.members["n3"].is_running()
-    cluster.kill("n3")  # as the log line advises
+    cluster.kill("n3")  # the log line advises to stop one of the two processes
 
 
 def test_a_member_whose_seeds_are_all_dead_is_unsettled_until_one_returns(cluster):
@@ -496,8 +499,8 @@
 
 
 def test_a_hot_restart_during_a_partition_passes_the_name_to_the_new_process(cluster):
-    # From this time after joining, a member yields its name to any later start. The next test covers the
-    # time before.
+    # A member that joined at least NAME_TAKEOVER_SECONDS ago yields its name to any process that
+    # started later. The next test covers a member that joined more recently.
     time.sleep(NAME_TAKEOVER_SECONDS)
     hot_restart_during_a_partition(cluster)
 
@@ -510,7 +513,7 @@
         hot_restart_during_a_partition(cluster)
 
 
-# -- the operators' commands ------------------------------------------------------------------------
+# -- the operators' commands -----------------------------------------------------------------------
 
 
 def test_commands_print_members_and_report_failures_by_exit_codes(cluster, capsys):
@@ -618,7 +621,7 @@
 
 
 def status_row(generation, started_ms, count):
-    """Return a member's row as in `GET /fleet`: its record, and the status of one process start."""
+    """Return a row as in `GET /fleet`: a member's record, and the status of one process start."""
     return {
         "name": "a",
         "state": "alive",
--- a/tests/membership/test_membership_rules.py
+++ b/tests/membership/test_membership_rules.py
@@ -1,4 +1,4 @@
-"""Rules of the membership protocol that the longer scenarios do not test for certain."""
+"""Rules of the membership protocol that the longer scenarios do not always test."""
 
 import pytest
 
@@ -68,7 +68,7 @@
 
 def test_a_tick_that_is_late_by_more_than_a_probe_timeout_is_a_stall():
     assert [is_stall(late_seconds, 0.2) for late_seconds in (0.2, 0.21)] == [False, True]
-    assert not is_stall(0.1, 0.01)  # no more than ordinary thread scheduling
+    assert not is_stall(0.1, 0.01)  # ordinary thread scheduling can delay a tick by 0.1 s
     assert [stall_penalty(seconds, 0.4) for seconds in (0.4, 0.41)] == [1, 2]
 
 
--- a/tests/membership/test_membership_simulation.py
+++ b/tests/membership/test_membership_simulation.py
@@ -67,7 +67,7 @@
 def test_the_invariants_detect_a_connected_member_that_stays_declared_dead(monkeypatch):
     cluster = converged_cluster()
     cluster.links.cut(member_names(1), member_names(0, 2, 3, 4))
-    cluster.run(40.0)  # n1 is cut off, so its being declared dead is no violation
+    cluster.run(40.0)  # n1 is cut off, so the others may declare it dead
     cluster.links.heal()
     planted.dead_members_are_not_contacted(monkeypatch)
     with pytest.raises(InvariantError, match=r"lists n\d+ as dead since"):
@@ -185,7 +185,7 @@
 
 
 def test_indirect_probes_prevent_deaths_in_a_one_way_partition():
-    """n2 receives nothing from n0, but the other members do."""
+    """Datagrams from n0 do not reach n2, but they reach all other members."""
     cluster = converged_cluster()
     cluster.links.cut_pairs = {("n0", "n2")}
     cluster.run(30.0)
@@ -237,7 +237,7 @@
     process = cluster.processes["n1"]
     process.clock_offset_seconds = clock_offset_seconds
     cluster.kill("n1")
-    cluster.start("n1")  # at once, so that no other member knows of its crash yet
+    cluster.start("n1")  # at once, before any other member notices the crash
     assert cluster.run(RECOVERY_SECONDS, cluster.has_converged)
     events = process.protocol.members.events.recent
     assert any("clock was ahead" in event.reason for event in events)
@@ -272,7 +272,7 @@
 
 
 def members_declared_dead_on_lossy_links(settings):
-    """Return how many of 20 running members are declared dead while each link loses 30 %."""
+    """Return how many of 20 running members are declared dead if each link loses 30 %."""
     cluster = converged_cluster(5, members=20, settings=settings)
     cluster.links.loss_probability = 0.3
     cluster.run(120.0)
@@ -328,7 +328,10 @@
 def test_a_maintenance_record_reaches_partitioned_and_restarted_members_by_anti_entropy(
     sends_pages, monkeypatch
 ):
-    """Without pages it does not: dissemination sends each update a limited number of times."""
+    """Without pages, the record does not reach them.
+
+    Dissemination sends each update only a limited number of times.
+    """
     if not sends_pages:
         monkeypatch.setattr(AntiEntropy, "send_pages", lambda *_, **__: None)
     cluster = converged_cluster()
@@ -361,8 +364,8 @@
 def test_a_majority_cut_off_from_all_seeds_counts_only_its_own_members(seed):
     """Guards against confirmations of deaths that do not reach the whole majority.
 
-    Digests to dead members must not use up the transmissions of updates, and anti-entropy must
-    send a lost confirmation again.
+    Digests to dead members must not use up the limited number of transmissions of each update.
+    Anti-entropy must send a lost confirmation again.
     """
     cluster = converged_cluster(seed)
     cluster.start_counting(2.0)
--- a/tests/membership/test_record_precedence.py
+++ b/tests/membership/test_record_precedence.py
@@ -69,7 +69,7 @@
     [
         (ALIVE, 7, LocalClaim.LATER_START),
         (SUSPECT, 7, LocalClaim.LATER_START),
-        (ALIVE, 6, LocalClaim.EARLIER_START),  # a claim from the future: the clock was set back
+        (ALIVE, 6, LocalClaim.EARLIER_START),  # 7 is in the future: the clock was set back
         (DEAD, 7, LocalClaim.EARLIER_START),  # the successor no longer runs
         (LEFT, 7, LocalClaim.EARLIER_START),
     ],
--- a/tests/membership/test_suspicion.py
+++ b/tests/membership/test_suspicion.py
@@ -41,7 +41,7 @@
 
 
 def test_between_two_members_a_suspicion_has_its_shortest_duration_at_once():
-    # There is no third member that could confirm it.
+    # There is no third member that could confirm the suspicion.
     assert start_suspicion(0.0, 2, SETTINGS).deadline == 1.0
 
 
