--- a/tests/identity/program.py
+++ b/tests/identity/program.py
@@ -114,7 +114,7 @@
         )
 
     def start_worker(self, worker_id="w"):
-        """Start a thread with a Gearman worker that completes each job with the result 17.5."""
+        """Register a Gearman worker; a thread completes each of its jobs with the result 17.5."""
         peer = self.connect()
         peer.send(PacketKind.OPTION_REQ, f"token:{self.issue_token(f'worker/{worker_id}', 3600)}")
         peer.register_worker(worker_id)
--- a/tests/identity/test_identity_tls.py
+++ b/tests/identity/test_identity_tls.py
@@ -29,13 +29,16 @@
 
 
 def context_with_uri(tls_program, uri, lifetime_seconds=600):
-    """Return a context and its client certificate with one URI SAN, which trustme cannot issue."""
+    """Return a context and its client certificate with one URI as SAN.
+
+    trustme cannot issue such a certificate.
+    """
     names = x509.SubjectAlternativeName([x509.UniformResourceIdentifier(uri)])
     return context_with_names(tls_program, names, lifetime_seconds)
 
 
 def context_with_names(tls_program, names, lifetime_seconds=600):
-    """Return a context and its client certificate with this extension as alternative names."""
+    """Return a context and its client certificate, whose SAN extension is `names`."""
     issuer = x509.load_pem_x509_certificate(tls_program.ca.cert_pem.bytes())
     signer = serialization.load_pem_private_key(tls_program.ca.private_key_pem.bytes(), None)
     key = ec.generate_private_key(ec.SECP256R1())
--- a/tests/identity/test_identity_tokens.py
+++ b/tests/identity/test_identity_tokens.py
@@ -1,6 +1,6 @@
 """Tokens: forged and expired ones are rejected for the expected reason, valid ones accepted.
 
-Also the token cache, a rotation of keys, and faulty key sets.
+The tests also cover the token cache, a rotation of keys, and faulty key sets.
 """
 
 import base64
--- a/tests/lab/emulator/test_worker_model.py
+++ b/tests/lab/emulator/test_worker_model.py
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def two_core_events(make_worker_model, start_us, run_model):
-    """The events of four tasks, one of them with two slots, on two cores of twice the speed."""
+    """The events of four tasks, one of them with two slots, on two cores at speed 2.0."""
     model = make_worker_model(speed=2.0)
     tasks = [
         Task("a", 400_000, slots=1),
@@ -88,7 +88,8 @@
     model.submit(start_us, Task("a", 600_000))
     events = run_model(model, 2_000_000)
     (end_us,) = [time_us for state, _, time_us in events if state is TaskState.DONE]
-    # Capacity rises from 0.5 to 1 within a second; its integral reaches 0.6 s of work.
+    # Capacity rises from 0.5 to 1 within a second. The task ends when the integral of the capacity
+    # reaches its 0.6 s of work.
     assert 800_000 < end_us < 860_000
 
 
--- a/tests/lab/simulation/test_simulated_cluster.py
+++ b/tests/lab/simulation/test_simulated_cluster.py
@@ -33,7 +33,7 @@
 
 
 class RecordingCluster(SimulatedCluster[RecordingProcess]):
-    """Processes that record their ticks and packets; the address of each is its name."""
+    """Processes that record their ticks and packets; the address of a process is its name."""
 
     recovered = True
 
--- a/tests/leases/test_lease_cluster.py
+++ b/tests/leases/test_lease_cluster.py
@@ -127,7 +127,7 @@
 def cluster_after_reconfiguration(configurations):
     """A cluster that has gone through these configurations.
 
-    All members restart with one configuration, its acceptors first, before the next one is used.
+    For each configuration in turn, all members restart with it, its acceptors first.
     """
     cluster = LeaseCluster(3, member_names(8), configurations[0])
     task = Task(
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -29,7 +29,7 @@
 
 
 def run_until(member, until, kind):
-    """Tick at each deadline up to a time; return the sent bodies of a kind, with addresses."""
+    """Tick at each deadline up to a time; return the address and body of each message of a kind."""
     sent = []
     while member.next_tick_at() <= until:
         sent += addressed_bodies(member.tick(member.next_tick_at()))
