--- a/stepstream/lab/processes/lease_faults.py
+++ b/stepstream/lab/processes/lease_faults.py
@@ -1,4 +1,4 @@
-"""Inject faults into a `LeaseDispatcherCluster`, whose lease must work during and after them.
+"""Inject faults that the lease of a `LeaseDispatcherCluster` must survive.
 
 The module owns no state. The cluster's thread makes all calls.
 """
@@ -161,7 +161,7 @@
 def inject(
     cluster: LeaseDispatcherCluster, fault: LeaseFault, timeout_seconds: float
 ) -> LeaseFaultOutcome:
-    """Inject one fault, end it, and measure how long until an operation completes after that.
+    """Inject one fault, end it, and measure the time until an operation completes after its end.
 
     Raise ConditionTimeoutError if, within `timeout_seconds`, no member holds the lease before the
     fault, or no operation completes after it.
--- a/stepstream/lab/simulation/membership_invariants.py
+++ b/stepstream/lab/simulation/membership_invariants.py
@@ -89,7 +89,7 @@
 
     checked_event: int = 0  # number of the newest membership event that was checked
     false_deaths_checked_at: float = -1.0
-    # By name and start of a running, reachable member: since when it is believed dead.
+    # Since when each running, reachable member is believed dead, by its name and start time.
     false_deaths: dict[tuple[str, float], float] = field(default_factory=dict)
 
 
--- a/tests/golden/decision_codec.py
+++ b/tests/golden/decision_codec.py
@@ -210,7 +210,7 @@
 
 
 def other_event_from_data(data: dict):
-    """Return the program's event of any other kind than `event_from_data` reads itself."""
+    """Return the program's event of a kind that `event_from_data` does not read itself."""
     match data["event"]:
         case "list":
             return EndpointList(
--- a/tests/golden/decision_simulation.py
+++ b/tests/golden/decision_simulation.py
@@ -300,7 +300,7 @@
         }
 
     def random_key(self, *, needed: bool) -> str | None:
-        """Return a random key, often the hot one; None for some of the jobs that need no key."""
+        """Return a random key, often `key0`; None for some of the jobs that need no key."""
         if not needed and self.random.random() < self.scenario.keyless_fraction:
             return None
         is_hot = self.random.random() < self.scenario.hot_key_fraction
--- a/tests/golden/state/handover_form.py
+++ b/tests/golden/state/handover_form.py
@@ -23,7 +23,7 @@
 def handover_state(
     maintenance: tuple = NO_MAINTENANCE, processes: tuple = (), endpoint_list: dict | None = None
 ) -> handover.HandoverState:
-    """Return a state; `maintenance` is the generation, the workers in maintenance, and releases."""
+    """Return a state; `maintenance` holds the generation, workers in maintenance, and releases."""
     return handover.HandoverState(MaintenanceState(*maintenance), processes, endpoint_list)
 
 
--- a/tests/golden/state/lease_admin_transcripts.py
+++ b/tests/golden/state/lease_admin_transcripts.py
@@ -59,7 +59,7 @@
 
 
 def play_lease_calls(client: RecordingAdminClient, cluster: LeaseCluster, clock: FakeClock) -> None:
-    """Call through the life of a lease, with each rejection and with too few acceptors."""
+    """Make the calls from the start to the end of a lease, also rejected ones and without a quorum."""
     client.call_all(INPUTS["calls_while_recovering"])
     clock.now += 20.0
     cluster.tick()
--- a/tests/golden/state/lease_form.py
+++ b/tests/golden/state/lease_form.py
@@ -45,7 +45,7 @@
 
 
 def samples() -> dict[str, object]:
-    """Return envelopes with every body alone, with none, and with all."""
+    """Return envelopes with each body alone, with no body, and with all bodies."""
     made = {f"body-{name}": envelope((body,)) for name, body in bodies().items()}
     made["no-bodies"] = envelope(())
     made["two-sets-all-bodies"] = envelope(tuple(bodies().values()), (1, MAX_NUMBER))
--- a/tests/golden/state/membership_admin_transcripts.py
+++ b/tests/golden/state/membership_admin_transcripts.py
@@ -115,7 +115,7 @@
 
 
 def replace_members(protocol: MembershipProtocol, clock: FakeClock) -> None:
-    """Give a member and the local one a later generation, ten seconds on."""
+    """Advance the clock by ten seconds; give a member and the local one a later generation."""
     clock.now += 10.0
     protocol.context.now = clock.now
     protocol.merger.merge(member_record("n1", 7947, "ALIVE", GENERATION + 7), "n1")
